--- a/src/main/java/io/cherryspool/controller/Adoption.java
+++ b/src/main/java/io/cherryspool/controller/Adoption.java
@@ -65,10 +65,10 @@
 
   /** Whether the machine runs tasks of unknown size, so that its room is not known. */
   boolean occupies(MachineState machine) {
-    if (!concerned() || machine.latest == null) {
+    if (!concerned() || !machine.hasHeartbeat()) {
       return false;
     }
-    for (Report.TaskReport item : machine.latest.tasks()) {
+    for (Report.TaskReport item : machine.latestHeartbeat().tasks()) {
       if (protects(machine, item)) {
         return true;
       }
@@ -90,8 +90,8 @@
     return Reconciliation.decide(
         entry,
         item,
-        machine.name,
-        machine.latest.session(),
+        machine.name(),
+        machine.latestHeartbeat().session(),
         entry != null && ownerReports(entry, item));
   }
 
@@ -115,10 +115,10 @@
     Set<String> unknown = new HashSet<>();
     Set<String> pending = new HashSet<>();
     for (MachineState machine : fleet.all()) {
-      if (machine.gone || machine.latest == null || machine.latest.token() <= tokens.base()) {
+      if (machine.isDeleted() || !machine.contact().hasTokenAbove(tokens.base())) {
         continue;
       }
-      for (Report.TaskReport item : machine.latest.tasks()) {
+      for (Report.TaskReport item : machine.latestHeartbeat().tasks()) {
         collect(machine, item, edits, unknown, pending);
       }
     }
@@ -154,10 +154,10 @@
           replica.job(id),
           new Attempt(
               item.task().number(),
-              machine.name,
-              machine.latest.session(),
+              machine.name(),
+              machine.latestHeartbeat().session(),
               item.attempt(),
-              machine.latest.token()));
+              machine.latestHeartbeat().token()));
     } else if (concerns(id) && decision == Decision.COUNT_DONE) {
       pending.add(id);
       edits.complete(replica.job(id), item.task().number());
@@ -167,10 +167,10 @@
   /** Whether everything that the machines report is recorded. */
   boolean allRecorded() {
     for (MachineState machine : fleet.all()) {
-      if (machine.gone || machine.latest == null) {
+      if (machine.isDeleted() || !machine.hasHeartbeat()) {
         continue;
       }
-      for (Report.TaskReport item : machine.latest.tasks()) {
+      for (Report.TaskReport item : machine.latestHeartbeat().tasks()) {
         Decision decision = decide(machine, item);
         String id = item.task().job();
         boolean noted = replica.unknownAtWorkers(id) || replica.abandoned(id);
@@ -226,9 +226,12 @@
   private boolean reports(JobEntry entry, Attempt attempt) {
     MachineState machine = fleet.get(attempt.machine());
     return machine != null
-        && !machine.gone
-        && machine.latest != null
-        && machine.latest.session() == attempt.session()
-        && machine.find(new TaskId(entry.job().id(), attempt.task()), attempt.number()) != null;
+        && !machine.isDeleted()
+        && machine.hasHeartbeat()
+        && machine.latestHeartbeat().session() == attempt.session()
+        && machine
+            .contact()
+            .findTask(new TaskId(entry.job().id(), attempt.task()), attempt.number())
+            .isPresent();
   }
 }
--- a/src/main/java/io/cherryspool/controller/CommandSender.java
+++ b/src/main/java/io/cherryspool/controller/CommandSender.java
@@ -38,35 +38,25 @@
 
   /** Sends the commands; with none, the call still makes the worker take the current token. */
   void send(MachineState machine, List<Order> commands) {
-    if (machine.latest == null
-        || machine.endpoint == null
-        || machine.gone
-        || machine.underWay != 0
-        || loop.now().compareTo(machine.sendAgainAt) < 0) {
+    if (!machine.hasHeartbeat()
+        || !machine.hasEndpoint()
+        || machine.isDeleted()
+        || !machine.commands().mayCall(loop.now())) {
       return;
     }
     long token = tokens.current();
-    machine.underWay = token;
-    noteStarts(machine, commands, token);
+    machine.commands().beginCall(commands, token);
     workers
-        .commands(machine.endpoint, token, machine.latest.session(), commands)
+        .commands(machine.endpoint(), token, machine.latestHeartbeat().session(), commands)
         .whenComplete(
             (report, failure) -> {
-              machine.underWay = 0;
-              if (failure != null) {
-                machine.unanswered = Math.max(machine.unanswered, token);
-                machine.sendAgainAt = loop.now().plus(pause);
+              if (failure == null) {
+                machine.commands().callAnswered();
+              } else {
+                machine.commands().callFailed(loop.now().plus(pause));
                 tokens.next();
               }
               sink.accept(machine, failure == null ? report : null);
             });
   }
-
-  static void noteStarts(MachineState machine, List<Order> commands, long token) {
-    for (Order command : commands) {
-      if (command.verb() == Order.Verb.START) {
-        machine.started.put(command, token);
-      }
-    }
-  }
 }
--- a/src/main/java/io/cherryspool/controller/CrashLoopBackoff.java
+++ b/src/main/java/io/cherryspool/controller/CrashLoopBackoff.java
@@ -50,7 +50,7 @@
     }
     CrashLoop loop = loops.computeIfAbsent(id, key -> new CrashLoop());
     // What has succeeded nowhere says no more of a machine by failing there again and again.
-    boolean first = loop.machines.add(machine.name);
+    boolean first = loop.machines.add(machine.name());
     // Those that were under way together count as one try.
     loop.tries += crashLooping(loop) && now.compareTo(loop.ready(now)) >= 0 ? 1 : 0;
     loop.last = now;
@@ -62,7 +62,7 @@
                 + " a time until it succeeds or is cancelled",
             id,
             loop.machines.size(),
-            machine.name,
+            machine.name(),
             TRIES);
       }
     }
--- a/src/main/java/io/cherryspool/controller/Fleet.java
+++ b/src/main/java/io/cherryspool/controller/Fleet.java
@@ -2,7 +2,6 @@
 
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.model.Report;
-import io.cherryspool.model.TaskId;
 import java.time.Duration;
 import java.util.Collection;
 import java.util.Collections;
@@ -17,7 +16,6 @@
 /** The machines that a leader knows from their messages and from the cloud's list. */
 final class Fleet {
   private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-  private static final int IMAGES_REMEMBERED = 16;
 
   private final Map<String, MachineState> machines = new LinkedHashMap<>();
 
@@ -37,7 +35,7 @@
   /** Whether the machine has sent any message in this term. */
   boolean hasHeard(String name) {
     MachineState machine = machines.get(name);
-    return machine != null && machine.heard != null;
+    return machine != null && machine.hasHeartbeat();
   }
 
   boolean isGone(String name) {
@@ -48,9 +46,9 @@
       String name, String address, String type, String zone, boolean spot, Duration now) {
     MachineState machine =
         machines.computeIfAbsent(name, key -> new MachineState(name, type, zone, spot, now));
-    if (machine.endpoint == null && address != null) {
+    if (!machine.hasEndpoint() && address != null) {
       try {
-        machine.endpoint = Endpoint.parse(address);
+        machine.setEndpoint(Endpoint.parse(address));
       } catch (IllegalArgumentException e) {
         LOG.warn("machine {} has no usable address: {}", name, e.getMessage());
       }
@@ -59,15 +57,15 @@
   }
 
   void markGone(MachineState machine) {
-    machine.gone = true;
-    gone.add(machine.name);
+    machine.markDeleted();
+    gone.add(machine.name());
   }
 
   /** Drops the states of machines that are gone and own nothing any more. */
   void prune(Ownership ownership) {
     for (Iterator<MachineState> all = machines.values().iterator(); all.hasNext(); ) {
       MachineState machine = all.next();
-      if (machine.gone && ownership.on(machine.name).isEmpty()) {
+      if (machine.isDeleted() && ownership.on(machine.name()).isEmpty()) {
         all.remove();
       }
     }
@@ -80,36 +78,10 @@
     }
     MachineState machine =
         add(report.machine(), report.address(), report.type(), report.zone(), report.spot(), now);
-    Report before = machine.latest;
-    if (machine.accept(report, now) && report.differsFrom(before)) {
-      observe(machine, report, now);
+    Report before = machine.latestHeartbeat();
+    if (machine.contact().accept(report, now) && report.differsFrom(before)) {
+      machine.history().recordTasks(report, now);
     }
     return machine;
   }
-
-  private static void observe(MachineState machine, Report report, Duration now) {
-    if (report.tasks().isEmpty()) {
-      machine.runningSince.clear();
-      return;
-    }
-    // Kept for an exited task too, so that its run time can be learnt when its end is taken in.
-    Set<TaskId> present = new HashSet<>();
-    for (Report.TaskReport item : report.tasks()) {
-      if (item.state() == Report.State.RUNNING || item.state() == Report.State.SAVING) {
-        machine.runningSince.putIfAbsent(item.task(), now);
-      }
-      present.add(item.task());
-    }
-    machine.runningSince.keySet().retainAll(present);
-  }
-
-  /** Remembers an image that the machine has or will fetch. */
-  static void addImage(MachineState machine, String image) {
-    machine.view = null;
-    machine.images.remove(image);
-    machine.images.add(image);
-    if (machine.images.size() > IMAGES_REMEMBERED) {
-      machine.images.remove(machine.images.iterator().next());
-    }
-  }
 }
--- a/src/main/java/io/cherryspool/controller/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/LeaderTerm.java
@@ -23,7 +23,6 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Objects;
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
@@ -179,7 +178,7 @@
       stopRequests.drop(owned);
       MachineState machine = fleet.get(owned.attempt().machine());
       if (machine != null) {
-        machine.started.remove(Order.start(owned.id(), owned.attempt().number()));
+        machine.commands().removeStart(Order.start(owned.id(), owned.attempt().number()));
       }
     }
 
@@ -255,9 +254,9 @@
     Duration lateSince = loop.now().minus(timings.late());
     FleetView.Builder view = new FleetView.Builder();
     for (MachineState machine : fleet.all()) {
-      if (!machine.gone) {
-        boolean listedNow = provisioner.lists(machine.name);
-        view.add(machine.zone, listedNow, machine.contact(lateSince, started));
+      if (!machine.isDeleted()) {
+        boolean listedNow = provisioner.lists(machine.name());
+        view.add(machine.zone(), listedNow, machine.contactStanding(lateSince, started));
       }
     }
     return view.build();
@@ -277,22 +276,20 @@
     ingest(report);
     MachineState machine = fleet.get(report.machine());
     long token = tokens.current();
-    if (machine == null || machine.gone || machine.latest == null) {
+    if (machine == null || machine.isDeleted() || !machine.hasHeartbeat()) {
       return WorkerWire.reply(token, List.of());
     }
     MachineStanding standing = rounds.standing(machine);
-    boolean waits = machine.answer(report, token, loop.now());
+    boolean waits = machine.contact().recordReply(report, token, loop.now());
     if (standing.improvedTo(rounds.standing(machine))) {
       // Its lease is renewed, so that it may be given work again.
       rounds.request();
     }
-    if (!waits || report.session() != machine.latest.session()) {
+    if (!waits || report.session() != machine.latestHeartbeat().session()) {
       return WorkerWire.reply(token, List.of());
     }
-    List<Order> list = workerCommands.dueFor(machine, ownership.on(machine.name));
-    CommandSender.noteStarts(machine, list, token);
-    machine.told.clear();
-    list.forEach(order -> machine.told.put(order, loop.now()));
+    List<Order> list = workerCommands.dueFor(machine, ownership.on(machine.name()));
+    machine.commands().recordDelivered(list, token, loop.now());
     return WorkerWire.reply(token, list);
   }
 
@@ -302,7 +299,7 @@
       ingest(report);
     }
     // Whether the call may still run bears on what absence proves.
-    touched(machine.name);
+    touched(machine.name());
   }
 
   /** Something of the machine has changed that may prove an end or ask for a command. */
@@ -321,7 +318,7 @@
       return;
     }
     MachineState known = fleet.get(report.machine());
-    Report before = known == null ? null : known.latest;
+    Report before = known == null ? null : known.latestHeartbeat();
     // What a report repeats was looked at before; records only come to know more.
     if (startMissing.isPresent()
         && replica.settled()
@@ -331,18 +328,18 @@
     }
     MachineStanding standing = rounds.standing(known);
     MachineState machine = fleet.accept(report, loop.now());
-    if (machine == null || machine.latest != report) {
+    if (machine == null || machine.latestHeartbeat() != report) {
       return;
     }
     // A newer token alone is no news: each round would touch every machine and ask for the next.
     if (report.differsFrom(before)
         || standing.improvedTo(rounds.standing(machine))
-        || rounds.awaits(machine.name)) {
-      touched(machine.name);
+        || rounds.awaits(machine.name())) {
+      touched(machine.name());
       rounds.request();
     }
     if (report.notice() != null && (before == null || before.notice() == null)) {
-      LOG.info("machine {} will be taken in {} s", machine.name, report.notice().toSeconds());
+      LOG.info("machine {} will be taken in {} s", machine.name(), report.notice().toSeconds());
       drain(machine);
     }
   }
@@ -362,12 +359,12 @@
 
   /** Saves what can be saved on a machine that goes; the rest may still finish in time. */
   private void drain(MachineState machine) {
-    for (Ownership.Owned owned : ownership.on(machine.name)) {
+    for (Ownership.Owned owned : ownership.on(machine.name())) {
       Duration save = owned.entry().job().save();
       boolean saves = !owned.entry().job().checkpoint().isZero();
-      if (saves && save.compareTo(machine.latest.notice()) < 0) {
-        stopRequests.add(owned.id(), owned.attempt().number(), machine.latest.notice());
-        rounds.machineTouched(machine.name);
+      if (saves && save.compareTo(machine.latestHeartbeat().notice()) < 0) {
+        stopRequests.add(owned.id(), owned.attempt().number(), machine.latestHeartbeat().notice());
+        rounds.machineTouched(machine.name());
       }
     }
     sendDueCommands();
@@ -381,20 +378,16 @@
     Duration now = loop.now();
     for (Iterator<String> names = ordered.iterator(); names.hasNext(); ) {
       MachineState machine = fleet.get(names.next());
-      if (machine == null || machine.gone) {
+      if (machine == null || machine.isDeleted()) {
         names.remove();
-      } else if (machine.latest != null && machine.underWay == 0) {
-        List<Order> due = workerCommands.dueFor(machine, ownership.on(machine.name));
+      } else if (machine.hasHeartbeat() && !machine.commands().isCallInFlight()) {
+        List<Order> due = workerCommands.dueFor(machine, ownership.on(machine.name()));
         due.removeIf(order -> order.verb() == Order.Verb.FORGET);
         if (due.isEmpty()) {
           names.remove();
           continue;
         }
-        due.removeIf(
-            order -> {
-              Duration told = machine.told.get(order);
-              return told != null && now.minus(told).compareTo(TOLD) < 0;
-            });
+        due.removeIf(order -> machine.commands().wasDeliveredWithin(order, TOLD, now));
         if (!due.isEmpty()) {
           commandSender.send(machine, due);
         }
@@ -440,11 +433,10 @@
   private boolean allFenced() {
     Set<String> names = new HashSet<>(provisioner.listed());
     names.addAll(ownership.machines());
-    fleet.all().forEach(machine -> names.add(machine.name));
+    fleet.all().forEach(machine -> names.add(machine.name()));
     for (String name : names) {
       MachineState machine = fleet.get(name);
-      boolean fenced =
-          machine != null && machine.latest != null && machine.latest.token() > tokens.base();
+      boolean fenced = machine != null && machine.contact().hasTokenAbove(tokens.base());
       if (!fenced && !fleet.isGone(name)) {
         return false;
       }
@@ -461,7 +453,7 @@
     Duration now = loop.now();
     boolean all = listed != null;
     for (MachineState machine : fleet.all()) {
-      all &= machine.gone || machine.heard != null;
+      all &= machine.isDeleted() || machine.hasHeartbeat();
     }
     for (String name : ownership.machines()) {
       all &= fleet.isGone(name) || fleet.hasHeard(name);
@@ -483,8 +475,8 @@
   private void inspectListed() {
     listed = listed == null ? loop.now() : listed;
     for (MachineState machine : fleet.all()) {
-      if (machine.endpoint != null && machine.heard == null && inspected.add(machine.name)) {
-        toInspect.add(machine.name);
+      if (machine.hasEndpoint() && !machine.hasHeartbeat() && inspected.add(machine.name())) {
+        toInspect.add(machine.name());
       }
     }
     inspectNext();
@@ -500,12 +492,10 @@
     for (String name : ownership.machines()) {
       MachineState machine = fleet.get(name);
       if (machine != null
-          && !machine.gone
-          && machine.endpoint != null
-          && machine.heard != null
-          && !machine.heard.equals(machine.probed)
-          && machine.heard.compareTo(lateSince) < 0) {
-        machine.probed = machine.heard;
+          && !machine.isDeleted()
+          && machine.hasEndpoint()
+          && machine.contact().isProbeDue(lateSince)) {
+        machine.contact().recordProbe();
         toInspect.add(name);
       }
     }
@@ -523,13 +513,13 @@
       Iterator<String> first = toInspect.iterator();
       MachineState machine = fleet.get(first.next());
       first.remove();
-      if (machine == null || machine.gone || !Objects.equals(machine.heard, machine.probed)) {
+      if (machine == null || machine.isDeleted() || machine.contact().hasHeartbeatSinceProbe()) {
         continue;
       }
       inspecting++;
       Duration asked = loop.now();
       workers
-          .inspect(machine.endpoint)
+          .inspect(machine.endpoint())
           .whenComplete(
               (report, failure) -> {
                 inspecting--;
@@ -537,10 +527,10 @@
                 if (failure == null && !stopped) {
                   ingest(report);
                   fence(machine);
-                } else if (Objects.equals(machine.heard, machine.probed)
+                } else if (!machine.contact().hasHeartbeatSinceProbe()
                     && took.compareTo(Durations.part(timings.workerCall(), 2)) > 0) {
                   // A call that fails at once found no socket, which says nothing of the machine.
-                  machine.mute = true;
+                  machine.contact().markUnresponsive();
                 }
                 inspectNext();
               });
@@ -548,8 +538,8 @@
   }
 
   private void fence(MachineState machine) {
-    if (machine.latest != null && machine.latest.token() < tokens.current()) {
-      commandSender.send(machine, workerCommands.dueFor(machine, ownership.on(machine.name)));
+    if (machine.hasHeartbeat() && machine.latestHeartbeat().token() < tokens.current()) {
+      commandSender.send(machine, workerCommands.dueFor(machine, ownership.on(machine.name())));
     }
   }
 }
--- a/src/main/java/io/cherryspool/controller/MachineState.java
+++ b/src/main/java/io/cherryspool/controller/MachineState.java
@@ -1,188 +1,198 @@
 package io.cherryspool.controller;
 
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.model.Order;
 import io.cherryspool.model.Report;
-import io.cherryspool.model.TaskId;
 import io.cherryspool.reachability.Contact;
 import io.cherryspool.scheduler.ClusterView;
 import java.time.Duration;
-import java.util.HashMap;
-import java.util.LinkedHashSet;
-import java.util.Map;
-import java.util.Set;
+import java.util.Optional;
+
+/**
+ * What a leader knows of one machine, in memory only; a new leader learns it again. Used on the
+ * event loop only.
+ */
+public final class MachineState {
+  private final String name;
+  private final String type;
+  private final String zone;
+  private final boolean spot;
+  private final Duration firstSeen;
+  private final MachineContact contact = new MachineContact();
+  private final CommandDelivery commands = new CommandDelivery();
+  private final PlacementHistory history = new PlacementHistory();
+  private Endpoint endpoint;
 
-/** What a leader knows of one machine, in memory only; a new leader learns it again. */
-final class MachineState {
-  final String name;
-  final String type;
-  final String zone;
-  final boolean spot;
-  Endpoint endpoint;
+  /** What planning sees of the machine, null when something has changed since. */
+  private ClusterView.MachineView view;
 
-  /** The newest message, or null before the first of this term. */
-  Report latest;
+  private Duration idleSince;
+  private boolean markedForDeletion;
+  private boolean cordoned;
+  private boolean deleted;
 
-  Duration heard;
+  /** Type and zone may be empty, of a machine that is known by its name only. */
+  public MachineState(String name, String type, String zone, boolean spot, Duration now) {
+    this.name = name;
+    this.type = type;
+    this.zone = zone;
+    this.spot = spot;
+    this.firstSeen = now;
+  }
 
-  /** What {@link #heard} was when the machine was last asked for its state, null before that. */
-  Duration probed;
+  /** The name that the cloud gave it. */
+  public String name() {
+    return name;
+  }
 
-  /** It has not answered when asked, and nothing was heard of it since. */
-  boolean mute;
+  /** The name of its machine type, empty if unknown. */
+  public String type() {
+    return type;
+  }
 
-  /**
-   * When this leader first heard of the present session. A session lives for a lease from its start
-   * even if none of its reports is answered, and it began before it was heard of.
-   */
-  private Duration sessionSince;
+  /** Its zone, empty if unknown. */
+  public String zone() {
+    return zone;
+  }
 
-  /** When this leader last answered one of its reports, null if never. */
-  Duration answered;
+  /** Whether the cloud may take it back at short notice. */
+  public boolean isSpot() {
+    return spot;
+  }
 
-  /** The newest report answered, so that a late copy of it is known as one. */
-  private long answeredSession;
+  /** The contact with its worker. */
+  public MachineContact contact() {
+    return contact;
+  }
 
-  private long answeredSequence;
+  /** The delivery of commands to its worker. */
+  public CommandDelivery commands() {
+    return commands;
+  }
 
-  /** The token of the last answer to a report; a worker that took it in reports no lower one. */
-  private long toldToken;
+  /** What has run on it. */
+  public PlacementHistory history() {
+    return history;
+  }
 
-  /** How many answers in a row the worker has shown no sign of. */
-  int unheeded;
+  /** Whether its worker has sent a heartbeat in this term. */
+  public boolean hasHeartbeat() {
+    return contact.hasHeartbeat();
+  }
 
-  /** Since when answers have gone unheeded, null while they are heeded. */
-  Duration deafSince;
+  /** See {@link MachineContact#latest()}. */
+  public Report latestHeartbeat() {
+    return contact.latest();
+  }
 
-  /** Orders given in answers to reports, with the time; the worker is given time to carry out. */
-  final Map<Order, Duration> told = new HashMap<>();
+  /** Whether it is known where its worker takes calls. */
+  public boolean hasEndpoint() {
+    return endpoint != null;
+  }
 
-  /** What planning sees of the machine, null when something has changed since. */
-  ClusterView.MachineView view;
+  /** Where its worker takes calls, null if that is not known. */
+  public Endpoint endpoint() {
+    return endpoint;
+  }
 
-  /** The highest token of a direct command that has no answer, so that it may still run. */
-  long unanswered;
+  void setEndpoint(Endpoint known) {
+    endpoint = known;
+  }
 
-  /** The token of the direct command under way, 0 if none is. */
-  long underWay;
+  /** When the newest heartbeat came, or else when the leader learnt of the machine. */
+  public Duration lastSeenAt() {
+    return contact.hasHeartbeat() ? contact.lastHeartbeatAt() : firstSeen;
+  }
 
-  Duration sendAgainAt = Duration.ZERO;
+  /**
+   * How the leader stands with the machine.
+   *
+   * @param lateSince what last came before this is late
+   * @param termStart when the leader's term began, which answered nothing before
+   */
+  public Contact contactStanding(Duration lateSince, Duration termStart) {
+    return contact.standing(firstSeen, lateSince, termStart);
+  }
 
-  /** The highest token under which each start was sent. */
-  final Map<Order, Long> started = new HashMap<>();
+  /** Whether no direct command sent before may still run on the worker. */
+  public boolean areCommandsFenced() {
+    return contact.hasTokenAbove(commands.highestPendingToken());
+  }
 
-  /** When a task was first seen running, for estimates of what stopping it loses. */
-  final Map<TaskId, Duration> runningSince = new HashMap<>();
+  /**
+   * What planning last saw of the machine, null when something has changed since. Not an {@link
+   * Optional}, since it is read for every machine in every round.
+   */
+  public ClusterView.MachineView cachedView() {
+    return view;
+  }
 
-  final Set<String> images = new LinkedHashSet<>();
+  /** Keeps what planning sees of the machine until something changes. */
+  public void cacheView(ClusterView.MachineView seen) {
+    view = seen;
+  }
 
-  /** Jobs whose tasks failed here, with the time of the last failure. */
-  final Map<String, Duration> failedJobs = new HashMap<>();
+  /** Records that something has changed which planning sees. */
+  public void invalidateView() {
+    view = null;
+  }
 
-  int failuresInARow;
-  Duration idleSince;
-  Duration firstSeen;
-  boolean deleting;
+  /** Records an image that the machine has or will fetch. */
+  public void recordImage(String image) {
+    view = null;
+    history.recordImage(image);
+  }
 
-  /** The fleet does without it: it gets only work that finds no room elsewhere. */
-  boolean closing;
+  /** Lets jobs whose tasks last failed here longer ago be placed here again. */
+  public void removeFailedJobs(Duration olderThan, Duration now) {
+    if (history.removeFailedJobs(olderThan, now)) {
+      view = null;
+    }
+  }
 
-  /** The cloud has confirmed that the machine and everything on it are gone. */
-  boolean gone;
+  /** Records whether it has nothing to do; idle time counts from when it began. */
+  public void setIdle(boolean idle, Duration now) {
+    if (!idle) {
+      idleSince = null;
+    } else if (idleSince == null) {
+      idleSince = now;
+    }
+  }
 
-  MachineState(String name, String type, String zone, boolean spot, Duration now) {
-    this.name = name;
-    this.type = type;
-    this.zone = zone;
-    this.spot = spot;
-    this.firstSeen = now;
+  /** For how long it has had nothing to do, empty if it has. */
+  public Optional<Duration> idleFor(Duration now) {
+    return idleSince == null ? Optional.empty() : Optional.of(now.minus(idleSince));
   }
 
-  /** Keeps the message if it is newer than any before. */
-  boolean accept(Report report, Duration now) {
-    if (latest != null && !report.newerThan(latest)) {
-      return false;
-    }
-    if (latest == null || report.session() > latest.session()) {
-      sessionSince = now;
-    }
-    latest = report;
-    heard = now;
-    mute = false;
-    if (report.token() >= toldToken) {
-      unheeded = 0;
-      deafSince = null;
-    }
-    return true;
+  /** Whether the leader has decided to delete it. */
+  public boolean isMarkedForDeletion() {
+    return markedForDeletion;
   }
 
-  /**
-   * Notes that this report is answered under the token; false if it was answered before, so that it
-   * is a late copy: nobody waits for the answer, and it keeps nothing alive.
-   *
-   * <p>A worker has one report in flight, so the next one shows whether the answer before it came
-   * through. A worker whose answers are lost goes on reporting and looks alive; it is known by the
-   * token that it lacks.
-   */
-  boolean answer(Report report, long token, Duration now) {
-    boolean copy =
-        report.session() < answeredSession
-            || report.session() == answeredSession && report.sequence() <= answeredSequence;
-    if (copy) {
-      return false;
-    }
-    if (report.token() < toldToken) {
-      unheeded++;
-      deafSince = deafSince == null ? now : deafSince;
-    }
-    answeredSession = report.session();
-    answeredSequence = report.sequence();
-    answered = now;
-    toldToken = token;
-    return true;
+  /** Records that the leader has decided to delete it. */
+  public void markForDeletion() {
+    markedForDeletion = true;
   }
 
-  /**
-   * Since when nothing that this leader knows of has kept the session alive; null if unheard of.
-   */
-  Duration keptAlive() {
-    return answered == null || sessionSince != null && sessionSince.compareTo(answered) > 0
-        ? sessionSince
-        : answered;
+  /** Whether it is given only work that fits nowhere else, since the fleet can do without it. */
+  public boolean isCordoned() {
+    return cordoned;
   }
 
-  /**
-   * How the leader stands with the machine.
-   *
-   * @param lateSince what was last heard before this is late
-   * @param started when the leader's term began, which answered nothing before
-   */
-  Contact contact(Duration lateSince, Duration started) {
-    if (latest == null) {
-      return firstSeen.compareTo(lateSince) < 0 ? Contact.NEVER_HEARD : Contact.NEW;
-    }
-    if (unheeded > 1) {
-      return Contact.DEAF;
+  /** Decides whether it is given only work that fits nowhere else. */
+  public void setCordoned(boolean cordon) {
+    if (cordoned != cordon) {
+      cordoned = cordon;
+      view = null;
     }
-    if (heard.compareTo(lateSince) < 0) {
-      return Contact.SILENT;
-    }
-    Duration kept = answered == null ? started : answered;
-    return kept.compareTo(lateSince) < 0 ? Contact.LATE : Contact.REPORTING;
   }
 
-  /** Whether no direct command sent before may still run on the worker. */
-  boolean settled() {
-    return latest != null && latest.token() > Math.max(unanswered, underWay);
+  /** Whether the cloud has confirmed that the machine and everything on it no longer exist. */
+  public boolean isDeleted() {
+    return deleted;
   }
 
-  /** The task as the newest message has it, or null. */
-  Report.TaskReport find(TaskId task, int attempt) {
-    for (Report.TaskReport item : latest.tasks()) {
-      if (item.attempt() == attempt && item.task().equals(task)) {
-        return item;
-      }
-    }
-    return null;
+  /** Records that the cloud has confirmed the deletion. */
+  public void markDeleted() {
+    deleted = true;
   }
 }
--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/PlacementHistory.java
@@ -0,0 +1,100 @@
+package io.cherryspool.controller;
+
+import io.cherryspool.model.Report;
+import io.cherryspool.model.TaskId;
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+
+/**
+ * What has run on one machine, as far as it bears on what is placed there next: running tasks,
+ * images, and failures. Used on the event loop only.
+ */
+public final class PlacementHistory {
+  /** A machine on which so many tasks in a row failed is not used again. */
+  private static final int FAULTY_AFTER_FAILURES = 3;
+
+  private static final int MAX_IMAGES = 16;
+
+  private final Map<TaskId, Duration> runningSince = new HashMap<>();
+
+  /** The oldest first. */
+  private final Set<String> images = new LinkedHashSet<>();
+
+  private final Map<String, Duration> failedJobs = new HashMap<>();
+  private int failuresInARow;
+
+  /** Records which tasks the machine has and when those that run were first seen running. */
+  void recordTasks(Report heartbeat, Duration now) {
+    if (heartbeat.tasks().isEmpty()) {
+      runningSince.clear();
+      return;
+    }
+    // Kept for an exited task too, so that its run time is known when its end is recorded.
+    Set<TaskId> present = new HashSet<>();
+    for (Report.TaskReport item : heartbeat.tasks()) {
+      if (item.state() == Report.State.RUNNING || item.state() == Report.State.SAVING) {
+        runningSince.putIfAbsent(item.task(), now);
+      }
+      present.add(item.task());
+    }
+    runningSince.keySet().retainAll(present);
+  }
+
+  /**
+   * When the task was first seen running, for estimates of what stopping it loses; empty if it was
+   * not, or the machine has it no more.
+   */
+  public Optional<Duration> runningSince(TaskId task) {
+    return Optional.ofNullable(runningSince.get(task));
+  }
+
+  /** Records an image that the machine has or will fetch, as the newest one. */
+  void recordImage(String image) {
+    images.remove(image);
+    images.add(image);
+    if (images.size() > MAX_IMAGES) {
+      images.remove(images.iterator().next());
+    }
+  }
+
+  /** The images that the machine last used, as a copy. */
+  public Set<String> images() {
+    return Set.copyOf(images);
+  }
+
+  /** Records that a task of the job failed or was refused here. */
+  public void recordJobFailure(String job, Duration now) {
+    failedJobs.put(job, now);
+  }
+
+  /** Drops the jobs whose tasks last failed here longer ago; returns whether there were any. */
+  boolean removeFailedJobs(Duration olderThan, Duration now) {
+    return !failedJobs.isEmpty()
+        && failedJobs.values().removeIf(at -> now.minus(at).compareTo(olderThan) > 0);
+  }
+
+  /** The jobs whose tasks failed here, as a copy. */
+  public Set<String> failedJobs() {
+    return Set.copyOf(failedJobs.keySet());
+  }
+
+  /** Records a failure that the machine rather than the job is to blame for. */
+  public void recordMachineFailure() {
+    failuresInARow++;
+  }
+
+  /** Records that a task completed here, which ends a row of failures. */
+  public void recordSuccess() {
+    failuresInARow = 0;
+  }
+
+  /** Whether so many tasks in a row failed here that the machine is taken for a faulty one. */
+  public boolean isFaulty() {
+    return failuresInARow >= FAULTY_AFTER_FAILURES;
+  }
+}
--- a/src/main/java/io/cherryspool/controller/Provisioner.java
+++ b/src/main/java/io/cherryspool/controller/Provisioner.java
@@ -26,9 +26,6 @@
 
 /** Provisions machines for the leader: lists, rents and returns them, one call at a time. */
 final class Provisioner implements Lifecycle {
-  /** A machine on which so many tasks in a row failed is not used again. */
-  static final int SICK = 3;
-
   /** Steps that find nothing to do take at most about one part in so many of the processor. */
   private static final int COST_SHARE = 40;
 
@@ -239,43 +236,34 @@
     }
     Duration listening = health.steadyFor(now);
     for (MachineState machine : fleet.all()) {
-      if (machine.gone) {
+      if (machine.isDeleted()) {
         continue;
       }
-      boolean idle = ownership.on(machine.name).isEmpty() && !adoption.occupies(machine);
-      if (!idle) {
-        machine.idleSince = null;
-      } else if (machine.idleSince == null) {
-        machine.idleSince = now;
-      }
-      Duration silentFor = now.minus(lastSeen(machine));
+      boolean idle = ownership.on(machine.name()).isEmpty() && !adoption.occupies(machine);
+      machine.setIdle(idle, now);
+      Duration silentFor = now.minus(machine.lastSeenAt());
       Optional<MachineRule.Fault> fault =
           links.machines().judge(signs(machine, silentFor, !idle, now), listening);
       if (fault.isPresent()) {
         doom(
-            machine.name,
+            machine.name(),
             fault.get() == MachineRule.Fault.DEAF
                 ? "it reports and does not take in what it is told"
                 : "it has been silent for " + silentFor.toSeconds() + " s");
-      } else if (machine.failuresInARow >= SICK) {
-        doom(machine.name, "tasks of several tries fail on it");
+      } else if (machine.history().isFaulty()) {
+        doom(machine.name(), "tasks of several tries fail on it");
       }
     }
   }
 
   private MachineRule.Signs signs(
       MachineState machine, Duration silentFor, boolean owns, Duration now) {
-    boolean deaf = machine.deafSince != null && machine.unheeded > 1;
     return new MachineRule.Signs(
         silentFor,
-        deaf ? Optional.of(now.minus(machine.deafSince)) : Optional.empty(),
+        machine.contact().notReceivingFor(now),
         owns,
-        machine.mute,
-        list.containsKey(machine.name) && links.holds().test(machine.zone));
-  }
-
-  private static Duration lastSeen(MachineState machine) {
-    return machine.heard == null ? machine.firstSeen : machine.heard;
+        machine.contact().isUnresponsive(),
+        list.containsKey(machine.name()) && links.holds().test(machine.zone()));
   }
 
   private Duration bootLimit(String type) {
@@ -295,7 +283,7 @@
       LOG.info("deleting {}: {}", name, why);
       MachineState machine = fleet.get(name);
       if (machine != null) {
-        machine.deleting = true;
+        machine.markForDeletion();
       }
     }
   }
@@ -342,11 +330,7 @@
                 soldOut.keySet(),
                 idleKeep));
     for (MachineState machine : fleet.all()) {
-      boolean closing = decision.closing().contains(machine.name);
-      if (closing != machine.closing) {
-        machine.closing = closing;
-        machine.view = null;
-      }
+      machine.setCordoned(decision.closing().contains(machine.name()));
     }
     if (!decision.rentals().isEmpty()) {
       Map.Entry<ScalingPlan.Offer, Integer> first = decision.rentals().entrySet().iterator().next();
@@ -397,20 +381,23 @@
     Map<String, MachineType> types = types();
     List<ScalingPlan.Up> result = new ArrayList<>();
     for (MachineState machine : fleet.all()) {
-      MachineType type = types.get(machine.type);
-      if (type == null || machine.gone || machine.deleting || machine.latest == null) {
+      MachineType type = types.get(machine.type());
+      if (type == null
+          || machine.isDeleted()
+          || machine.isMarkedForDeletion()
+          || !machine.hasHeartbeat()) {
         continue;
       }
       double used = 0;
-      for (Ownership.Owned owned : ownership.on(machine.name)) {
+      for (Ownership.Owned owned : ownership.on(machine.name())) {
         used += owned.entry().job().perTask().cpus();
       }
       result.add(
           new ScalingPlan.Up(
-              machine.name,
-              new ScalingPlan.Offer(type, machine.zone, machine.spot),
+              machine.name(),
+              new ScalingPlan.Offer(type, machine.zone(), machine.isSpot()),
               used,
-              machine.idleSince == null ? null : now.minus(machine.idleSince)));
+              machine.idleFor(now).orElse(null)));
     }
     return result;
   }
--- a/src/main/java/io/cherryspool/controller/ReleaseEvidence.java
+++ b/src/main/java/io/cherryspool/controller/ReleaseEvidence.java
@@ -4,6 +4,7 @@
 import io.cherryspool.model.Order;
 import io.cherryspool.model.Report;
 import java.time.Duration;
+import java.util.Optional;
 
 /**
  * Decides what is proved of an owned task. A task is free again only on proof: its worker says that
@@ -40,11 +41,11 @@
     if (machine == null) {
       return lapsed(termStart.plus(timings.authority()), now);
     }
-    if (machine.gone) {
+    if (machine.isDeleted()) {
       return Verdict.LAPSED;
     }
     Attempt attempt = owned.attempt();
-    Report latest = machine.latest;
+    Report latest = machine.latestHeartbeat();
     if (latest != null) {
       if (latest.session() > attempt.session()) {
         return Verdict.LAPSED;
@@ -59,10 +60,11 @@
 
   private Verdict reported(Ownership.Owned owned, MachineState machine) {
     Attempt attempt = owned.attempt();
-    Report.TaskReport item = machine.find(owned.id(), attempt.number());
-    if (item == null) {
+    Optional<Report.TaskReport> found = machine.contact().findTask(owned.id(), attempt.number());
+    if (found.isEmpty()) {
       return absent(owned, machine);
     }
+    Report.TaskReport item = found.get();
     if (item.state() != Report.State.EXITED) {
       return Verdict.OWNED;
     }
@@ -70,7 +72,7 @@
       return Verdict.DONE;
     }
     // A start that has no answer yet could run once more after the attempt is forgotten.
-    if (machine.latest.token() <= tokens.base() || !machine.settled()) {
+    if (!machine.contact().hasTokenAbove(tokens.base()) || !machine.areCommandsFenced()) {
       return Verdict.NEEDS_FENCE;
     }
     return switch (item.cause()) {
@@ -83,12 +85,12 @@
   /** Absence proves something only of a task that will not be started again. */
   private Verdict absent(Ownership.Owned owned, MachineState machine) {
     if (stopRequests.graceFor(owned) == null
-        || machine.latest.session() != owned.attempt().session()) {
+        || machine.latestHeartbeat().session() != owned.attempt().session()) {
       return Verdict.OWNED;
     }
     Order start = Order.start(owned.id(), owned.attempt().number());
-    long sent = machine.started.getOrDefault(start, tokens.base());
-    if (machine.latest.token() <= sent || !machine.settled()) {
+    long sent = machine.commands().startTokenOr(start, tokens.base());
+    if (!machine.contact().hasTokenAbove(sent) || !machine.areCommandsFenced()) {
       return Verdict.NEEDS_FENCE;
     }
     return Verdict.ENDED;
@@ -96,8 +98,9 @@
 
   /** Until when some leader may have kept the worker alive. */
   private Duration keptAliveUntil(MachineState machine) {
-    Duration own = machine.keptAlive() == null ? termStart : machine.keptAlive();
-    boolean fenced = machine.latest != null && machine.latest.token() > tokens.base();
+    Duration keptAlive = machine.contact().lastKeptAliveAt();
+    Duration own = keptAlive == null ? termStart : keptAlive;
+    boolean fenced = machine.contact().hasTokenAbove(tokens.base());
     Duration earlier = fenced ? termStart : termStart.plus(timings.authority());
     return own.compareTo(earlier) > 0 ? own : earlier;
   }
--- a/src/main/java/io/cherryspool/controller/RoundView.java
+++ b/src/main/java/io/cherryspool/controller/RoundView.java
@@ -81,7 +81,7 @@
 
   void clear() {
     jobs.clear();
-    fleet.all().forEach(machine -> machine.view = null);
+    fleet.all().forEach(MachineState::invalidateView);
   }
 
   /** An attempt ended without success, or none of it is known any more. */
@@ -153,19 +153,18 @@
     catalog.forEach(type -> types.put(type.name(), type));
     List<ClusterView.MachineView> result = new ArrayList<>();
     for (MachineState machine : fleet.all()) {
-      MachineType type = types.get(machine.type);
+      MachineType type = types.get(machine.type());
       if (type == null || !usable(machine, now)) {
         continue;
       }
-      if (!machine.failedJobs.isEmpty()
-          && machine.failedJobs.values().removeIf(at -> now.minus(at).compareTo(SHUN) > 0)) {
-        machine.view = null;
-      }
+      machine.removeFailedJobs(SHUN, now);
+      ClusterView.MachineView seen = machine.cachedView();
       // The catalog is read anew now and then, with other prices.
-      if (machine.view == null || machine.view.type() != type) {
-        machine.view = look(machine, type);
+      if (seen == null || seen.type() != type) {
+        seen = look(machine, type);
+        machine.cacheView(seen);
       }
-      result.add(machine.view);
+      result.add(seen);
     }
     return result;
   }
@@ -177,23 +176,24 @@
    * runs.
    */
   boolean usable(MachineState machine, Duration now) {
-    return machine.latest != null
-        && !machine.gone
-        && !machine.deleting
-        && !machine.mute
-        && machine.unheeded == 0
-        && machine.latest.notice() == null
-        && machine.failuresInARow < Provisioner.SICK
-        && now.minus(machine.heard).compareTo(silence) < 0
-        && now.minus(machine.keptAlive()).compareTo(halfLease) < 0
-        && machine.latest.token() > tokens.base()
+    MachineContact contact = machine.contact();
+    return contact.hasHeartbeat()
+        && !machine.isDeleted()
+        && !machine.isMarkedForDeletion()
+        && !contact.isUnresponsive()
+        && contact.ignoredReplies() == 0
+        && contact.latest().notice() == null
+        && !machine.history().isFaulty()
+        && now.minus(contact.lastHeartbeatAt()).compareTo(silence) < 0
+        && now.minus(contact.lastKeptAliveAt()).compareTo(halfLease) < 0
+        && contact.hasTokenAbove(tokens.base())
         && !adoption.occupies(machine);
   }
 
   private ClusterView.MachineView look(MachineState machine, MachineType type) {
     Resources free = type.size();
     List<ClusterView.RunningTask> running = new ArrayList<>();
-    for (Ownership.Owned owned : ownership.on(machine.name)) {
+    for (Ownership.Owned owned : ownership.on(machine.name())) {
       if (!pendingReleases.has(owned)) {
         Job job = owned.entry().job();
         free = free.minus(job.perTask());
@@ -201,19 +201,19 @@
             new ClusterView.RunningTask(
                 owned.id(),
                 job,
-                machine.runningSince.get(owned.id()),
+                machine.history().runningSince(owned.id()).orElse(null),
                 stopRequests.graceFor(owned) != null));
       }
     }
     return new ClusterView.MachineView(
-        machine.name,
+        machine.name(),
         type,
-        machine.zone,
-        machine.spot,
-        machine.closing,
+        machine.zone(),
+        machine.isSpot(),
+        machine.isCordoned(),
         free,
-        Set.copyOf(machine.images),
-        Set.copyOf(machine.failedJobs.keySet()),
+        machine.history().images(),
+        machine.history().failedJobs(),
         running);
   }
 
@@ -304,10 +304,10 @@
       for (Attempt attempt : item.shard().owned().values()) {
         if (!known.containsKey(attempt.task())) {
           MachineState machine = fleet.get(attempt.machine());
-          if (machine == null || machine.zone.isEmpty()) {
+          if (machine == null || machine.zone().isEmpty()) {
             return null;
           }
-          result.merge(machine.zone, 1, Integer::sum);
+          result.merge(machine.zone(), 1, Integer::sum);
         }
       }
     }
--- a/src/main/java/io/cherryspool/controller/Rounds.java
+++ b/src/main/java/io/cherryspool/controller/Rounds.java
@@ -19,6 +19,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
@@ -181,7 +182,7 @@
     dirty.add(name);
     MachineState machine = fleet.get(name);
     if (machine != null) {
-      machine.view = null;
+      machine.invalidateView();
     }
   }
 
@@ -196,7 +197,7 @@
   MachineStanding standing(MachineState machine) {
     return machine == null
         ? MachineStanding.UNKNOWN
-        : new MachineStanding(view.usable(machine, loop.now()), machine.settled());
+        : new MachineStanding(view.usable(machine, loop.now()), machine.areCommandsFenced());
   }
 
   void jobTouched(JobEntry entry) {
@@ -227,9 +228,8 @@
     for (String name : ledger.ownership().machines()) {
       MachineState machine = fleet.get(name);
       if (machine == null
-          || machine.gone
-          || machine.heard == null
-          || now.minus(machine.heard).compareTo(limits.silence()) > 0) {
+          || machine.isDeleted()
+          || machine.contact().isSilent(now, limits.silence())) {
         dirty.add(name);
       }
     }
@@ -316,7 +316,7 @@
       MachineState machine = fleet.get(name);
       if (machine == null && fleet.isGone(name)) {
         machine = new MachineState(name, "", "", false, now);
-        machine.gone = true;
+        machine.markDeleted();
       }
       for (Ownership.Owned owned : ledger.ownership().on(name)) {
         if (ledger.pendingReleases().has(owned)) {
@@ -352,15 +352,15 @@
     boolean done = verdict == ReleaseEvidence.Verdict.DONE;
     view.ended(owned.id(), done, now);
     if (machine != null) {
-      machine.view = null;
+      machine.invalidateView();
     }
     if (done) {
       ledger.backoff().drop(entry.job().id());
       if (machine != null) {
-        machine.failuresInARow = 0;
-        Duration since = machine.runningSince.get(owned.id());
-        if (since != null) {
-          workload.ran(entry.job(), now.minus(since));
+        machine.history().recordSuccess();
+        Optional<Duration> since = machine.history().runningSince(owned.id());
+        if (since.isPresent()) {
+          workload.ran(entry.job(), now.minus(since.get()));
         }
       }
       return;
@@ -377,12 +377,12 @@
     if (machine != null
         && (verdict == ReleaseEvidence.Verdict.FAILED
             || verdict == ReleaseEvidence.Verdict.REFUSED)) {
-      machine.failedJobs.put(entry.job().id(), now);
+      machine.history().recordJobFailure(entry.job().id(), now);
     }
     if (machine != null
         && verdict == ReleaseEvidence.Verdict.FAILED
         && ledger.backoff().failed(entry, view.succeeded(entry), machine, now)) {
-      machine.failuresInARow++;
+      machine.history().recordMachineFailure();
     }
   }
 
@@ -414,8 +414,12 @@
       JobEntry entry = replica.job(item.job());
       MachineState machine = fleet.get(item.machine());
       edits.assign(
-          entry, item.task(), item.machine(), machine.latest.session(), tokens.current() + 1);
-      Fleet.addImage(machine, entry.job().image());
+          entry,
+          item.task(),
+          item.machine(),
+          machine.latestHeartbeat().session(),
+          tokens.current() + 1);
+      machine.recordImage(entry.job().image());
     }
     Map<String, Integer> stopped = new LinkedHashMap<>();
     for (RoundPlan.Stop stop : plan.stops()) {
--- a/src/main/java/io/cherryspool/controller/WorkerCommands.java
+++ b/src/main/java/io/cherryspool/controller/WorkerCommands.java
@@ -28,7 +28,7 @@
   }
 
   List<Order> dueFor(MachineState machine, List<Ownership.Owned> owned) {
-    Report latest = machine.latest;
+    Report latest = machine.latestHeartbeat();
     List<Order> commands = new ArrayList<>();
     for (Report.TaskReport item : latest.tasks()) {
       Ownership.Owned owner = owner(item, owned, latest.session());
@@ -46,7 +46,7 @@
       } else if (item.state() != Report.State.EXITED) {
         // The records give this task to nobody, or to another attempt: nobody may run it here.
         commands.add(Order.stop(item.task(), item.attempt(), Duration.ZERO));
-      } else if (latest.token() > tokens.base() && machine.settled()) {
+      } else if (latest.token() > tokens.base() && machine.areCommandsFenced()) {
         commands.add(Order.forget(item.task(), item.attempt()));
       }
     }
@@ -62,7 +62,7 @@
           && stopRequests.graceFor(item) == null
           // An attempt that has ended must not run once more while its end waits to be written.
           && !pendingReleases.has(item)
-          && machine.find(item.id(), item.attempt().number()) == null) {
+          && machine.contact().findTask(item.id(), item.attempt().number()).isEmpty()) {
         commands.add(Order.start(item.id(), item.attempt().number()));
       }
     }
--- a/src/test/java/io/cherryspool/controller/CutZoneTest.java
+++ b/src/test/java/io/cherryspool/controller/CutZoneTest.java
@@ -27,7 +27,7 @@
     String name = "host-" + fleet.size();
     MachineState machine = new MachineState(name, "box", zone, false, Duration.ZERO);
     Report report = new Report(name, "127.0.0.1:1", "box", zone, false, 1, 1, 0, null, List.of());
-    machine.accept(report, Duration.ofMillis((long) (heardAt * 1000)));
+    machine.contact().accept(report, Duration.ofMillis((long) (heardAt * 1000)));
     fleet.add(machine);
     listed.add(name);
   }
@@ -40,9 +40,9 @@
     FleetView.Builder view = new FleetView.Builder();
     Set<String> zones = new HashSet<>();
     for (MachineState machine : fleet) {
-      zones.add(machine.zone);
-      Contact contact = machine.contact(now.minus(late), Duration.ZERO);
-      view.add(machine.zone, listed.contains(machine.name), contact);
+      zones.add(machine.zone());
+      Contact contact = machine.contactStanding(now.minus(late), Duration.ZERO);
+      view.add(machine.zone(), listed.contains(machine.name()), contact);
     }
     Reachability reachability = ReachabilityFixture.reachability("node-0", List.of("node-1"));
     reachability.judge(now, true, true, view.build());
@@ -86,7 +86,7 @@
     for (int i = 0; i < 40; i++) {
       machine("a", i < 20 ? 100 : 118);
     }
-    fleet.subList(0, 20).forEach(machine -> listed.remove(machine.name));
+    fleet.subList(0, 20).forEach(machine -> listed.remove(machine.name()));
     assertEquals(Set.of(), cutAt(119));
   }
 }
--- a/src/test/java/io/cherryspool/controller/DeafMachineTest.java
+++ b/src/test/java/io/cherryspool/controller/DeafMachineTest.java
@@ -7,11 +7,12 @@
 import io.cherryspool.model.Report;
 import java.time.Duration;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
 /** What a machine's reports show of the answers to them, and what a late copy shows: nothing. */
 class DeafMachineTest {
-  private final MachineState machine = new MachineState("host-1", "box", "a", false, Duration.ZERO);
+  private final MachineContact contact = new MachineContact();
 
   private static Report report(long session, long sequence, long token) {
     return new Report(
@@ -20,44 +21,45 @@
 
   private boolean reports(long session, long sequence, long token, int at) {
     Report report = report(session, sequence, token);
-    machine.accept(report, Duration.ofSeconds(at));
-    return machine.answer(report, 50 + at, Duration.ofSeconds(at));
+    contact.accept(report, Duration.ofSeconds(at));
+    return contact.recordReply(report, 50 + at, Duration.ofSeconds(at));
   }
 
   /** It kept reporting and was given work lease after lease. */
   @Test
   void answersThatDoNotShowInTheNextReportCountUntilOneDoes() {
     reports(1, 1, 0, 1);
-    assertEquals(0, machine.unheeded, "nothing was told to it before");
+    assertEquals(0, contact.ignoredReplies(), "nothing was told to it before");
     reports(1, 2, 51, 3);
-    assertEquals(0, machine.unheeded, "merely between reports");
+    assertEquals(0, contact.ignoredReplies(), "merely between reports");
     reports(1, 3, 51, 6);
     reports(1, 4, 51, 9);
-    assertEquals(2, machine.unheeded);
-    assertEquals(Duration.ofSeconds(6), machine.deafSince);
+    assertEquals(2, contact.ignoredReplies());
+    assertEquals(
+        Optional.of(Duration.ofSeconds(4)), contact.notReceivingFor(Duration.ofSeconds(10)));
     reports(2, 5, 51, 20);
-    assertEquals(3, machine.unheeded, "a new session is no sign that it hears");
-    machine.accept(report(2, 6, 70), Duration.ofSeconds(21));
-    assertEquals(0, machine.unheeded, "an acknowledged token newer than the sending is");
+    assertEquals(3, contact.ignoredReplies(), "a new session is no sign that it hears");
+    contact.accept(report(2, 6, 70), Duration.ofSeconds(21));
+    assertEquals(0, contact.ignoredReplies(), "an acknowledged token newer than the sending is");
   }
 
   @Test
   void aLateCopyIsNotAnsweredAgainAndRenewsNothing() {
     assertTrue(reports(1, 1, 0, 1));
     assertTrue(reports(1, 2, 51, 3));
-    Duration heard = machine.heard;
+    Duration heard = contact.lastHeartbeatAt();
     assertFalse(reports(1, 1, 0, 30), "a copy of the first");
     assertFalse(reports(1, 2, 51, 40), "a copy of the newest");
-    assertEquals(heard, machine.heard);
-    assertEquals(Duration.ofSeconds(3), machine.answered);
-    assertEquals(0, machine.unheeded, "nor does it make the machine deaf");
+    assertEquals(heard, contact.lastHeartbeatAt());
+    assertEquals(Optional.of(Duration.ofSeconds(3)), contact.lastReplyAt());
+    assertEquals(0, contact.ignoredReplies(), "nor does it make the machine deaf");
   }
 
   /** The worker waits for the answer to a report that a direct call's answer has overtaken. */
   @Test
   void aReportOvertakenByADirectAnswerStillCountsAsAnswered() {
-    machine.accept(report(1, 8, 60), Duration.ofSeconds(5));
+    contact.accept(report(1, 8, 60), Duration.ofSeconds(5));
     assertTrue(reports(1, 7, 50, 6));
-    assertEquals(Duration.ofSeconds(6), machine.answered);
+    assertEquals(Optional.of(Duration.ofSeconds(6)), contact.lastReplyAt());
   }
 }
--- a/src/test/java/io/cherryspool/controller/FenceTest.java
+++ b/src/test/java/io/cherryspool/controller/FenceTest.java
@@ -50,7 +50,7 @@
     Report report =
         new Report(
             "host-1", "127.0.0.1:1", "box", "a", false, session, ++sequence, token, null, tasks);
-    assertTrue(machine.accept(report, START.plusSeconds(1)));
+    assertTrue(machine.contact().accept(report, START.plusSeconds(1)));
   }
 
   private ReleaseEvidence.Verdict at(double seconds) {
@@ -65,7 +65,7 @@
         ReleaseEvidence.Verdict.NEEDS_FENCE, at(2), "an earlier leader's start is not fenced yet");
     hears(3, tokens.current(), null, null);
     assertEquals(ReleaseEvidence.Verdict.ENDED, at(2));
-    machine.started.put(Order.start(TASK, 1), tokens.current());
+    machine.commands().recordDelivered(List.of(Order.start(TASK, 1)), tokens.current(), START);
     assertEquals(
         ReleaseEvidence.Verdict.NEEDS_FENCE, at(2), "this leader's own start may be on its way");
     tokens.next();
@@ -83,7 +83,8 @@
   /** After it is forgotten, a start that is still under way would run the attempt once more. */
   @Test
   void anEndedAttemptIsNeitherFreedNorForgottenWhileACommandHasNoAnswer() {
-    machine.unanswered = tokens.current();
+    machine.commands().beginCall(List.of(), tokens.current());
+    machine.commands().callFailed(START);
     hears(3, tokens.current(), Report.State.EXITED, Report.Cause.ERROR);
     assertEquals(ReleaseEvidence.Verdict.NEEDS_FENCE, at(2));
     assertEquals(List.of(), workerCommands.dueFor(machine, List.of()), "not forgotten either");
@@ -98,9 +99,9 @@
     hears(4, tokens.base() - 1, null, null);
     assertEquals(ReleaseEvidence.Verdict.LAPSED, at(2));
     Report old = new Report("host-1", "127.0.0.1:1", "box", "a", false, 3, 99, 0, null, List.of());
-    assertEquals(false, machine.accept(old, START));
+    assertEquals(false, machine.contact().accept(old, START));
     MachineState deleted = new MachineState("host-1", "box", "a", false, START);
-    deleted.gone = true;
+    deleted.markDeleted();
     assertEquals(ReleaseEvidence.Verdict.LAPSED, evidence.assess(owned, deleted, START));
   }
 
@@ -115,7 +116,9 @@
         evidence.assess(owned, null, START.plusMillis((long) (earlier * 1000) - 100)),
         "nor is a machine never heard of any sooner free");
     hears(3, tokens.current(), Report.State.RUNNING, null);
-    machine.answered = START.plusSeconds(4);
+    machine
+        .contact()
+        .recordReply(machine.latestHeartbeat(), tokens.current(), START.plusSeconds(4));
     assertEquals(ReleaseEvidence.Verdict.OWNED, at(4 + LEASE.toSeconds() - 0.1));
     assertEquals(ReleaseEvidence.Verdict.LAPSED, at(4 + LEASE.toSeconds() + 0.1));
   }
@@ -128,7 +131,9 @@
   @Test
   void aSessionLivesForALeaseFromItsStartWithoutAnyAnswer() {
     hears(2, tokens.current(), null, null);
-    machine.answered = START.plusSeconds(4);
+    machine
+        .contact()
+        .recordReply(machine.latestHeartbeat(), tokens.current(), START.plusSeconds(4));
     Report next =
         new Report(
             "host-1",
@@ -141,7 +146,7 @@
             tokens.current(),
             null,
             List.of(new Report.TaskReport(TASK, 1, Report.State.RUNNING, null)));
-    assertTrue(machine.accept(next, START.plusSeconds(30)));
+    assertTrue(machine.contact().accept(next, START.plusSeconds(30)));
     assertEquals(ReleaseEvidence.Verdict.OWNED, at(31));
     assertEquals(ReleaseEvidence.Verdict.OWNED, at(30 + LEASE.toSeconds() - 0.1));
     assertEquals(ReleaseEvidence.Verdict.LAPSED, at(30 + LEASE.toSeconds() + 0.1));
