--- /dev/null
+++ b/src/test/java/io/cherryspool/controller/MemoryWireTest.java
@@ -0,0 +1,30 @@
+package io.cherryspool.controller;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.cherryspool.mesh.Mesh;
+import io.cherryspool.recovery.NodeMemory;
+import io.cherryspool.store.Incarnation;
+import org.junit.jupiter.api.Test;
+
+/**
+ * That heartbeats carry a node's memory as version 0.1.0 did; HeartbeatFormatTest has the bytes.
+ */
+class MemoryWireTest {
+  private static final NodeMemory MEMORY =
+      new NodeMemory(
+          NodeMemory.Phase.REBUILDING, "9f3a", new Incarnation.Origin(3, 1L << 50), true, 4);
+  private static final Mesh.Memory CARRIED = new Mesh.Memory(3, 3, "9f3a", 1L << 50, true, 4);
+
+  @Test
+  void eachFieldHasItsPlace() {
+    assertEquals(CARRIED, MemoryWire.encode(MEMORY));
+    assertEquals(MEMORY, MemoryWire.decode(CARRIED));
+  }
+
+  @Test
+  void aPhaseOfALaterVersionIsOneInWhichTheNodeHolds() {
+    Mesh.Memory later = new Mesh.Memory(4, 3, "9f3a", 1, false, 0);
+    assertEquals(NodeMemory.Phase.HOLDING, MemoryWire.decode(later).phase());
+  }
+}
--- /dev/null
+++ b/src/test/java/io/cherryspool/recovery/SnapshotFormatTest.java
@@ -0,0 +1,63 @@
+package io.cherryspool.recovery;
+
+import static io.cherryspool.compatibility.RecordedBytes.assertRecorded;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import io.cherryspool.compatibility.RecordedBytes;
+import io.cherryspool.compatibility.SampleRecords;
+import io.cherryspool.store.Incarnation;
+import io.cherryspool.store.Picture;
+import io.cherryspool.wire.CloudWire;
+import io.cherryspool.wire.WireException;
+import java.io.IOException;
+import java.nio.file.Path;
+import java.time.Instant;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** That snapshot files are those of version 0.1.0, in what they hold and in how they are named. */
+class SnapshotFormatTest {
+  private static final String FILE = "records.snapshot";
+  private static final Instant TAKEN = Instant.ofEpochMilli(1_764_693_000_456L);
+  private static final Picture PICTURE =
+      new Picture(
+          "cluster-1",
+          "9f3a",
+          new Incarnation.Origin(3, 123_456_790),
+          41,
+          CloudWire.encodeCatalog(SampleRecords.CATALOG),
+          SampleRecords.jobs());
+
+  @Test
+  void filesAreReadAndWrittenAgainUnchanged() throws Exception {
+    assertRecorded(FILE, new Snapshot(PICTURE, TAKEN).encode());
+    Snapshot read = Snapshot.decode(RecordedBytes.read(FILE));
+    assertEquals(TAKEN, read.taken());
+    assertEquals("cluster-1", read.picture().cluster());
+    assertEquals("9f3a", read.picture().nonce());
+    assertEquals(new Incarnation.Origin(3, 123_456_790), read.picture().origin());
+    assertEquals(41, read.picture().term());
+    assertEquals(SampleRecords.CATALOG, CloudWire.parseCatalog(read.picture().catalog()));
+    assertEquals(2, read.picture().jobs().size());
+    assertRecorded(FILE, read.encode());
+  }
+
+  @Test
+  void namesSortByIncarnationAndRevision(@TempDir Path folder) throws IOException, WireException {
+    SnapshotDirectory directory = new SnapshotDirectory(folder);
+    assertNull(new Snapshots(directory).write(PICTURE, TAKEN).failure());
+    assertEquals(List.of("0000000003-0000000123456790-1764693000456.snapshot"), directory.names());
+  }
+
+  /** Heartbeats carry the phases by these numbers. */
+  @Test
+  void phasesOfARecoveryKeepTheirNumbers() {
+    assertEquals(0, NodeMemory.Phase.STARTING.ordinal());
+    assertEquals(1, NodeMemory.Phase.SERVING.ordinal());
+    assertEquals(2, NodeMemory.Phase.HOLDING.ordinal());
+    assertEquals(3, NodeMemory.Phase.REBUILDING.ordinal());
+    assertEquals(4, NodeMemory.Phase.values().length);
+  }
+}
--- /dev/null
+++ b/src/test/java/io/cherryspool/store/StoredFormatsTest.java
@@ -0,0 +1,222 @@
+package io.cherryspool.store;
+
+import static io.cherryspool.compatibility.RecordedBytes.assertRecorded;
+import static io.cherryspool.compatibility.RecordedBytes.readJson;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.cherryspool.compatibility.SampleRecords;
+import io.cherryspool.model.Attempt;
+import io.cherryspool.model.Job;
+import io.cherryspool.model.Outcome;
+import io.cherryspool.model.Shard;
+import io.cherryspool.wire.CloudWire;
+import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.WireException;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.pcollections.PMap;
+
+/**
+ * That the records, their keys and the transactions that write them are those of version 0.1.0:
+ * each is written as it was then, and what was written then is read and written again unchanged.
+ */
+class StoredFormatsTest {
+  private static final Incarnation REBUILDING =
+      Incarnation.rebuilding(
+          "cluster-1", 3, "9f3a", "node-1-life-4", new Incarnation.Origin(2, 123_456_789), true);
+
+  private static final Incarnation REBUILT =
+      REBUILDING.finished(false, new Incarnation.Manifest(2, "00112233445566778899aabbccddeeff"));
+
+  /** What the bundles of {@link SampleRecords#jobs} hold at most, so that there are several. */
+  private static final int CHUNK_BYTES = 420;
+
+  private static final int BUNDLES = 2;
+
+  @Test
+  void jobs() throws WireException {
+    checkJob("job-constrained.json", SampleRecords.CONSTRAINED_JOB);
+    checkJob("job-plain.json", SampleRecords.PLAIN_JOB);
+  }
+
+  private static void checkJob(String name, Job expected) throws WireException {
+    assertRecorded(name, Records.job(expected, SampleRecords.TASKS_PER_SHARD));
+    JsonNode recorded = readJson(name);
+    Job job = Records.readJob(recorded);
+    assertEquals(expected, job);
+    assertEquals(SampleRecords.TASKS_PER_SHARD, Records.readTasksPerShard(recorded));
+    assertRecorded(name, Records.job(job, Records.readTasksPerShard(recorded)));
+  }
+
+  @Test
+  void outcomes() throws WireException {
+    checkOutcome("outcome-done.json", Outcome.DONE);
+    checkOutcome("outcome-cancelled.json", Outcome.CANCELLED);
+  }
+
+  private static void checkOutcome(String name, Outcome expected) throws WireException {
+    assertRecorded(name, Records.outcome(expected));
+    Outcome read = Records.readOutcome(readJson(name));
+    assertEquals(expected, read);
+    assertRecorded(name, Records.outcome(read));
+  }
+
+  @Test
+  void progress() throws WireException {
+    String name = "progress.json";
+    assertRecorded(name, Records.shard(SampleRecords.shard()));
+    Shard read = Records.readShard(readJson(name));
+    assertEquals(11, read.doneCount());
+    assertTrue(read.isDone(9) && read.isDone(12));
+    assertFalse(read.isDone(10) || read.isDone(11));
+    assertEquals(2, read.owned().size());
+    assertEquals(new Attempt(10, "host-000003", 2, 1, 77), read.owner(10));
+    assertEquals(new Attempt(14, "host-000120", 1, 3, 1L << 33), read.owner(14));
+    assertEquals(3, read.histories().size());
+    assertEquals(new Shard.History(5, 5), read.history(15));
+    assertRecorded(name, Records.shard(read));
+    assertRecorded("progress-empty.json", Records.shard(Shard.EMPTY));
+    Shard empty = Records.readShard(readJson("progress-empty.json"));
+    assertRecorded("progress-empty.json", Records.shard(empty));
+  }
+
+  @Test
+  void terms() throws WireException {
+    assertRecorded("term.json", Records.term(41));
+    assertEquals(41, Records.readTerm(readJson("term.json")));
+  }
+
+  @Test
+  void leaders() throws WireException {
+    Records.Leader leader = new Records.Leader(41, "node-2", "node-2-life-7", 9_000_000_001L);
+    assertRecorded("leader.json", Records.leader(leader));
+    Records.Leader read = Records.readLeader(readJson("leader.json"));
+    assertEquals(leader, read);
+    assertRecorded("leader.json", Records.leader(read));
+  }
+
+  @Test
+  void successors() throws WireException {
+    Records.Successor successor = new Records.Successor(41, "node-1", "node-2");
+    assertRecorded("successor.json", Records.successor(successor));
+    Records.Successor read = Records.readSuccessor(readJson("successor.json"));
+    assertEquals(successor, read);
+    assertRecorded("successor.json", Records.successor(read));
+  }
+
+  @Test
+  void catalogs() throws WireException {
+    assertRecorded("catalog.json", CloudWire.encodeCatalog(SampleRecords.CATALOG));
+    JsonNode recorded = readJson("catalog.json");
+    assertEquals(SampleRecords.CATALOG, CloudWire.parseCatalog(recorded));
+    assertRecorded("catalog.json", CloudWire.encodeCatalog(CloudWire.parseCatalog(recorded)));
+  }
+
+  @Test
+  void marksOfUnknownAndHeldJobs() throws WireException {
+    assertRecorded("mark.json", Records.mark());
+    assertFalse(Records.isAbandoned(readJson("mark.json")));
+    assertRecorded("abandoned.json", Records.abandoned());
+    assertTrue(Records.isAbandoned(readJson("abandoned.json")));
+  }
+
+  @Test
+  void incarnations() throws WireException {
+    checkIncarnation("incarnation-first.json", Incarnation.first("cluster-1"));
+    checkIncarnation("incarnation-rebuilding.json", REBUILDING);
+    checkIncarnation("incarnation-rebuilt.json", REBUILT);
+  }
+
+  private static void checkIncarnation(String name, Incarnation expected) throws WireException {
+    assertRecorded(name, expected.encode());
+    Incarnation read = Incarnation.decode(readJson(name));
+    assertEquals(expected, read);
+    assertRecorded(name, read.encode());
+  }
+
+  @Test
+  void bundlesOfARebuild() throws WireException {
+    List<byte[]> chunks = PictureCodec.encode(SampleRecords.jobs(), CHUNK_BYTES);
+    assertEquals(BUNDLES, chunks.size());
+    for (int i = 0; i < BUNDLES; i++) {
+      assertRecorded("bundle-" + i + ".json", Records.bundle(chunks.get(i)));
+    }
+    List<byte[]> read = new ArrayList<>();
+    for (int i = 0; i < BUNDLES; i++) {
+      read.add(Records.readBundle(readJson("bundle-" + i + ".json")));
+    }
+    assertEquals("dab1fb5d02b54b61a9988761f201bad1", PictureCodec.digest(read));
+    PMap<String, Picture.PictureJob> jobs = PictureCodec.decode(read);
+    assertEquals(2, jobs.size());
+    assertEquals(Outcome.CANCELLED, jobs.get("req-000007").outcome());
+    Picture.PictureJob running = jobs.get("req-000412");
+    assertEquals(SampleRecords.CONSTRAINED_JOB, running.job());
+    assertEquals(11, running.shards().get(0).doneCount());
+    assertEquals(50, running.shards().get(2).doneCount());
+    List<byte[]> again = PictureCodec.encode(jobs, CHUNK_BYTES);
+    for (int i = 0; i < BUNDLES; i++) {
+      assertRecorded("bundle-" + i + ".json", Records.bundle(again.get(i)));
+    }
+  }
+
+  /** The first incarnation's records and those of a rebuild are under different prefixes. */
+  @Test
+  void keys() {
+    Map<String, String> expected = new LinkedHashMap<>();
+    expected.put("c/term", Records.TERM);
+    expected.put("c/leader", Records.LEADER);
+    expected.put("c/successor", Records.SUCCESSOR);
+    expected.put("c/catalog", Records.CATALOG);
+    expected.put("c/settled", Records.SETTLED);
+    expected.put("c/incarnation", Incarnation.KEY);
+    expected.put("c/jobs/req-000412", Records.job("req-000412"));
+    expected.put("c/outcomes/req-000412", Records.outcome("req-000412"));
+    expected.put("c/progress/req-000412/2", Records.progress("req-000412", 2));
+    expected.put("c/bundles/00000012", Records.bundle(12));
+    expected.put("c/unknown/req-000412", Records.unknown("req-000412"));
+    expected.put("c/held/req-000412", Records.held("req-000412"));
+    expected.forEach((key, written) -> assertEquals(key, written));
+    assertEquals("c/jobs/x", Incarnation.first("cluster-1").physical("c/jobs/x"));
+    assertEquals("c/@3-9f3a/jobs/x", REBUILT.physical("c/jobs/x"));
+    KeySpace space = new KeySpace();
+    space.enter(REBUILT, 88);
+    assertEquals("c/jobs/x", space.logical("c/@3-9f3a/jobs/x"));
+  }
+
+  /** Each names the version of the incarnation's record, and deletes and leases as they are. */
+  @Test
+  void transactionsUnderTheConditionOfTheIncarnation() {
+    KeySpace first = new KeySpace();
+    first.enter(Incarnation.first("cluster-1"), 1);
+    assertRecorded("transaction-first.http", first.commit(conditions(), changes()));
+    KeySpace rebuilt = new KeySpace();
+    rebuilt.enter(REBUILT, 88);
+    rebuilt.addBundled(Records.progress("req-000412", 2));
+    assertRecorded("transaction-rebuilt.http", rebuilt.commit(conditions(), changes()));
+  }
+
+  private static Map<String, Long> conditions() {
+    Map<String, Long> conditions = new LinkedHashMap<>();
+    conditions.put(Records.TERM, 40L);
+    conditions.put(Records.progress("req-000412", 0), 1L << 40);
+    conditions.put(Records.outcome("req-000412"), 0L);
+    return conditions;
+  }
+
+  private static List<StateWire.Change> changes() {
+    return List.of(
+        new StateWire.Change(
+            Records.progress("req-000412", 0), Records.shard(SampleRecords.shard()), 0),
+        new StateWire.Change(Records.progress("req-000412", 2), null, 0),
+        new StateWire.Change(
+            Records.LEADER,
+            Records.leader(new Records.Leader(41, "node-2", "node-2-life-7", 5)),
+            5));
+  }
+}
