--- a/src/main/java/io/cherryspool/cli/Rehearsal.java
+++ b/src/main/java/io/cherryspool/cli/Rehearsal.java
@@ -11,8 +11,8 @@
 import io.cherryspool.model.Job;
 import io.cherryspool.model.Priority;
 import io.cherryspool.model.Resources;
-import io.cherryspool.wire.JobWire;
 import io.cherryspool.wire.Json;
+import io.cherryspool.wire.UserProtocol;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -67,7 +67,7 @@
     Rehearsal rehearsal = new Rehearsal();
     Path settings = Files.createTempFile("rehearsal", ".json");
     try {
-      Files.write(settings, Json.bytes(rehearsal.settings()));
+      Files.write(settings, Json.toBytes(rehearsal.settings()));
       new Thread(() -> serve(settings), "node").start();
       rehearsal.play();
       loadOwnClasses();
@@ -108,25 +108,25 @@
     Job second = job("req-000002");
     boolean submitted = false;
     for (int i = 0; i < STEPS; i++) {
-      Reply told = ask(Request.post("/v1/report", Json.bytes(services.report())));
+      Reply told = ask(Request.post("/v1/report", Json.toBytes(services.report())));
       if (told.status() == 200) {
         services.told(Json.parseObject(told.body()));
         if (!submitted) {
           submitted = true;
-          ask(Request.post("/api/jobs", Json.bytes(JobWire.encode(first))));
+          ask(Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(first))));
         } else if (services.finish()) {
           break;
         }
       }
       Thread.sleep(STEP_MS);
     }
-    ask(Request.post("/v1/report", Json.bytes(services.report())));
+    ask(Request.post("/v1/report", Json.toBytes(services.report())));
     awaitDone(first);
     for (Request request :
         List.of(
             Request.get("/ready"),
             Request.get("/metrics"),
-            Request.post("/api/jobs", Json.bytes(JobWire.encode(second))),
+            Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(second))),
             Request.post("/api/jobs", new byte[] {'x'}),
             Request.post("/api/jobs/" + second.id() + "/withdraw", new byte[0]),
             Request.get("/api/jobs/" + second.id()),
--- a/src/main/java/io/cherryspool/cli/RehearsalServices.java
+++ b/src/main/java/io/cherryspool/cli/RehearsalServices.java
@@ -9,9 +9,9 @@
 import io.cherryspool.http.Request;
 import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Resources;
-import io.cherryspool.wire.CloudWire;
+import io.cherryspool.wire.CloudProtocol;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -53,13 +53,13 @@
         case "/keys" -> done(page("entries").put("epoch", revision));
         case "/follow" -> follow(request.target());
         case "/commit" -> commit(Json.parseObject(request.body()));
-        case "/catalog" -> done(CloudWire.encodeCatalog(TYPES));
+        case "/catalog" -> done(CloudProtocol.encodeCatalog(TYPES));
         case "/machines" -> done(request.method().equals("GET") ? machines() : rented());
         case "/commands" -> commands(Json.parseObject(request.body()));
         case "/inspect" -> done(report());
         default -> done(Json.object().put("tenancy", 1));
       };
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       return CompletableFuture.completedFuture(Reply.json(400, new byte[0]));
     }
   }
@@ -133,7 +133,7 @@
     }
     List<CompletableFuture<Reply>> due = List.copyOf(watches);
     watches.clear();
-    due.forEach(watch -> watch.complete(Reply.json(200, Json.bytes(changes()))));
+    due.forEach(watch -> watch.complete(Reply.json(200, Json.toBytes(changes()))));
     return done(Json.object().put("epoch", revision));
   }
 
@@ -152,6 +152,6 @@
   }
 
   private static CompletableFuture<Reply> done(JsonNode body) {
-    return CompletableFuture.completedFuture(Reply.json(200, Json.bytes(body)));
+    return CompletableFuture.completedFuture(Reply.json(200, Json.toBytes(body)));
   }
 }
--- a/src/main/java/io/cherryspool/cloud/CloudClient.java
+++ b/src/main/java/io/cherryspool/cloud/CloudClient.java
@@ -6,9 +6,9 @@
 import io.cherryspool.http.Request;
 import io.cherryspool.http.Transport;
 import io.cherryspool.model.MachineType;
-import io.cherryspool.wire.CloudWire;
+import io.cherryspool.wire.CloudProtocol;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.List;
@@ -50,24 +50,26 @@
    * Whether the cloud says that it can't serve anybody now, rather than that a type is sold out.
    */
   public static boolean isOutage(Reply reply) {
-    return reply.status() == NO_CAPACITY && !CloudWire.isNoCapacity(reply.body());
+    return reply.status() == NO_CAPACITY && !CloudProtocol.isNoCapacity(reply.body());
   }
 
   public CompletableFuture<List<MachineType>> catalog() {
-    return call(CloudWire.catalog(), CloudWire::parseCatalog);
+    return call(CloudProtocol.catalogRequest(), CloudProtocol::parseCatalog);
   }
 
-  public CompletableFuture<CloudWire.Page> list(String after) {
-    return call(CloudWire.list(after, PAGE), CloudWire::parsePage);
+  public CompletableFuture<CloudProtocol.InstancePage> list(String after) {
+    return call(CloudProtocol.listRequest(after, PAGE), CloudProtocol::parsePage);
   }
 
   public CompletableFuture<List<String>> rent(
       String name, String type, String zone, boolean spot, int count) {
-    return call(CloudWire.rent(name, type, zone, spot, count), CloudWire::parseRented);
+    return call(
+        CloudProtocol.instanceRequest(name, type, zone, spot, count),
+        CloudProtocol::parseInstanceNames);
   }
 
   public CompletableFuture<Void> delete(List<String> machines) {
-    return call(CloudWire.delete(machines), body -> null);
+    return call(CloudProtocol.deleteRequest(machines), body -> null);
   }
 
   private <T> CompletableFuture<T> call(Request request, Parser<T> parser) {
@@ -78,13 +80,13 @@
               try {
                 if (reply.status() != 200) {
                   boolean full =
-                      reply.status() == NO_CAPACITY && CloudWire.isNoCapacity(reply.body());
+                      reply.status() == NO_CAPACITY && CloudProtocol.isNoCapacity(reply.body());
                   throw new Refused(reply.status(), full);
                 }
                 JsonNode body =
                     reply.body().length == 0 ? Json.object() : Json.parseObject(reply.body());
                 return parser.parse(body);
-              } catch (WireException e) {
+              } catch (MalformedMessageException e) {
                 throw new CompletionException(
                     new IOException("the cloud's answer: " + e.getMessage()));
               }
@@ -93,6 +95,6 @@
 
   @FunctionalInterface
   private interface Parser<T> {
-    T parse(JsonNode body) throws WireException;
+    T parse(JsonNode body) throws MalformedMessageException;
   }
 }
--- a/src/main/java/io/cherryspool/controller/Adoption.java
+++ b/src/main/java/io/cherryspool/controller/Adoption.java
@@ -1,15 +1,15 @@
 package io.cherryspool.controller;
 
 import io.cherryspool.model.Attempt;
-import io.cherryspool.model.Report;
 import io.cherryspool.model.TaskId;
+import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.recovery.Reconciliation;
 import io.cherryspool.recovery.Reconciliation.Decision;
 import io.cherryspool.store.JobEntry;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
 import io.cherryspool.store.Replica;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -53,14 +53,14 @@
   }
 
   /** Whether the worker must not be told to stop or forget this task, which no record gives it. */
-  boolean protects(MachineState machine, Report.TaskReport item) {
+  boolean protects(MachineState machine, WorkerHeartbeat.TaskStatus item) {
     if (!concerned()) {
       return false;
     }
     Decision decision = decide(machine, item);
-    return decision == Decision.LEAVE && !replica.abandoned(item.task().job())
+    return decision == Decision.LEAVE && !replica.abandoned(item.task().jobId())
         || (decision == Decision.ADOPT || decision == Decision.COUNT_DONE)
-            && concerns(item.task().job());
+            && concerns(item.task().jobId());
   }
 
   /** Whether the machine runs tasks of unknown size, so that its room is not known. */
@@ -68,7 +68,7 @@
     if (!concerned() || !machine.hasHeartbeat()) {
       return false;
     }
-    for (Report.TaskReport item : machine.latestHeartbeat().tasks()) {
+    for (WorkerHeartbeat.TaskStatus item : machine.latestHeartbeat().tasks()) {
       if (protects(machine, item)) {
         return true;
       }
@@ -85,20 +85,22 @@
     return !replica.settled() || replica.unknownAtWorkers(job);
   }
 
-  private Decision decide(MachineState machine, Report.TaskReport item) {
-    JobEntry entry = replica.job(item.task().job());
+  private Decision decide(MachineState machine, WorkerHeartbeat.TaskStatus item) {
+    JobEntry entry = replica.job(item.task().jobId());
     return Reconciliation.decide(
         entry,
         item,
         machine.name(),
-        machine.latestHeartbeat().session(),
+        machine.latestHeartbeat().agentEpoch(),
         entry != null && ownerReports(entry, item));
   }
 
-  private boolean ownerReports(JobEntry entry, Report.TaskReport item) {
-    int task = item.task().number();
+  private boolean ownerReports(JobEntry entry, WorkerHeartbeat.TaskStatus item) {
+    int task = item.task().index();
     Attempt owner =
-        task < entry.job().tasks() ? entry.shard(entry.shardOf(task)).shard().owner(task) : null;
+        task < entry.job().taskCount()
+            ? entry.shard(entry.shardOf(task)).shard().ownedAttempt(task)
+            : null;
     return owner != null && reports(entry, owner);
   }
 
@@ -118,7 +120,7 @@
       if (machine.isDeleted() || !machine.contact().hasTokenAbove(tokens.base())) {
         continue;
       }
-      for (Report.TaskReport item : machine.latestHeartbeat().tasks()) {
+      for (WorkerHeartbeat.TaskStatus item : machine.latestHeartbeat().tasks()) {
         collect(machine, item, edits, unknown, pending);
       }
     }
@@ -138,11 +140,11 @@
 
   private void collect(
       MachineState machine,
-      Report.TaskReport item,
+      WorkerHeartbeat.TaskStatus item,
       RoundEdits edits,
       Set<String> unknown,
       Set<String> pending) {
-    String id = item.task().job();
+    String id = item.task().jobId();
     Decision decision = decide(machine, item);
     if (decision == Decision.LEAVE) {
       if (!replica.abandoned(id)) {
@@ -153,14 +155,14 @@
       edits.adopt(
           replica.job(id),
           new Attempt(
-              item.task().number(),
+              item.task().index(),
               machine.name(),
-              machine.latestHeartbeat().session(),
+              machine.latestHeartbeat().agentEpoch(),
               item.attempt(),
-              machine.latestHeartbeat().token()));
+              machine.latestHeartbeat().highestFencingToken()));
     } else if (concerns(id) && decision == Decision.COUNT_DONE) {
       pending.add(id);
-      edits.complete(replica.job(id), item.task().number());
+      edits.complete(replica.job(id), item.task().index());
     }
   }
 
@@ -170,9 +172,9 @@
       if (machine.isDeleted() || !machine.hasHeartbeat()) {
         continue;
       }
-      for (Report.TaskReport item : machine.latestHeartbeat().tasks()) {
+      for (WorkerHeartbeat.TaskStatus item : machine.latestHeartbeat().tasks()) {
         Decision decision = decide(machine, item);
-        String id = item.task().job();
+        String id = item.task().jobId();
         boolean noted = replica.unknownAtWorkers(id) || replica.abandoned(id);
         boolean left = decision == Decision.LEAVE && !noted;
         if (left || decision == Decision.ADOPT || decision == Decision.COUNT_DONE) {
@@ -186,7 +188,7 @@
   private static RoundWriter.Unit unit(Map<String, Long> conditions, String key, boolean present) {
     return new RoundWriter.Unit(
         conditions,
-        List.of(new StateWire.Change(key, present ? Records.mark() : null, 0)),
+        List.of(new StateStoreProtocol.Change(key, present ? Records.mark() : null, 0)),
         0,
         RateLimiter.Use.ROUND);
   }
@@ -216,11 +218,11 @@
     }
     int accounted = entry.doneCount();
     for (JobEntry.Versioned item : entry.shards().values()) {
-      for (Attempt attempt : item.shard().owned().values()) {
+      for (Attempt attempt : item.shard().ownedAttempts().values()) {
         accounted += reports(entry, attempt) ? 1 : 0;
       }
     }
-    return accounted < entry.job().tasks();
+    return accounted < entry.job().taskCount();
   }
 
   private boolean reports(JobEntry entry, Attempt attempt) {
@@ -228,10 +230,10 @@
     return machine != null
         && !machine.isDeleted()
         && machine.hasHeartbeat()
-        && machine.latestHeartbeat().session() == attempt.session()
+        && machine.latestHeartbeat().agentEpoch() == attempt.agentEpoch()
         && machine
             .contact()
-            .findTask(new TaskId(entry.job().id(), attempt.task()), attempt.number())
+            .findTask(new TaskId(entry.job().id(), attempt.taskIndex()), attempt.number())
             .isPresent();
   }
 }
--- a/src/main/java/io/cherryspool/controller/CatalogKeeper.java
+++ b/src/main/java/io/cherryspool/controller/CatalogKeeper.java
@@ -8,8 +8,8 @@
 import io.cherryspool.store.Records;
 import io.cherryspool.store.Replica;
 import io.cherryspool.store.StateClient;
-import io.cherryspool.wire.CloudWire;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.CloudProtocol;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
@@ -95,7 +95,9 @@
     client
         .commit(
             conditions,
-            List.of(new StateWire.Change(Records.CATALOG, CloudWire.encodeCatalog(known), 0)))
+            List.of(
+                new StateStoreProtocol.Change(
+                    Records.CATALOG, CloudProtocol.encodeCatalog(known), 0)))
         .exceptionally(failure -> null);
   }
 
@@ -108,7 +110,7 @@
       MachineType a = one.get(i);
       MachineType b = other.get(i);
       if (!a.name().equals(b.name())
-          || !a.size().equals(b.size())
+          || !a.capacity().equals(b.capacity())
           || !a.zones().equals(b.zones())) {
         return false;
       }
--- a/src/main/java/io/cherryspool/controller/CommandDelivery.java
+++ b/src/main/java/io/cherryspool/controller/CommandDelivery.java
@@ -1,6 +1,6 @@
 package io.cherryspool.controller;
 
-import io.cherryspool.model.Order;
+import io.cherryspool.model.WorkerCommand;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.List;
@@ -13,10 +13,10 @@
  */
 public final class CommandDelivery {
   /** Commands of the last reply to a heartbeat; the worker is given time to carry them out. */
-  private final Map<Order, Duration> delivered = new HashMap<>();
+  private final Map<WorkerCommand, Duration> delivered = new HashMap<>();
 
   /** The highest token under which each start was sent. */
-  private final Map<Order, Long> startTokens = new HashMap<>();
+  private final Map<WorkerCommand, Long> startTokens = new HashMap<>();
 
   /** The highest token of a direct call that got no answer, so that it may still run. */
   private long unansweredToken;
@@ -25,16 +25,16 @@
   private Duration retryAt = Duration.ZERO;
 
   /** Records the commands of a reply in place of those of the reply before. */
-  public void recordDelivered(List<Order> commands, long token, Duration now) {
+  public void recordDelivered(List<WorkerCommand> commands, long token, Duration now) {
     recordStarts(commands, token);
     delivered.clear();
-    for (Order command : commands) {
+    for (WorkerCommand command : commands) {
       delivered.put(command, now);
     }
   }
 
   /** Whether the command was part of the last reply and that came within the time before now. */
-  public boolean wasDeliveredWithin(Order command, Duration limit, Duration now) {
+  public boolean wasDeliveredWithin(WorkerCommand command, Duration limit, Duration now) {
     Duration at = delivered.get(command);
     return at != null && now.minus(at).compareTo(limit) < 0;
   }
@@ -50,7 +50,7 @@
   }
 
   /** Records that a direct call with these commands is made under the token. */
-  public void beginCall(List<Order> commands, long token) {
+  public void beginCall(List<WorkerCommand> commands, long token) {
     inFlightToken = token;
     recordStarts(commands, token);
   }
@@ -73,18 +73,18 @@
   }
 
   /** The highest token under which the start was sent, or the given one if it was not. */
-  public long startTokenOr(Order start, long otherwise) {
+  public long startTokenOr(WorkerCommand start, long otherwise) {
     return startTokens.getOrDefault(start, otherwise);
   }
 
   /** Drops the token of a start whose attempt has ended. */
-  public void removeStart(Order start) {
+  public void removeStart(WorkerCommand start) {
     startTokens.remove(start);
   }
 
-  private void recordStarts(List<Order> commands, long token) {
-    for (Order command : commands) {
-      if (command.verb() == Order.Verb.START) {
+  private void recordStarts(List<WorkerCommand> commands, long token) {
+    for (WorkerCommand command : commands) {
+      if (command.action() == WorkerCommand.Action.START) {
         startTokens.put(command, token);
       }
     }
--- a/src/main/java/io/cherryspool/controller/CommandSender.java
+++ b/src/main/java/io/cherryspool/controller/CommandSender.java
@@ -1,8 +1,8 @@
 package io.cherryspool.controller;
 
 import io.cherryspool.lifecycle.EventLoop;
-import io.cherryspool.model.Order;
-import io.cherryspool.model.Report;
+import io.cherryspool.model.WorkerCommand;
+import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.worker.WorkerClient;
 import java.time.Duration;
 import java.util.List;
@@ -18,7 +18,7 @@
   private final WorkerClient workers;
   private final Tokens tokens;
   private final Duration pause;
-  private final BiConsumer<MachineState, Report> sink;
+  private final BiConsumer<MachineState, WorkerHeartbeat> sink;
 
   /**
    * @param sink takes each answer, or null where there was none
@@ -28,7 +28,7 @@
       WorkerClient workers,
       Tokens tokens,
       Duration pause,
-      BiConsumer<MachineState, Report> sink) {
+      BiConsumer<MachineState, WorkerHeartbeat> sink) {
     this.loop = loop;
     this.workers = workers;
     this.tokens = tokens;
@@ -37,7 +37,7 @@
   }
 
   /** Sends the commands; with none, the call still makes the worker take the current token. */
-  void send(MachineState machine, List<Order> commands) {
+  void send(MachineState machine, List<WorkerCommand> commands) {
     if (!machine.hasHeartbeat()
         || !machine.hasEndpoint()
         || machine.isDeleted()
@@ -47,7 +47,7 @@
     long token = tokens.current();
     machine.commands().beginCall(commands, token);
     workers
-        .commands(machine.endpoint(), token, machine.latestHeartbeat().session(), commands)
+        .commands(machine.endpoint(), token, machine.latestHeartbeat().agentEpoch(), commands)
         .whenComplete(
             (report, failure) -> {
               if (failure == null) {
--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -14,8 +14,8 @@
 import io.cherryspool.mesh.LinkReport;
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.model.Durations;
-import io.cherryspool.model.Report;
 import io.cherryspool.model.Team;
+import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.reachability.FleetView;
 import io.cherryspool.reachability.PartitionRule;
 import io.cherryspool.reachability.Reachability;
@@ -28,7 +28,7 @@
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Replica;
 import io.cherryspool.store.StateClient;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import io.cherryspool.worker.WorkerClient;
 import io.micrometer.core.instrument.Gauge;
 import io.micrometer.core.instrument.MeterRegistry;
@@ -123,7 +123,7 @@
             rateLimiter,
             observed(
                 given.transport(),
-                request -> !StateWire.isWatch(request),
+                request -> !StateStoreProtocol.isWatch(request),
                 reply -> reply.status() == UNAVAILABLE,
                 reachability.state()),
             settings.state(),
@@ -183,7 +183,7 @@
   private Reachability newReachability(Optional<VerdictRule> rule) {
     ReachabilityTimings times =
         new ReachabilityTimings(
-            Durations.part(timings.stateLease(), HEARTBEATS_PER_LEASE),
+            Durations.divide(timings.stateLease(), HEARTBEATS_PER_LEASE),
             timings.late(),
             timings.report(),
             timings.lapse(),
@@ -310,7 +310,7 @@
   }
 
   private void tick() {
-    timer = loop.schedule(Durations.part(timings.stateLease(), HEARTBEATS_PER_LEASE), this::tick);
+    timer = loop.schedule(Durations.divide(timings.stateLease(), HEARTBEATS_PER_LEASE), this::tick);
     Duration now = loop.now();
     int writes = (int) Math.ceil(10 * rateLimiter.lately());
     mesh.broadcast(
@@ -421,7 +421,7 @@
   /** What the node's address is answered by. */
   private final class Answers implements NodeApi.Node {
     @Override
-    public Optional<byte[]> report(Report report) {
+    public Optional<byte[]> report(WorkerHeartbeat report) {
       if (!leads()) {
         return Optional.empty();
       }
@@ -431,7 +431,7 @@
     }
 
     @Override
-    public void sentOn(Report report) {
+    public void sentOn(WorkerHeartbeat report) {
       reachability.redirectedWorkers().note(report.machine(), report.zone(), loop.now());
     }
 
--- a/src/main/java/io/cherryspool/controller/Election.java
+++ b/src/main/java/io/cherryspool/controller/Election.java
@@ -10,7 +10,7 @@
 import io.cherryspool.store.Replica;
 import io.cherryspool.store.StateClient;
 import io.cherryspool.store.StateException;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -193,7 +193,7 @@
     client
         .commit(
             Map.of(Records.TERM, replica.termVersion()),
-            List.of(new StateWire.Change(Records.SUCCESSOR, Records.successor(record), 0)))
+            List.of(new StateStoreProtocol.Change(Records.SUCCESSOR, Records.successor(record), 0)))
         .whenComplete(
             (result, failure) -> {
               yielding = false;
@@ -218,7 +218,7 @@
 
   private void tick() {
     int renewals = leading() ? LEADER_RENEWALS : RENEWALS;
-    timer = loop.schedule(Durations.part(timings.stateLease(), renewals), this::tick);
+    timer = loop.schedule(Durations.divide(timings.stateLease(), renewals), this::tick);
     keepLeases();
     refresh();
     observe();
@@ -226,7 +226,7 @@
 
   private void refresh() {
     Duration now = loop.now();
-    Duration period = Durations.part(timings.stateLease(), RENEWALS);
+    Duration period = Durations.divide(timings.stateLease(), RENEWALS);
     if (refreshed == null || now.minus(refreshed).compareTo(period) >= 0) {
       refreshed = now;
       replica.refresh().exceptionally(failure -> null);
@@ -256,7 +256,7 @@
     if (retry == null && rateLimiter.allows(RateLimiter.Use.CANCEL, 0, 0)) {
       retry =
           loop.schedule(
-              Durations.part(timings.stateLease(), RETRY_PART),
+              Durations.divide(timings.stateLease(), RETRY_PART),
               () -> {
                 retry = null;
                 keepLeases();
@@ -370,7 +370,8 @@
     client
         .commit(
             conditions,
-            List.of(new StateWire.Change(Records.LEADER, Records.leader(record), next.id())))
+            List.of(
+                new StateStoreProtocol.Change(Records.LEADER, Records.leader(record), next.id())))
         .whenComplete(
             (result, failure) -> {
               attaching = false;
@@ -434,8 +435,8 @@
         .commit(
             conditions,
             List.of(
-                new StateWire.Change(Records.TERM, Records.term(term), 0),
-                new StateWire.Change(
+                new StateStoreProtocol.Change(Records.TERM, Records.term(term), 0),
+                new StateStoreProtocol.Change(
                     Records.LEADER,
                     Records.leader(new Records.Leader(term, node, instance, held.id())),
                     held.id())))
--- a/src/main/java/io/cherryspool/controller/Fleet.java
+++ b/src/main/java/io/cherryspool/controller/Fleet.java
@@ -1,7 +1,7 @@
 package io.cherryspool.controller;
 
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.model.Report;
+import io.cherryspool.model.WorkerHeartbeat;
 import java.time.Duration;
 import java.util.Collection;
 import java.util.Collections;
@@ -72,14 +72,14 @@
   }
 
   /** Takes a worker's message in; null if the machine is gone, so that the message is history. */
-  MachineState accept(Report report, Duration now) {
+  MachineState accept(WorkerHeartbeat report, Duration now) {
     if (gone.contains(report.machine())) {
       return null;
     }
     MachineState machine =
-        add(report.machine(), report.address(), report.type(), report.zone(), report.spot(), now);
-    Report before = machine.latestHeartbeat();
-    if (machine.contact().accept(report, now) && report.differsFrom(before)) {
+        add(report.machine(), report.address(), report.type(), report.zone(), report.isSpot(), now);
+    WorkerHeartbeat before = machine.latestHeartbeat();
+    if (machine.contact().accept(report, now) && report.hasChangedSince(before)) {
       machine.history().recordTasks(report, now);
     }
     return machine;
--- a/src/main/java/io/cherryspool/controller/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/LeaderTerm.java
@@ -4,17 +4,17 @@
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.lifecycle.Lifecycle;
 import io.cherryspool.model.Durations;
+import io.cherryspool.model.FencingToken;
 import io.cherryspool.model.MachineType;
-import io.cherryspool.model.Order;
-import io.cherryspool.model.Report;
 import io.cherryspool.model.Team;
-import io.cherryspool.model.Token;
+import io.cherryspool.model.WorkerCommand;
+import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.reachability.FleetView;
 import io.cherryspool.reachability.MachineRule;
 import io.cherryspool.recovery.Reconciliation;
 import io.cherryspool.store.JobEntry;
 import io.cherryspool.store.Replica;
-import io.cherryspool.wire.WorkerWire;
+import io.cherryspool.wire.WorkerProtocol;
 import io.cherryspool.worker.WorkerClient;
 import java.time.Duration;
 import java.time.Instant;
@@ -178,7 +178,7 @@
       stopRequests.drop(owned);
       MachineState machine = fleet.get(owned.attempt().machine());
       if (machine != null) {
-        machine.commands().removeStart(Order.start(owned.id(), owned.attempt().number()));
+        machine.commands().removeStart(WorkerCommand.start(owned.id(), owned.attempt().number()));
       }
     }
 
@@ -272,12 +272,12 @@
   }
 
   /** Answers a report with the current token and the committed commands. */
-  byte[] report(Report report) {
+  byte[] report(WorkerHeartbeat report) {
     ingest(report);
     MachineState machine = fleet.get(report.machine());
     long token = tokens.current();
     if (machine == null || machine.isDeleted() || !machine.hasHeartbeat()) {
-      return WorkerWire.reply(token, List.of());
+      return WorkerProtocol.encodeHeartbeatReply(token, List.of());
     }
     MachineStanding standing = rounds.standing(machine);
     boolean waits = machine.contact().recordReply(report, token, loop.now());
@@ -285,16 +285,16 @@
       // Its lease is renewed, so that it may be given work again.
       rounds.request();
     }
-    if (!waits || report.session() != machine.latestHeartbeat().session()) {
-      return WorkerWire.reply(token, List.of());
+    if (!waits || report.agentEpoch() != machine.latestHeartbeat().agentEpoch()) {
+      return WorkerProtocol.encodeHeartbeatReply(token, List.of());
     }
-    List<Order> list = workerCommands.dueFor(machine, ownership.on(machine.name()));
+    List<WorkerCommand> list = workerCommands.dueFor(machine, ownership.on(machine.name()));
     machine.commands().recordDelivered(list, token, loop.now());
-    return WorkerWire.reply(token, list);
+    return WorkerProtocol.encodeHeartbeatReply(token, list);
   }
 
   /** The answer to a direct call, or word that there was none. */
-  private void commandAnswered(MachineState machine, Report report) {
+  private void commandAnswered(MachineState machine, WorkerHeartbeat report) {
     if (report != null) {
       ingest(report);
     }
@@ -308,21 +308,21 @@
     ordered.add(machine);
   }
 
-  private void ingest(Report report) {
+  private void ingest(WorkerHeartbeat report) {
     if (stopped) {
       return;
     }
-    if (report.token() > tokens.current()) {
+    if (report.highestFencingToken() > tokens.current()) {
       // Of a later leader; or, in a lost history, of another leader in a term of this number.
-      higherTerm.accept(Math.max(Token.term(report.token()), term + 1));
+      higherTerm.accept(Math.max(FencingToken.term(report.highestFencingToken()), term + 1));
       return;
     }
     MachineState known = fleet.get(report.machine());
-    Report before = known == null ? null : known.latestHeartbeat();
+    WorkerHeartbeat before = known == null ? null : known.latestHeartbeat();
     // What a report repeats was looked at before; records only come to know more.
     if (startMissing.isPresent()
         && replica.settled()
-        && report.differsFrom(before)
+        && report.hasChangedSince(before)
         && lookForMissingStart(report)) {
       return;
     }
@@ -332,22 +332,26 @@
       return;
     }
     // A newer token alone is no news: each round would touch every machine and ask for the next.
-    if (report.differsFrom(before)
+    if (report.hasChangedSince(before)
         || standing.improvedTo(rounds.standing(machine))
         || rounds.awaits(machine.name())) {
       touched(machine.name());
       rounds.request();
     }
-    if (report.notice() != null && (before == null || before.notice() == null)) {
-      LOG.info("machine {} will be taken in {} s", machine.name(), report.notice().toSeconds());
+    if (report.preemptionNotice() != null
+        && (before == null || before.preemptionNotice() == null)) {
+      LOG.info(
+          "machine {} will be taken in {} s",
+          machine.name(),
+          report.preemptionNotice().toSeconds());
       drain(machine);
     }
   }
 
   /** This leader has read all that was recorded before its term, and ordered nothing else. */
-  private boolean lookForMissingStart(Report report) {
-    for (Report.TaskReport item : report.tasks()) {
-      String job = item.task().job();
+  private boolean lookForMissingStart(WorkerHeartbeat report) {
+    for (WorkerHeartbeat.TaskStatus item : report.tasks()) {
+      String job = item.task().jobId();
       boolean noted = replica.abandoned(job) || replica.unknownAtWorkers(job);
       if (!noted && !Reconciliation.knowsStart(replica.job(job), item)) {
         startMissing.get().accept(item.task() + " try " + item.attempt());
@@ -360,10 +364,11 @@
   /** Saves what can be saved on a machine that goes; the rest may still finish in time. */
   private void drain(MachineState machine) {
     for (Ownership.Owned owned : ownership.on(machine.name())) {
-      Duration save = owned.entry().job().save();
-      boolean saves = !owned.entry().job().checkpoint().isZero();
-      if (saves && save.compareTo(machine.latestHeartbeat().notice()) < 0) {
-        stopRequests.add(owned.id(), owned.attempt().number(), machine.latestHeartbeat().notice());
+      Duration save = owned.entry().job().checkpointDuration();
+      boolean saves = !owned.entry().job().checkpointInterval().isZero();
+      if (saves && save.compareTo(machine.latestHeartbeat().preemptionNotice()) < 0) {
+        stopRequests.add(
+            owned.id(), owned.attempt().number(), machine.latestHeartbeat().preemptionNotice());
         rounds.machineTouched(machine.name());
       }
     }
@@ -381,8 +386,8 @@
       if (machine == null || machine.isDeleted()) {
         names.remove();
       } else if (machine.hasHeartbeat() && !machine.commands().isCallInFlight()) {
-        List<Order> due = workerCommands.dueFor(machine, ownership.on(machine.name()));
-        due.removeIf(order -> order.verb() == Order.Verb.FORGET);
+        List<WorkerCommand> due = workerCommands.dueFor(machine, ownership.on(machine.name()));
+        due.removeIf(order -> order.action() == WorkerCommand.Action.ACKNOWLEDGE);
         if (due.isEmpty()) {
           names.remove();
           continue;
@@ -416,7 +421,7 @@
   private void checkAdopted() {
     Duration now = loop.now();
     Duration limit = started.plus(timings.authority()).plus(timings.lapse());
-    Duration listsAll = started.plus(Durations.times(listLag, 2));
+    Duration listsAll = started.plus(Durations.multiply(listLag, 2));
     boolean over = now.compareTo(limit) > 0;
     if ((over || provisioner.listedSince(listsAll) && allFenced()) && adoption.allRecorded()) {
       LOG.info(
@@ -459,7 +464,9 @@
       all &= fleet.isGone(name) || fleet.hasHeard(name);
     }
     Duration limit =
-        listed == null ? started.plus(Durations.times(timings.report(), 2)) : listed.plus(SILENCE);
+        listed == null
+            ? started.plus(Durations.multiply(timings.report(), 2))
+            : listed.plus(SILENCE);
     if (all || now.compareTo(limit) > 0) {
       placing = true;
       LOG.info(
@@ -528,7 +535,7 @@
                   ingest(report);
                   fence(machine);
                 } else if (!machine.contact().hasHeartbeatSinceProbe()
-                    && took.compareTo(Durations.part(timings.workerCall(), 2)) > 0) {
+                    && took.compareTo(Durations.divide(timings.workerCall(), 2)) > 0) {
                   // A call that fails at once found no socket, which says nothing of the machine.
                   machine.contact().markUnresponsive();
                 }
@@ -538,7 +545,8 @@
   }
 
   private void fence(MachineState machine) {
-    if (machine.hasHeartbeat() && machine.latestHeartbeat().token() < tokens.current()) {
+    if (machine.hasHeartbeat()
+        && machine.latestHeartbeat().highestFencingToken() < tokens.current()) {
       commandSender.send(machine, workerCommands.dueFor(machine, ownership.on(machine.name())));
     }
   }
--- a/src/main/java/io/cherryspool/controller/LinksApi.java
+++ b/src/main/java/io/cherryspool/controller/LinksApi.java
@@ -44,7 +44,7 @@
       up &= describe(nodes.addObject(), peer, age, heartbeat.links());
     }
     root.put("all_up", up);
-    return Reply.json(200, Json.bytes(root));
+    return Reply.json(200, Json.toBytes(root));
   }
 
   /** Whether all the links that the node tells of are up. */
--- a/src/main/java/io/cherryspool/controller/MachineContact.java
+++ b/src/main/java/io/cherryspool/controller/MachineContact.java
@@ -1,7 +1,7 @@
 package io.cherryspool.controller;
 
-import io.cherryspool.model.Report;
 import io.cherryspool.model.TaskId;
+import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.reachability.Contact;
 import java.time.Duration;
 import java.util.Objects;
@@ -15,7 +15,7 @@
   /** After one ignored reply the next heartbeat may merely have been sent before it came. */
   private static final int MAX_IGNORED_REPLIES = 1;
 
-  private Report latest;
+  private WorkerHeartbeat latest;
   private Duration lastHeartbeatAt;
 
   /** {@link #lastHeartbeatAt} when the machine was last probed, null before that. */
@@ -43,17 +43,17 @@
   private Duration notReceivingSince;
 
   /** Keeps the heartbeat if it is newer than any before; returns whether it is. */
-  public boolean accept(Report heartbeat, Duration now) {
-    if (latest != null && !heartbeat.newerThan(latest)) {
+  public boolean accept(WorkerHeartbeat heartbeat, Duration now) {
+    if (latest != null && !heartbeat.isNewerThan(latest)) {
       return false;
     }
-    if (latest == null || heartbeat.session() > latest.session()) {
+    if (latest == null || heartbeat.agentEpoch() > latest.agentEpoch()) {
       epochSince = now;
     }
     latest = heartbeat;
     lastHeartbeatAt = now;
     unresponsive = false;
-    if (heartbeat.token() >= repliedToken) {
+    if (heartbeat.highestFencingToken() >= repliedToken) {
       ignoredReplies = 0;
       notReceivingSince = null;
     }
@@ -68,18 +68,18 @@
    * through. A worker that receives no replies goes on sending and looks alive; it is recognised by
    * the token that it lacks.
    */
-  public boolean recordReply(Report heartbeat, long token, Duration now) {
+  public boolean recordReply(WorkerHeartbeat heartbeat, long token, Duration now) {
     boolean isCopy =
-        heartbeat.session() < repliedEpoch
-            || heartbeat.session() == repliedEpoch && heartbeat.sequence() <= repliedSequence;
+        heartbeat.agentEpoch() < repliedEpoch
+            || heartbeat.agentEpoch() == repliedEpoch && heartbeat.sequence() <= repliedSequence;
     if (isCopy) {
       return false;
     }
-    if (heartbeat.token() < repliedToken) {
+    if (heartbeat.highestFencingToken() < repliedToken) {
       ignoredReplies++;
       notReceivingSince = notReceivingSince == null ? now : notReceivingSince;
     }
-    repliedEpoch = heartbeat.session();
+    repliedEpoch = heartbeat.agentEpoch();
     repliedSequence = heartbeat.sequence();
     lastReplyAt = now;
     repliedToken = token;
@@ -95,7 +95,7 @@
    * The newest heartbeat, null before the first of this term. Not an {@link Optional}, since it is
    * read for every machine in every round.
    */
-  public Report latest() {
+  public WorkerHeartbeat latest() {
     return latest;
   }
 
@@ -116,7 +116,7 @@
 
   /** Whether the worker has acknowledged a token higher than this one. */
   public boolean hasTokenAbove(long token) {
-    return latest != null && latest.token() > token;
+    return latest != null && latest.highestFencingToken() > token;
   }
 
   /** How many replies in a row the worker has shown no sign of having received. */
@@ -192,8 +192,8 @@
   }
 
   /** The task's attempt as the newest heartbeat has it; there must be one. */
-  public Optional<Report.TaskReport> findTask(TaskId task, int attempt) {
-    for (Report.TaskReport item : latest.tasks()) {
+  public Optional<WorkerHeartbeat.TaskStatus> findTask(TaskId task, int attempt) {
+    for (WorkerHeartbeat.TaskStatus item : latest.tasks()) {
       if (item.attempt() == attempt && item.task().equals(task)) {
         return Optional.of(item);
       }
--- a/src/main/java/io/cherryspool/controller/MachineState.java
+++ b/src/main/java/io/cherryspool/controller/MachineState.java
@@ -1,7 +1,7 @@
 package io.cherryspool.controller;
 
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.model.Report;
+import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.reachability.Contact;
 import io.cherryspool.scheduler.ClusterView;
 import java.time.Duration;
@@ -80,7 +80,7 @@
   }
 
   /** See {@link MachineContact#latest()}. */
-  public Report latestHeartbeat() {
+  public WorkerHeartbeat latestHeartbeat() {
     return contact.latest();
   }
 
--- a/src/main/java/io/cherryspool/controller/NodeApi.java
+++ b/src/main/java/io/cherryspool/controller/NodeApi.java
@@ -6,13 +6,13 @@
 import io.cherryspool.http.Request;
 import io.cherryspool.mesh.LinkState;
 import io.cherryspool.mesh.Mesh;
-import io.cherryspool.model.Report;
+import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.store.Records;
 import io.cherryspool.store.Replica;
-import io.cherryspool.wire.JobWire;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
-import io.cherryspool.wire.WorkerWire;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.UserProtocol;
+import io.cherryspool.wire.WorkerProtocol;
 import java.nio.charset.StandardCharsets;
 import java.util.Comparator;
 import java.util.List;
@@ -36,10 +36,10 @@
   /** What the node does for those who ask. */
   interface Node {
     /** The answer to a worker's report; empty if this node does not lead. */
-    Optional<byte[]> report(Report report);
+    Optional<byte[]> report(WorkerHeartbeat report);
 
     /** A worker of this zone was sent on to the node that leads. */
-    void sentOn(Report report);
+    void sentOn(WorkerHeartbeat report);
 
     /** The latest heartbeats of the nodes that are heard. */
     List<Mesh.Heartbeat> peersHeard();
@@ -99,7 +99,7 @@
     }
     boolean cancel = rest.endsWith(CANCEL);
     String id = rest.substring(1, rest.length() - (cancel ? CANCEL.length() : 0));
-    if (!JobWire.isId(id)) {
+    if (!UserProtocol.isJobId(id)) {
       return done(unknown());
     }
     return cancel
@@ -111,7 +111,7 @@
       String method, Request request, Supplier<CompletableFuture<Reply>> answer) {
     return request.method().equals(method)
         ? answer.get()
-        : done(Reply.json(405, JobWire.error("method not allowed")));
+        : done(Reply.json(405, UserProtocol.encodeError("method not allowed")));
   }
 
   /** Serves a user's request, by another node where this one can't reach the state service. */
@@ -163,7 +163,8 @@
 
   private Reply ready() {
     boolean ready = parts.state.ready(peers.isEmpty());
-    return Reply.json(ready ? 200 : UNAVAILABLE, JobWire.error(ready ? "none" : "not ready"));
+    return Reply.json(
+        ready ? 200 : UNAVAILABLE, UserProtocol.encodeError(ready ? "none" : "not ready"));
   }
 
   private Reply links() {
@@ -176,12 +177,12 @@
   }
 
   private Reply report(byte[] body) {
-    Report report;
+    WorkerHeartbeat report;
     try {
-      report = WorkerWire.parseReport(Json.parseObject(body));
-    } catch (WireException e) {
+      report = WorkerProtocol.parseHeartbeat(Json.parseObject(body));
+    } catch (MalformedMessageException e) {
       LOG.warn("a malformed report: {}", e.getMessage());
-      return Reply.json(400, JobWire.error(e.getMessage()));
+      return Reply.json(400, UserProtocol.encodeError(e.getMessage()));
     }
     Optional<byte[]> answer = parts.node.report(report);
     if (answer.isPresent()) {
@@ -193,7 +194,7 @@
       parts.node.sentOn(report);
     }
     parts.meters.redirected.increment();
-    return Reply.json(421, WorkerWire.redirect(leader));
+    return Reply.json(421, WorkerProtocol.encodeRedirect(leader));
   }
 
   /**
@@ -213,7 +214,7 @@
   }
 
   private static Reply unknown() {
-    return Reply.json(404, JobWire.error("no such thing"));
+    return Reply.json(404, UserProtocol.encodeError("no such thing"));
   }
 
   private static CompletableFuture<Reply> done(Reply reply) {
--- a/src/main/java/io/cherryspool/controller/Ownership.java
+++ b/src/main/java/io/cherryspool/controller/Ownership.java
@@ -73,13 +73,13 @@
 
   @Override
   public void progressed(JobEntry entry, Shard before, Shard after) {
-    for (Attempt attempt : before.owned().values()) {
-      if (!attempt.equals(after.owner(attempt.task()))) {
+    for (Attempt attempt : before.ownedAttempts().values()) {
+      if (!attempt.equals(after.ownedAttempt(attempt.taskIndex()))) {
         remove(entry, attempt);
       }
     }
-    for (Attempt attempt : after.owned().values()) {
-      if (!attempt.equals(before.owner(attempt.task()))) {
+    for (Attempt attempt : after.ownedAttempts().values()) {
+      if (!attempt.equals(before.ownedAttempt(attempt.taskIndex()))) {
         add(entry, attempt);
         listener.machineTouched(attempt.machine());
       }
@@ -96,11 +96,11 @@
     if (entry.outcome() == Outcome.DONE) {
       // All its attempts have ended, which is what its outcome rests on.
       for (JobEntry.Versioned item : entry.shards().values()) {
-        item.shard().owned().values().forEach(attempt -> remove(entry, attempt));
+        item.shard().ownedAttempts().values().forEach(attempt -> remove(entry, attempt));
       }
     } else if (entry.outcome() == Outcome.CANCELLED) {
       for (JobEntry.Versioned item : entry.shards().values()) {
-        for (Attempt attempt : item.shard().owned().values()) {
+        for (Attempt attempt : item.shard().ownedAttempts().values()) {
           listener.machineTouched(attempt.machine());
         }
       }
@@ -115,7 +115,7 @@
         continue;
       }
       for (JobEntry.Versioned item : entry.shards().values()) {
-        for (Attempt attempt : item.shard().owned().values()) {
+        for (Attempt attempt : item.shard().ownedAttempts().values()) {
           add(entry, attempt);
         }
       }
@@ -126,7 +126,7 @@
   private void add(JobEntry entry, Attempt attempt) {
     byMachine
         .computeIfAbsent(attempt.machine(), key -> new ArrayList<>(4))
-        .add(new Owned(entry, new TaskId(entry.job().id(), attempt.task()), attempt));
+        .add(new Owned(entry, new TaskId(entry.job().id(), attempt.taskIndex()), attempt));
   }
 
   private void remove(JobEntry entry, Attempt attempt) {
--- a/src/main/java/io/cherryspool/controller/PendingReleases.java
+++ b/src/main/java/io/cherryspool/controller/PendingReleases.java
@@ -32,13 +32,13 @@
 
   void add(Release release) {
     byJob
-        .computeIfAbsent(release.owned().id().job(), key -> new TreeMap<>())
-        .put(release.owned().id().number(), release);
+        .computeIfAbsent(release.owned().id().jobId(), key -> new TreeMap<>())
+        .put(release.owned().id().index(), release);
   }
 
   /** The release of this attempt, or null if none is pending. */
   Release of(Ownership.Owned owned) {
-    Release release = ofJob(owned.id().job()).get(owned.id().number());
+    Release release = ofJob(owned.id().jobId()).get(owned.id().index());
     return release != null && release.owned().attempt().equals(owned.attempt()) ? release : null;
   }
 
@@ -66,10 +66,10 @@
   /** The records have it now, or the task is another attempt's. */
   void drop(Ownership.Owned owned) {
     if (has(owned)) {
-      Map<Integer, Release> releases = byJob.get(owned.id().job());
-      releases.remove(owned.id().number());
+      Map<Integer, Release> releases = byJob.get(owned.id().jobId());
+      releases.remove(owned.id().index());
       if (releases.isEmpty()) {
-        byJob.remove(owned.id().job());
+        byJob.remove(owned.id().jobId());
       }
     }
   }
--- a/src/main/java/io/cherryspool/controller/PlacementHistory.java
+++ b/src/main/java/io/cherryspool/controller/PlacementHistory.java
@@ -1,7 +1,7 @@
 package io.cherryspool.controller;
 
-import io.cherryspool.model.Report;
 import io.cherryspool.model.TaskId;
+import io.cherryspool.model.WorkerHeartbeat;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -29,15 +29,16 @@
   private int failuresInARow;
 
   /** Records which tasks the machine has and when those that run were first seen running. */
-  void recordTasks(Report heartbeat, Duration now) {
+  void recordTasks(WorkerHeartbeat heartbeat, Duration now) {
     if (heartbeat.tasks().isEmpty()) {
       runningSince.clear();
       return;
     }
     // Kept for an exited task too, so that its run time is known when its end is recorded.
     Set<TaskId> present = new HashSet<>();
-    for (Report.TaskReport item : heartbeat.tasks()) {
-      if (item.state() == Report.State.RUNNING || item.state() == Report.State.SAVING) {
+    for (WorkerHeartbeat.TaskStatus item : heartbeat.tasks()) {
+      if (item.state() == WorkerHeartbeat.TaskState.RUNNING
+          || item.state() == WorkerHeartbeat.TaskState.CHECKPOINTING) {
         runningSince.putIfAbsent(item.task(), now);
       }
       present.add(item.task());
--- a/src/main/java/io/cherryspool/controller/Provisioner.java
+++ b/src/main/java/io/cherryspool/controller/Provisioner.java
@@ -4,8 +4,8 @@
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.lifecycle.Lifecycle;
 import io.cherryspool.model.Durations;
+import io.cherryspool.model.Instance;
 import io.cherryspool.model.MachineType;
-import io.cherryspool.model.RentedMachine;
 import io.cherryspool.reachability.LocalHealth;
 import io.cherryspool.reachability.MachineRule;
 import io.cherryspool.scheduler.ScalingPlan;
@@ -54,9 +54,9 @@
   private final LeaderTerm.Links links;
   private final LocalHealth health = new LocalHealth(STANDSTILL);
   private final Runnable listed;
-  private final Map<String, RentedMachine> list = new HashMap<>();
+  private final Map<String, Instance> list = new HashMap<>();
   private final Map<String, Incoming> incoming = new HashMap<>();
-  private final Map<ScalingPlan.Offer, Duration> soldOut = new HashMap<>();
+  private final Map<ScalingPlan.Offering, Duration> soldOut = new HashMap<>();
   private final Set<String> doomed = new LinkedHashSet<>();
   private Request repeat;
   private int counter;
@@ -70,10 +70,10 @@
   private EventLoop.Timer timer;
 
   /** A machine rented in this term that has not reported yet. */
-  private record Incoming(ScalingPlan.Offer offer, Duration since) {}
+  private record Incoming(ScalingPlan.Offering offer, Duration since) {}
 
   /** A rental whose answer is not known; it goes again under the same name. */
-  private record Request(String name, ScalingPlan.Offer offer, int count) {}
+  private record Request(String name, ScalingPlan.Offering offer, int count) {}
 
   Provisioner(
       EventLoop loop,
@@ -128,7 +128,7 @@
     health.ran(begun, gap);
     timer = loop.schedule(gap, this::step);
     act();
-    Duration pause = Durations.times(loop.now().minus(begun), COST_SHARE);
+    Duration pause = Durations.multiply(loop.now().minus(begun), COST_SHARE);
     // After a call to the cloud the next one may follow. The timer is gone if it was stopped
     // meanwhile.
     if (timer != null && !busy && pause.compareTo(gap) > 0) {
@@ -173,8 +173,8 @@
   /** The machines that the cloud last listed and that may run tasks. */
   Set<String> listed() {
     Set<String> names = new HashSet<>();
-    for (RentedMachine item : list.values()) {
-      if (item.status() != RentedMachine.Status.FAILED) {
+    for (Instance item : list.values()) {
+      if (item.status() != Instance.Status.FAILED) {
         names.add(item.name());
       }
     }
@@ -186,7 +186,7 @@
     return list.containsKey(machine);
   }
 
-  private void readList(String after, Map<String, RentedMachine> found) {
+  private void readList(String after, Map<String, Instance> found) {
     busy = true;
     cloud
         .list(after)
@@ -197,24 +197,24 @@
                 LOG.debug("listing machines failed: {}", String.valueOf(failure));
                 return;
               }
-              page.machines().forEach(item -> found.put(item.name(), item));
-              if (page.more() && !page.machines().isEmpty()) {
-                readList(page.machines().get(page.machines().size() - 1).name(), found);
+              page.instances().forEach(item -> found.put(item.name(), item));
+              if (page.hasMore() && !page.instances().isEmpty()) {
+                readList(page.instances().get(page.instances().size() - 1).name(), found);
               } else {
                 take(found);
               }
             });
   }
 
-  private void take(Map<String, RentedMachine> found) {
+  private void take(Map<String, Instance> found) {
     listRead = true;
     listTaken = listSince;
     list.clear();
     list.putAll(found);
     Duration now = loop.now();
-    for (RentedMachine item : found.values()) {
-      if (!fleet.isGone(item.name()) && item.status() == RentedMachine.Status.RUNNING) {
-        fleet.add(item.name(), item.address(), item.type(), item.zone(), item.spot(), now);
+    for (Instance item : found.values()) {
+      if (!fleet.isGone(item.name()) && item.status() == Instance.Status.RUNNING) {
+        fleet.add(item.name(), item.address(), item.type(), item.zone(), item.isSpot(), now);
       }
     }
     listed.run();
@@ -222,13 +222,13 @@
 
   /** Decides which machines to delete, and only for reasons that hold whatever a late list says. */
   private void condemn(Duration now) {
-    for (RentedMachine item : list.values()) {
+    for (Instance item : list.values()) {
       if (fleet.isGone(item.name())) {
         continue;
       }
-      if (item.status() == RentedMachine.Status.FAILED) {
+      if (item.status() == Instance.Status.FAILED) {
         doom(item.name(), "it has failed");
-      } else if (item.status() == RentedMachine.Status.BOOTING
+      } else if (item.status() == Instance.Status.BOOTING
           && !fleet.hasHeard(item.name())
           && item.age().compareTo(bootLimit(item.type())) > 0) {
         doom(item.name(), "it has been booting for " + item.age().toSeconds() + " s");
@@ -271,7 +271,7 @@
     if (types != null) {
       for (MachineType item : types) {
         if (item.name().equals(type)) {
-          return Durations.times(item.boot(), 3).plus(Durations.times(listLag, 2));
+          return Durations.multiply(item.bootTime(), 3).plus(Durations.multiply(listLag, 2));
         }
       }
     }
@@ -318,11 +318,11 @@
     soldOut.values().removeIf(at -> now.minus(at).compareTo(SOLD_OUT) > 0);
     fleet.prune(ownership);
     ScalingPlan.Decision decision =
-        ScalingPlan.of(
-            new ScalingPlan.View(
+        ScalingPlan.decide(
+            new ScalingPlan.FleetView(
                 workload.time(),
-                rounds.plan().unplaced(),
-                rounds.plan().displacing(),
+                rounds.plan().unschedulable(),
+                rounds.plan().relocatable(),
                 coming(),
                 up(now),
                 workload.loads(),
@@ -330,24 +330,25 @@
                 soldOut.keySet(),
                 idleKeep));
     for (MachineState machine : fleet.all()) {
-      machine.setCordoned(decision.closing().contains(machine.name()));
+      machine.setCordoned(decision.draining().contains(machine.name()));
     }
-    if (!decision.rentals().isEmpty()) {
-      Map.Entry<ScalingPlan.Offer, Integer> first = decision.rentals().entrySet().iterator().next();
+    if (!decision.scaleOut().isEmpty()) {
+      Map.Entry<ScalingPlan.Offering, Integer> first =
+          decision.scaleOut().entrySet().iterator().next();
       counter++;
       rent(
           new Request(
               prefix + counter, first.getKey(), Math.min(first.getValue(), MOST_PER_REQUEST)));
     } else {
-      decision.returns().forEach(name -> doom(name, "it has been idle"));
+      decision.scaleIn().forEach(name -> doom(name, "it has been idle"));
     }
   }
 
   /** Machines on their way: rented in this term and not heard yet, or listed as booting. */
-  private List<ScalingPlan.Offer> coming() {
+  private List<ScalingPlan.Offering> coming() {
     Map<String, MachineType> types = types();
     Duration now = loop.now();
-    Duration unlisted = Durations.times(listLag, 4);
+    Duration unlisted = Durations.multiply(listLag, 4);
     incoming
         .entrySet()
         .removeIf(
@@ -357,15 +358,15 @@
                       && now.minus(entry.getValue().since).compareTo(unlisted) > 0;
               return fleet.hasHeard(entry.getKey()) || lost || fleet.isGone(entry.getKey());
             });
-    List<ScalingPlan.Offer> result = new ArrayList<>();
+    List<ScalingPlan.Offering> result = new ArrayList<>();
     incoming.values().forEach(item -> result.add(item.offer));
-    for (RentedMachine item : list.values()) {
-      if (item.status() == RentedMachine.Status.BOOTING
+    for (Instance item : list.values()) {
+      if (item.status() == Instance.Status.BOOTING
           && !fleet.hasHeard(item.name())
           && !incoming.containsKey(item.name())
           && !fleet.isGone(item.name())
           && types.containsKey(item.type())) {
-        result.add(new ScalingPlan.Offer(types.get(item.type()), item.zone(), item.spot()));
+        result.add(new ScalingPlan.Offering(types.get(item.type()), item.zone(), item.isSpot()));
       }
     }
     return result;
@@ -377,9 +378,9 @@
     return types;
   }
 
-  private List<ScalingPlan.Up> up(Duration now) {
+  private List<ScalingPlan.ActiveMachine> up(Duration now) {
     Map<String, MachineType> types = types();
-    List<ScalingPlan.Up> result = new ArrayList<>();
+    List<ScalingPlan.ActiveMachine> result = new ArrayList<>();
     for (MachineState machine : fleet.all()) {
       MachineType type = types.get(machine.type());
       if (type == null
@@ -393,9 +394,9 @@
         used += owned.entry().job().perTask().cpus();
       }
       result.add(
-          new ScalingPlan.Up(
+          new ScalingPlan.ActiveMachine(
               machine.name(),
-              new ScalingPlan.Offer(type, machine.zone(), machine.isSpot()),
+              new ScalingPlan.Offering(type, machine.zone(), machine.isSpot()),
               used,
               machine.idleFor(now).orElse(null)));
     }
@@ -405,9 +406,9 @@
   private void rent(Request request) {
     busy = true;
     repeat = request;
-    ScalingPlan.Offer offer = request.offer;
+    ScalingPlan.Offering offer = request.offer;
     cloud
-        .rent(request.name, offer.type().name(), offer.zone(), offer.spot(), request.count)
+        .rent(request.name, offer.type().name(), offer.zone(), offer.isSpot(), request.count)
         .whenComplete(
             (names, failure) -> {
               busy = timer == null;
@@ -422,20 +423,20 @@
                     "no capacity for {} in {}, spot {}",
                     offer.type().name(),
                     offer.zone(),
-                    offer.spot());
+                    offer.isSpot());
               }
             });
   }
 
   private void rented(Request request, List<String> names) {
-    ScalingPlan.Offer offer = request.offer;
+    ScalingPlan.Offering offer = request.offer;
     LOG.info(
         "rented {} of {} {} in {}, spot {}, as {}",
         names.size(),
         request.count,
         offer.type().name(),
         offer.zone(),
-        offer.spot(),
+        offer.isSpot(),
         request.name);
     Duration now = loop.now();
     names.forEach(name -> incoming.put(name, new Incoming(offer, now)));
--- a/src/main/java/io/cherryspool/controller/RecoveryApi.java
+++ b/src/main/java/io/cherryspool/controller/RecoveryApi.java
@@ -17,10 +17,10 @@
 import io.cherryspool.store.Records;
 import io.cherryspool.store.Replica;
 import io.cherryspool.store.StateClient;
-import io.cherryspool.wire.JobWire;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.StateWire;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.StateStoreProtocol;
+import io.cherryspool.wire.UserProtocol;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
@@ -140,7 +140,7 @@
     JobEntry entry = replica.job(id);
     if (entry != null) {
       item.put("class", entry.job().jobClass()).put("team", entry.job().team());
-      item.put("tasks", entry.job().tasks());
+      item.put("tasks", entry.job().taskCount());
       item.put("done", entry.doneCount()).put("running", entry.ownedCount());
     }
   }
@@ -152,11 +152,11 @@
       JsonNode node = Json.parseObject(body);
       id = node.path("job").asText();
       decision = node.path("decision").asText();
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       return now(error(400, e.getMessage()));
     }
     boolean repeat = decision.equals("repeat");
-    if (!JobWire.isId(id) || !repeat && !decision.equals("abandon")) {
+    if (!UserProtocol.isJobId(id) || !repeat && !decision.equals("abandon")) {
       return now(error(400, "job must be a job's id, and decision repeat or abandon"));
     }
     return replica
@@ -175,7 +175,7 @@
     }
     return commit(
         Map.of(Records.outcome(id), 0L),
-        List.of(new StateWire.Change(Records.held(id), null, 0)),
+        List.of(new StateStoreProtocol.Change(Records.held(id), null, 0)),
         "job " + id + " runs again where its tasks did not report");
   }
 
@@ -183,7 +183,7 @@
     if (replica.unknownAtWorkers(id) && replica.job(id) == null) {
       return commit(
           Map.of(Records.job(id), 0L),
-          List.of(new StateWire.Change(Records.unknown(id), Records.abandoned(), 0)),
+          List.of(new StateStoreProtocol.Change(Records.unknown(id), Records.abandoned(), 0)),
           "tasks of job " + id + " are stopped; questions for it are answered 404");
     }
     if (!replica.held().contains(id)) {
@@ -192,8 +192,9 @@
     return commit(
         Map.of(Records.outcome(id), 0L),
         List.of(
-            new StateWire.Change(Records.outcome(id), Records.outcome(Outcome.CANCELLED), 0),
-            new StateWire.Change(Records.held(id), null, 0)),
+            new StateStoreProtocol.Change(
+                Records.outcome(id), Records.outcome(Outcome.CANCELLED), 0),
+            new StateStoreProtocol.Change(Records.held(id), null, 0)),
         "job " + id + " is cancelled");
   }
 
@@ -205,7 +206,7 @@
   }
 
   private CompletableFuture<Reply> commit(
-      Map<String, Long> conditions, List<StateWire.Change> changes, String done) {
+      Map<String, Long> conditions, List<StateStoreProtocol.Change> changes, String done) {
     rateLimiter.force(changes.size());
     return client
         .commit(conditions, changes)
@@ -217,15 +218,15 @@
   }
 
   private static Reply error(int status, String why) {
-    return Reply.json(status, JobWire.error(why));
+    return Reply.json(status, UserProtocol.encodeError(why));
   }
 
   private static Reply later() {
-    return Reply.retry(503, JobWire.error("the records can't be read now"), COME_BACK_S);
+    return Reply.retry(503, UserProtocol.encodeError("the records can't be read now"), COME_BACK_S);
   }
 
   private static Reply json(int status, JsonNode body) {
-    return Reply.json(status, Json.bytes(body));
+    return Reply.json(status, Json.toBytes(body));
   }
 
   private static CompletableFuture<Reply> now(Reply reply) {
--- a/src/main/java/io/cherryspool/controller/RecoveryPart.java
+++ b/src/main/java/io/cherryspool/controller/RecoveryPart.java
@@ -5,8 +5,8 @@
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.lifecycle.Lifecycle;
 import io.cherryspool.mesh.Mesh;
-import io.cherryspool.model.Report;
-import io.cherryspool.model.Token;
+import io.cherryspool.model.FencingToken;
+import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.recovery.NodeMemory;
 import io.cherryspool.recovery.Recovery;
 import io.cherryspool.recovery.RecoveryTimings;
@@ -149,12 +149,12 @@
   }
 
   /** A report that comes while nobody leads tells at least what was once given out. */
-  void reportUnanswered(Report report) {
+  void reportUnanswered(WorkerHeartbeat report) {
     if (!recovery.serving()) {
-      if (report.token() > 0) {
+      if (report.highestFencingToken() > 0) {
         node.noteWorkersToken();
       }
-      election.hear(Token.term(report.token()));
+      election.hear(FencingToken.term(report.highestFencingToken()));
     }
   }
 
--- a/src/main/java/io/cherryspool/controller/ReleaseEvidence.java
+++ b/src/main/java/io/cherryspool/controller/ReleaseEvidence.java
@@ -1,8 +1,8 @@
 package io.cherryspool.controller;
 
 import io.cherryspool.model.Attempt;
-import io.cherryspool.model.Order;
-import io.cherryspool.model.Report;
+import io.cherryspool.model.WorkerCommand;
+import io.cherryspool.model.WorkerHeartbeat;
 import java.time.Duration;
 import java.util.Optional;
 
@@ -45,9 +45,9 @@
       return Verdict.LAPSED;
     }
     Attempt attempt = owned.attempt();
-    Report latest = machine.latestHeartbeat();
+    WorkerHeartbeat latest = machine.latestHeartbeat();
     if (latest != null) {
-      if (latest.session() > attempt.session()) {
+      if (latest.agentEpoch() > attempt.agentEpoch()) {
         return Verdict.LAPSED;
       }
       Verdict reported = reported(owned, machine);
@@ -60,15 +60,16 @@
 
   private Verdict reported(Ownership.Owned owned, MachineState machine) {
     Attempt attempt = owned.attempt();
-    Optional<Report.TaskReport> found = machine.contact().findTask(owned.id(), attempt.number());
+    Optional<WorkerHeartbeat.TaskStatus> found =
+        machine.contact().findTask(owned.id(), attempt.number());
     if (found.isEmpty()) {
       return absent(owned, machine);
     }
-    Report.TaskReport item = found.get();
-    if (item.state() != Report.State.EXITED) {
+    WorkerHeartbeat.TaskStatus item = found.get();
+    if (item.state() != WorkerHeartbeat.TaskState.EXITED) {
       return Verdict.OWNED;
     }
-    if (item.cause() == Report.Cause.DONE) {
+    if (item.cause() == WorkerHeartbeat.ExitCause.DONE) {
       return Verdict.DONE;
     }
     // A start that has no answer yet could run once more after the attempt is forgotten.
@@ -77,7 +78,7 @@
     }
     return switch (item.cause()) {
       case STOPPED -> Verdict.ENDED;
-      case NO_ROOM, BUSY, UNKNOWN_JOB -> Verdict.REFUSED;
+      case INSUFFICIENT_RESOURCES, OTHER_ATTEMPT_PRESENT, UNKNOWN_JOB -> Verdict.REFUSED;
       default -> Verdict.FAILED;
     };
   }
@@ -85,10 +86,10 @@
   /** Absence proves something only of a task that will not be started again. */
   private Verdict absent(Ownership.Owned owned, MachineState machine) {
     if (stopRequests.graceFor(owned) == null
-        || machine.latestHeartbeat().session() != owned.attempt().session()) {
+        || machine.latestHeartbeat().agentEpoch() != owned.attempt().agentEpoch()) {
       return Verdict.OWNED;
     }
-    Order start = Order.start(owned.id(), owned.attempt().number());
+    WorkerCommand start = WorkerCommand.start(owned.id(), owned.attempt().number());
     long sent = machine.commands().startTokenOr(start, tokens.base());
     if (!machine.contact().hasTokenAbove(sent) || !machine.areCommandsFenced()) {
       return Verdict.NEEDS_FENCE;
--- a/src/main/java/io/cherryspool/controller/RoundEdits.java
+++ b/src/main/java/io/cherryspool/controller/RoundEdits.java
@@ -7,7 +7,7 @@
 import io.cherryspool.store.JobEntry;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -47,7 +47,7 @@
       }
       Shard.Editor editor = entry.shard(index).shard().edit();
       for (PendingReleases.Release release : pendingReleases.ofJob(entry.job().id()).values()) {
-        int task = release.owned().id().number();
+        int task = release.owned().id().index();
         if (entry.shardOf(task) == index) {
           if (release.done()) {
             editor.complete(task);
@@ -76,7 +76,7 @@
   /** The task runs there, although no record says that it was started. */
   void adopt(JobEntry entry, Attempt attempt) {
     Edit edit = edits.computeIfAbsent(entry.job().id(), key -> new Edit(entry));
-    int shard = entry.shardOf(attempt.task());
+    int shard = entry.shardOf(attempt.taskIndex());
     edit.shard(shard).adopt(attempt);
     edit.assigned.add(shard);
   }
@@ -104,7 +104,8 @@
     for (String id : pendingReleases.jobs()) {
       Collection<PendingReleases.Release> known = pendingReleases.ofJob(id).values();
       JobEntry entry = known.iterator().next().owned().entry();
-      boolean whole = entry.doneCount() + PendingReleases.countDone(known) == entry.job().tasks();
+      boolean whole =
+          entry.doneCount() + PendingReleases.countDone(known) == entry.job().taskCount();
       boolean write = entry.outcome() == null && whole;
       boolean late = false;
       for (PendingReleases.Release release : known) {
@@ -114,7 +115,7 @@
       if (write) {
         Edit edit = edits.computeIfAbsent(id, key -> new Edit(entry));
         edit.late = late;
-        known.forEach(release -> edit.shard(entry.shardOf(release.owned().id().number())));
+        known.forEach(release -> edit.shard(entry.shardOf(release.owned().id().index())));
       }
       if (entry.outcome() == null && whole) {
         ending.add(id);
@@ -160,12 +161,12 @@
             // After a cancel is committed nothing of the job may be assigned.
             conditions.put(Records.outcome(id), 0L);
           }
-          boolean over = entry.outcome() != null && shard.owned().isEmpty();
+          boolean over = entry.outcome() != null && shard.ownedAttempts().isEmpty();
           RoundWriter.Unit unit =
               new RoundWriter.Unit(
                   conditions,
                   List.of(
-                      new StateWire.Change(
+                      new StateStoreProtocol.Change(
                           Records.progress(id, index), over ? null : Records.shard(shard), 0)),
                   Records.sizeOf(shard),
                   assigns || ending || edit.late ? use(entry) : RateLimiter.Use.LATER);
@@ -188,7 +189,8 @@
     }
     return new RoundWriter.Unit(
         conditions,
-        List.of(new StateWire.Change(Records.outcome(id), Records.outcome(Outcome.DONE), 0)),
+        List.of(
+            new StateStoreProtocol.Change(Records.outcome(id), Records.outcome(Outcome.DONE), 0)),
         0,
         use(entry));
   }
@@ -205,18 +207,18 @@
         continue;
       }
       if (entry.outcome() == null) {
-        if (entry.doneCount() == entry.job().tasks()) {
+        if (entry.doneCount() == entry.job().taskCount()) {
           units.add(ending(entry, Set.of()));
         }
         continue;
       }
       for (int index : entry.shards().keySet()) {
         JobEntry.Versioned item = entry.shard(index);
-        if (entry.outcome() == Outcome.DONE || item.shard().owned().isEmpty()) {
+        if (entry.outcome() == Outcome.DONE || item.shard().ownedAttempts().isEmpty()) {
           units.add(
               new RoundWriter.Unit(
                   Map.of(Records.progress(id, index), item.version()),
-                  List.of(new StateWire.Change(Records.progress(id, index), null, 0)),
+                  List.of(new StateStoreProtocol.Change(Records.progress(id, index), null, 0)),
                   0,
                   RateLimiter.Use.LATER));
         }
--- a/src/main/java/io/cherryspool/controller/RoundView.java
+++ b/src/main/java/io/cherryspool/controller/RoundView.java
@@ -75,7 +75,7 @@
     String id = entry.job().id();
     jobs.remove(id);
     if (entry.outcome() != null && !lapsed.isEmpty()) {
-      lapsed.keySet().removeIf(task -> task.job().equals(id));
+      lapsed.keySet().removeIf(task -> task.jobId().equals(id));
     }
   }
 
@@ -91,7 +91,7 @@
     } else {
       lapsed.put(task, now);
     }
-    jobs.remove(task.job());
+    jobs.remove(task.jobId());
   }
 
   /** The jobs that have free tasks. */
@@ -107,7 +107,7 @@
         seen = look(entry, now);
         jobs.put(id, seen);
       }
-      if (!seen.view.free().isEmpty()) {
+      if (!seen.view.pendingTasks().isEmpty()) {
         result.add(seen.view);
       }
     }
@@ -133,7 +133,7 @@
     for (JobEntry entry : replica.active()) {
       if (entry.outcome() == null) {
         Job job = entry.job();
-        int left = job.tasks() - entry.doneCount();
+        int left = job.taskCount() - entry.doneCount();
         wanted.merge(job.team(), job.perTask().times(left), Resources::plus);
       }
     }
@@ -141,7 +141,7 @@
     wanted.forEach(
         (name, sum) -> {
           Team team = teams.get(name);
-          if (team != null && team.guaranteed(sum)) {
+          if (team != null && team.isWithinGuaranteedQuota(sum)) {
             result.add(name);
           }
         });
@@ -182,7 +182,7 @@
         && !machine.isMarkedForDeletion()
         && !contact.isUnresponsive()
         && contact.ignoredReplies() == 0
-        && contact.latest().notice() == null
+        && contact.latest().preemptionNotice() == null
         && !machine.history().isFaulty()
         && now.minus(contact.lastHeartbeatAt()).compareTo(silence) < 0
         && now.minus(contact.lastKeptAliveAt()).compareTo(halfLease) < 0
@@ -191,7 +191,7 @@
   }
 
   private ClusterView.MachineView look(MachineState machine, MachineType type) {
-    Resources free = type.size();
+    Resources free = type.capacity();
     List<ClusterView.RunningTask> running = new ArrayList<>();
     for (Ownership.Owned owned : ownership.on(machine.name())) {
       if (!pendingReleases.has(owned)) {
@@ -220,25 +220,25 @@
   private SeenJob look(JobEntry entry, Duration now) {
     Job job = entry.job();
     Map<Integer, PendingReleases.Release> known = pendingReleases.ofJob(job.id());
-    List<ClusterView.FreeTask> free = new ArrayList<>();
+    List<ClusterView.PendingTask> free = new ArrayList<>();
     Duration until = null;
     int held = 0;
     boolean begun = entry.doneCount() > 0;
     for (int index = 0; index < entry.shardCount() && free.size() < FREE_TASKS_PER_JOB; index++) {
       Shard shard = entry.shard(index).shard();
-      begun |= !shard.owned().isEmpty() || !shard.histories().isEmpty();
+      begun |= !shard.ownedAttempts().isEmpty() || !shard.histories().isEmpty();
       int end = entry.endTask(index);
-      for (int task = shard.nextUndone(entry.firstTask(index));
+      for (int task = shard.nextNotDone(entry.firstTask(index));
           task < end && free.size() < FREE_TASKS_PER_JOB;
-          task = shard.nextUndone(task + 1)) {
+          task = shard.nextNotDone(task + 1)) {
         PendingReleases.Release release = known.get(task);
-        if (shard.owner(task) != null && (release == null || release.done())) {
+        if (shard.ownedAttempt(task) != null && (release == null || release.done())) {
           continue;
         }
         Shard.History history = shard.history(task);
         int failures = history.failures() + (release != null && release.failed() ? 1 : 0);
         if (history.attempts() == 0) {
-          free.add(new ClusterView.FreeTask(task, 0, failures, null));
+          free.add(new ClusterView.PendingTask(task, 0, failures, null));
           continue;
         }
         TaskId id = new TaskId(job.id(), task);
@@ -251,7 +251,7 @@
         }
         Duration ready = last == null ? now : last.plus(wait);
         if (now.compareTo(ready) >= 0) {
-          free.add(new ClusterView.FreeTask(task, history.attempts(), failures, last));
+          free.add(new ClusterView.PendingTask(task, history.attempts(), failures, last));
         } else {
           held += failures >= failureCap ? 1 : 0;
           until = until == null || ready.compareTo(until) < 0 ? ready : until;
@@ -268,7 +268,7 @@
       }
     }
     Map<String, Integer> perZone = Map.of();
-    if (job.oneZone() || job.spread()) {
+    if (job.requiresSingleZone() || job.requiresZoneSpread()) {
       perZone = perZone(entry);
       if (perZone == null) {
         // A task of it runs nobody knows where, so that no place is surely allowed.
@@ -285,12 +285,13 @@
   }
 
   /** The task that failed least, and the first one again: one of either kind may be the bad one. */
-  private static List<ClusterView.FreeTask> tries(List<ClusterView.FreeTask> free, int count) {
+  private static List<ClusterView.PendingTask> tries(
+      List<ClusterView.PendingTask> free, int count) {
     if (count <= 0 || free.isEmpty()) {
       return List.of();
     }
-    ClusterView.FreeTask least = free.get(0);
-    for (ClusterView.FreeTask task : free) {
+    ClusterView.PendingTask least = free.get(0);
+    for (ClusterView.PendingTask task : free) {
       least = task.failures() < least.failures() ? task : least;
     }
     return count == 1 || least == free.get(0) ? List.of(least) : List.of(least, free.get(0));
@@ -301,8 +302,8 @@
     Map<String, Integer> result = new HashMap<>();
     Map<Integer, PendingReleases.Release> known = pendingReleases.ofJob(entry.job().id());
     for (JobEntry.Versioned item : entry.shards().values()) {
-      for (Attempt attempt : item.shard().owned().values()) {
-        if (!known.containsKey(attempt.task())) {
+      for (Attempt attempt : item.shard().ownedAttempts().values()) {
+        if (!known.containsKey(attempt.taskIndex())) {
           MachineState machine = fleet.get(attempt.machine());
           if (machine == null || machine.zone().isEmpty()) {
             return null;
--- a/src/main/java/io/cherryspool/controller/RoundWriter.java
+++ b/src/main/java/io/cherryspool/controller/RoundWriter.java
@@ -5,7 +5,7 @@
 import io.cherryspool.store.Records;
 import io.cherryspool.store.StateClient;
 import io.cherryspool.store.StateException;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -39,7 +39,7 @@
   /** Changes that are committed together or not at all; {@code bytes} is what their values take. */
   record Unit(
       Map<String, Long> conditions,
-      List<StateWire.Change> changes,
+      List<StateStoreProtocol.Change> changes,
       int bytes,
       RateLimiter.Use use) {}
 
@@ -73,11 +73,11 @@
     int taken = 0;
     for (Unit unit : units) {
       int count = unit.changes.size();
-      int size = unit.bytes + StateWire.CHANGE_OVERHEAD * count;
+      int size = unit.bytes + StateStoreProtocol.CHANGE_OVERHEAD_BYTES * count;
       boolean full =
           changes + count > maxChanges
               || conditions + unit.conditions.size() > CONDITIONS * maxChanges
-              || bytes + size > StateWire.MAX_COMMIT_BYTES;
+              || bytes + size > StateStoreProtocol.MAX_TRANSACTION_VALUE_BYTES;
       if (full && !batch.isEmpty()) {
         rateLimiter.force(changes);
         batch = new ArrayList<>();
@@ -104,7 +104,7 @@
     int[] open = {transactions.size()};
     for (List<Unit> transaction : transactions) {
       Map<String, Long> named = new LinkedHashMap<>();
-      List<StateWire.Change> all = new ArrayList<>();
+      List<StateStoreProtocol.Change> all = new ArrayList<>();
       named.put(Records.TERM, termVersion);
       for (Unit unit : transaction) {
         named.putAll(unit.conditions);
@@ -130,7 +130,7 @@
    */
   private void send(
       Map<String, Long> conditions,
-      List<StateWire.Change> changes,
+      List<StateStoreProtocol.Change> changes,
       boolean open,
       Runnable certain) {
     if (stopped) {
--- a/src/main/java/io/cherryspool/controller/Rounds.java
+++ b/src/main/java/io/cherryspool/controller/Rounds.java
@@ -62,7 +62,7 @@
   private final BooleanSupplier places;
   private final Runnable committed;
   private final Set<String> dirty = new LinkedHashSet<>();
-  private RoundPlan last = RoundPlan.NOTHING;
+  private RoundPlan last = RoundPlan.EMPTY;
   private boolean placing;
   private boolean settling;
   private boolean underWay;
@@ -171,7 +171,7 @@
   void request() {
     wanted = true;
     if (timer == null && !underWay && !stopped) {
-      Duration pause = lastRun.plus(Durations.times(lastCost, COST_SHARE)).minus(loop.now());
+      Duration pause = lastRun.plus(Durations.multiply(lastCost, COST_SHARE)).minus(loop.now());
       timer =
           loop.schedule(pause.compareTo(BATCHING_DELAY) > 0 ? pause : BATCHING_DELAY, this::run);
     }
@@ -278,7 +278,7 @@
           units.size() - sent,
           units.size());
       if (units.get(sent).use() == RateLimiter.Use.ROUND) {
-        Duration pause = Durations.times(lastCost, COST_SHARE);
+        Duration pause = Durations.multiply(lastCost, COST_SHARE);
         timer = loop.schedule(pause.compareTo(RETRY_PAUSE) > 0 ? pause : RETRY_PAUSE, this::run);
       }
     }
@@ -390,7 +390,7 @@
     Duration now = loop.now();
     List<ClusterView.JobView> jobs = view.jobs(now);
     if (jobs.isEmpty()) {
-      last = RoundPlan.NOTHING;
+      last = RoundPlan.EMPTY;
       return;
     }
     meters.planned.increment();
@@ -406,35 +406,35 @@
                 view.teamUse(),
                 view.owed(teams),
                 catalog.get(),
-                last.unplaced().stream().map(RoundPlan.Unplaced::job).toList(),
+                last.unschedulable().stream().map(RoundPlan.Unschedulable::job).toList(),
                 limits.deadlineTimes()));
     last = plan;
-    meters.stops.add(plan.stops().size());
+    meters.stops.add(plan.victims().size());
     for (RoundPlan.Assignment item : plan.assignments()) {
-      JobEntry entry = replica.job(item.job());
+      JobEntry entry = replica.job(item.jobId());
       MachineState machine = fleet.get(item.machine());
       edits.assign(
           entry,
-          item.task(),
+          item.taskIndex(),
           item.machine(),
-          machine.latestHeartbeat().session(),
+          machine.latestHeartbeat().agentEpoch(),
           tokens.current() + 1);
       machine.recordImage(entry.job().image());
     }
     Map<String, Integer> stopped = new LinkedHashMap<>();
-    for (RoundPlan.Stop stop : plan.stops()) {
-      JobEntry entry = replica.job(stop.task().job());
-      int number = stop.task().number();
-      Attempt attempt = entry.shard(entry.shardOf(number)).shard().owner(number);
+    for (RoundPlan.Victim stop : plan.victims()) {
+      JobEntry entry = replica.job(stop.task().jobId());
+      int number = stop.task().index();
+      Attempt attempt = entry.shard(entry.shardOf(number)).shard().ownedAttempt(number);
       if (attempt != null) {
-        stopped.merge(stop.task().job(), 1, Integer::sum);
-        ledger.stopRequests().add(stop.task(), attempt.number(), stop.grace());
+        stopped.merge(stop.task().jobId(), 1, Integer::sum);
+        ledger.stopRequests().add(stop.task(), attempt.number(), stop.gracePeriod());
         machineTouched(attempt.machine());
       }
     }
     // A line for each job: thousands of small tasks may make way in a round.
     stopped.forEach((job, count) -> LOG.info("stopping {} tasks of {} for other work", count, job));
-    if (!plan.stops().isEmpty()) {
+    if (!plan.victims().isEmpty()) {
       committed.run();
     }
   }
--- a/src/main/java/io/cherryspool/controller/Timings.java
+++ b/src/main/java/io/cherryspool/controller/Timings.java
@@ -23,7 +23,7 @@
 
   /** After so long without a report a worker is late, whatever the deviation of its reports. */
   Duration late() {
-    return Durations.part(Durations.times(report, 5), 4).plusMillis(250);
+    return Durations.divide(Durations.multiply(report, 5), 4).plusMillis(250);
   }
 
   /**
@@ -31,7 +31,7 @@
    * is cut off. Each reads at least four times in a state lease.
    */
   Duration behind() {
-    return Durations.part(stateLease, 2);
+    return Durations.divide(stateLease, 2);
   }
 
   public static Timings of(Settings settings, OperatorSettings operators) {
--- a/src/main/java/io/cherryspool/controller/Tokens.java
+++ b/src/main/java/io/cherryspool/controller/Tokens.java
@@ -1,6 +1,6 @@
 package io.cherryspool.controller;
 
-import io.cherryspool.model.Token;
+import io.cherryspool.model.FencingToken;
 
 /** The tokens of one term. Only the leader of the term makes them, and they only grow. */
 final class Tokens {
@@ -13,11 +13,11 @@
 
   /** Below every token of this term, and above every token of earlier ones. */
   long base() {
-    return Token.of(term, 0);
+    return FencingToken.of(term, 0);
   }
 
   long current() {
-    return Token.of(term, round);
+    return FencingToken.of(term, round);
   }
 
   /** Starts the next round. Messages of earlier rounds then no longer count at the workers. */
--- a/src/main/java/io/cherryspool/controller/UserApi.java
+++ b/src/main/java/io/cherryspool/controller/UserApi.java
@@ -6,16 +6,16 @@
 import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Team;
-import io.cherryspool.scheduler.Rules;
+import io.cherryspool.scheduler.PlacementConstraints;
 import io.cherryspool.store.GroupCommit;
 import io.cherryspool.store.JobEntry;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
 import io.cherryspool.store.Replica;
-import io.cherryspool.wire.JobWire;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.StateWire;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.StateStoreProtocol;
+import io.cherryspool.wire.UserProtocol;
 import java.time.Instant;
 import java.util.List;
 import java.util.Map;
@@ -68,26 +68,26 @@
     JsonNode node;
     try {
       node = Json.parseObject(body);
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       return now(malformed(e));
     }
     Job job;
     JsonNode record;
     try {
-      job = JobWire.parse(node, wall.get());
+      job = UserProtocol.parseJob(node, wall.get());
       record = Records.job(job, Records.tasksPerShard(valueBytes));
-      if (Json.bytes(record).length > valueBytes) {
-        throw new WireException("the description is too long to be kept");
+      if (Json.toBytes(record).length > valueBytes) {
+        throw new MalformedMessageException("the description is too long to be kept");
       }
-    } catch (WireException e) {
-      String named = JobWire.id(node);
+    } catch (MalformedMessageException e) {
+      String named = UserProtocol.findJobId(node);
       return named == null ? now(malformed(e)) : refuse(named, malformed(e));
     }
     String id = job.id();
     List<MachineType> types = catalog.get();
-    String impossible = Rules.impossible(job, teams.get(job.team()), types);
+    String impossible = PlacementConstraints.infeasibilityReason(job, teams.get(job.team()), types);
     if (impossible != null) {
-      return refuse(id, Reply.json(422, JobWire.error(impossible)));
+      return refuse(id, Reply.json(422, UserProtocol.encodeError(impossible)));
     }
     if (replica.job(id) != null) {
       return known(id);
@@ -102,11 +102,13 @@
         .submit(
             RateLimiter.Use.SUBMIT,
             Map.of(Records.job(id), 0L),
-            new StateWire.Change(Records.job(id), record, 0))
+            new StateStoreProtocol.Change(Records.job(id), record, 0))
         .thenCompose(
             applied ->
                 applied
-                    ? now(Reply.json(201, JobWire.status(id, JobWire.Status.PENDING)))
+                    ? now(
+                        Reply.json(
+                            201, UserProtocol.encodeStatus(id, UserProtocol.JobStatus.PENDING)))
                     : known(id))
         .exceptionally(failure -> later("the state service can't take the job now"));
   }
@@ -176,12 +178,16 @@
                   .submit(
                       RateLimiter.Use.CANCEL,
                       Map.of(Records.outcome(id), 0L),
-                      new StateWire.Change(
+                      new StateStoreProtocol.Change(
                           Records.outcome(id), Records.outcome(Outcome.CANCELLED), 0))
                   .thenCompose(
                       applied ->
                           applied
-                              ? now(Reply.json(200, JobWire.status(id, JobWire.Status.CANCELLED)))
+                              ? now(
+                                  Reply.json(
+                                      200,
+                                      UserProtocol.encodeStatus(
+                                          id, UserProtocol.JobStatus.CANCELLED)))
                               : replica.refresh().thenApply(again -> ended(replica.job(id))));
             })
         .exceptionally(failure -> later(SILENT));
@@ -218,34 +224,36 @@
 
   private Reply status(JobEntry entry) {
     int running = entry.outcome() == null ? entry.ownedCount() : 0;
-    JobWire.Status status =
+    UserProtocol.JobStatus status =
         entry.outcome() == Outcome.DONE
-            ? JobWire.Status.DONE
+            ? UserProtocol.JobStatus.DONE
             : entry.outcome() == Outcome.CANCELLED
-                ? JobWire.Status.CANCELLED
-                : running > 0 ? JobWire.Status.RUNNING : JobWire.Status.PENDING;
+                ? UserProtocol.JobStatus.CANCELLED
+                : running > 0 ? UserProtocol.JobStatus.RUNNING : UserProtocol.JobStatus.PENDING;
     return Reply.json(
         200,
-        JobWire.status(
+        UserProtocol.encodeStatus(
             entry.job().id(), status, entry.doneCount(), running, entry.failing(failureCap)));
   }
 
   private static Reply ending(JobEntry entry) {
-    JobWire.Status status =
-        entry.outcome() == Outcome.DONE ? JobWire.Status.DONE : JobWire.Status.CANCELLED;
-    return Reply.json(200, JobWire.status(entry.job().id(), status));
+    UserProtocol.JobStatus status =
+        entry.outcome() == Outcome.DONE
+            ? UserProtocol.JobStatus.DONE
+            : UserProtocol.JobStatus.CANCELLED;
+    return Reply.json(200, UserProtocol.encodeStatus(entry.job().id(), status));
   }
 
-  private static Reply malformed(WireException failure) {
-    return Reply.json(400, JobWire.error(failure.getMessage()));
+  private static Reply malformed(MalformedMessageException failure) {
+    return Reply.json(400, UserProtocol.encodeError(failure.getMessage()));
   }
 
   private static Reply notFound() {
-    return Reply.json(404, JobWire.error("no such job"));
+    return Reply.json(404, UserProtocol.encodeError("no such job"));
   }
 
   private static Reply later(String why) {
-    return Reply.retry(503, JobWire.error(why), COME_BACK_S);
+    return Reply.retry(503, UserProtocol.encodeError(why), COME_BACK_S);
   }
 
   private static CompletableFuture<Reply> now(Reply reply) {
--- a/src/main/java/io/cherryspool/controller/WorkerCommands.java
+++ b/src/main/java/io/cherryspool/controller/WorkerCommands.java
@@ -1,7 +1,7 @@
 package io.cherryspool.controller;
 
-import io.cherryspool.model.Order;
-import io.cherryspool.model.Report;
+import io.cherryspool.model.WorkerCommand;
+import io.cherryspool.model.WorkerHeartbeat;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -27,27 +27,31 @@
     this.adoption = adoption;
   }
 
-  List<Order> dueFor(MachineState machine, List<Ownership.Owned> owned) {
-    Report latest = machine.latestHeartbeat();
-    List<Order> commands = new ArrayList<>();
-    for (Report.TaskReport item : latest.tasks()) {
-      Ownership.Owned owner = owner(item, owned, latest.session());
+  List<WorkerCommand> dueFor(MachineState machine, List<Ownership.Owned> owned) {
+    WorkerHeartbeat latest = machine.latestHeartbeat();
+    List<WorkerCommand> commands = new ArrayList<>();
+    for (WorkerHeartbeat.TaskStatus item : latest.tasks()) {
+      Ownership.Owned owner = owner(item, owned, latest.agentEpoch());
       if (owner != null) {
         Duration grace = stopRequests.graceFor(owner);
         boolean running =
-            item.state() == Report.State.FETCHING || item.state() == Report.State.RUNNING;
-        boolean cutShort = item.state() == Report.State.SAVING && grace != null && grace.isZero();
+            item.state() == WorkerHeartbeat.TaskState.FETCHING
+                || item.state() == WorkerHeartbeat.TaskState.RUNNING;
+        boolean cutShort =
+            item.state() == WorkerHeartbeat.TaskState.CHECKPOINTING
+                && grace != null
+                && grace.isZero();
         if (grace != null && (running || cutShort)) {
-          commands.add(Order.stop(item.task(), item.attempt(), grace));
+          commands.add(WorkerCommand.stop(item.task(), item.attempt(), grace));
         }
       } else if (adoption.protects(machine, item)) {
         // The records lack what happened last, and this may be part of it.
         continue;
-      } else if (item.state() != Report.State.EXITED) {
+      } else if (item.state() != WorkerHeartbeat.TaskState.EXITED) {
         // The records give this task to nobody, or to another attempt: nobody may run it here.
-        commands.add(Order.stop(item.task(), item.attempt(), Duration.ZERO));
-      } else if (latest.token() > tokens.base() && machine.areCommandsFenced()) {
-        commands.add(Order.forget(item.task(), item.attempt()));
+        commands.add(WorkerCommand.stop(item.task(), item.attempt(), Duration.ZERO));
+      } else if (latest.highestFencingToken() > tokens.base() && machine.areCommandsFenced()) {
+        commands.add(WorkerCommand.acknowledge(item.task(), item.attempt()));
       }
     }
     if (adoption.open()) {
@@ -55,7 +59,7 @@
       return commands;
     }
     for (Ownership.Owned item : owned) {
-      boolean here = item.attempt().session() == latest.session();
+      boolean here = item.attempt().agentEpoch() == latest.agentEpoch();
       if (here
           && item.entry().outcome() == null
           && !adoption.holdsBack(item.entry())
@@ -63,17 +67,17 @@
           // An attempt that has ended must not run once more while its end waits to be written.
           && !pendingReleases.has(item)
           && machine.contact().findTask(item.id(), item.attempt().number()).isEmpty()) {
-        commands.add(Order.start(item.id(), item.attempt().number()));
+        commands.add(WorkerCommand.start(item.id(), item.attempt().number()));
       }
     }
     return commands;
   }
 
   private static Ownership.Owned owner(
-      Report.TaskReport item, List<Ownership.Owned> owned, long session) {
+      WorkerHeartbeat.TaskStatus item, List<Ownership.Owned> owned, long session) {
     for (Ownership.Owned candidate : owned) {
       if (candidate.attempt().number() == item.attempt()
-          && candidate.attempt().session() == session
+          && candidate.attempt().agentEpoch() == session
           && candidate.id().equals(item.task())) {
         return candidate;
       }
--- a/src/main/java/io/cherryspool/controller/Workload.java
+++ b/src/main/java/io/cherryspool/controller/Workload.java
@@ -77,7 +77,7 @@
   void ran(Job job, Duration time) {
     Runs known = runs.computeIfAbsent(job.jobClass(), key -> new Runs());
     known.actual = known.actual * FADE + seconds(time);
-    known.expected = known.expected * FADE + seconds(job.estimate());
+    known.expected = known.expected * FADE + seconds(job.estimatedRunTime());
     known.count++;
   }
 
@@ -94,17 +94,17 @@
     return wall.get();
   }
 
-  List<ScalingPlan.Load> loads() {
+  List<ScalingPlan.JobDemand> loads() {
     // No machine is rented for what does not seem to run anywhere.
     recent
         .values()
         .removeIf(entry -> age(entry.job()).compareTo(WINDOW) >= 0 || crashLooping(entry));
-    List<ScalingPlan.Load> result = new ArrayList<>();
+    List<ScalingPlan.JobDemand> result = new ArrayList<>();
     double all = 0;
     double lately = 0;
     Duration span = LEAST;
     for (JobEntry entry : recent.values()) {
-      double work = work(entry.job(), entry.job().tasks());
+      double work = work(entry.job(), entry.job().taskCount());
       Duration age = age(entry.job());
       span = age.compareTo(span) > 0 ? age : span;
       all += work;
@@ -114,9 +114,9 @@
     double bound = RISE * lately / Math.min(seconds(LATELY), seconds(span));
     double share = rate <= 0 ? 0 : Math.min(1, bound / rate) / seconds(span);
     for (JobEntry entry : recent.values()) {
-      double work = work(entry.job(), entry.job().tasks());
-      double cpus = entry.job().tasks() * entry.job().perTask().cpus();
-      result.add(new ScalingPlan.Load(entry.job(), work * share, work * cpus * share, 0));
+      double work = work(entry.job(), entry.job().taskCount());
+      double cpus = entry.job().taskCount() * entry.job().perTask().cpus();
+      result.add(new ScalingPlan.JobDemand(entry.job(), work * share, work * cpus * share, 0));
     }
     for (JobEntry entry : replica.active()) {
       if (entry.outcome() == null && !crashLooping(entry)) {
@@ -124,9 +124,9 @@
             pendingReleases.ofJob(entry.job().id()).values();
         int running = entry.ownedCount() - known.size();
         int done = entry.doneCount() + PendingReleases.countDone(known);
-        int waiting = entry.job().tasks() - done - running;
+        int waiting = entry.job().taskCount() - done - running;
         if (waiting > 0) {
-          result.add(new ScalingPlan.Load(entry.job(), 0, 0, work(entry.job(), waiting)));
+          result.add(new ScalingPlan.JobDemand(entry.job(), 0, 0, work(entry.job(), waiting)));
         }
       }
     }
@@ -139,11 +139,11 @@
   }
 
   private double work(Job job, int tasks) {
-    return tasks * job.perTask().cpus() * seconds(job.estimate()) * pace(job.jobClass());
+    return tasks * job.perTask().cpus() * seconds(job.estimatedRunTime()) * pace(job.jobClass());
   }
 
   private Duration age(Job job) {
-    return Duration.between(job.submitted(), wall.get());
+    return Duration.between(job.submittedAt(), wall.get());
   }
 
   private static double seconds(Duration time) {
--- a/src/main/java/io/cherryspool/model/Attempt.java
+++ b/src/main/java/io/cherryspool/model/Attempt.java
@@ -4,21 +4,22 @@
  * A task's committed assignment. Until its end is proved, the task belongs to this machine, session
  * and attempt, whatever else is seen.
  */
-public record Attempt(int task, String machine, long session, int number, long token) {
+public record Attempt(
+    int taskIndex, String machine, long agentEpoch, int number, long fencingToken) {
 
   // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
   @Override
   public boolean equals(Object object) {
     return object instanceof Attempt other
-        && task == other.task
+        && taskIndex == other.taskIndex
         && number == other.number
-        && session == other.session
-        && token == other.token
+        && agentEpoch == other.agentEpoch
+        && fencingToken == other.fencingToken
         && machine.equals(other.machine);
   }
 
   @Override
   public int hashCode() {
-    return 31 * Long.hashCode(token) + task;
+    return 31 * Long.hashCode(fencingToken) + taskIndex;
   }
 }
--- a/src/main/java/io/cherryspool/model/Durations.java
+++ b/src/main/java/io/cherryspool/model/Durations.java
@@ -14,12 +14,12 @@
   /**
    * @throws ArithmeticException beyond 292 years
    */
-  public static Duration times(Duration duration, int factor) {
+  public static Duration multiply(Duration duration, int factor) {
     return Duration.ofNanos(Math.multiplyExact(duration.toNanos(), factor));
   }
 
   /** Rounded down to a nanosecond. */
-  public static Duration part(Duration duration, int divisor) {
+  public static Duration divide(Duration duration, int divisor) {
     return Duration.ofNanos(duration.toNanos() / divisor);
   }
 }
--- a/src/main/java/io/cherryspool/model/Token.java
+++ b/src/main/java/io/cherryspool/model/FencingToken.java
@@ -1,10 +1,10 @@
 package io.cherryspool.model;
 
 /** Fencing tokens: the leader's term in the high bits, its round in the low ones, below 2^63. */
-public final class Token {
+public final class FencingToken {
   private static final int ROUND_BITS = 32;
 
-  private Token() {}
+  private FencingToken() {}
 
   public static long of(long term, long round) {
     if (term < 0 || term >= 1L << 31 || round < 0 || round >= 1L << ROUND_BITS) {
--- a/src/main/java/io/cherryspool/model/RentedMachine.java
+++ b/src/main/java/io/cherryspool/model/Instance.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /** A machine as the cloud's list tells it, some time late. */
-public record RentedMachine(
+public record Instance(
     String name,
     String address,
     String type,
     String zone,
-    boolean spot,
+    boolean isSpot,
     Status status,
     Duration age) {
 
--- a/src/main/java/io/cherryspool/model/Job.java
+++ b/src/main/java/io/cherryspool/model/Job.java
@@ -13,33 +13,34 @@
     String jobClass,
     String team,
     Priority priority,
-    int tasks,
+    int taskCount,
     Resources perTask,
     String image,
     double imageGb,
-    List<String> types,
-    String zone,
-    boolean oneZone,
-    boolean spread,
-    boolean spotAllowed,
-    Duration estimate,
-    Duration checkpoint,
-    Duration save,
+    List<String> allowedTypes,
+    String requiredZone,
+    boolean requiresSingleZone,
+    boolean requiresZoneSpread,
+    boolean allowsSpot,
+    Duration estimatedRunTime,
+    Duration checkpointInterval,
+    Duration checkpointDuration,
     Duration deadline,
-    Instant submitted) {
+    Instant submittedAt) {
 
   /** Whether a task may ever run on this type of machine. */
   public boolean allowsType(MachineType type) {
-    return (types == null || types.contains(type.name())) && perTask.fitsIn(type.size());
+    return (allowedTypes == null || allowedTypes.contains(type.name()))
+        && perTask.fitsIn(type.capacity());
   }
 
   public boolean allowsZone(String candidate) {
-    return zone == null || zone.equals(candidate);
+    return requiredZone == null || requiredZone.equals(candidate);
   }
 
   /** The most tasks that one zone may hold at a time. */
-  public int zoneShare() {
-    return spread ? (tasks + 1) / 2 : tasks;
+  public int maxTasksPerZone() {
+    return requiresZoneSpread ? (taskCount + 1) / 2 : taskCount;
   }
 
   /** Equal jobs have equal ids; the other components need not be looked at to find one in a map. */
--- a/src/main/java/io/cherryspool/model/MachineType.java
+++ b/src/main/java/io/cherryspool/model/MachineType.java
@@ -6,17 +6,17 @@
 /** A type of machine that the cloud rents. */
 public record MachineType(
     String name,
-    Resources size,
-    double cacheGb,
-    double fetchGbPerS,
-    double price,
+    Resources capacity,
+    double imageCacheGb,
+    double fetchGbPerSecond,
+    double hourlyPrice,
     double spotPrice,
-    Duration boot,
+    Duration bootTime,
     List<String> zones) {
 
   /** The hourly price of the kind. */
-  public double price(boolean spot) {
-    return spot ? spotPrice : price;
+  public double hourlyPrice(boolean spot) {
+    return spot ? spotPrice : hourlyPrice;
   }
 
   // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
@@ -25,12 +25,12 @@
     return this == object
         || object instanceof MachineType other
             && name.equals(other.name)
-            && size.equals(other.size)
-            && Double.compare(cacheGb, other.cacheGb) == 0
-            && Double.compare(fetchGbPerS, other.fetchGbPerS) == 0
-            && Double.compare(price, other.price) == 0
+            && capacity.equals(other.capacity)
+            && Double.compare(imageCacheGb, other.imageCacheGb) == 0
+            && Double.compare(fetchGbPerSecond, other.fetchGbPerSecond) == 0
+            && Double.compare(hourlyPrice, other.hourlyPrice) == 0
             && Double.compare(spotPrice, other.spotPrice) == 0
-            && boot.equals(other.boot)
+            && bootTime.equals(other.bootTime)
             && zones.equals(other.zones);
   }
 
--- a/src/main/java/io/cherryspool/model/Resources.java
+++ b/src/main/java/io/cherryspool/model/Resources.java
@@ -34,7 +34,7 @@
   }
 
   /** How many such amounts fit into the room, at most {@code wanted}. */
-  public int timesIn(Resources room, int wanted) {
+  public int countFittingIn(Resources room, int wanted) {
     double count = wanted;
     if (cpus > 0) {
       count = Math.min(count, Math.floor((room.cpus + EPSILON) / cpus));
--- a/src/main/java/io/cherryspool/model/Shard.java
+++ b/src/main/java/io/cherryspool/model/Shard.java
@@ -19,12 +19,12 @@
   }
 
   private final BitSet done;
-  private final Int2ObjectMap<Attempt> owned;
+  private final Int2ObjectMap<Attempt> ownedAttempts;
   private final Int2ObjectMap<History> history;
 
   private Shard(BitSet done, Int2ObjectMap<Attempt> owned, Int2ObjectMap<History> history) {
     this.done = done;
-    this.owned = owned;
+    this.ownedAttempts = owned;
     this.history = history;
   }
 
@@ -37,12 +37,12 @@
   }
 
   /** The owned task's attempt, or null. */
-  public Attempt owner(int task) {
-    return owned.get(task);
+  public Attempt ownedAttempt(int task) {
+    return ownedAttempts.get(task);
   }
 
-  public Int2ObjectMap<Attempt> owned() {
-    return Int2ObjectMaps.unmodifiable(owned);
+  public Int2ObjectMap<Attempt> ownedAttempts() {
+    return Int2ObjectMaps.unmodifiable(ownedAttempts);
   }
 
   public Int2ObjectMap<History> histories() {
@@ -54,13 +54,13 @@
   }
 
   /**
-   * The first done task from the given number on, or -1; with {@link #nextUndone} it walks ranges.
+   * The first done task from the given number on, or -1; with {@link #nextNotDone} it walks ranges.
    */
   public int nextDone(int from) {
     return done.nextSetBit(from);
   }
 
-  public int nextUndone(int from) {
+  public int nextNotDone(int from) {
     return done.nextClearBit(from);
   }
 
@@ -72,26 +72,26 @@
   public static final class Editor {
     private final BitSet done;
     private final Int2ObjectMap<Attempt> owned;
-    private final Int2ObjectMap<History> history;
+    private final Int2ObjectMap<History> putHistory;
 
     private Editor(Shard from) {
       done = (BitSet) from.done.clone();
-      owned = new Int2ObjectOpenHashMap<>(from.owned);
-      history = new Int2ObjectOpenHashMap<>(from.history);
+      owned = new Int2ObjectOpenHashMap<>(from.ownedAttempts);
+      putHistory = new Int2ObjectOpenHashMap<>(from.history);
     }
 
-    public Editor doneRange(int first, int last) {
+    public Editor markDone(int first, int last) {
       done.set(first, last + 1);
       return this;
     }
 
-    public Editor history(int task, History value) {
-      history.put(task, value);
+    public Editor putHistory(int task, History value) {
+      putHistory.put(task, value);
       return this;
     }
 
-    public Editor own(Attempt attempt) {
-      owned.put(attempt.task(), attempt);
+    public Editor putOwnedAttempt(Attempt attempt) {
+      owned.put(attempt.taskIndex(), attempt);
       return this;
     }
 
@@ -100,26 +100,26 @@
       if (done.get(task) || owned.containsKey(task)) {
         throw new IllegalStateException("task " + task + " is not free");
       }
-      History before = history.getOrDefault(task, History.NONE);
+      History before = putHistory.getOrDefault(task, History.NONE);
       int attempt = before.attempts() + 1;
-      history.put(task, new History(attempt, before.failures()));
+      putHistory.put(task, new History(attempt, before.failures()));
       owned.put(task, new Attempt(task, machine, session, attempt, token));
       return this;
     }
 
     /** The task runs as this attempt, although no record says that it was started. */
     public Editor adopt(Attempt attempt) {
-      History before = history.getOrDefault(attempt.task(), History.NONE);
+      History before = putHistory.getOrDefault(attempt.taskIndex(), History.NONE);
       int attempts = Math.max(before.attempts(), attempt.number());
-      history.put(attempt.task(), new History(attempts, before.failures()));
-      owned.put(attempt.task(), attempt);
+      putHistory.put(attempt.taskIndex(), new History(attempts, before.failures()));
+      owned.put(attempt.taskIndex(), attempt);
       return this;
     }
 
     /** The task's end as done is proved. */
     public Editor complete(int task) {
       owned.remove(task);
-      history.remove(task);
+      putHistory.remove(task);
       done.set(task);
       return this;
     }
@@ -128,14 +128,14 @@
     public Editor release(int task, boolean failed) {
       owned.remove(task);
       if (failed) {
-        History before = history.getOrDefault(task, History.NONE);
-        history.put(task, new History(before.attempts(), before.failures() + 1));
+        History before = putHistory.getOrDefault(task, History.NONE);
+        putHistory.put(task, new History(before.attempts(), before.failures() + 1));
       }
       return this;
     }
 
     public Shard build() {
-      return new Shard(done, owned, history);
+      return new Shard(done, owned, putHistory);
     }
   }
 }
--- a/src/main/java/io/cherryspool/model/TaskId.java
+++ b/src/main/java/io/cherryspool/model/TaskId.java
@@ -1,7 +1,7 @@
 package io.cherryspool.model;
 
 /** A task of a job, written {@code job/number}. */
-public record TaskId(String job, int number) implements Comparable<TaskId> {
+public record TaskId(String jobId, int index) implements Comparable<TaskId> {
 
   /** Reads the written form; null when it is not one. */
   public static TaskId parse(String text) {
@@ -20,22 +20,22 @@
   // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
   @Override
   public boolean equals(Object object) {
-    return object instanceof TaskId other && number == other.number && job.equals(other.job);
+    return object instanceof TaskId other && index == other.index && jobId.equals(other.jobId);
   }
 
   @Override
   public int hashCode() {
-    return 31 * job.hashCode() + number;
+    return 31 * jobId.hashCode() + index;
   }
 
   @Override
   public int compareTo(TaskId other) {
-    int jobs = job.compareTo(other.job);
-    return jobs != 0 ? jobs : Integer.compare(number, other.number);
+    int jobs = jobId.compareTo(other.jobId);
+    return jobs != 0 ? jobs : Integer.compare(index, other.index);
   }
 
   @Override
   public String toString() {
-    return job + "/" + number;
+    return jobId + "/" + index;
   }
 }
--- a/src/main/java/io/cherryspool/model/Report.java
+++ b/src/main/java/io/cherryspool/model/WorkerHeartbeat.java
@@ -4,43 +4,43 @@
 import java.util.List;
 
 /** What a worker says of itself. The one with the larger (session, sequence) is the newer. */
-public record Report(
+public record WorkerHeartbeat(
     String machine,
     String address,
     String type,
     String zone,
-    boolean spot,
-    long session,
+    boolean isSpot,
+    long agentEpoch,
     long sequence,
-    long token,
-    Duration notice,
-    List<TaskReport> tasks) {
+    long highestFencingToken,
+    Duration preemptionNotice,
+    List<TaskStatus> tasks) {
 
   /** Where a task stands on its machine. */
-  public enum State {
+  public enum TaskState {
     FETCHING,
     RUNNING,
-    SAVING,
+    CHECKPOINTING,
     EXITED
   }
 
   /** Why a task exited. */
-  public enum Cause {
+  public enum ExitCause {
     DONE,
     STOPPED,
     ERROR,
-    NO_ROOM,
-    BUSY,
+    INSUFFICIENT_RESOURCES,
+    OTHER_ATTEMPT_PRESENT,
     UNKNOWN_JOB
   }
 
   /** One task on the machine; {@code cause} is null until it has exited. */
-  public record TaskReport(TaskId task, int attempt, State state, Cause cause) {
+  public record TaskStatus(TaskId task, int attempt, TaskState state, ExitCause cause) {
 
     // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
     @Override
     public boolean equals(Object object) {
-      return object instanceof TaskReport other
+      return object instanceof TaskStatus other
           && attempt == other.attempt
           && state == other.state
           && cause == other.cause
@@ -53,8 +53,9 @@
     }
   }
 
-  public boolean newerThan(Report other) {
-    return session > other.session || session == other.session && sequence > other.sequence;
+  public boolean isNewerThan(WorkerHeartbeat other) {
+    return agentEpoch > other.agentEpoch
+        || agentEpoch == other.agentEpoch && sequence > other.sequence;
   }
 
   /**
@@ -63,10 +64,10 @@
    *
    * @param before the report before this one, null if there was none
    */
-  public boolean differsFrom(Report before) {
+  public boolean hasChangedSince(WorkerHeartbeat before) {
     return before == null
-        || session != before.session
-        || (notice == null) != (before.notice == null)
+        || agentEpoch != before.agentEpoch
+        || (preemptionNotice == null) != (before.preemptionNotice == null)
         || !tasks.equals(before.tasks);
   }
 }
--- a/src/main/java/io/cherryspool/reachability/MachineRule.java
+++ b/src/main/java/io/cherryspool/reachability/MachineRule.java
@@ -37,10 +37,10 @@
       boolean zoneHeld) {}
 
   public MachineRule(ReachabilityTimings timings) {
-    usual = Durations.times(timings.report(), 3).plusSeconds(2);
-    mute = Durations.times(timings.report(), 2);
+    usual = Durations.multiply(timings.report(), 3).plusSeconds(2);
+    mute = Durations.multiply(timings.report(), 2);
     lapse = timings.lapse();
-    cutOff = Durations.times(lapse, 2);
+    cutOff = Durations.multiply(lapse, 2);
   }
 
   /**
--- a/src/main/java/io/cherryspool/reachability/PartitionRule.java
+++ b/src/main/java/io/cherryspool/reachability/PartitionRule.java
@@ -79,7 +79,7 @@
   private boolean worthAChange(NodeView view) {
     int missing = view.fleet().missing();
     if (missing < LEAST_MISSING
-        || view.steadyFor().compareTo(Durations.times(timings.late(), 2)) < 0) {
+        || view.steadyFor().compareTo(Durations.multiply(timings.late(), 2)) < 0) {
       return false;
     }
     int cost = view.leadershipPenalty() < RECENT_CHANGES ? 1 : COST_GROWTH;
@@ -130,10 +130,10 @@
       return new Verdict.StandLater(lease, Reason.MADE_WAY_LAST);
     }
     if (view.stateFlaps()) {
-      return new Verdict.StandLater(Durations.part(lease, 2), Reason.STATE_LINK_FLAPS);
+      return new Verdict.StandLater(Durations.divide(lease, 2), Reason.STATE_LINK_FLAPS);
     }
     return handover == null
         ? new Verdict.Serve()
-        : new Verdict.StandLater(Durations.part(lease, 4), Reason.NOT_THE_SUCCESSOR);
+        : new Verdict.StandLater(Durations.divide(lease, 4), Reason.NOT_THE_SUCCESSOR);
   }
 }
--- a/src/main/java/io/cherryspool/reachability/Reachability.java
+++ b/src/main/java/io/cherryspool/reachability/Reachability.java
@@ -51,7 +51,7 @@
     this.state = new RequestLink(timings.stateCall(), timings.halfLife());
     this.cloud = new RequestLink(timings.stateLease(), timings.halfLife());
     this.zones = new ZoneLinks(timings.halfLife());
-    Duration tolerance = Durations.part(timings.heartbeat(), 2);
+    Duration tolerance = Durations.divide(timings.heartbeat(), 2);
     this.pace = new LocalHealth(tolerance);
     this.acting = new LocalHealth(tolerance);
     this.leadershipLosses = new FlapDamper(timings.halfLife());
--- a/src/main/java/io/cherryspool/recovery/Contributions.java
+++ b/src/main/java/io/cherryspool/recovery/Contributions.java
@@ -9,7 +9,7 @@
 import io.cherryspool.store.Remains;
 import io.cherryspool.store.Replica;
 import io.cherryspool.store.StateClient;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -49,13 +49,13 @@
   }
 
   /** A transaction of this node was applied, so that its users are told. */
-  void noteApplied(List<StateWire.Change> changes, long revision) {
+  void noteApplied(List<StateStoreProtocol.Change> changes, long revision) {
     recent.dropUntil(replica.revision());
     recent.add(changes, revision);
   }
 
   /** The jobs and ends that the copy does not hold yet. */
-  List<StateWire.Change> recent() {
+  List<StateStoreProtocol.Change> recent() {
     return recent.all();
   }
 
@@ -72,11 +72,11 @@
    */
   int addForgotten(Picture memory, BooleanSupplier serving) {
     Picture known = memory;
-    for (StateWire.Change change : recent.all()) {
+    for (StateStoreProtocol.Change change : recent.all()) {
       known = Remains.with(known, change);
     }
     recent.clear();
-    List<StateWire.Change> changes = new ArrayList<>();
+    List<StateStoreProtocol.Change> changes = new ArrayList<>();
     known
         .jobs()
         .forEach(
@@ -84,12 +84,13 @@
               JobEntry entry = replica.job(id);
               if (entry == null) {
                 changes.add(
-                    new StateWire.Change(
+                    new StateStoreProtocol.Change(
                         Records.job(id), Records.job(job.job(), job.tasksPerShard()), 0));
               }
               if (job.outcome() != null && (entry == null || entry.outcome() == null)) {
                 changes.add(
-                    new StateWire.Change(Records.outcome(id), Records.outcome(job.outcome()), 0));
+                    new StateStoreProtocol.Change(
+                        Records.outcome(id), Records.outcome(job.outcome()), 0));
               }
             });
     if (!changes.isEmpty()) {
@@ -99,7 +100,7 @@
     return changes.size();
   }
 
-  private void addForgotten(StateWire.Change change, BooleanSupplier serving) {
+  private void addForgotten(StateStoreProtocol.Change change, BooleanSupplier serving) {
     if (!serving.getAsBoolean()) {
       return;
     }
@@ -122,14 +123,14 @@
     if (contributed == record.number() || contributing) {
       return;
     }
-    List<StateWire.Change> known = new ArrayList<>(recent.all());
+    List<StateStoreProtocol.Change> known = new ArrayList<>(recent.all());
     Incarnation remembered = client.space().incarnation();
     if (remembered != null && remembered.number() == record.origin().number()) {
       known.addAll(replica.permanentSince(record.origin().revision()));
     }
-    List<StateWire.Change> changes = new ArrayList<>();
-    for (StateWire.Change change : known) {
-      changes.add(new StateWire.Change(record.physical(change.key()), change.value(), 0));
+    List<StateStoreProtocol.Change> changes = new ArrayList<>();
+    for (StateStoreProtocol.Change change : known) {
+      changes.add(new StateStoreProtocol.Change(record.physical(change.key()), change.value(), 0));
     }
     if (changes.isEmpty()) {
       contributed = record.number();
@@ -139,9 +140,10 @@
     addContributions(record, version, changes);
   }
 
-  private void addContributions(Incarnation record, long version, List<StateWire.Change> changes) {
+  private void addContributions(
+      Incarnation record, long version, List<StateStoreProtocol.Change> changes) {
     int count = Math.min(changes.size(), timings.maxChanges() / 2);
-    List<StateWire.Change> batch = changes.subList(0, count);
+    List<StateStoreProtocol.Change> batch = changes.subList(0, count);
     rateLimiter.force(count);
     client
         .commitPhysical(Map.of(Incarnation.KEY, version), batch)
--- a/src/main/java/io/cherryspool/recovery/PictureMerge.java
+++ b/src/main/java/io/cherryspool/recovery/PictureMerge.java
@@ -22,13 +22,13 @@
 public final class PictureMerge {
   /** Two attempts of one number come only from a leader without memory; the later token wins. */
   private static final Comparator<Attempt> BY_TOKEN =
-      Comparator.comparingLong(Attempt::token)
+      Comparator.comparingLong(Attempt::fencingToken)
           .thenComparing(Attempt::machine)
-          .thenComparingLong(Attempt::session);
+          .thenComparingLong(Attempt::agentEpoch);
 
   /** Jobs described twice differ only by a user's mistake; any fixed order will do. */
   private static final Comparator<Job> BY_DESCRIPTION =
-      Comparator.comparing(Job::submitted).thenComparing(Job::toString);
+      Comparator.comparing(Job::submittedAt).thenComparing(Job::toString);
 
   private PictureMerge() {}
 
@@ -86,16 +86,19 @@
     Map<Integer, Shard.Editor> editors = new TreeMap<>();
     for (Shard shard : from.shards().values()) {
       for (int task = shard.nextDone(0); task >= 0; task = shard.nextDone(task + 1)) {
-        editor(editors, task / size).doneRange(task, task);
+        editor(editors, task / size).markDone(task, task);
       }
-      shard.owned().values().forEach(item -> editor(editors, item.task() / size).own(item));
+      shard
+          .ownedAttempts()
+          .values()
+          .forEach(item -> editor(editors, item.taskIndex() / size).putOwnedAttempt(item));
       shard
           .histories()
           .int2ObjectEntrySet()
           .forEach(
               item ->
                   editor(editors, item.getIntKey() / size)
-                      .history(item.getIntKey(), item.getValue()));
+                      .putHistory(item.getIntKey(), item.getValue()));
     }
     PSortedMap<Integer, Shard> shards = TreePMap.empty();
     for (Map.Entry<Integer, Shard.Editor> item : editors.entrySet()) {
@@ -129,8 +132,8 @@
   private static boolean mergeTask(int task, Shard one, Shard other, Shard.Editor editor) {
     Shard.History mine = one.history(task);
     Shard.History theirs = other.history(task);
-    Attempt owner = one.owner(task);
-    Attempt otherOwner = other.owner(task);
+    Attempt owner = one.ownedAttempt(task);
+    Attempt otherOwner = other.ownedAttempt(task);
     Attempt merged;
     if (mine.attempts() != theirs.attempts()) {
       merged = mine.attempts() > theirs.attempts() ? owner : otherOwner;
@@ -148,9 +151,9 @@
       return false;
     }
     editor.release(task, false);
-    editor.history(task, history);
+    editor.putHistory(task, history);
     if (merged != null) {
-      editor.own(merged);
+      editor.putOwnedAttempt(merged);
     }
     return true;
   }
--- a/src/main/java/io/cherryspool/recovery/Rebuilder.java
+++ b/src/main/java/io/cherryspool/recovery/Rebuilder.java
@@ -11,7 +11,7 @@
 import io.cherryspool.store.Remains;
 import io.cherryspool.store.StateClient;
 import io.cherryspool.store.StateException;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -64,7 +64,7 @@
       Incarnation lost,
       Incarnation interrupted,
       Picture memory,
-      List<StateWire.Change> recent,
+      List<StateStoreProtocol.Change> recent,
       long term) {}
 
   /**
@@ -119,7 +119,8 @@
       return;
     }
     rateLimiter.force(1);
-    StateWire.Change change = new StateWire.Change(Incarnation.KEY, record.encode(), 0);
+    StateStoreProtocol.Change change =
+        new StateStoreProtocol.Change(Incarnation.KEY, record.encode(), 0);
     client
         .commitPhysical(Map.of(Incarnation.KEY, replaces), List.of(change))
         .whenComplete(
@@ -167,7 +168,7 @@
     scan.start();
   }
 
-  private void writePicture(List<StateWire.Event> left) {
+  private void writePicture(List<StateStoreProtocol.Event> left) {
     Picture known = plan.memory();
     boolean added = false;
     for (Incarnation earlier : new Incarnation[] {plan.lost(), plan.interrupted()}) {
@@ -190,9 +191,9 @@
     writeBundles(0);
   }
 
-  private static Picture withRecent(Picture known, List<StateWire.Change> recent) {
+  private static Picture withRecent(Picture known, List<StateStoreProtocol.Change> recent) {
     Picture result = known;
-    for (StateWire.Change change : recent) {
+    for (StateStoreProtocol.Change change : recent) {
       result = Remains.with(result, change);
     }
     return result;
@@ -202,12 +203,12 @@
     if (stopped) {
       return;
     }
-    List<StateWire.Change> changes = new ArrayList<>();
+    List<StateStoreProtocol.Change> changes = new ArrayList<>();
     int bytes = 0;
     int next = from;
     while (next < chunks.size() && changes.size() < timings.maxChanges()) {
-      int size = chunks.get(next).length * 4 / 3 + StateWire.CHANGE_OVERHEAD;
-      if (bytes + size > StateWire.MAX_COMMIT_BYTES && !changes.isEmpty()) {
+      int size = chunks.get(next).length * 4 / 3 + StateStoreProtocol.CHANGE_OVERHEAD_BYTES;
+      if (bytes + size > StateStoreProtocol.MAX_TRANSACTION_VALUE_BYTES && !changes.isEmpty()) {
         break;
       }
       changes.add(change(Records.bundle(next), Records.bundle(chunks.get(next))));
@@ -223,7 +224,7 @@
   }
 
   private void writeTerm() {
-    List<StateWire.Change> changes = new ArrayList<>();
+    List<StateStoreProtocol.Change> changes = new ArrayList<>();
     changes.add(change(Records.TERM, Records.term(picture.term())));
     if (picture.catalog() != null) {
       changes.add(change(Records.CATALOG, picture.catalog()));
@@ -236,11 +237,11 @@
         });
   }
 
-  private StateWire.Change change(String key, JsonNode value) {
-    return new StateWire.Change(record.physical(key), value, 0);
+  private StateStoreProtocol.Change change(String key, JsonNode value) {
+    return new StateStoreProtocol.Change(record.physical(key), value, 0);
   }
 
-  private void commit(List<StateWire.Change> changes, Runnable next) {
+  private void commit(List<StateStoreProtocol.Change> changes, Runnable next) {
     if (stopped) {
       return;
     }
--- a/src/main/java/io/cherryspool/recovery/RecentWrites.java
+++ b/src/main/java/io/cherryspool/recovery/RecentWrites.java
@@ -1,7 +1,7 @@
 package io.cherryspool.recovery;
 
 import io.cherryspool.store.Records;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -14,10 +14,10 @@
 final class RecentWrites {
   private final Deque<Write> writes = new ArrayDeque<>();
 
-  private record Write(StateWire.Change change, long revision) {}
+  private record Write(StateStoreProtocol.Change change, long revision) {}
 
-  void add(List<StateWire.Change> changes, long revision) {
-    for (StateWire.Change change : changes) {
+  void add(List<StateStoreProtocol.Change> changes, long revision) {
+    for (StateStoreProtocol.Change change : changes) {
       if (change.value() != null && Records.isPermanent(change.key())) {
         writes.add(new Write(change, revision));
       }
@@ -33,8 +33,8 @@
     writes.clear();
   }
 
-  List<StateWire.Change> all() {
-    List<StateWire.Change> result = new ArrayList<>();
+  List<StateStoreProtocol.Change> all() {
+    List<StateStoreProtocol.Change> result = new ArrayList<>();
     writes.forEach(write -> result.add(write.change));
     return result;
   }
--- a/src/main/java/io/cherryspool/recovery/Reconciliation.java
+++ b/src/main/java/io/cherryspool/recovery/Reconciliation.java
@@ -1,8 +1,8 @@
 package io.cherryspool.recovery;
 
 import io.cherryspool.model.Attempt;
-import io.cherryspool.model.Report;
 import io.cherryspool.model.Shard;
+import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.store.JobEntry;
 
 /**
@@ -32,12 +32,12 @@
    *
    * @param entry the task's job, null if it is not known
    */
-  public static boolean knowsStart(JobEntry entry, Report.TaskReport item) {
+  public static boolean knowsStart(JobEntry entry, WorkerHeartbeat.TaskStatus item) {
     if (entry == null) {
       return false;
     }
-    int task = item.task().number();
-    if (entry.outcome() != null || task >= entry.job().tasks()) {
+    int task = item.task().index();
+    if (entry.outcome() != null || task >= entry.job().taskCount()) {
       return true;
     }
     Shard shard = entry.shard(entry.shardOf(task)).shard();
@@ -49,27 +49,33 @@
    * @param ownerReports whether the machine that the records give the task to reports it as well
    */
   public static Decision decide(
-      JobEntry entry, Report.TaskReport item, String machine, long session, boolean ownerReports) {
+      JobEntry entry,
+      WorkerHeartbeat.TaskStatus item,
+      String machine,
+      long session,
+      boolean ownerReports) {
     if (entry == null) {
       return Decision.LEAVE;
     }
-    int task = item.task().number();
-    if (entry.outcome() != null || task >= entry.job().tasks()) {
+    int task = item.task().index();
+    if (entry.outcome() != null || task >= entry.job().taskCount()) {
       return Decision.DISCARD;
     }
     Shard shard = entry.shard(entry.shardOf(task)).shard();
     if (shard.isDone(task)) {
       return Decision.DISCARD;
     }
-    Attempt owner = shard.owner(task);
+    Attempt owner = shard.ownedAttempt(task);
     if (owner != null
         && owner.number() == item.attempt()
-        && owner.session() == session
+        && owner.agentEpoch() == session
         && owner.machine().equals(machine)) {
       return Decision.KEEP;
     }
-    if (item.state() == Report.State.EXITED) {
-      return item.cause() == Report.Cause.DONE ? Decision.COUNT_DONE : Decision.DISCARD;
+    if (item.state() == WorkerHeartbeat.TaskState.EXITED) {
+      return item.cause() == WorkerHeartbeat.ExitCause.DONE
+          ? Decision.COUNT_DONE
+          : Decision.DISCARD;
     }
     int attempts = shard.history(task).attempts();
     boolean same = item.attempt() == attempts && (owner == null || !ownerReports);
--- a/src/main/java/io/cherryspool/recovery/Recovery.java
+++ b/src/main/java/io/cherryspool/recovery/Recovery.java
@@ -9,7 +9,7 @@
 import io.cherryspool.store.Records;
 import io.cherryspool.store.Replica;
 import io.cherryspool.store.StateClient;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
@@ -198,7 +198,7 @@
   }
 
   @Override
-  public void applied(List<StateWire.Change> changes, long revision) {
+  public void applied(List<StateStoreProtocol.Change> changes, long revision) {
     contributions.noteApplied(changes, revision);
   }
 
@@ -397,7 +397,7 @@
     client
         .commitPhysical(
             Map.of(Incarnation.KEY, 0L),
-            List.of(new StateWire.Change(Incarnation.KEY, first.encode(), 0)))
+            List.of(new StateStoreProtocol.Change(Incarnation.KEY, first.encode(), 0)))
         .whenComplete((result, failure) -> reading = false);
   }
 
--- a/src/main/java/io/cherryspool/recovery/Snapshot.java
+++ b/src/main/java/io/cherryspool/recovery/Snapshot.java
@@ -7,7 +7,7 @@
 import io.cherryspool.store.Picture;
 import io.cherryspool.store.PictureCodec;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.time.Instant;
@@ -83,7 +83,7 @@
     ArrayNode lengths = head.putArray("chunks");
     chunks.forEach(chunk -> lengths.add(chunk.length));
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    out.writeBytes(Json.bytes(head));
+    out.writeBytes(Json.toBytes(head));
     out.write(NEWLINE);
     chunks.forEach(out::writeBytes);
     return out.toByteArray();
@@ -129,7 +129,7 @@
               head.has("catalog") ? head.path("catalog") : null,
               PictureCodec.decode(chunks));
       return new Snapshot(picture, Instant.ofEpochMilli(head.path("taken").longValue()));
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       throw new FaultException(Fault.DAMAGED, e.getMessage());
     }
   }
@@ -137,7 +137,7 @@
   private static JsonNode head(byte[] line) throws FaultException {
     try {
       return Json.parseObject(line);
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       throw new FaultException(Fault.DAMAGED, "its first line is " + e.getMessage());
     }
   }
--- a/src/main/java/io/cherryspool/scheduler/ClusterView.java
+++ b/src/main/java/io/cherryspool/scheduler/ClusterView.java
@@ -14,23 +14,23 @@
 /**
  * All that a round is planned from. Plain values, so that the same view gives the same plan.
  *
- * @param clock the steady clock, for how long tasks have run
- * @param scarce the jobs that found no room in the round before
- * @param owed the teams whose unfinished work all fits into their guarantee
- * @param beginWithin the age at which a job that has not begun goes before all others
+ * @param steadyNow the steady clock, for how long tasks have run
+ * @param previouslyUnschedulable the jobs that found no room in the round before
+ * @param teamsWithinGuarantee the teams whose unfinished work all fits into their guarantee
+ * @param maxStartDelay the age at which a job that has not begun goes before all others
  */
 public record ClusterView(
     Instant now,
-    Duration clock,
-    Duration beginWithin,
+    Duration steadyNow,
+    Duration maxStartDelay,
     List<JobView> jobs,
     List<MachineView> machines,
     Map<String, Team> teams,
-    Map<String, Resources> teamUse,
-    Set<String> owed,
+    Map<String, Resources> usageByTeam,
+    Set<String> teamsWithinGuarantee,
     List<MachineType> catalog,
-    List<Job> scarce,
-    Map<String, List<Double>> deadlineTimes) {
+    List<Job> previouslyUnschedulable,
+    Map<String, List<Double>> deadlineMultiples) {
 
   /**
    * A job with its free tasks. {@code held} counts those that the failure cap keeps back; they are
@@ -38,12 +38,16 @@
    * to which zones are all the same. {@code begun} tells whether any task was ever started.
    */
   public record JobView(
-      Job job, List<FreeTask> free, Map<String, Integer> perZone, int held, boolean begun) {}
+      Job job,
+      List<PendingTask> pendingTasks,
+      Map<String, Integer> ownedTasksByZone,
+      int heldBackTasks,
+      boolean hasStarted) {}
 
   /**
    * A task without an owner; {@code lapsed} is when its last attempt ended, null for a first one.
    */
-  public record FreeTask(int number, int attempts, int failures, Duration lapsed) {}
+  public record PendingTask(int index, int attempts, int failures, Duration lastAttemptEndedAt) {}
 
   /**
    * A machine; {@code free} is what its owned tasks, saving and unreachable ones too, leave. One
@@ -53,13 +57,13 @@
       String name,
       MachineType type,
       String zone,
-      boolean spot,
-      boolean closing,
+      boolean isSpot,
+      boolean isDraining,
       Resources free,
-      Set<String> images,
-      Set<String> shunnedBy,
-      List<RunningTask> running) {}
+      Set<String> cachedImages,
+      Set<String> excludedJobs,
+      List<RunningTask> runningTasks) {}
 
   /** An owned task as far as stopping it is concerned; {@code since} is null until it runs. */
-  public record RunningTask(TaskId task, Job job, Duration since, boolean stopping) {}
+  public record RunningTask(TaskId task, Job job, Duration runningSince, boolean isStopping) {}
 }
--- a/src/main/java/io/cherryspool/scheduler/Placement.java
+++ b/src/main/java/io/cherryspool/scheduler/Placement.java
@@ -49,15 +49,17 @@
   private final List<Failure> failures = new ArrayList<>();
   private final Map<Demand, List<Bin>> ranked = new HashMap<>();
   private final List<RoundPlan.Assignment> assignments = new ArrayList<>();
-  private final List<RoundPlan.Unplaced> unplaced = new ArrayList<>();
-  private final List<RoundPlan.Unplaced> atLimit = new ArrayList<>();
+  private final List<RoundPlan.Unschedulable> unplaced = new ArrayList<>();
+  private final List<RoundPlan.Unschedulable> atLimit = new ArrayList<>();
   private final List<Job> scarce;
   private int considered;
 
   private Placement(ClusterView view) {
     this.view = view;
-    this.use = new HashMap<>(view.teamUse());
-    this.scarce = view.scarce().subList(0, Math.min(SCARCE_JOBS, view.scarce().size()));
+    this.use = new HashMap<>(view.usageByTeam());
+    this.scarce =
+        view.previouslyUnschedulable()
+            .subList(0, Math.min(SCARCE_JOBS, view.previouslyUnschedulable().size()));
     for (MachineView machine : view.machines()) {
       if (machine.free().cpus() > NO_CPUS) {
         bins.add(new Bin(machine));
@@ -67,7 +69,7 @@
 
   public static RoundPlan plan(ClusterView view) {
     Placement placement = new Placement(view);
-    QueueOrder.of(view).forEach(placement::place);
+    QueueOrder.sortedEntries(view).forEach(placement::place);
     return new RoundPlan(
         placement.assignments,
         Preemption.plan(view, placement.unplaced, placement.atLimit, placement.assignments),
@@ -94,7 +96,7 @@
     }
 
     boolean hasImage(String image) {
-      return machine.images().contains(image) || added.contains(image);
+      return machine.cachedImages().contains(image) || added.contains(image);
     }
   }
 
@@ -102,9 +104,9 @@
   private record Failure(Resources each, List<String> types, String zone, boolean spot) {
     boolean covers(Job job) {
       return each.fitsIn(job.perTask())
-          && Objects.equals(types, job.types())
-          && Objects.equals(zone, job.zone())
-          && (spot || !job.spotAllowed());
+          && Objects.equals(types, job.allowedTypes())
+          && Objects.equals(zone, job.requiredZone())
+          && (spot || !job.allowsSpot());
     }
   }
 
@@ -112,7 +114,8 @@
   private record Demand(
       Resources each, List<String> types, String zone, boolean spot, String image) {
     static Demand of(Job job) {
-      return new Demand(job.perTask(), job.types(), job.zone(), job.spotAllowed(), job.image());
+      return new Demand(
+          job.perTask(), job.allowedTypes(), job.requiredZone(), job.allowsSpot(), job.image());
     }
 
     // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
@@ -137,9 +140,9 @@
     Team team = view.teams().get(job.team());
     List<Integer> tasks = entry.tasks();
     Resources total = use.getOrDefault(job.team(), Resources.NONE);
-    int allowed = team == null ? 0 : team.room(total, job.perTask(), tasks.size());
+    int allowed = team == null ? 0 : team.countWithinQuota(total, job.perTask(), tasks.size());
     if (allowed < tasks.size()) {
-      atLimit.add(new RoundPlan.Unplaced(job, tasks.size() - allowed));
+      atLimit.add(new RoundPlan.Unschedulable(job, tasks.size() - allowed));
     }
     if (allowed == 0) {
       if (entry.front()) {
@@ -151,7 +154,7 @@
     use.put(job.team(), total.plus(job.perTask().times(allowed)));
     int placed = fill(entry.job(), tasks.subList(0, allowed));
     if (placed < allowed) {
-      unplaced.add(new RoundPlan.Unplaced(job, allowed - placed));
+      unplaced.add(new RoundPlan.Unschedulable(job, allowed - placed));
       if (entry.front()) {
         reserve(job);
       }
@@ -161,14 +164,16 @@
   /** Places the tasks in order as far as machines have room, and returns how many. */
   private int fill(JobView of, List<Integer> tasks) {
     Job job = of.job();
-    boolean anywhere = !job.oneZone() && !job.spread();
+    boolean anywhere = !job.requiresSingleZone() && !job.requiresZoneSpread();
     if (anywhere && failures.stream().anyMatch(failure -> failure.covers(job))) {
       return 0;
     }
     Map<String, Integer> perZone =
-        anywhere ? null : zones.computeIfAbsent(job.id(), key -> new HashMap<>(of.perZone()));
-    String only = job.oneZone() ? togetherZone(job, perZone, tasks.size()) : null;
-    if (job.oneZone() && only == null) {
+        anywhere
+            ? null
+            : zones.computeIfAbsent(job.id(), key -> new HashMap<>(of.ownedTasksByZone()));
+    String only = job.requiresSingleZone() ? togetherZone(job, perZone, tasks.size()) : null;
+    if (job.requiresSingleZone() && only == null) {
       return 0;
     }
     // A bin only gets better while it is filled, so that the order found at first stays right, for
@@ -187,16 +192,16 @@
         all.remove();
         continue;
       }
-      if (bin.machine.shunnedBy().contains(job.id())) {
+      if (bin.machine.excludedJobs().contains(job.id())) {
         shunned = true;
         continue;
       }
       int room = tasks.size() - placed;
       if (perZone != null) {
         int there = perZone.getOrDefault(bin.machine.zone(), 0);
-        room = Math.min(room, job.zoneShare() - there);
+        room = Math.min(room, job.maxTasksPerZone() - there);
       }
-      int count = room <= 0 ? 0 : job.perTask().timesIn(bin.free, room);
+      int count = room <= 0 ? 0 : job.perTask().countFittingIn(bin.free, room);
       for (int i = 0; i < count; i++) {
         assignments.add(
             new RoundPlan.Assignment(job.id(), tasks.get(placed++), bin.machine.name()));
@@ -211,7 +216,8 @@
       }
     }
     if (anywhere && !shunned && placed < tasks.size()) {
-      failures.add(new Failure(job.perTask(), job.types(), job.zone(), job.spotAllowed()));
+      failures.add(
+          new Failure(job.perTask(), job.allowedTypes(), job.requiredZone(), job.allowsSpot()));
     }
     if (filled) {
       bins.removeIf(Bin::full);
@@ -241,8 +247,8 @@
     Bin nearest = null;
     for (Bin bin : bins) {
       MachineView machine = bin.machine;
-      if (Rules.allows(job, machine.type(), machine.zone(), machine.spot())
-          && !machine.shunnedBy().contains(job.id())
+      if (PlacementConstraints.allows(job, machine.type(), machine.zone(), machine.isSpot())
+          && !machine.excludedJobs().contains(job.id())
           && (nearest == null || bin.free.cpus() > nearest.free.cpus())) {
         nearest = bin;
       }
@@ -256,7 +262,7 @@
   private static boolean fits(Job job, Bin bin) {
     MachineView machine = bin.machine;
     return job.perTask().fitsIn(bin.free)
-        && Rules.allows(job, machine.type(), machine.zone(), machine.spot());
+        && PlacementConstraints.allows(job, machine.type(), machine.zone(), machine.isSpot());
   }
 
   /**
@@ -268,12 +274,13 @@
     Resources left = bin.free.minus(job.perTask());
     MachineView machine = bin.machine;
     MachineType type = machine.type();
-    double perCpu = type.price(machine.spot()) / Math.max(1, type.size().cpus());
+    double perCpu = type.hourlyPrice(machine.isSpot()) / Math.max(1, type.capacity().cpus());
     double taken = 0;
     for (Job other : scarce) {
-      if (other != job && Rules.allows(other, type, machine.zone(), machine.spot())) {
+      if (other != job
+          && PlacementConstraints.allows(other, type, machine.zone(), machine.isSpot())) {
         Resources each = other.perTask();
-        int places = each.timesIn(bin.free, MANY) - each.timesIn(left, MANY);
+        int places = each.countFittingIn(bin.free, MANY) - each.countFittingIn(left, MANY);
         taken = Math.max(taken, places * each.cpus());
       }
     }
@@ -284,7 +291,7 @@
    * The tasks that run where those without room could, though other types would do for them.
    * Machines of those types may still be had when the ones that everybody wants are not.
    */
-  private List<RoundPlan.Unplaced> displacing() {
+  private List<RoundPlan.Unschedulable> displacing() {
     List<MachineType> wanted = new ArrayList<>();
     for (MachineType type : view.catalog()) {
       if (unplaced.stream().anyMatch(item -> item.job().allowsType(type))) {
@@ -297,22 +304,22 @@
     Map<Job, Integer> counts = new LinkedHashMap<>();
     for (MachineView machine : view.machines()) {
       if (wanted.contains(machine.type())) {
-        machine.running().forEach(task -> counts.merge(task.job(), 1, Integer::sum));
+        machine.runningTasks().forEach(task -> counts.merge(task.job(), 1, Integer::sum));
       }
     }
-    List<RoundPlan.Unplaced> result = new ArrayList<>();
+    List<RoundPlan.Unschedulable> result = new ArrayList<>();
     counts.forEach(
         (job, count) -> {
           if (view.catalog().stream()
               .anyMatch(type -> !wanted.contains(type) && job.allowsType(type))) {
-            result.add(new RoundPlan.Unplaced(job, count));
+            result.add(new RoundPlan.Unschedulable(job, count));
           }
         });
     return result;
   }
 
   private static double rate(Bin bin) {
-    return Math.max(0.001, bin.machine.type().fetchGbPerS());
+    return Math.max(0.001, bin.machine.type().fetchGbPerSecond());
   }
 
   /** The zone a job that must stay together is in, or else the one with most room for it. */
@@ -324,8 +331,8 @@
     }
     Map<String, Integer> room = new HashMap<>();
     for (Bin bin : bins) {
-      if (fits(job, bin) && !bin.machine.shunnedBy().contains(job.id())) {
-        int count = job.perTask().timesIn(bin.free, wanted);
+      if (fits(job, bin) && !bin.machine.excludedJobs().contains(job.id())) {
+        int count = job.perTask().countFittingIn(bin.free, wanted);
         room.merge(bin.machine.zone(), count, Integer::sum);
       }
     }
--- a/src/main/java/io/cherryspool/scheduler/Rules.java
+++ b/src/main/java/io/cherryspool/scheduler/PlacementConstraints.java
@@ -7,29 +7,30 @@
 import java.util.Collection;
 
 /** What a job's description allows, whatever the moment. */
-public final class Rules {
-  private Rules() {}
+public final class PlacementConstraints {
+  private PlacementConstraints() {}
 
   public static boolean allows(Job job, MachineType type, String zone, boolean spot) {
-    return job.allowsType(type) && job.allowsZone(zone) && (job.spotAllowed() || !spot);
+    return job.allowsType(type) && job.allowsZone(zone) && (job.allowsSpot() || !spot);
   }
 
   /**
    * Why the job can never run, or null if it can. The team alone may say so; without a catalog,
    * null, nothing is said of the machine types.
    */
-  public static String impossible(Job job, Team team, Collection<MachineType> catalog) {
+  public static String infeasibilityReason(Job job, Team team, Collection<MachineType> catalog) {
     if (team == null) {
       return "unknown team " + job.team();
     }
-    if (!team.allows(Resources.NONE.plus(job.perTask()))) {
+    if (!team.isWithinQuota(Resources.NONE.plus(job.perTask()))) {
       return "a task needs more than the limit of team " + job.team();
     }
     if (catalog == null) {
       return null;
     }
     for (MachineType type : catalog) {
-      if (job.allowsType(type) && (job.zone() == null || type.zones().contains(job.zone()))) {
+      if (job.allowsType(type)
+          && (job.requiredZone() == null || type.zones().contains(job.requiredZone()))) {
         return null;
       }
     }
--- a/src/main/java/io/cherryspool/scheduler/Preemption.java
+++ b/src/main/java/io/cherryspool/scheduler/Preemption.java
@@ -22,17 +22,17 @@
   private final ClusterView view;
   private final Map<String, Resources> use;
   private final List<Room> rooms = new ArrayList<>();
-  private final List<RoundPlan.Stop> stops = new ArrayList<>();
+  private final List<RoundPlan.Victim> stops = new ArrayList<>();
   private int lowest = Integer.MAX_VALUE;
 
   private Preemption(ClusterView view, List<RoundPlan.Assignment> assignments) {
     this.view = view;
-    this.use = new HashMap<>(view.teamUse());
+    this.use = new HashMap<>(view.usageByTeam());
     Map<String, Resources> taken = new HashMap<>();
     Map<String, Job> jobs = new HashMap<>();
     view.jobs().forEach(item -> jobs.put(item.job().id(), item.job()));
     for (RoundPlan.Assignment item : assignments) {
-      Job job = jobs.get(item.job());
+      Job job = jobs.get(item.jobId());
       taken.merge(item.machine(), job.perTask(), Resources::plus);
       use.merge(job.team(), job.perTask(), Resources::plus);
     }
@@ -48,19 +48,19 @@
     }
   }
 
-  static List<RoundPlan.Stop> plan(
+  static List<RoundPlan.Victim> plan(
       ClusterView view,
-      List<RoundPlan.Unplaced> waiting,
-      List<RoundPlan.Unplaced> atLimit,
+      List<RoundPlan.Unschedulable> waiting,
+      List<RoundPlan.Unschedulable> atLimit,
       List<RoundPlan.Assignment> assignments) {
     if (waiting.isEmpty() && atLimit.isEmpty()) {
       return List.of();
     }
     Preemption preemption = new Preemption(view, assignments);
-    for (RoundPlan.Unplaced item : waiting) {
+    for (RoundPlan.Unschedulable item : waiting) {
       preemption.makeRoom(item);
     }
-    for (RoundPlan.Unplaced item : atLimit) {
+    for (RoundPlan.Unschedulable item : atLimit) {
       preemption.makeAllowance(item);
     }
     return preemption.stops;
@@ -79,8 +79,8 @@
   /** Ranks and losses are worked out once: a machine may hold dozens of small tasks. */
   private Room room(MachineView machine, Resources taken) {
     Room room = new Room(machine, taken);
-    for (RunningTask task : machine.running()) {
-      if (task.stopping()) {
+    for (RunningTask task : machine.runningTasks()) {
+      if (task.isStopping()) {
         room.leave(task);
       } else {
         room.candidates.add(new Candidate(task, QueueOrder.rank(task.job(), view), loss(task)));
@@ -100,10 +100,12 @@
   }
 
   /** Stops what lets most of the waiting tasks in for the least loss, machine by machine. */
-  private void makeRoom(RoundPlan.Unplaced item) {
+  private void makeRoom(RoundPlan.Unschedulable item) {
     Job job = item.job();
     boolean over = job.priority().ordinal() > lowest;
-    if (job.oneZone() || job.spread() || !over && !view.owed().contains(job.team())) {
+    if (job.requiresSingleZone()
+        || job.requiresZoneSpread()
+        || !over && !view.teamsWithinGuarantee().contains(job.team())) {
       return;
     }
     PriorityQueue<Choice> choices =
@@ -111,12 +113,12 @@
             Comparator.comparingDouble(Choice::loss).thenComparing(Choice::machine));
     for (Room room : rooms) {
       MachineView machine = room.machine;
-      if (Rules.allows(job, machine.type(), machine.zone(), machine.spot())
-          && !machine.shunnedBy().contains(job.id())) {
+      if (PlacementConstraints.allows(job, machine.type(), machine.zone(), machine.isSpot())
+          && !machine.excludedJobs().contains(job.id())) {
         offer(choices, room, job);
       }
     }
-    int left = item.tasks();
+    int left = item.taskCount();
     while (left > 0 && !choices.isEmpty()) {
       Choice best = choices.poll();
       // What was stopped since may have spent the loan that this choice counted on.
@@ -154,10 +156,10 @@
 
   /** Core-seconds that its task would wait for its image; it may be far longer than it runs. */
   private static double fetching(MachineView machine, Job job) {
-    if (machine.images().contains(job.image())) {
+    if (machine.cachedImages().contains(job.image())) {
       return 0;
     }
-    double rate = Math.max(0.001, machine.type().fetchGbPerS());
+    double rate = Math.max(0.001, machine.type().fetchGbPerSecond());
     return 1 + job.imageGb() / rate * job.perTask().cpus();
   }
 
@@ -166,7 +168,7 @@
     if (job.perTask().fitsIn(room.free)) {
       return List.of();
     }
-    boolean owed = view.owed().contains(job.team());
+    boolean owed = view.teamsWithinGuarantee().contains(job.team());
     List<Candidate> chosen = new ArrayList<>();
     Map<String, Resources> lost = new HashMap<>();
     Resources free = room.free;
@@ -181,7 +183,7 @@
         Resources left =
             use.getOrDefault(other.team(), Resources.NONE)
                 .minus(lost.getOrDefault(other.team(), Resources.NONE));
-        if (lender == null || lender.guaranteed(left)) {
+        if (lender == null || lender.isWithinGuaranteedQuota(left)) {
           continue;
         }
       }
@@ -204,10 +206,13 @@
    * A team's own lower work gives way when it alone keeps the team's pressing job at the team's
    * limit; otherwise an urgent job would wait for its own team's long ones.
    */
-  private void makeAllowance(RoundPlan.Unplaced item) {
+  private void makeAllowance(RoundPlan.Unschedulable item) {
     Job job = item.job();
     Team team = view.teams().get(job.team());
-    if (team == null || job.oneZone() || job.spread() || job.priority().ordinal() <= lowest) {
+    if (team == null
+        || job.requiresSingleZone()
+        || job.requiresZoneSpread()
+        || job.priority().ordinal() <= lowest) {
       return;
     }
     record Victim(Room room, Candidate task) {}
@@ -215,7 +220,7 @@
         new PriorityQueue<>(Comparator.comparing(Victim::task, LEAST_LOSS));
     for (Room room : rooms) {
       MachineView machine = room.machine;
-      if (!Rules.allows(job, machine.type(), machine.zone(), machine.spot())) {
+      if (!PlacementConstraints.allows(job, machine.type(), machine.zone(), machine.isSpot())) {
         continue;
       }
       for (Candidate task : room.candidates) {
@@ -224,10 +229,10 @@
         }
       }
     }
-    int left = item.tasks();
+    int left = item.taskCount();
     while (left > 0) {
       Resources after = use.getOrDefault(job.team(), Resources.NONE).plus(job.perTask());
-      if (team.allows(after)) {
+      if (team.isWithinQuota(after)) {
         use.put(job.team(), after);
         left--;
       } else if (victims.isEmpty()) {
@@ -242,15 +247,20 @@
   /** Core-seconds thrown away: since the last checkpoint at most, or all of the run so far. */
   private double loss(RunningTask task) {
     Job job = task.job();
-    double lost = task.since() == null ? 0 : view.clock().minus(task.since()).toNanos() / 1e9;
-    if (!job.checkpoint().isZero()) {
-      lost = Math.min(lost, job.save().toNanos() / 1e9);
+    double lost =
+        task.runningSince() == null
+            ? 0
+            : view.steadyNow().minus(task.runningSince()).toNanos() / 1e9;
+    if (!job.checkpointInterval().isZero()) {
+      lost = Math.min(lost, job.checkpointDuration().toNanos() / 1e9);
     }
     return (lost + 1) * Math.max(0.1, job.perTask().cpus());
   }
 
   static Duration grace(Job job) {
-    return job.checkpoint().isZero() ? Duration.ZERO : job.save().plusSeconds(1);
+    return job.checkpointInterval().isZero()
+        ? Duration.ZERO
+        : job.checkpointDuration().plusSeconds(1);
   }
 
   /** A machine with what stopping could free; tasks that are stopping already count as free. */
@@ -270,10 +280,10 @@
       free = free.plus(task.job().perTask());
     }
 
-    RoundPlan.Stop stop(Candidate victim) {
+    RoundPlan.Victim stop(Candidate victim) {
       candidates.remove(victim);
       leave(victim.task);
-      return new RoundPlan.Stop(victim.task.task(), grace(victim.job()));
+      return new RoundPlan.Victim(victim.task.task(), grace(victim.job()));
     }
   }
 }
--- a/src/main/java/io/cherryspool/scheduler/QueueOrder.java
+++ b/src/main/java/io/cherryspool/scheduler/QueueOrder.java
@@ -2,8 +2,8 @@
 
 import io.cherryspool.model.Durations;
 import io.cherryspool.model.Job;
-import io.cherryspool.scheduler.ClusterView.FreeTask;
 import io.cherryspool.scheduler.ClusterView.JobView;
+import io.cherryspool.scheduler.ClusterView.PendingTask;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -32,7 +32,7 @@
 final class QueueOrder {
   private static final Comparator<Entry> ORDER =
       Comparator.comparing((Entry entry) -> !entry.front())
-          .thenComparing(entry -> entry.front() ? entry.job().job().submitted() : Instant.EPOCH)
+          .thenComparing(entry -> entry.front() ? entry.job().job().submittedAt() : Instant.EPOCH)
           .thenComparing(entry -> !entry.owed())
           .thenComparingInt(entry -> -entry.rank())
           .thenComparing(Entry::due)
@@ -40,11 +40,11 @@
           .thenComparing(Entry::retried)
           .thenComparingInt(Entry::failures)
           .thenComparing(Entry::lapsed)
-          .thenComparing(entry -> entry.job().job().submitted())
+          .thenComparing(entry -> entry.job().job().submittedAt())
           .thenComparing(entry -> entry.job().job().id());
 
   private static final Comparator<Job> OLDEST =
-      Comparator.comparing(Job::submitted).thenComparing(Job::id);
+      Comparator.comparing(Job::submittedAt).thenComparing(Job::id);
 
   private static final List<Double> JUST_ONCE = List.of(1.0);
 
@@ -63,18 +63,18 @@
       Duration lapsed,
       List<Integer> tasks) {}
 
-  static List<Entry> of(ClusterView cluster) {
+  static List<Entry> sortedEntries(ClusterView cluster) {
     List<Entry> entries = new ArrayList<>();
     Set<String> fronts = fronts(cluster);
     for (JobView view : cluster.jobs()) {
       Job job = view.job();
       boolean front = fronts.contains(job.id());
-      boolean owed = cluster.owed().contains(job.team());
+      boolean owed = cluster.teamsWithinGuarantee().contains(job.team());
       int rank = rank(job, cluster);
       Instant due = due(job, cluster);
       int level = level(job);
       List<Integer> fresh = new ArrayList<>();
-      for (FreeTask task : view.free()) {
+      for (PendingTask task : view.pendingTasks()) {
         if (front) {
           entries.add(
               new Entry(
@@ -87,12 +87,13 @@
                   false,
                   0,
                   Duration.ZERO,
-                  List.of(task.number())));
+                  List.of(task.index())));
           front = false;
         } else if (task.attempts() == 0) {
-          fresh.add(task.number());
+          fresh.add(task.index());
         } else {
-          Duration lapsed = task.lapsed() == null ? Duration.ZERO : task.lapsed();
+          Duration lapsed =
+              task.lastAttemptEndedAt() == null ? Duration.ZERO : task.lastAttemptEndedAt();
           entries.add(
               new Entry(
                   view,
@@ -104,7 +105,7 @@
                   true,
                   task.failures(),
                   lapsed,
-                  List.of(task.number())));
+                  List.of(task.index())));
         }
       }
       if (!fresh.isEmpty()) {
@@ -142,13 +143,13 @@
    * and go before all urgent work at once.
    */
   private static Set<String> fronts(ClusterView cluster) {
-    Instant limit = cluster.now().minus(cluster.beginWithin());
+    Instant limit = cluster.now().minus(cluster.maxStartDelay());
     Map<Line, Job> oldest = new HashMap<>();
     for (JobView view : cluster.jobs()) {
       Job job = view.job();
-      if (!view.begun() && !job.submitted().isAfter(limit)) {
+      if (!view.hasStarted() && !job.submittedAt().isAfter(limit)) {
         oldest.merge(
-            new Line(job.team(), job.jobClass(), job.types(), job.zone()),
+            new Line(job.team(), job.jobClass(), job.allowedTypes(), job.requiredZone()),
             job,
             (a, b) -> OLDEST.compare(a, b) <= 0 ? a : b);
       }
@@ -162,8 +163,8 @@
    * The job's priority, one higher from an age on at which it must not wait for others any more.
    */
   static int rank(Job job, ClusterView cluster) {
-    Duration age = Duration.between(job.submitted(), cluster.now());
-    boolean aged = age.compareTo(Durations.times(cluster.beginWithin(), 3)) >= 0;
+    Duration age = Duration.between(job.submittedAt(), cluster.now());
+    boolean aged = age.compareTo(Durations.multiply(cluster.maxStartDelay(), 3)) >= 0;
     return job.priority().ordinal() + (aged ? 1 : 0);
   }
 
@@ -173,15 +174,15 @@
    */
   static Instant due(Job job, ClusterView cluster) {
     if (job.deadline() != null) {
-      Instant soonest = cluster.now().plus(job.estimate());
-      for (double times : cluster.deadlineTimes().getOrDefault(job.jobClass(), JUST_ONCE)) {
-        Instant due = job.submitted().plusMillis((long) (job.deadline().toMillis() * times));
+      Instant soonest = cluster.now().plus(job.estimatedRunTime());
+      for (double times : cluster.deadlineMultiples().getOrDefault(job.jobClass(), JUST_ONCE)) {
+        Instant due = job.submittedAt().plusMillis((long) (job.deadline().toMillis() * times));
         if (!due.isBefore(soonest)) {
           return due;
         }
       }
     }
-    Instant aged = job.submitted().plus(Durations.times(cluster.beginWithin(), 4));
+    Instant aged = job.submittedAt().plus(Durations.multiply(cluster.maxStartDelay(), 4));
     // Without a deadline small work goes before large until age tells: hundreds of single tasks
     // stood behind an array of 25,000 that had come a minute sooner.
     return job.deadline() != null || aged.isBefore(cluster.now()) ? aged : Instant.MAX;
@@ -189,7 +190,9 @@
 
   static int level(Job job) {
     double work =
-        job.tasks() * Math.max(0.1, job.perTask().cpus()) * Math.max(1, job.estimate().toSeconds());
+        job.taskCount()
+            * Math.max(0.1, job.perTask().cpus())
+            * Math.max(1, job.estimatedRunTime().toSeconds());
     return (int) Math.max(0, Math.floor(Math.log(work) / Math.log(4)));
   }
 }
--- a/src/main/java/io/cherryspool/scheduler/ScalingPlan.java
+++ b/src/main/java/io/cherryspool/scheduler/ScalingPlan.java
@@ -39,72 +39,74 @@
   private static final double RENEWAL = 0.1;
 
   /** What the cloud sells: a type in a zone, ordinary or spot. */
-  public record Offer(MachineType type, String zone, boolean spot) {
+  public record Offering(MachineType type, String zone, boolean isSpot) {
     double perCpu() {
-      return type.price(spot) / Math.max(1, type.size().cpus());
+      return type.hourlyPrice(isSpot) / Math.max(1, type.capacity().cpus());
     }
 
     // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
     @Override
     public boolean equals(Object object) {
-      return object instanceof Offer other
-          && spot == other.spot
+      return object instanceof Offering other
+          && isSpot == other.isSpot
           && zone.equals(other.zone)
           && type.equals(other.type);
     }
 
     @Override
     public int hashCode() {
-      return 31 * (31 * type.hashCode() + zone.hashCode()) + Boolean.hashCode(spot);
+      return 31 * (31 * type.hashCode() + zone.hashCode()) + Boolean.hashCode(isSpot);
     }
   }
 
   /** A machine in use; {@code idleFor} is null while it owns tasks. */
-  public record Up(String name, Offer offer, double usedCpus, Duration idleFor) {}
+  public record ActiveMachine(String name, Offering offering, double usedCpus, Duration idleFor) {}
 
   /**
    * Work in CPU seconds: a job's that arrived a short while ago, or what of it waits. {@code
    * variance} is what jobs like it, each with all its tasks at once, add to that of the CPUs in
    * use.
    */
-  public record Load(Job job, double arrivedPerSecond, double variance, double waiting) {}
+  public record JobDemand(
+      Job job, double arrivingCpus, double cpuVariance, double waitingCpuSeconds) {}
 
   /** What the fleet is planned from. {@code soldOut} holds the offers refused a short while ago. */
-  public record View(
+  public record FleetView(
       Instant now,
-      List<RoundPlan.Unplaced> unplaced,
-      List<RoundPlan.Unplaced> displacing,
-      List<Offer> incoming,
-      List<Up> up,
-      List<Load> loads,
+      List<RoundPlan.Unschedulable> unschedulable,
+      List<RoundPlan.Unschedulable> relocatable,
+      List<Offering> provisioning,
+      List<ActiveMachine> activeMachines,
+      List<JobDemand> demands,
       List<MachineType> catalog,
-      Set<Offer> soldOut,
-      Duration idleKeep) {}
+      Set<Offering> unavailableOfferings,
+      Duration idleTimeout) {}
 
-  private final View view;
+  private final FleetView view;
   private final List<Bin> bins = new ArrayList<>();
-  private final Map<Offer, Integer> crowds = new HashMap<>();
-  private final Map<Offer, Integer> rentals = new LinkedHashMap<>();
-  private final Map<Offer, Integer> counts = new LinkedHashMap<>();
+  private final Map<Offering, Integer> crowds = new HashMap<>();
+  private final Map<Offering, Integer> rentals = new LinkedHashMap<>();
+  private final Map<Offering, Integer> counts = new LinkedHashMap<>();
   private final Map<Places, Need> needs = new HashMap<>();
 
-  private ScalingPlan(View view) {
+  private ScalingPlan(FleetView view) {
     this.view = view;
-    for (Offer offer : view.incoming()) {
+    for (Offering offer : view.provisioning()) {
       bins.add(new Bin(offer));
       crowds.merge(offer, 1, Integer::sum);
       count(offer, 1);
     }
-    view.up().forEach(machine -> count(machine.offer, 1));
+    view.activeMachines().forEach(machine -> count(machine.offering, 1));
   }
 
   /** What to rent, what to give back, and what is to run empty, so that it can go back. */
-  public record Decision(Map<Offer, Integer> rentals, List<String> returns, Set<String> closing) {}
+  public record Decision(
+      Map<Offering, Integer> scaleOut, List<String> scaleIn, Set<String> draining) {}
 
-  public static Decision of(View view) {
+  public static Decision decide(FleetView view) {
     ScalingPlan plan = new ScalingPlan(view);
-    for (RoundPlan.Unplaced item : view.unplaced()) {
-      plan.pack(item.job(), item.tasks());
+    for (RoundPlan.Unschedulable item : view.unschedulable()) {
+      plan.pack(item.job(), item.taskCount());
     }
     plan.makeWay();
     plan.renew();
@@ -112,7 +114,7 @@
     return new Decision(plan.rentals, plan.returns(closing), closing);
   }
 
-  private void count(Offer offer, int machines) {
+  private void count(Offering offer, int machines) {
     counts.merge(offer, machines, Integer::sum);
   }
 
@@ -146,15 +148,15 @@
         bits |= 1L << i;
       }
     }
-    return new Places(bits, job.zone(), job.spotAllowed());
+    return new Places(bits, job.requiredZone(), job.allowsSpot());
   }
 
-  private boolean has(Places places, Offer offer) {
+  private boolean has(Places places, Offering offer) {
     int index = view.catalog().indexOf(offer.type());
     return index >= 0
         && (places.types & 1L << index) != 0
         && (places.zone == null || places.zone.equals(offer.zone()))
-        && (places.spot || !offer.spot());
+        && (places.spot || !offer.isSpot());
   }
 
   /** The CPUs that the work which can use no other places than these needs. */
@@ -165,11 +167,11 @@
           double arriving = 0;
           double waiting = 0;
           double variance = 0;
-          for (Load load : view.loads()) {
+          for (JobDemand load : view.demands()) {
             if (places(load.job).within(places)) {
-              arriving += load.arrivedPerSecond;
-              waiting += load.waiting;
-              variance += load.variance;
+              arriving += load.arrivingCpus;
+              waiting += load.waitingCpuSeconds;
+              variance += load.cpuVariance;
             }
           }
           double spare = Math.max(arriving / FILL - arriving, DEVIATION * Math.sqrt(variance));
@@ -188,36 +190,36 @@
   private Duration horizon(Places places) {
     Duration boot = Duration.ofSeconds(1);
     for (int i = 0; i < view.catalog().size(); i++) {
-      Duration one = view.catalog().get(i).boot();
+      Duration one = view.catalog().get(i).bootTime();
       if ((places.types & 1L << i) != 0 && one.compareTo(boot) > 0) {
         boot = one;
       }
     }
-    return boot.plus(Durations.part(boot, 2));
+    return boot.plus(Durations.divide(boot, 2));
   }
 
   private double capacity(Places places) {
     double cpus = 0;
-    for (Map.Entry<Offer, Integer> entry : counts.entrySet()) {
+    for (Map.Entry<Offering, Integer> entry : counts.entrySet()) {
       if (has(places, entry.getKey())) {
-        cpus += entry.getValue() * entry.getKey().type().size().cpus();
+        cpus += entry.getValue() * entry.getKey().type().capacity().cpus();
       }
     }
     return cpus;
   }
 
   private static final class Bin {
-    private final Offer offer;
+    private final Offering offer;
     private Resources free;
 
-    Bin(Offer offer) {
+    Bin(Offering offer) {
       this.offer = offer;
-      this.free = offer.type().size();
+      this.free = offer.type().capacity();
     }
 
     /** Takes as many of the tasks as fit, and returns how many. */
     int fill(Job job, int wanted) {
-      int count = job.perTask().timesIn(free, wanted);
+      int count = job.perTask().countFittingIn(free, wanted);
       free = count == 0 ? free : free.minus(job.perTask().times(count));
       return count;
     }
@@ -236,7 +238,7 @@
   }
 
   /** Rents one machine and puts tasks on it; returns how many are left. */
-  private int fillNew(Job job, int tasks, Offer offer) {
+  private int fillNew(Job job, int tasks, Offering offer) {
     Bin bin = new Bin(offer);
     bins.add(bin);
     rent(offer, 1);
@@ -248,24 +250,25 @@
     Places places = places(job);
     // Whatever the sums say, work does not wait for machines for good.
     boolean overdue =
-        Duration.between(job.submitted(), view.now()).compareTo(Durations.times(horizon(places), 2))
+        Duration.between(job.submittedAt(), view.now())
+                .compareTo(Durations.multiply(horizon(places), 2))
             > 0;
     double have = capacity(places);
     while (left > 0) {
-      Offer best = cheapest(job, Set.of());
+      Offering best = cheapest(job, Set.of());
       if (best == null || !overdue && need(places).cpus(dearness(best)) <= have) {
         return;
       }
       left = fillNew(job, left, best);
-      have += best.type().size().cpus();
+      have += best.type().capacity().cpus();
     }
   }
 
   /**
    * How much more the offer costs than the same machine as a spot one: work may wait longer then.
    */
-  private static double dearness(Offer offer) {
-    return Math.max(1, offer.type().price(offer.spot()) / offer.type().price(true));
+  private static double dearness(Offering offer) {
+    return Math.max(1, offer.type().hourlyPrice(offer.isSpot()) / offer.type().hourlyPrice(true));
   }
 
   /**
@@ -275,7 +278,7 @@
   private void makeWay() {
     Set<MachineType> wanted = new LinkedHashSet<>();
     boolean soldOut = false;
-    for (RoundPlan.Unplaced item : view.unplaced()) {
+    for (RoundPlan.Unschedulable item : view.unschedulable()) {
       Places places = places(item.job());
       if (cheapest(item.job(), Set.of()) == null && need(places).cpus(1) > capacity(places)) {
         soldOut = true;
@@ -285,10 +288,10 @@
     if (!soldOut) {
       return;
     }
-    for (RoundPlan.Unplaced item : view.displacing()) {
-      int left = fillIncoming(item.job(), item.tasks(), wanted);
+    for (RoundPlan.Unschedulable item : view.relocatable()) {
+      int left = fillIncoming(item.job(), item.taskCount(), wanted);
       while (left > 0) {
-        Offer best = cheapest(item.job(), wanted);
+        Offering best = cheapest(item.job(), wanted);
         if (best == null) {
           break;
         }
@@ -297,28 +300,28 @@
     }
   }
 
-  private void rent(Offer offer, int count) {
+  private void rent(Offering offer, int count) {
     crowds.merge(offer, count, Integer::sum);
     rentals.merge(offer, count, Integer::sum);
     count(offer, count);
   }
 
   /** The cheapest offer for the job, but of none of the types to be left to others. */
-  private Offer cheapest(Job job, Set<MachineType> but) {
-    Offer best = null;
+  private Offering cheapest(Job job, Set<MachineType> but) {
+    Offering best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineType type : view.catalog()) {
-      int places = job.perTask().timesIn(type.size(), 1000);
+      int places = job.perTask().countFittingIn(type.capacity(), 1000);
       if (places == 0 || but.contains(type)) {
         continue;
       }
       for (String zone : type.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
-          Offer offer = new Offer(type, zone, spot);
-          if (allows(job, offer) && !view.soldOut().contains(offer)) {
+          Offering offer = new Offering(type, zone, spot);
+          if (allows(job, offer) && !view.unavailableOfferings().contains(offer)) {
             // The price of a task's place, with a little against crowding one zone.
             int crowd = crowds.getOrDefault(offer, 0);
-            double cost = type.price(spot) / places * (1 + 0.001 * crowd);
+            double cost = type.hourlyPrice(spot) / places * (1 + 0.001 * crowd);
             if (cost < bestCost) {
               best = offer;
               bestCost = cost;
@@ -337,32 +340,32 @@
   private void renew() {
     Map<MachineType, Integer> ordinary = new LinkedHashMap<>();
     double spot = 0;
-    for (Up machine : view.up()) {
-      if (machine.offer.spot()) {
-        spot += machine.offer.type().size().cpus();
+    for (ActiveMachine machine : view.activeMachines()) {
+      if (machine.offering.isSpot()) {
+        spot += machine.offering.type().capacity().cpus();
       } else {
-        ordinary.merge(machine.offer.type(), 1, Integer::sum);
+        ordinary.merge(machine.offering.type(), 1, Integer::sum);
       }
     }
-    for (Map.Entry<Offer, Integer> entry : crowds.entrySet()) {
-      Offer offer = entry.getKey();
-      spot += offer.spot() ? entry.getValue() * offer.type().size().cpus() : 0;
+    for (Map.Entry<Offering, Integer> entry : crowds.entrySet()) {
+      Offering offer = entry.getKey();
+      spot += offer.isSpot() ? entry.getValue() * offer.type().capacity().cpus() : 0;
     }
     double all = 0;
     double able = 0;
-    for (Load load : view.loads()) {
-      all += load.arrivedPerSecond;
-      able += load.job.spotAllowed() ? load.arrivedPerSecond : 0;
+    for (JobDemand load : view.demands()) {
+      all += load.arrivingCpus;
+      able += load.job.allowsSpot() ? load.arrivingCpus : 0;
     }
     Places anywhere = new Places((1L << view.catalog().size()) - 1, null, true);
     double wanted = all <= 0 ? 0 : need(anywhere).cpus(1) * MARGIN * able / all - spot;
-    int most = (int) Math.ceil(RENEWAL * view.up().size()) - view.incoming().size();
+    int most = (int) Math.ceil(RENEWAL * view.activeMachines().size()) - view.provisioning().size();
     for (Map.Entry<MachineType, Integer> entry : ordinary.entrySet()) {
       MachineType type = entry.getKey();
-      int count = (int) Math.min(wanted / type.size().cpus(), Math.min(most, entry.getValue()));
+      int count = (int) Math.min(wanted / type.capacity().cpus(), Math.min(most, entry.getValue()));
       for (String zone : type.zones()) {
-        Offer offer = new Offer(type, zone, true);
-        if (count > 0 && !view.soldOut().contains(offer)) {
+        Offering offer = new Offering(type, zone, true);
+        if (count > 0 && !view.unavailableOfferings().contains(offer)) {
           rent(offer, count);
           return;
         }
@@ -372,27 +375,27 @@
 
   /** The dearest machines beyond the need, the emptiest first. */
   private Set<String> closing() {
-    List<Up> candidates = new ArrayList<>(view.up());
+    List<ActiveMachine> candidates = new ArrayList<>(view.activeMachines());
     candidates.sort(
-        Comparator.comparingDouble((Up machine) -> -machine.offer.perCpu())
-            .thenComparingDouble(Up::usedCpus)
-            .thenComparing(Up::name));
+        Comparator.comparingDouble((ActiveMachine machine) -> -machine.offering.perCpu())
+            .thenComparingDouble(ActiveMachine::usedCpus)
+            .thenComparing(ActiveMachine::name));
     Map<Places, Double> spare = new LinkedHashMap<>();
     Set<String> result = new LinkedHashSet<>();
     // Machines on their way are not here yet.
     crowds.forEach((offer, count) -> count(offer, -count));
-    for (Load load : view.loads()) {
+    for (JobDemand load : view.demands()) {
       spare.computeIfAbsent(places(load.job), key -> capacity(key) - need(key).cpus(1) * MARGIN);
     }
-    for (Up machine : candidates) {
-      double cpus = machine.offer.type().size().cpus();
+    for (ActiveMachine machine : candidates) {
+      double cpus = machine.offering.type().capacity().cpus();
       boolean needed = false;
       for (Map.Entry<Places, Double> entry : spare.entrySet()) {
-        needed |= entry.getValue() < cpus && has(entry.getKey(), machine.offer);
+        needed |= entry.getValue() < cpus && has(entry.getKey(), machine.offering);
       }
       if (!needed) {
         result.add(machine.name);
-        spare.replaceAll((key, left) -> has(key, machine.offer) ? left - cpus : left);
+        spare.replaceAll((key, left) -> has(key, machine.offering) ? left - cpus : left);
       }
     }
     return result;
@@ -401,15 +404,15 @@
   /** Machines that have been idle for long enough and are not needed, or for much longer. */
   private List<String> returns(Set<String> closing) {
     List<String> names = new ArrayList<>();
-    for (Up machine : view.up()) {
+    for (ActiveMachine machine : view.activeMachines()) {
       if (machine.idleFor == null) {
         continue;
       }
-      Duration keep = view.idleKeep();
-      Duration limit = Durations.times(keep, 4);
+      Duration keep = view.idleTimeout();
+      Duration limit = Durations.multiply(keep, 4);
       if (closing.contains(machine.name)) {
-        limit = machine.offer.spot() ? Durations.times(keep, 2) : Durations.part(keep, 4);
-      } else if (!view.unplaced().isEmpty()) {
+        limit = machine.offering.isSpot() ? Durations.multiply(keep, 2) : Durations.divide(keep, 4);
+      } else if (!view.unschedulable().isEmpty()) {
         // It is no use to the work that waits, and may stand in the way of machines that are.
         limit = keep;
       }
@@ -420,7 +423,7 @@
     return names;
   }
 
-  private static boolean allows(Job job, Offer offer) {
-    return Rules.allows(job, offer.type(), offer.zone(), offer.spot());
+  private static boolean allows(Job job, Offering offer) {
+    return PlacementConstraints.allows(job, offer.type(), offer.zone(), offer.isSpot());
   }
 }
--- a/src/main/java/io/cherryspool/store/GroupCommit.java
+++ b/src/main/java/io/cherryspool/store/GroupCommit.java
@@ -2,7 +2,7 @@
 
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -37,7 +37,7 @@
   /** One user's change. */
   private record Item(
       Map<String, Long> conditions,
-      StateWire.Change change,
+      StateStoreProtocol.Change change,
       int bytes,
       Duration since,
       CompletableFuture<Boolean> result) {}
@@ -62,14 +62,14 @@
    * include the version of the key that is changed, so that of two changes of it one is applied.
    */
   public CompletableFuture<Boolean> submit(
-      RateLimiter.Use use, Map<String, Long> conditions, StateWire.Change change) {
+      RateLimiter.Use use, Map<String, Long> conditions, StateStoreProtocol.Change change) {
     CompletableFuture<Boolean> result = new CompletableFuture<>();
     Deque<Item> queue = use == RateLimiter.Use.CANCEL ? cancels : submissions;
     if (queue.size() >= maxQueue) {
       result.completeExceptionally(refused("too many changes wait"));
       return result;
     }
-    int bytes = Json.bytes(change.value()).length + 3 * change.key().length() + 100;
+    int bytes = Json.toBytes(change.value()).length + 3 * change.key().length() + 100;
     queue.add(new Item(conditions, change, bytes, loop.now(), result));
     pump();
     return result;
@@ -135,7 +135,7 @@
   private void send(Deque<Item> queue, List<Item> batch, List<Item> twins) {
     busy = true;
     Map<String, Long> conditions = new HashMap<>();
-    List<StateWire.Change> changes = new ArrayList<>();
+    List<StateStoreProtocol.Change> changes = new ArrayList<>();
     for (Item item : batch) {
       conditions.putAll(item.conditions);
       changes.add(item.change);
--- a/src/main/java/io/cherryspool/store/HistoryGuard.java
+++ b/src/main/java/io/cherryspool/store/HistoryGuard.java
@@ -1,6 +1,6 @@
 package io.cherryspool.store;
 
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.util.List;
 
 /**
@@ -56,7 +56,7 @@
   void loaded();
 
   /** A transaction of this node was applied. */
-  void applied(List<StateWire.Change> changes, long revision);
+  void applied(List<StateStoreProtocol.Change> changes, long revision);
 
   /** Of a node that does not look for losses. */
   HistoryGuard NONE =
@@ -87,7 +87,7 @@
         }
 
         @Override
-        public void applied(List<StateWire.Change> changes, long revision) {
+        public void applied(List<StateStoreProtocol.Change> changes, long revision) {
           // Nothing is remembered.
         }
       };
--- a/src/main/java/io/cherryspool/store/IncarnationRecords.java
+++ b/src/main/java/io/cherryspool/store/IncarnationRecords.java
@@ -1,7 +1,7 @@
 package io.cherryspool.store;
 
-import io.cherryspool.wire.StateWire;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -12,9 +12,9 @@
 /** What a reading of all keys says of one incarnation, before any of it is used. */
 final class IncarnationRecords {
   private final KeySpace space;
-  private final List<StateWire.Event> records = new ArrayList<>();
+  private final List<StateStoreProtocol.Event> records = new ArrayList<>();
   private final Map<String, Long> permanent = new HashMap<>();
-  private final TreeMap<String, StateWire.Event> bundles = new TreeMap<>();
+  private final TreeMap<String, StateStoreProtocol.Event> bundles = new TreeMap<>();
   private boolean superseded;
   private boolean identified;
   private LastChange lastChange;
@@ -23,13 +23,13 @@
     this.space = space;
   }
 
-  static IncarnationRecords of(Collection<StateWire.Event> found, KeySpace space) {
+  static IncarnationRecords of(Collection<StateStoreProtocol.Event> found, KeySpace space) {
     IncarnationRecords result = new IncarnationRecords(space);
     found.forEach(result::take);
     return result;
   }
 
-  private void take(StateWire.Event event) {
+  private void take(StateStoreProtocol.Event event) {
     if (event.value() != null && (lastChange == null || event.version() > lastChange.version())) {
       lastChange = new LastChange(event);
     }
@@ -45,7 +45,8 @@
     if (Records.isPermanent(key) && event.value() != null) {
       permanent.put(key, event.version());
     }
-    StateWire.Event logical = new StateWire.Event(key, event.value(), event.version());
+    StateStoreProtocol.Event logical =
+        new StateStoreProtocol.Event(key, event.value(), event.version());
     if (key.startsWith(Records.BUNDLES)) {
       bundles.put(key, logical);
     } else {
@@ -60,7 +61,7 @@
   }
 
   /** The keys of the incarnation as {@link Records} names them, without its bundles. */
-  List<StateWire.Event> records() {
+  List<StateStoreProtocol.Event> records() {
     return records;
   }
 
@@ -92,13 +93,13 @@
     }
     try {
       return bundles.isEmpty() || PictureCodec.digest(chunks()).equals(manifest.digest());
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       return false;
     }
   }
 
   /** The jobs that the bundles hold. */
-  Collection<Picture.PictureJob> rebuiltJobs() throws WireException {
+  Collection<Picture.PictureJob> rebuiltJobs() throws MalformedMessageException {
     return bundles.isEmpty() ? List.of() : PictureCodec.decode(chunks()).values();
   }
 
@@ -108,16 +109,16 @@
     for (int i = 0; bundles.containsKey(Records.bundle(i)); i++) {
       try {
         chunks.add(Records.readBundle(bundles.get(Records.bundle(i)).value()));
-      } catch (WireException e) {
+      } catch (MalformedMessageException e) {
         break;
       }
     }
     return chunks;
   }
 
-  private List<byte[]> chunks() throws WireException {
+  private List<byte[]> chunks() throws MalformedMessageException {
     List<byte[]> chunks = new ArrayList<>();
-    for (StateWire.Event bundle : bundles.values()) {
+    for (StateStoreProtocol.Event bundle : bundles.values()) {
       chunks.add(Records.readBundle(bundle.value()));
     }
     return chunks;
--- a/src/main/java/io/cherryspool/store/JobEntry.java
+++ b/src/main/java/io/cherryspool/store/JobEntry.java
@@ -50,7 +50,7 @@
   }
 
   public int shardCount() {
-    return (job.tasks() + tasksPerShard - 1) / tasksPerShard;
+    return (job.taskCount() + tasksPerShard - 1) / tasksPerShard;
   }
 
   public int shardOf(int task) {
@@ -64,7 +64,7 @@
 
   /** The task after the last one of a shard. */
   public int endTask(int shard) {
-    return Math.min(job.tasks(), (shard + 1) * tasksPerShard);
+    return Math.min(job.taskCount(), (shard + 1) * tasksPerShard);
   }
 
   public Versioned shard(int index) {
@@ -78,7 +78,7 @@
 
   /** How many tasks are done; kept as the records change, since every round and poll asks. */
   public int doneCount() {
-    return outcome == Outcome.DONE ? job.tasks() : done;
+    return outcome == Outcome.DONE ? job.taskCount() : done;
   }
 
   /** How many tasks have an owner; a job that is done has none, whatever its records still hold. */
@@ -144,7 +144,7 @@
     Shard old = before == null ? Shard.EMPTY : before.shard();
     Shard now = value == null ? Shard.EMPTY : value.shard();
     done += now.doneCount() - old.doneCount();
-    owned += now.owned().size() - old.owned().size();
+    owned += now.ownedAttempts().size() - old.ownedAttempts().size();
     failures = null;
     return old;
   }
--- a/src/main/java/io/cherryspool/store/KeyScan.java
+++ b/src/main/java/io/cherryspool/store/KeyScan.java
@@ -1,7 +1,7 @@
 package io.cherryspool.store;
 
 import io.cherryspool.lifecycle.EventLoop;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,7 +19,7 @@
   private final RateLimiter rateLimiter;
   private final String prefix;
   private final Consumer<Scanned> done;
-  private final List<StateWire.Event> found = new ArrayList<>();
+  private final List<StateStoreProtocol.Event> found = new ArrayList<>();
   private long firstRevision = -1;
   private boolean cancelled;
 
@@ -28,7 +28,7 @@
    *
    * @param firstRevision the revision of the first page; changes since then may be missing
    */
-  public record Scanned(List<StateWire.Event> found, long firstRevision) {}
+  public record Scanned(List<StateStoreProtocol.Event> found, long firstRevision) {}
 
   public KeyScan(
       EventLoop loop,
@@ -59,7 +59,7 @@
     client.list(prefix, after).whenComplete((page, failure) -> take(after, page, failure));
   }
 
-  private void take(String after, StateWire.Page page, Throwable failure) {
+  private void take(String after, StateStoreProtocol.KeyPage page, Throwable failure) {
     if (cancelled) {
       return;
     }
@@ -69,7 +69,7 @@
     }
     firstRevision = firstRevision < 0 ? page.revision() : firstRevision;
     found.addAll(page.items());
-    if (page.more() && !page.items().isEmpty()) {
+    if (page.hasMore() && !page.items().isEmpty()) {
       read(page.items().get(page.items().size() - 1).key());
     } else {
       done.accept(new Scanned(found, firstRevision));
--- a/src/main/java/io/cherryspool/store/KeySpace.java
+++ b/src/main/java/io/cherryspool/store/KeySpace.java
@@ -2,7 +2,7 @@
 
 import io.cherryspool.http.Request;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -71,18 +71,20 @@
     return rest.startsWith("@") ? null : Records.PREFIX + rest;
   }
 
-  Request commit(Map<String, Long> conditions, List<StateWire.Change> changes) {
+  Request commit(Map<String, Long> conditions, List<StateStoreProtocol.Change> changes) {
     Map<String, Long> named = new LinkedHashMap<>();
     named.put(Incarnation.KEY, version);
     conditions.forEach((key, value) -> named.put(physical(key), value));
-    List<StateWire.Change> mapped = new ArrayList<>();
-    for (StateWire.Change change : changes) {
+    List<StateStoreProtocol.Change> mapped = new ArrayList<>();
+    for (StateStoreProtocol.Change change : changes) {
       // A bundle is never rewritten. A record that is only in one would be read again from there.
       boolean tombstone = change.value() == null && bundled.contains(change.key());
       mapped.add(
-          new StateWire.Change(
-              physical(change.key()), tombstone ? Json.object() : change.value(), change.lease()));
+          new StateStoreProtocol.Change(
+              physical(change.key()),
+              tombstone ? Json.object() : change.value(),
+              change.leaseId()));
     }
-    return StateWire.commit(named, mapped);
+    return StateStoreProtocol.transactionRequest(named, mapped);
   }
 }
--- a/src/main/java/io/cherryspool/store/LastChange.java
+++ b/src/main/java/io/cherryspool/store/LastChange.java
@@ -1,7 +1,7 @@
 package io.cherryspool.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.util.Objects;
 
 /**
@@ -11,7 +11,7 @@
  */
 record LastChange(String key, long version, JsonNode value) {
 
-  LastChange(StateWire.Event event) {
+  LastChange(StateStoreProtocol.Event event) {
     this(event.key(), event.version(), event.value());
   }
 
@@ -20,8 +20,8 @@
     return Math.min(revision, version - 1);
   }
 
-  boolean isIn(StateWire.Changes changes) {
-    for (StateWire.Event event : changes.events()) {
+  boolean isIn(StateStoreProtocol.WatchResult changes) {
+    for (StateStoreProtocol.Event event : changes.events()) {
       if (event.key().equals(key)) {
         if (event.version() > version) {
           return true;
--- a/src/main/java/io/cherryspool/store/PictureCodec.java
+++ b/src/main/java/io/cherryspool/store/PictureCodec.java
@@ -6,7 +6,7 @@
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Shard;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -58,7 +58,7 @@
     List<JsonNode> batch = new ArrayList<>();
     int text = 0;
     for (JsonNode unit : units) {
-      int size = Json.bytes(unit).length;
+      int size = Json.toBytes(unit).length;
       if (text + size > EXPECTED_RATIO * maxBytes && !batch.isEmpty()) {
         addChunks(batch, maxBytes, chunks);
         batch = new ArrayList<>();
@@ -93,7 +93,7 @@
     ObjectNode root = Json.object();
     ArrayNode array = root.putArray(UNITS);
     units.forEach(array::add);
-    byte[] chunk = deflate(Json.bytes(root));
+    byte[] chunk = deflate(Json.toBytes(root));
     if (chunk.length <= maxBytes) {
       chunks.add(chunk);
       return;
@@ -108,7 +108,8 @@
   }
 
   /** Reads chunks that {@link #encode} wrote. */
-  public static PMap<String, Picture.PictureJob> decode(List<byte[]> chunks) throws WireException {
+  public static PMap<String, Picture.PictureJob> decode(List<byte[]> chunks)
+      throws MalformedMessageException {
     Map<String, Picture.PictureJob> jobs = new HashMap<>();
     for (byte[] chunk : chunks) {
       for (JsonNode unit : Json.parseObject(inflate(chunk)).path(UNITS)) {
@@ -119,7 +120,7 @@
   }
 
   private static void take(JsonNode unit, Map<String, Picture.PictureJob> jobs)
-      throws WireException {
+      throws MalformedMessageException {
     String id = unit.path(ID).asText();
     if (unit.has(JOB)) {
       JsonNode record = unit.path(JOB);
@@ -132,7 +133,7 @@
     }
     Picture.PictureJob job = jobs.get(id);
     if (job == null) {
-      throw new WireException("progress of " + id + ", which is not described");
+      throw new MalformedMessageException("progress of " + id + ", which is not described");
     }
     Shard shard = Records.readShard(unit.path(PROGRESS));
     jobs.put(id, job.withShard(unit.path(SHARD).intValue(), shard));
@@ -166,7 +167,7 @@
     }
   }
 
-  private static byte[] inflate(byte[] chunk) throws WireException {
+  private static byte[] inflate(byte[] chunk) throws MalformedMessageException {
     Inflater inflater = new Inflater();
     try {
       inflater.setInput(chunk);
@@ -175,16 +176,16 @@
       while (!inflater.finished()) {
         int count = inflater.inflate(buffer);
         if (count == 0 && (inflater.needsInput() || inflater.needsDictionary())) {
-          throw new WireException("a chunk that ends too early");
+          throw new MalformedMessageException("a chunk that ends too early");
         }
         out.write(buffer, 0, count);
         if (out.size() > MAX_TEXT) {
-          throw new WireException("a chunk of more than " + MAX_TEXT + " bytes");
+          throw new MalformedMessageException("a chunk of more than " + MAX_TEXT + " bytes");
         }
       }
       return out.toByteArray();
     } catch (DataFormatException e) {
-      throw new WireException("a chunk that can't be decompressed: " + e.getMessage());
+      throw new MalformedMessageException("a chunk that can't be decompressed: " + e.getMessage());
     } finally {
       inflater.end();
     }
--- a/src/main/java/io/cherryspool/store/RecordIndex.java
+++ b/src/main/java/io/cherryspool/store/RecordIndex.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Shard;
-import io.cherryspool.wire.CloudWire;
+import io.cherryspool.wire.CloudProtocol;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.StateWire;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
@@ -156,7 +156,8 @@
    * Replaces everything by a rebuilt picture's jobs and these keys' values; jobs are read before
    * what refers to them.
    */
-  void replaceAll(Collection<Picture.PictureJob> rebuilt, Collection<StateWire.Event> events) {
+  void replaceAll(
+      Collection<Picture.PictureJob> rebuilt, Collection<StateStoreProtocol.Event> events) {
     jobs.clear();
     active.clear();
     term = 0;
@@ -173,8 +174,8 @@
     held.clear();
     settled = false;
     rebuilt.forEach(this::addRebuilt);
-    Set<StateWire.Event> later = new HashSet<>();
-    for (StateWire.Event event : events) {
+    Set<StateStoreProtocol.Event> later = new HashSet<>();
+    for (StateStoreProtocol.Event event : events) {
       String key = event.key();
       if (key.startsWith(Records.OUTCOMES) || key.startsWith(Records.PROGRESS)) {
         later.add(event);
@@ -196,7 +197,7 @@
   }
 
   /** Takes in a key's new value, or with a null value its removal. */
-  void set(StateWire.Event event) {
+  void set(StateStoreProtocol.Event event) {
     String key = event.key();
     JsonNode value = event.value();
     if (key.startsWith(Records.PROGRESS)) {
@@ -251,7 +252,7 @@
       jobs.put(id, entry);
       active.put(id, entry);
       watchers.forEach(watcher -> watcher.changed(entry));
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       LOG.error("the record of job {} is unreadable: {}", id, e.getMessage());
     }
   }
@@ -291,12 +292,12 @@
 
   private void setCatalog(JsonNode value, long version) {
     try {
-      catalog = CloudWire.parseCatalog(value);
+      catalog = CloudProtocol.parseCatalog(value);
       catalogRecord = value;
       catalogVersion = version;
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       LOG.error(
-          "the record of the catalog is unreadable: {} {}", e.getMessage(), Json.bytes(value));
+          "the record of the catalog is unreadable: {} {}", e.getMessage(), Json.toBytes(value));
     }
   }
 }
