--- a/src/main/java/io/cherryspool/store/Records.java
+++ b/src/main/java/io/cherryspool/store/Records.java
@@ -7,9 +7,9 @@
 import io.cherryspool.model.Job;
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Shard;
-import io.cherryspool.wire.JobWire;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.UserProtocol;
 import java.time.Instant;
 import java.util.Base64;
 
@@ -93,11 +93,11 @@
     return Json.object().put("z", Base64.getEncoder().encodeToString(chunk));
   }
 
-  static byte[] readBundle(JsonNode node) throws WireException {
+  static byte[] readBundle(JsonNode node) throws MalformedMessageException {
     try {
       return Base64.getDecoder().decode(node.path("z").asText());
     } catch (IllegalArgumentException e) {
-      throw new WireException("a bundle that is not Base64");
+      throw new MalformedMessageException("a bundle that is not Base64");
     }
   }
 
@@ -158,14 +158,15 @@
 
   public static JsonNode job(Job job, int tasksPerShard) {
     ObjectNode node = Json.object();
-    node.set("job", JobWire.encode(job));
-    node.put("at", job.submitted().toEpochMilli());
+    node.set("job", UserProtocol.encodeJob(job));
+    node.put("at", job.submittedAt().toEpochMilli());
     node.put("per", tasksPerShard);
     return node;
   }
 
-  static Job readJob(JsonNode node) throws WireException {
-    return JobWire.parse(node.path("job"), Instant.ofEpochMilli(node.path("at").longValue()));
+  static Job readJob(JsonNode node) throws MalformedMessageException {
+    return UserProtocol.parseJob(
+        node.path("job"), Instant.ofEpochMilli(node.path("at").longValue()));
   }
 
   static int readTasksPerShard(JsonNode node) {
@@ -184,19 +185,19 @@
     ObjectNode node = Json.object();
     ArrayNode done = node.putArray("done");
     for (int first = shard.nextDone(0); first >= 0; ) {
-      int end = shard.nextUndone(first);
+      int end = shard.nextNotDone(first);
       done.add(first).add(end - 1);
       first = shard.nextDone(end);
     }
     ArrayNode owned = node.putArray("owned");
-    for (Attempt attempt : shard.owned().values()) {
+    for (Attempt attempt : shard.ownedAttempts().values()) {
       owned
           .addArray()
-          .add(attempt.task())
+          .add(attempt.taskIndex())
           .add(attempt.machine())
-          .add(attempt.session())
+          .add(attempt.agentEpoch())
           .add(attempt.number())
-          .add(attempt.token());
+          .add(attempt.fencingToken());
     }
     ArrayNode history = node.putArray("past");
     shard
@@ -215,12 +216,12 @@
   /** At most so many bytes of JSON, without writing it. */
   public static int sizeOf(Shard shard) {
     int bytes = 40 + shard.histories().size() * 24;
-    for (Attempt attempt : shard.owned().values()) {
+    for (Attempt attempt : shard.ownedAttempts().values()) {
       bytes += attempt.machine().length() + 52;
     }
     int ranges = 0;
     for (int first = shard.nextDone(0); first >= 0; ranges++) {
-      first = shard.nextDone(shard.nextUndone(first));
+      first = shard.nextDone(shard.nextNotDone(first));
     }
     return bytes + ranges * 14;
   }
@@ -229,10 +230,10 @@
     Shard.Editor editor = Shard.EMPTY.edit();
     JsonNode done = node.path("done");
     for (int i = 0; i + 1 < done.size(); i += 2) {
-      editor.doneRange(done.get(i).intValue(), done.get(i + 1).intValue());
+      editor.markDone(done.get(i).intValue(), done.get(i + 1).intValue());
     }
     for (JsonNode item : node.path("owned")) {
-      editor.own(
+      editor.putOwnedAttempt(
           new Attempt(
               item.path(0).intValue(),
               item.path(1).asText(),
@@ -241,7 +242,7 @@
               item.path(4).longValue()));
     }
     for (JsonNode item : node.path("past")) {
-      editor.history(
+      editor.putHistory(
           item.path(0).intValue(),
           new Shard.History(item.path(1).intValue(), item.path(2).intValue()));
     }
--- a/src/main/java/io/cherryspool/store/Remains.java
+++ b/src/main/java/io/cherryspool/store/Remains.java
@@ -1,7 +1,7 @@
 package io.cherryspool.store;
 
-import io.cherryspool.wire.StateWire;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.util.Collection;
 import java.util.List;
 import org.pcollections.HashTreePMap;
@@ -19,7 +19,8 @@
    * The jobs and the term that the keys tell of the incarnation. Bundles of a rebuild that was cut
    * off count as far as they go: they are parts of a picture that was true.
    */
-  public static Picture read(Collection<StateWire.Event> physical, Incarnation incarnation) {
+  public static Picture read(
+      Collection<StateStoreProtocol.Event> physical, Incarnation incarnation) {
     KeySpace space = new KeySpace();
     space.enter(incarnation, 0);
     IncarnationRecords left = IncarnationRecords.of(physical, space);
@@ -37,7 +38,7 @@
   }
 
   /** The picture with a job or an end that was written on its own, unless it is known already. */
-  public static Picture with(Picture picture, StateWire.Change change) {
+  public static Picture with(Picture picture, StateStoreProtocol.Change change) {
     String key = change.key();
     if (key.startsWith(Records.OUTCOMES)) {
       String id = key.substring(Records.OUTCOMES.length());
@@ -56,7 +57,7 @@
           Picture.PictureJob.accepted(
               Records.readJob(change.value()), Records.readTasksPerShard(change.value()));
       return picture.withJobs(picture.jobs().plus(id, job));
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       LOG.error("the record of job {} is unreadable: {}", id, e.getMessage());
       return picture;
     }
@@ -65,7 +66,7 @@
   private static PMap<String, Picture.PictureJob> jobs(List<byte[]> chunks) {
     try {
       return PictureCodec.decode(chunks);
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       LOG.warn("{} bundles that were left can't be read: {}", chunks.size(), e.getMessage());
       return HashTreePMap.empty();
     }
--- a/src/main/java/io/cherryspool/store/Replica.java
+++ b/src/main/java/io/cherryspool/store/Replica.java
@@ -5,8 +5,8 @@
 import io.cherryspool.lifecycle.Lifecycle;
 import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Shard;
-import io.cherryspool.wire.StateWire;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -170,13 +170,13 @@
    * The jobs and ends that this copy has seen written after a revision of its history, as they
    * would be written again.
    */
-  public List<StateWire.Change> permanentSince(long after) {
-    List<StateWire.Change> result = new ArrayList<>();
+  public List<StateStoreProtocol.Change> permanentSince(long after) {
+    List<StateStoreProtocol.Change> result = new ArrayList<>();
     permanent.forEach(
         (key, version) -> {
           JsonNode value = version > after ? index.permanentRecord(key) : null;
           if (value != null) {
-            result.add(new StateWire.Change(key, value, 0));
+            result.add(new StateStoreProtocol.Change(key, value, 0));
           }
         });
     return result;
@@ -405,7 +405,7 @@
   }
 
   private void taken(
-      StateWire.Changes changes,
+      StateStoreProtocol.WatchResult changes,
       LastChange expected,
       Duration sent,
       List<CompletableFuture<Void>> batch) {
@@ -489,10 +489,10 @@
   /**
    * Applies what is new of a batch. Batches may overlap, since the watch and readings are apart.
    */
-  private void apply(StateWire.Changes changes) {
+  private void apply(StateStoreProtocol.WatchResult changes) {
     int before = generation;
     boolean changed = false;
-    for (StateWire.Event event : changes.events()) {
+    for (StateStoreProtocol.Event event : changes.events()) {
       if (event.version() > revision) {
         apply(event);
         if (before != generation) {
@@ -507,7 +507,7 @@
     }
   }
 
-  private void apply(StateWire.Event event) {
+  private void apply(StateStoreProtocol.Event event) {
     if (pictures == null) {
       if (event.key().equals(Incarnation.KEY) && isRebuilt(event)) {
         refuseRebuilt();
@@ -528,7 +528,7 @@
       if (Records.isPermanent(key)) {
         permanent.put(key, event.version());
       }
-      index.set(new StateWire.Event(key, event.value(), event.version()));
+      index.set(new StateStoreProtocol.Event(key, event.value(), event.version()));
     }
   }
 
@@ -557,7 +557,7 @@
   }
 
   private void loadedPlainly(ReplicaLoader.Loaded all) {
-    StateWire.Event identity = all.found().get(Incarnation.KEY);
+    StateStoreProtocol.Event identity = all.found().get(Incarnation.KEY);
     if (identity != null && isRebuilt(identity)) {
       refuseRebuilt();
     } else {
@@ -568,7 +568,7 @@
   /**
    * Whether the records are elsewhere now than where a node that looks for no losses reads them.
    */
-  private static boolean isRebuilt(StateWire.Event identity) {
+  private static boolean isRebuilt(StateStoreProtocol.Event identity) {
     return identity.value() != null && Incarnation.decode(identity.value()).number() > 0;
   }
 
@@ -601,7 +601,7 @@
     Collection<Picture.PictureJob> rebuilt;
     try {
       rebuilt = read.rebuiltJobs();
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       guard.lost(HistoryGuard.Loss.BUNDLES_DAMAGED, e.getMessage());
       return;
     }
@@ -614,7 +614,7 @@
   private void loaded(
       ReplicaLoader.Loaded all,
       Collection<Picture.PictureJob> rebuilt,
-      Collection<StateWire.Event> records) {
+      Collection<StateStoreProtocol.Event> records) {
     index.replaceAll(rebuilt, records);
     revision = all.revision();
     confirm(all.sent());
--- a/src/main/java/io/cherryspool/store/ReplicaLoader.java
+++ b/src/main/java/io/cherryspool/store/ReplicaLoader.java
@@ -1,7 +1,7 @@
 package io.cherryspool.store;
 
 import io.cherryspool.lifecycle.EventLoop;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
@@ -22,7 +22,7 @@
   private final LongSupplier atLeast;
   private final long since;
   private final Consumer<Loaded> done;
-  private final Map<String, StateWire.Event> found = new HashMap<>();
+  private final Map<String, StateStoreProtocol.Event> found = new HashMap<>();
   private KeyScan scan;
   private boolean cancelled;
 
@@ -31,7 +31,7 @@
    *
    * @param sent when the reading that made it whole was sent
    */
-  record Loaded(Map<String, StateWire.Event> found, long revision, Duration sent) {}
+  record Loaded(Map<String, StateStoreProtocol.Event> found, long revision, Duration sent) {}
 
   /**
    * @param atLeast the revision that the copy in use has reached; nothing older replaces it
@@ -91,12 +91,12 @@
             });
   }
 
-  private void take(StateWire.Changes changes, Duration sent) {
+  private void take(StateStoreProtocol.WatchResult changes, Duration sent) {
     if (cancelled) {
       return;
     }
-    for (StateWire.Event event : changes.events()) {
-      StateWire.Event known = found.get(event.key());
+    for (StateStoreProtocol.Event event : changes.events()) {
+      StateStoreProtocol.Event known = found.get(event.key());
       if (known == null || known.version() <= event.version()) {
         found.put(event.key(), event);
       }
--- a/src/main/java/io/cherryspool/store/StateClient.java
+++ b/src/main/java/io/cherryspool/store/StateClient.java
@@ -7,8 +7,8 @@
 import io.cherryspool.http.Transport;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.StateWire;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.HashSet;
 import java.util.List;
@@ -65,9 +65,9 @@
    * the caller reads what happened.
    */
   public CompletableFuture<CommitResult> commit(
-      Map<String, Long> conditions, List<StateWire.Change> changes) {
+      Map<String, Long> conditions, List<StateStoreProtocol.Change> changes) {
     if (!space.fenced()) {
-      return send(StateWire.commit(conditions, changes), changes.size());
+      return send(StateStoreProtocol.transactionRequest(conditions, changes), changes.size());
     }
     long floor = guard.floor();
     Incarnation before = space.incarnation();
@@ -80,8 +80,8 @@
    * the next one.
    */
   public CompletableFuture<CommitResult> commitPhysical(
-      Map<String, Long> conditions, List<StateWire.Change> changes) {
-    return send(StateWire.commit(conditions, changes), changes.size());
+      Map<String, Long> conditions, List<StateStoreProtocol.Change> changes) {
+    return send(StateStoreProtocol.transactionRequest(conditions, changes), changes.size());
   }
 
   /**
@@ -89,7 +89,10 @@
    * that a user may be told: what was applied may have been lost since.
    */
   private CommitResult checked(
-      CommitResult result, long floor, Incarnation before, List<StateWire.Change> changes) {
+      CommitResult result,
+      long floor,
+      Incarnation before,
+      List<StateStoreProtocol.Change> changes) {
     if (space.incarnation() != before) {
       throw overtaken();
     }
@@ -168,21 +171,24 @@
             (reply, failure) -> {
               JsonNode body = body(reply, failure, 409);
               try {
-                long revision = StateWire.revision(body);
+                long revision = StateStoreProtocol.parseRevision(body);
                 return reply.status() == 200
                     ? new CommitResult(true, Set.of(), revision)
-                    : new CommitResult(false, StateWire.failed(body), revision);
-              } catch (WireException e) {
+                    : new CommitResult(false, StateStoreProtocol.parseFailedKeys(body), revision);
+              } catch (MalformedMessageException e) {
                 throw new StateException(StateException.Kind.UNKNOWN, e.getMessage());
               }
             });
   }
 
   /** Keys as the service has them, from any incarnation. */
-  public CompletableFuture<StateWire.Page> list(String prefix, String after) {
+  public CompletableFuture<StateStoreProtocol.KeyPage> list(String prefix, String after) {
     long floor = guard.floor();
     Incarnation before = space.incarnation();
-    return call(StateWire.list(prefix, after, PAGE), deadline, StateWire::parsePage)
+    return call(
+            StateStoreProtocol.listRequest(prefix, after, PAGE),
+            deadline,
+            StateStoreProtocol::parsePage)
         .thenApply(page -> known(page, before, floor, page.revision()));
   }
 
@@ -197,7 +203,7 @@
               if (page.items().isEmpty()) {
                 return new IncarnationReading(null, 0, page.revision());
               }
-              StateWire.Event found = page.items().get(0);
+              StateStoreProtocol.Event found = page.items().get(0);
               Incarnation incarnation = Incarnation.decode(found.value());
               return new IncarnationReading(incarnation, found.version(), page.revision());
             });
@@ -215,23 +221,28 @@
   }
 
   /** Changes after a revision, waiting up to {@code wait} for the first. */
-  public CompletableFuture<StateWire.Changes> follow(String prefix, long after, Duration wait) {
+  public CompletableFuture<StateStoreProtocol.WatchResult> follow(
+      String prefix, long after, Duration wait) {
     long floor = guard.floor();
     Incarnation before = space.incarnation();
-    return call(StateWire.follow(prefix, after, wait), deadline.plus(wait), StateWire::parseChanges)
+    return call(
+            StateStoreProtocol.watchRequest(prefix, after, wait),
+            deadline.plus(wait),
+            StateStoreProtocol::parseChanges)
         .thenApply(changes -> known(changes, before, floor, changes.revision()));
   }
 
   public CompletableFuture<Long> lease(Duration ttl) {
-    return call(StateWire.lease(ttl), deadline, StateWire::parseLease);
+    return call(
+        StateStoreProtocol.grantLeaseRequest(ttl), deadline, StateStoreProtocol::parseLeaseId);
   }
 
   public CompletableFuture<Void> extend(long lease) {
-    return call(StateWire.extend(lease), deadline, body -> null);
+    return call(StateStoreProtocol.renewLeaseRequest(lease), deadline, body -> null);
   }
 
   public CompletableFuture<Void> end(long lease) {
-    return call(StateWire.end(lease), deadline, body -> null);
+    return call(StateStoreProtocol.revokeLeaseRequest(lease), deadline, body -> null);
   }
 
   private <T> CompletableFuture<T> call(Request request, Duration limit, Parser<T> parser) {
@@ -242,7 +253,7 @@
               JsonNode body = body(reply, failure, 200);
               try {
                 return parser.parse(body);
-              } catch (WireException e) {
+              } catch (MalformedMessageException e) {
                 throw new StateException(StateException.Kind.UNKNOWN, e.getMessage());
               }
             });
@@ -256,7 +267,7 @@
     if (status == 200 || status == alsoFine) {
       try {
         return reply.body().length == 0 ? Json.object() : Json.parseObject(reply.body());
-      } catch (WireException e) {
+      } catch (MalformedMessageException e) {
         throw new StateException(StateException.Kind.UNKNOWN, e.getMessage());
       }
     }
@@ -273,6 +284,6 @@
 
   @FunctionalInterface
   private interface Parser<T> {
-    T parse(JsonNode body) throws WireException;
+    T parse(JsonNode body) throws MalformedMessageException;
   }
 }
--- a/src/main/java/io/cherryspool/wire/CloudWire.java
+++ b/src/main/java/io/cherryspool/wire/CloudProtocol.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.cherryspool.http.Request;
+import io.cherryspool.model.Instance;
 import io.cherryspool.model.MachineType;
-import io.cherryspool.model.RentedMachine;
 import io.cherryspool.model.Resources;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
@@ -13,17 +13,17 @@
 import java.util.List;
 
 /** The cloud's requests and answers. */
-public final class CloudWire {
-  private CloudWire() {}
+public final class CloudProtocol {
+  private CloudProtocol() {}
 
   /** One page of the machine list. */
-  public record Page(List<RentedMachine> machines, boolean more) {}
+  public record InstancePage(List<Instance> instances, boolean hasMore) {}
 
-  public static Request catalog() {
+  public static Request catalogRequest() {
     return Request.get("/catalog");
   }
 
-  public static List<MachineType> parseCatalog(JsonNode node) throws WireException {
+  public static List<MachineType> parseCatalog(JsonNode node) throws MalformedMessageException {
     List<MachineType> types = new ArrayList<>();
     for (JsonNode build : node.path("builds")) {
       types.add(
@@ -41,7 +41,7 @@
               List.copyOf(Json.texts(build, "yards"))));
     }
     if (types.isEmpty()) {
-      throw new WireException("the catalog is empty");
+      throw new MalformedMessageException("the catalog is empty");
     }
     return List.copyOf(types);
   }
@@ -52,57 +52,58 @@
     for (MachineType type : types) {
       ObjectNode build = builds.addObject();
       build.put("name", type.name());
-      build.put("vcpus", type.size().cpus());
-      build.put("gpus", type.size().gpus());
-      build.put("mem_gb", type.size().memoryGb());
-      build.put("local_gb", type.cacheGb());
-      build.put("fetch_gb_per_s", type.fetchGbPerS());
-      build.put("rate", type.price());
+      build.put("vcpus", type.capacity().cpus());
+      build.put("gpus", type.capacity().gpus());
+      build.put("mem_gb", type.capacity().memoryGb());
+      build.put("local_gb", type.imageCacheGb());
+      build.put("fetch_gb_per_s", type.fetchGbPerSecond());
+      build.put("rate", type.hourlyPrice());
       build.put("market_price", type.spotPrice());
-      build.put("startup_s", Json.toSeconds(type.boot()));
+      build.put("startup_s", Json.toSeconds(type.bootTime()));
       ArrayNode zones = build.putArray("yards");
       type.zones().forEach(zones::add);
     }
     return node;
   }
 
-  public static Request rent(String name, String type, String zone, boolean spot, int count) {
+  public static Request instanceRequest(
+      String name, String type, String zone, boolean spot, int count) {
     ObjectNode node = Json.object().put("hire", name).put("build", type).put("yard", zone);
     node.put("loaners", spot).put("how_many", count);
-    return Request.post("/machines", Json.bytes(node));
+    return Request.post("/machines", Json.toBytes(node));
   }
 
   /** Tells a sold-out type from an outage, which has the same status. */
   public static boolean isNoCapacity(byte[] body) {
     try {
       return "no capacity".equals(Json.parseObject(body).path("error").asText());
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       return false;
     }
   }
 
-  public static List<String> parseRented(JsonNode node) throws WireException {
+  public static List<String> parseInstanceNames(JsonNode node) throws MalformedMessageException {
     return Json.texts(node, "spindles");
   }
 
-  public static Request delete(List<String> machines) {
+  public static Request deleteRequest(List<String> machines) {
     ObjectNode node = Json.object();
     ArrayNode names = node.putArray("spindles");
     machines.forEach(names::add);
-    return Request.post("/machines/delete", Json.bytes(node));
+    return Request.post("/machines/delete", Json.toBytes(node));
   }
 
-  public static Request list(String after, int limit) {
+  public static Request listRequest(String after, int limit) {
     String from =
         after == null ? "" : "from=" + URLEncoder.encode(after, StandardCharsets.UTF_8) + "&";
     return Request.get("/machines?" + from + "limit=" + limit);
   }
 
-  public static Page parsePage(JsonNode node) throws WireException {
-    List<RentedMachine> machines = new ArrayList<>();
+  public static InstancePage parsePage(JsonNode node) throws MalformedMessageException {
+    List<Instance> machines = new ArrayList<>();
     for (JsonNode item : node.path("spindles")) {
       machines.add(
-          new RentedMachine(
+          new Instance(
               Json.text(item, "ref"),
               Json.textOrNull(item, "endpoint"),
               Json.text(item, "build"),
@@ -111,15 +112,15 @@
               status(Json.text(item, "status")),
               Json.seconds(item, "held_s")));
     }
-    return new Page(machines, node.path("has_next").asBoolean(false));
+    return new InstancePage(machines, node.path("has_next").asBoolean(false));
   }
 
-  private static RentedMachine.Status status(String word) throws WireException {
+  private static Instance.Status status(String word) throws MalformedMessageException {
     return switch (word) {
-      case "booting" -> RentedMachine.Status.BOOTING;
-      case "running" -> RentedMachine.Status.RUNNING;
-      case "failed" -> RentedMachine.Status.FAILED;
-      default -> throw new WireException("status is unknown: " + word);
+      case "booting" -> Instance.Status.BOOTING;
+      case "running" -> Instance.Status.RUNNING;
+      case "failed" -> Instance.Status.FAILED;
+      default -> throw new MalformedMessageException("status is unknown: " + word);
     };
   }
 }
--- a/src/main/java/io/cherryspool/wire/Json.java
+++ b/src/main/java/io/cherryspool/wire/Json.java
@@ -22,7 +22,7 @@
     return JsonNodeFactory.instance.arrayNode();
   }
 
-  public static byte[] bytes(JsonNode node) {
+  public static byte[] toBytes(JsonNode node) {
     try {
       return JsonTree.write(node);
     } catch (IOException e) {
@@ -31,23 +31,23 @@
   }
 
   /** Reads one object and nothing after it. */
-  public static JsonNode parseObject(byte[] body) throws WireException {
+  public static JsonNode parseObject(byte[] body) throws MalformedMessageException {
     JsonNode node;
     try {
       node = JsonTree.read(body);
     } catch (IOException e) {
-      throw new WireException("not JSON");
+      throw new MalformedMessageException("not JSON");
     }
     if (!node.isObject()) {
-      throw new WireException("not a JSON object");
+      throw new MalformedMessageException("not a JSON object");
     }
     return node;
   }
 
-  static String text(JsonNode node, String field) throws WireException {
+  static String text(JsonNode node, String field) throws MalformedMessageException {
     JsonNode found = node.path(field);
     if (!found.isTextual() || found.textValue().isEmpty()) {
-      throw new WireException(field + " must be a non-empty string");
+      throw new MalformedMessageException(field + " must be a non-empty string");
     }
     return writable(found, field);
   }
@@ -56,10 +56,10 @@
    * An escape may name half a character, which can be read and not be written again. Hardly any
    * text has surrogates, and every report is full of texts, so that only those are looked at.
    */
-  private static String writable(JsonNode node, String field) throws WireException {
+  private static String writable(JsonNode node, String field) throws MalformedMessageException {
     String text = node.textValue();
     if (hasSurrogate(text) && !StandardCharsets.UTF_8.newEncoder().canEncode(text)) {
-      throw new WireException(field + " holds half a character");
+      throw new MalformedMessageException(field + " holds half a character");
     }
     return text;
   }
@@ -73,7 +73,7 @@
     return false;
   }
 
-  static String textOrNull(JsonNode node, String field) throws WireException {
+  static String textOrNull(JsonNode node, String field) throws MalformedMessageException {
     return absent(node, field) ? null : text(node, field);
   }
 
@@ -82,47 +82,48 @@
     return found.isMissingNode() || found.isNull();
   }
 
-  static boolean flag(JsonNode node, String field) throws WireException {
+  static boolean flag(JsonNode node, String field) throws MalformedMessageException {
     JsonNode found = node.path(field);
     if (!found.isBoolean()) {
-      throw new WireException(field + " must be true or false");
+      throw new MalformedMessageException(field + " must be true or false");
     }
     return found.booleanValue();
   }
 
-  static long integer(JsonNode node, String field, long min, long max) throws WireException {
+  static long integer(JsonNode node, String field, long min, long max)
+      throws MalformedMessageException {
     JsonNode found = node.path(field);
     if (!found.isIntegralNumber()
         || !found.canConvertToLong()
         || found.longValue() < min
         || found.longValue() > max) {
-      throw new WireException(field + " must be an integer from " + min + " to " + max);
+      throw new MalformedMessageException(field + " must be an integer from " + min + " to " + max);
     }
     return found.longValue();
   }
 
-  static double amount(JsonNode node, String field) throws WireException {
+  static double amount(JsonNode node, String field) throws MalformedMessageException {
     JsonNode found = node.path(field);
     double value = found.doubleValue();
     if (!found.isNumber() || !(value >= 0) || value > 1e9) {
-      throw new WireException(field + " must be a number of at least 0");
+      throw new MalformedMessageException(field + " must be a number of at least 0");
     }
     return value;
   }
 
-  static Duration seconds(JsonNode node, String field) throws WireException {
+  static Duration seconds(JsonNode node, String field) throws MalformedMessageException {
     return Duration.ofNanos(Math.round(amount(node, field) * 1e9));
   }
 
-  static List<String> texts(JsonNode node, String field) throws WireException {
+  static List<String> texts(JsonNode node, String field) throws MalformedMessageException {
     JsonNode found = node.path(field);
     if (!found.isArray()) {
-      throw new WireException(field + " must be a list of strings");
+      throw new MalformedMessageException(field + " must be a list of strings");
     }
     List<String> result = new ArrayList<>();
     for (JsonNode item : found) {
       if (!item.isTextual()) {
-        throw new WireException(field + " must be a list of strings");
+        throw new MalformedMessageException(field + " must be a list of strings");
       }
       result.add(writable(item, field));
     }
--- a/src/main/java/io/cherryspool/wire/JobWire.java
+++ b/src/main/java/io/cherryspool/wire/UserProtocol.java
@@ -12,14 +12,14 @@
 import java.util.regex.Pattern;
 
 /** Jobs as users write them, and what users are told of them. */
-public final class JobWire {
+public final class UserProtocol {
   private static final Pattern ID = Pattern.compile("req-[0-9]{6,18}");
   private static final int MAX_TASKS = 100_000;
 
-  private JobWire() {}
+  private UserProtocol() {}
 
   /** What a user may be told of a job. */
-  public enum Status {
+  public enum JobStatus {
     PENDING("pending"),
     RUNNING("running"),
     DONE("done"),
@@ -27,28 +27,28 @@
 
     private final String word;
 
-    Status(String word) {
+    JobStatus(String word) {
       this.word = word;
     }
   }
 
-  public static boolean isId(String text) {
+  public static boolean isJobId(String text) {
     return ID.matcher(text).matches();
   }
 
   /** The id that a description names, whatever else is wrong with it, or null. */
-  public static String id(JsonNode node) {
+  public static String findJobId(JsonNode node) {
     String text = node.path("ref").asText();
-    return isId(text) ? text : null;
+    return isJobId(text) ? text : null;
   }
 
-  public static Job parse(JsonNode node, Instant submitted) throws WireException {
+  public static Job parseJob(JsonNode node, Instant submitted) throws MalformedMessageException {
     String id = Json.text(node, "ref");
-    if (!isId(id)) {
-      throw new WireException("ref is not of the form req-000412");
+    if (!isJobId(id)) {
+      throw new MalformedMessageException("ref is not of the form req-000412");
     }
     if (!"array".equals(Json.text(node, "shape"))) {
-      throw new WireException("shape must be array");
+      throw new MalformedMessageException("shape must be array");
     }
     List<String> types = Json.absent(node, "builds") ? null : Json.texts(node, "builds");
     Duration deadline = Json.absent(node, "due_s") ? null : Json.seconds(node, "due_s");
@@ -75,63 +75,64 @@
   }
 
   /** The job in the users' own form, which is also how it is kept. */
-  public static ObjectNode encode(Job job) {
+  public static ObjectNode encodeJob(Job job) {
     ObjectNode node = Json.object();
     node.put("ref", job.id());
     node.put("shape", "array");
     node.put("lane", job.jobClass());
     node.put("owner", job.team());
     node.put("urgency", word(job.priority()));
-    node.put("pieces", job.tasks());
+    node.put("pieces", job.taskCount());
     node.put("vcpus", job.perTask().cpus());
     node.put("gpus", job.perTask().gpus());
     node.put("mem_gb", job.perTask().memoryGb());
     node.put("bundle", job.image());
     node.put("size_gb", job.imageGb());
-    if (job.types() != null) {
+    if (job.allowedTypes() != null) {
       ArrayNode types = node.putArray("builds");
-      job.types().forEach(types::add);
+      job.allowedTypes().forEach(types::add);
     }
-    if (job.zone() != null) {
-      node.put("yard", job.zone());
+    if (job.requiredZone() != null) {
+      node.put("yard", job.requiredZone());
     }
-    node.put("together", job.oneZone());
-    node.put("scatter", job.spread());
-    node.put("loaners", job.spotAllowed());
-    node.put("expect_s", Json.toSeconds(job.estimate()));
-    node.put("bookmark_s", Json.toSeconds(job.checkpoint()));
-    node.put("stash_s", Json.toSeconds(job.save()));
+    node.put("together", job.requiresSingleZone());
+    node.put("scatter", job.requiresZoneSpread());
+    node.put("loaners", job.allowsSpot());
+    node.put("expect_s", Json.toSeconds(job.estimatedRunTime()));
+    node.put("bookmark_s", Json.toSeconds(job.checkpointInterval()));
+    node.put("stash_s", Json.toSeconds(job.checkpointDuration()));
     if (job.deadline() != null) {
       node.put("due_s", Json.toSeconds(job.deadline()));
     }
     return node;
   }
 
-  public static byte[] status(String id, Status status) {
-    return Json.bytes(Json.object().put("ref", id).put("status", status.word));
+  public static byte[] encodeStatus(String id, JobStatus status) {
+    return Json.toBytes(Json.object().put("ref", id).put("status", status.word));
   }
 
   /** The answer to a poll; a job with tasks past the failure cap carries {@code failing}. */
-  public static byte[] status(String id, Status status, int done, int running, int failing) {
+  public static byte[] encodeStatus(
+      String id, JobStatus status, int done, int running, int failing) {
     ObjectNode node = Json.object().put("ref", id).put("status", status.word);
     node.put("done", done).put("running", running);
     if (failing > 0) {
       node.put("failing", failing);
     }
-    return Json.bytes(node);
+    return Json.toBytes(node);
   }
 
-  public static byte[] error(String message) {
-    return Json.bytes(Json.object().put("error", message));
+  public static byte[] encodeError(String message) {
+    return Json.toBytes(Json.object().put("error", message));
   }
 
-  private static Priority priority(String word) throws WireException {
+  private static Priority priority(String word) throws MalformedMessageException {
     return switch (word) {
       case "production" -> Priority.PRODUCTION;
       case "urgent" -> Priority.HIGH;
       case "normal" -> Priority.NORMAL;
       case "best_effort" -> Priority.LOW;
-      default -> throw new WireException("urgency is unknown");
+      default -> throw new MalformedMessageException("urgency is unknown");
     };
   }
 
--- a/src/main/java/io/cherryspool/wire/package-info.java
+++ b/src/main/java/io/cherryspool/wire/package-info.java
@@ -6,6 +6,6 @@
  * type in which requests are handed on.
  *
  * <p>Threading: functions without state; any thread may call them. What is not as the protocol says
- * is a {@link io.cherryspool.wire.WireException} that names the field.
+ * is a {@link io.cherryspool.wire.MalformedMessageException} that names the field.
  */
 package io.cherryspool.wire;
--- a/src/main/java/io/cherryspool/worker/WorkerClient.java
+++ b/src/main/java/io/cherryspool/worker/WorkerClient.java
@@ -4,11 +4,11 @@
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
 import io.cherryspool.http.Transport;
-import io.cherryspool.model.Order;
-import io.cherryspool.model.Report;
+import io.cherryspool.model.WorkerCommand;
+import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
-import io.cherryspool.wire.WorkerWire;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.WorkerProtocol;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.List;
@@ -26,26 +26,27 @@
   }
 
   /** Fails without an answer; the commands may then still run, as long as the token is current. */
-  public CompletableFuture<Report> commands(
-      Endpoint worker, long token, long session, List<Order> orders) {
-    return report(worker, Request.post("/commands", WorkerWire.commands(token, session, orders)));
+  public CompletableFuture<WorkerHeartbeat> commands(
+      Endpoint worker, long token, long session, List<WorkerCommand> orders) {
+    return report(
+        worker, Request.post("/commands", WorkerProtocol.encodeCommands(token, session, orders)));
   }
 
-  public CompletableFuture<Report> inspect(Endpoint worker) {
+  public CompletableFuture<WorkerHeartbeat> inspect(Endpoint worker) {
     return report(worker, Request.get("/inspect"));
   }
 
-  private CompletableFuture<Report> report(Endpoint worker, Request request) {
+  private CompletableFuture<WorkerHeartbeat> report(Endpoint worker, Request request) {
     return transport.send(worker, request, deadline).thenApply(WorkerClient::parse);
   }
 
-  private static Report parse(Reply reply) {
+  private static WorkerHeartbeat parse(Reply reply) {
     try {
       if (reply.status() == 200 || reply.status() == 409) {
-        return WorkerWire.parseReport(Json.parseObject(reply.body()));
+        return WorkerProtocol.parseHeartbeat(Json.parseObject(reply.body()));
       }
-      throw new WireException("status " + reply.status());
-    } catch (WireException e) {
+      throw new MalformedMessageException("status " + reply.status());
+    } catch (MalformedMessageException e) {
       throw new CompletionException(new IOException("a worker's answer: " + e.getMessage()));
     }
   }
--- a/src/test/java/io/cherryspool/compatibility/RecordedBytes.java
+++ b/src/test/java/io/cherryspool/compatibility/RecordedBytes.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.cherryspool.http.Request;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -48,7 +48,7 @@
   }
 
   /** The recorded JSON object. */
-  public static JsonNode readJson(String name) throws WireException {
+  public static JsonNode readJson(String name) throws MalformedMessageException {
     return Json.parseObject(read(name));
   }
 
@@ -67,7 +67,7 @@
 
   /** As above, for the JSON of a record. */
   public static void assertRecorded(String name, JsonNode written) {
-    assertRecorded(name, Json.bytes(written));
+    assertRecorded(name, Json.toBytes(written));
   }
 
   /** As above, for a request: its method and target on one line, then its body. */
--- a/src/test/java/io/cherryspool/compatibility/SampleRecords.java
+++ b/src/test/java/io/cherryspool/compatibility/SampleRecords.java
@@ -92,13 +92,13 @@
   public static Shard shard() {
     return Shard.EMPTY
         .edit()
-        .doneRange(0, 9)
-        .doneRange(12, 12)
-        .own(new Attempt(10, "host-000003", 2, 1, 77))
-        .own(new Attempt(14, "host-000120", 1, 3, 1L << 33))
-        .history(10, new Shard.History(1, 0))
-        .history(14, new Shard.History(3, 2))
-        .history(15, new Shard.History(5, 5))
+        .markDone(0, 9)
+        .markDone(12, 12)
+        .putOwnedAttempt(new Attempt(10, "host-000003", 2, 1, 77))
+        .putOwnedAttempt(new Attempt(14, "host-000120", 1, 3, 1L << 33))
+        .putHistory(10, new Shard.History(1, 0))
+        .putHistory(14, new Shard.History(3, 2))
+        .putHistory(15, new Shard.History(5, 5))
         .build();
   }
 
@@ -109,7 +109,7 @@
             CONSTRAINED_JOB,
             TASKS_PER_SHARD,
             null,
-            TreePMap.singleton(0, shard()).plus(2, Shard.EMPTY.edit().doneRange(400, 449).build()));
+            TreePMap.singleton(0, shard()).plus(2, Shard.EMPTY.edit().markDone(400, 449).build()));
     Picture.PictureJob cancelled =
         Picture.PictureJob.accepted(PLAIN_JOB, TASKS_PER_SHARD).withOutcome(Outcome.CANCELLED);
     return HashTreePMap.<String, Picture.PictureJob>empty()
--- a/src/test/java/io/cherryspool/controller/CutZoneTest.java
+++ b/src/test/java/io/cherryspool/controller/CutZoneTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.cherryspool.model.Report;
+import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.reachability.Contact;
 import io.cherryspool.reachability.FleetView;
 import io.cherryspool.reachability.Reachability;
@@ -26,7 +26,8 @@
   private void machine(String zone, double heardAt) {
     String name = "host-" + fleet.size();
     MachineState machine = new MachineState(name, "box", zone, false, Duration.ZERO);
-    Report report = new Report(name, "127.0.0.1:1", "box", zone, false, 1, 1, 0, null, List.of());
+    WorkerHeartbeat report =
+        new WorkerHeartbeat(name, "127.0.0.1:1", "box", zone, false, 1, 1, 0, null, List.of());
     machine.contact().accept(report, Duration.ofMillis((long) (heardAt * 1000)));
     fleet.add(machine);
     listed.add(name);
--- a/src/test/java/io/cherryspool/controller/DeafMachineTest.java
+++ b/src/test/java/io/cherryspool/controller/DeafMachineTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.cherryspool.model.Report;
+import io.cherryspool.model.WorkerHeartbeat;
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
@@ -14,13 +14,13 @@
 class DeafMachineTest {
   private final MachineContact contact = new MachineContact();
 
-  private static Report report(long session, long sequence, long token) {
-    return new Report(
+  private static WorkerHeartbeat report(long session, long sequence, long token) {
+    return new WorkerHeartbeat(
         "host-1", "127.0.0.1:1", "box", "a", false, session, sequence, token, null, List.of());
   }
 
   private boolean reports(long session, long sequence, long token, int at) {
-    Report report = report(session, sequence, token);
+    WorkerHeartbeat report = report(session, sequence, token);
     contact.accept(report, Duration.ofSeconds(at));
     return contact.recordReply(report, 50 + at, Duration.ofSeconds(at));
   }
--- a/src/test/java/io/cherryspool/controller/FenceTest.java
+++ b/src/test/java/io/cherryspool/controller/FenceTest.java
@@ -6,10 +6,10 @@
 import io.cherryspool.model.Attempt;
 import io.cherryspool.model.Job;
 import io.cherryspool.model.JobFixture;
-import io.cherryspool.model.Order;
 import io.cherryspool.model.Priority;
-import io.cherryspool.model.Report;
 import io.cherryspool.model.TaskId;
+import io.cherryspool.model.WorkerCommand;
+import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.store.JobEntryFixture;
 import java.time.Duration;
 import java.util.List;
@@ -44,11 +44,12 @@
           JobEntryFixture.of(job), TASK, new Attempt(0, "host-1", 3, 1, tokens.base() - 7));
   private long sequence;
 
-  private void hears(long session, long token, Report.State state, Report.Cause cause) {
-    List<Report.TaskReport> tasks =
-        state == null ? List.of() : List.of(new Report.TaskReport(TASK, 1, state, cause));
-    Report report =
-        new Report(
+  private void hears(
+      long session, long token, WorkerHeartbeat.TaskState state, WorkerHeartbeat.ExitCause cause) {
+    List<WorkerHeartbeat.TaskStatus> tasks =
+        state == null ? List.of() : List.of(new WorkerHeartbeat.TaskStatus(TASK, 1, state, cause));
+    WorkerHeartbeat report =
+        new WorkerHeartbeat(
             "host-1", "127.0.0.1:1", "box", "a", false, session, ++sequence, token, null, tasks);
     assertTrue(machine.contact().accept(report, START.plusSeconds(1)));
   }
@@ -65,7 +66,9 @@
         ReleaseEvidence.Verdict.NEEDS_FENCE, at(2), "an earlier leader's start is not fenced yet");
     hears(3, tokens.current(), null, null);
     assertEquals(ReleaseEvidence.Verdict.ENDED, at(2));
-    machine.commands().recordDelivered(List.of(Order.start(TASK, 1)), tokens.current(), START);
+    machine
+        .commands()
+        .recordDelivered(List.of(WorkerCommand.start(TASK, 1)), tokens.current(), START);
     assertEquals(
         ReleaseEvidence.Verdict.NEEDS_FENCE, at(2), "this leader's own start may be on its way");
     tokens.next();
@@ -77,7 +80,8 @@
   void absenceProvesNothingOfATaskThatIsStillWanted() {
     hears(3, tokens.current(), null, null);
     assertEquals(ReleaseEvidence.Verdict.OWNED, at(2));
-    assertEquals(List.of(Order.start(TASK, 1)), workerCommands.dueFor(machine, List.of(owned)));
+    assertEquals(
+        List.of(WorkerCommand.start(TASK, 1)), workerCommands.dueFor(machine, List.of(owned)));
   }
 
   /** After it is forgotten, a start that is still under way would run the attempt once more. */
@@ -85,20 +89,22 @@
   void anEndedAttemptIsNeitherFreedNorForgottenWhileACommandHasNoAnswer() {
     machine.commands().beginCall(List.of(), tokens.current());
     machine.commands().callFailed(START);
-    hears(3, tokens.current(), Report.State.EXITED, Report.Cause.ERROR);
+    hears(3, tokens.current(), WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR);
     assertEquals(ReleaseEvidence.Verdict.NEEDS_FENCE, at(2));
     assertEquals(List.of(), workerCommands.dueFor(machine, List.of()), "not forgotten either");
     tokens.next();
-    hears(3, tokens.current(), Report.State.EXITED, Report.Cause.ERROR);
+    hears(3, tokens.current(), WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR);
     assertEquals(ReleaseEvidence.Verdict.FAILED, at(2));
-    assertEquals(List.of(Order.forget(TASK, 1)), workerCommands.dueFor(machine, List.of()));
+    assertEquals(
+        List.of(WorkerCommand.acknowledge(TASK, 1)), workerCommands.dueFor(machine, List.of()));
   }
 
   @Test
   void aLaterSessionOrADeletionIsProofAndAnOlderMessageIsNot() {
     hears(4, tokens.base() - 1, null, null);
     assertEquals(ReleaseEvidence.Verdict.LAPSED, at(2));
-    Report old = new Report("host-1", "127.0.0.1:1", "box", "a", false, 3, 99, 0, null, List.of());
+    WorkerHeartbeat old =
+        new WorkerHeartbeat("host-1", "127.0.0.1:1", "box", "a", false, 3, 99, 0, null, List.of());
     assertEquals(false, machine.contact().accept(old, START));
     MachineState deleted = new MachineState("host-1", "box", "a", false, START);
     deleted.markDeleted();
@@ -115,7 +121,7 @@
         ReleaseEvidence.Verdict.OWNED,
         evidence.assess(owned, null, START.plusMillis((long) (earlier * 1000) - 100)),
         "nor is a machine never heard of any sooner free");
-    hears(3, tokens.current(), Report.State.RUNNING, null);
+    hears(3, tokens.current(), WorkerHeartbeat.TaskState.RUNNING, null);
     machine
         .contact()
         .recordReply(machine.latestHeartbeat(), tokens.current(), START.plusSeconds(4));
@@ -134,8 +140,8 @@
     machine
         .contact()
         .recordReply(machine.latestHeartbeat(), tokens.current(), START.plusSeconds(4));
-    Report next =
-        new Report(
+    WorkerHeartbeat next =
+        new WorkerHeartbeat(
             "host-1",
             "127.0.0.1:1",
             "box",
@@ -145,7 +151,8 @@
             ++sequence,
             tokens.current(),
             null,
-            List.of(new Report.TaskReport(TASK, 1, Report.State.RUNNING, null)));
+            List.of(
+                new WorkerHeartbeat.TaskStatus(TASK, 1, WorkerHeartbeat.TaskState.RUNNING, null)));
     assertTrue(machine.contact().accept(next, START.plusSeconds(30)));
     assertEquals(ReleaseEvidence.Verdict.OWNED, at(31));
     assertEquals(ReleaseEvidence.Verdict.OWNED, at(30 + LEASE.toSeconds() - 0.1));
@@ -154,8 +161,9 @@
 
   @Test
   void aTaskThatTheRecordsGiveToNobodyIsStopped() {
-    hears(3, tokens.current(), Report.State.RUNNING, null);
+    hears(3, tokens.current(), WorkerHeartbeat.TaskState.RUNNING, null);
     assertEquals(
-        List.of(Order.stop(TASK, 1, Duration.ZERO)), workerCommands.dueFor(machine, List.of()));
+        List.of(WorkerCommand.stop(TASK, 1, Duration.ZERO)),
+        workerCommands.dueFor(machine, List.of()));
   }
 }
--- a/src/test/java/io/cherryspool/controller/LeaderCostTest.java
+++ b/src/test/java/io/cherryspool/controller/LeaderCostTest.java
@@ -5,11 +5,11 @@
 
 import io.cherryspool.model.JobFixture;
 import io.cherryspool.model.Priority;
-import io.cherryspool.model.Report;
+import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.sim.HeapMeter;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
-import io.cherryspool.wire.WorkerWire;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.WorkerProtocol;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -102,10 +102,10 @@
     return fleet;
   }
 
-  private static Report parsed(byte[] written) {
+  private static WorkerHeartbeat parsed(byte[] written) {
     try {
-      return WorkerWire.parseReport(Json.parseObject(written));
-    } catch (WireException e) {
+      return WorkerProtocol.parseHeartbeat(Json.parseObject(written));
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
--- a/src/test/java/io/cherryspool/controller/LeaderTermFixture.java
+++ b/src/test/java/io/cherryspool/controller/LeaderTermFixture.java
@@ -20,9 +20,9 @@
 import io.cherryspool.store.Replica;
 import io.cherryspool.store.StateClient;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.StateWire;
-import io.cherryspool.wire.WireException;
-import io.cherryspool.wire.WorkerWire;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.StateStoreProtocol;
+import io.cherryspool.wire.WorkerProtocol;
 import io.cherryspool.worker.WorkerClient;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -159,8 +159,9 @@
 
   /** Some node accepts a job. */
   void accept(Job job) {
-    StateWire.Change change = new StateWire.Change(Records.job(job.id()), Records.job(job, 100), 0);
-    state.handle(StateWire.commit(Map.of(), List.of(change)));
+    StateStoreProtocol.Change change =
+        new StateStoreProtocol.Change(Records.job(job.id()), Records.job(job, 100), 0);
+    state.handle(StateStoreProtocol.transactionRequest(Map.of(), List.of(change)));
   }
 
   /** The next report of a machine that runs so many tasks, as its worker would write it. */
@@ -185,8 +186,8 @@
   /** The leader takes a report in, as it came over the wire, and answers it. */
   byte[] report(byte[] written) {
     try {
-      return term.report(WorkerWire.parseReport(Json.parseObject(written)));
-    } catch (WireException e) {
+      return term.report(WorkerProtocol.parseHeartbeat(Json.parseObject(written)));
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
--- a/src/test/java/io/cherryspool/controller/OwnershipTest.java
+++ b/src/test/java/io/cherryspool/controller/OwnershipTest.java
@@ -33,7 +33,7 @@
 
           @Override
           public void released(Ownership.Owned owned) {
-            released.add(owned.id().number());
+            released.add(owned.id().index());
           }
 
           @Override
--- a/src/test/java/io/cherryspool/controller/RoundEditsTest.java
+++ b/src/test/java/io/cherryspool/controller/RoundEditsTest.java
@@ -12,7 +12,7 @@
 import io.cherryspool.store.JobEntryFixture;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -28,7 +28,7 @@
   private final PendingReleases pendingReleases = new PendingReleases();
 
   private void ended(int task, ReleaseEvidence.Verdict verdict, int at) {
-    Attempt attempt = entry.shard(0).shard().owner(task);
+    Attempt attempt = entry.shard(0).shard().ownedAttempt(task);
     pendingReleases.add(
         new PendingReleases.Release(
             new Ownership.Owned(entry, new TaskId(ID, task), attempt),
@@ -82,7 +82,7 @@
   void theLastEndIsWrittenAtOnceAndFirst() {
     JobEntry all = JobEntryFixture.running(JobFixture.job(ID, Priority.NORMAL, 2, 1), 2, "host-1");
     for (int task = 0; task < 2; task++) {
-      Attempt attempt = all.shard(0).shard().owner(task);
+      Attempt attempt = all.shard(0).shard().ownedAttempt(task);
       pendingReleases.add(
           new PendingReleases.Release(
               new Ownership.Owned(all, new TaskId(ID, task), attempt),
@@ -93,7 +93,7 @@
     assertEquals(1, units.size());
     assertEquals(
         List.of(Records.outcome(ID)),
-        units.get(0).changes().stream().map(StateWire.Change::key).toList(),
+        units.get(0).changes().stream().map(StateStoreProtocol.Change::key).toList(),
         "one change ends a job");
     assertEquals(0L, units.get(0).conditions().get(Records.outcome(ID)), "unless it is cancelled");
     assertEquals(7L, units.get(0).conditions().get(Records.progress(ID, 0)));
--- a/src/test/java/io/cherryspool/controller/RoundViewTest.java
+++ b/src/test/java/io/cherryspool/controller/RoundViewTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 
 import io.cherryspool.model.MachineType;
-import io.cherryspool.model.Report;
 import io.cherryspool.model.Resources;
+import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.scheduler.ClusterView;
 import java.time.Duration;
 import java.util.List;
@@ -55,7 +55,7 @@
   @Test
   void aMachineIsSeenWithTheNewestPriceAndOtherwiseKept() {
     fleet.accept(
-        new Report(
+        new WorkerHeartbeat(
             "host-1", "10.0.0.1:1", "box", "a", true, 1, 1, tokens.current(), null, List.of()),
         NOW);
     MachineType first = box(0.1);
--- a/src/test/java/io/cherryspool/controller/RoundWriterTest.java
+++ b/src/test/java/io/cherryspool/controller/RoundWriterTest.java
@@ -12,7 +12,7 @@
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.StateClient;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
@@ -42,7 +42,8 @@
   }
 
   private void write() {
-    StateWire.Change change = new StateWire.Change(SHARD, Json.object().put("x", 1), 0);
+    StateStoreProtocol.Change change =
+        new StateStoreProtocol.Change(SHARD, Json.object().put("x", 1), 0);
     RoundWriter.Unit unit =
         new RoundWriter.Unit(Map.of(SHARD, 0L), List.of(change), 20, RateLimiter.Use.ROUND);
     writer.write(List.of(unit), () -> certain++);
--- a/src/test/java/io/cherryspool/controller/UserApiTest.java
+++ b/src/test/java/io/cherryspool/controller/UserApiTest.java
@@ -24,10 +24,10 @@
 import io.cherryspool.store.Records;
 import io.cherryspool.store.Replica;
 import io.cherryspool.store.StateClient;
-import io.cherryspool.wire.JobWire;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.StateWire;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.StateStoreProtocol;
+import io.cherryspool.wire.UserProtocol;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.time.Instant;
@@ -106,25 +106,25 @@
   }
 
   private static ObjectNode description() {
-    return JobWire.encode(JobFixture.job(JOB, Priority.NORMAL, 2, 1));
+    return UserProtocol.encodeJob(JobFixture.job(JOB, Priority.NORMAL, 2, 1));
   }
 
   private static byte[] job() {
-    return Json.bytes(description());
+    return Json.toBytes(description());
   }
 
   private static byte[] without(String field) {
     ObjectNode node = description();
     node.remove(field);
-    return Json.bytes(node);
+    return Json.toBytes(node);
   }
 
   private static byte[] ofTeam(String team) {
-    return Json.bytes(description().put("owner", team));
+    return Json.toBytes(description().put("owner", team));
   }
 
   private static byte[] tooLarge() {
-    return Json.bytes(description().put("vcpus", 100));
+    return Json.toBytes(description().put("vcpus", 100));
   }
 
   /** The status with the job's own, if it has one; a refusal must say when to come back. */
@@ -135,7 +135,7 @@
     try {
       String status = Json.parseObject(reply.body()).path("status").asText();
       return (reply.status() + " " + status).trim();
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
@@ -151,9 +151,10 @@
 
   private void end(Outcome outcome) {
     state.handle(
-        StateWire.commit(
+        StateStoreProtocol.transactionRequest(
             Map.of(Records.outcome(JOB), 0L),
-            List.of(new StateWire.Change(Records.outcome(JOB), Records.outcome(outcome), 0))));
+            List.of(
+                new StateStoreProtocol.Change(Records.outcome(JOB), Records.outcome(outcome), 0))));
   }
 
   @Test
--- a/src/test/java/io/cherryspool/model/DurationsTest.java
+++ b/src/test/java/io/cherryspool/model/DurationsTest.java
@@ -14,13 +14,13 @@
   void areWhatTheLibraryComputes(long nanos) {
     Duration duration = Duration.ofNanos(nanos);
     for (int factor = 1; factor < 9; factor++) {
-      assertEquals(duration.multipliedBy(factor), Durations.times(duration, factor));
-      assertEquals(duration.dividedBy(factor), Durations.part(duration, factor));
+      assertEquals(duration.multipliedBy(factor), Durations.multiply(duration, factor));
+      assertEquals(duration.dividedBy(factor), Durations.divide(duration, factor));
     }
   }
 
   @Test
   void tooLongAMultipleIsRefused() {
-    assertThrows(ArithmeticException.class, () -> Durations.times(Duration.ofDays(106_000), 2));
+    assertThrows(ArithmeticException.class, () -> Durations.multiply(Duration.ofDays(106_000), 2));
   }
 }
--- a/src/test/java/io/cherryspool/model/RecordEqualityTest.java
+++ b/src/test/java/io/cherryspool/model/RecordEqualityTest.java
@@ -39,11 +39,11 @@
             new TaskId("req-000002", 3),
             new TaskId("req-000001", 4)),
         record(
-            () -> Order.stop(TASK, 2, BOOT),
-            new Order(Order.Verb.START, TASK, 2, BOOT),
-            Order.stop(new TaskId("req-000001", 4), 2, BOOT),
-            Order.stop(TASK, 3, BOOT),
-            Order.stop(TASK, 2, Duration.ZERO)),
+            () -> WorkerCommand.stop(TASK, 2, BOOT),
+            new WorkerCommand(WorkerCommand.Action.START, TASK, 2, BOOT),
+            WorkerCommand.stop(new TaskId("req-000001", 4), 2, BOOT),
+            WorkerCommand.stop(TASK, 3, BOOT),
+            WorkerCommand.stop(TASK, 2, Duration.ZERO)),
         record(
             () -> new Attempt(1, "m", 2, 3, 4),
             new Attempt(9, "m", 2, 3, 4),
@@ -52,12 +52,19 @@
             new Attempt(1, "m", 2, 9, 4),
             new Attempt(1, "m", 2, 3, 9)),
         record(
-            () -> new Report.TaskReport(TASK, 1, Report.State.EXITED, Report.Cause.DONE),
-            new Report.TaskReport(
-                new TaskId("req-000001", 4), 1, Report.State.EXITED, Report.Cause.DONE),
-            new Report.TaskReport(TASK, 2, Report.State.EXITED, Report.Cause.DONE),
-            new Report.TaskReport(TASK, 1, Report.State.RUNNING, Report.Cause.DONE),
-            new Report.TaskReport(TASK, 1, Report.State.EXITED, null)),
+            () ->
+                new WorkerHeartbeat.TaskStatus(
+                    TASK, 1, WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.DONE),
+            new WorkerHeartbeat.TaskStatus(
+                new TaskId("req-000001", 4),
+                1,
+                WorkerHeartbeat.TaskState.EXITED,
+                WorkerHeartbeat.ExitCause.DONE),
+            new WorkerHeartbeat.TaskStatus(
+                TASK, 2, WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.DONE),
+            new WorkerHeartbeat.TaskStatus(
+                TASK, 1, WorkerHeartbeat.TaskState.RUNNING, WorkerHeartbeat.ExitCause.DONE),
+            new WorkerHeartbeat.TaskStatus(TASK, 1, WorkerHeartbeat.TaskState.EXITED, null)),
         record(
             () -> new Resources(4, 0, 8),
             new Resources(5, 0, 8),
@@ -74,10 +81,10 @@
             new MachineType("box", SIZE, 30, 0.8, 0.27, 0.1, Duration.ZERO, ZONES),
             new MachineType("box", SIZE, 30, 0.8, 0.27, 0.1, BOOT, List.of("a"))),
         record(
-            () -> new ScalingPlan.Offer(type("box"), "a", true),
-            new ScalingPlan.Offer(type("crate"), "a", true),
-            new ScalingPlan.Offer(type("box"), "b", true),
-            new ScalingPlan.Offer(type("box"), "a", false)));
+            () -> new ScalingPlan.Offering(type("box"), "a", true),
+            new ScalingPlan.Offering(type("crate"), "a", true),
+            new ScalingPlan.Offering(type("box"), "b", true),
+            new ScalingPlan.Offering(type("box"), "a", false)));
   }
 
   @ParameterizedTest
--- a/src/test/java/io/cherryspool/recovery/PictureMergeTest.java
+++ b/src/test/java/io/cherryspool/recovery/PictureMergeTest.java
@@ -103,10 +103,10 @@
     Shard owned = Shard.EMPTY.edit().assign(0, "host-1", 1, 7).build();
     Shard ended = owned.edit().release(0, true).build();
     Shard again = ended.edit().assign(0, "host-2", 1, 9).build();
-    assertNull(PictureMerge.merge(owned, ended).owner(0));
-    assertNull(PictureMerge.merge(ended, owned).owner(0));
-    assertEquals("host-2", PictureMerge.merge(owned, again).owner(0).machine());
-    assertEquals("host-2", PictureMerge.merge(again, ended).owner(0).machine());
+    assertNull(PictureMerge.merge(owned, ended).ownedAttempt(0));
+    assertNull(PictureMerge.merge(ended, owned).ownedAttempt(0));
+    assertEquals("host-2", PictureMerge.merge(owned, again).ownedAttempt(0).machine());
+    assertEquals("host-2", PictureMerge.merge(again, ended).ownedAttempt(0).machine());
     assertEquals(2, PictureMerge.merge(owned, again).history(0).attempts());
   }
 }
--- a/src/test/java/io/cherryspool/recovery/RecoveryTest.java
+++ b/src/test/java/io/cherryspool/recovery/RecoveryTest.java
@@ -22,7 +22,7 @@
 import io.cherryspool.store.Records;
 import io.cherryspool.store.Replica;
 import io.cherryspool.store.StateClient;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -110,15 +110,16 @@
     }
   }
 
-  private static StateWire.Change job(String id) {
-    return new StateWire.Change(
+  private static StateStoreProtocol.Change job(String id) {
+    return new StateStoreProtocol.Change(
         Records.job(id), Records.job(JobFixture.job(id, Priority.NORMAL, 1, 1), 100), 0);
   }
 
   /** Some process without memory changes a key. */
   private void writeByOthers(String key, Map<String, Long> conditions) {
     state.handle(
-        StateWire.commit(conditions, List.of(new StateWire.Change(key, Records.mark(), 0))));
+        StateStoreProtocol.transactionRequest(
+            conditions, List.of(new StateStoreProtocol.Change(key, Records.mark(), 0))));
   }
 
   private void run(double seconds) {
@@ -149,7 +150,7 @@
 
   @Test
   void recordsWithoutAnIdentityAreThoseOfAnEarlierVersion() {
-    state.handle(StateWire.commit(Map.of(), List.of(job(JOB))));
+    state.handle(StateStoreProtocol.transactionRequest(Map.of(), List.of(job(JOB))));
     Node node = new Node(Picture.EMPTY);
     node.workersRemember = true;
     run(8);
@@ -189,7 +190,9 @@
     Node node = serving();
     node.client.commit(
         Map.of(),
-        List.of(new StateWire.Change(Records.outcome(JOB), Records.outcome(Outcome.CANCELLED), 0)));
+        List.of(
+            new StateStoreProtocol.Change(
+                Records.outcome(JOB), Records.outcome(Outcome.CANCELLED), 0)));
     run(1);
     node.leadsSurely = true;
     node.knownTerm = 17;
@@ -221,8 +224,8 @@
     // Others have installed anew, with the same identity, by chance at the same version.
     Incarnation same = node.client.space().incarnation();
     state.handle(
-        StateWire.commit(
-            Map.of(), List.of(new StateWire.Change(Incarnation.KEY, same.encode(), 0))));
+        StateStoreProtocol.transactionRequest(
+            Map.of(), List.of(new StateStoreProtocol.Change(Incarnation.KEY, same.encode(), 0))));
     CompletableFuture<Boolean> told = node.submit("req-000100");
     run(0.05);
     assertTrue(told.isCompletedExceptionally(), "its user is told to come back");
@@ -311,8 +314,8 @@
   void aTermThatIsOnlyNewsToThisNodeIsNone() {
     Node node = serving();
     state.handle(
-        StateWire.commit(
-            Map.of(), List.of(new StateWire.Change(Records.TERM, Records.term(5), 0))));
+        StateStoreProtocol.transactionRequest(
+            Map.of(), List.of(new StateStoreProtocol.Change(Records.TERM, Records.term(5), 0))));
     node.recovery.termShown(5);
     run(1);
     assertTrue(node.recovery.serving());
@@ -328,8 +331,8 @@
     Incarnation next =
         Incarnation.rebuilding("other", 1, "n", "node-1", Incarnation.Origin.NONE, false);
     state.handle(
-        StateWire.commit(
-            Map.of(), List.of(new StateWire.Change(Incarnation.KEY, next.encode(), 0))));
+        StateStoreProtocol.transactionRequest(
+            Map.of(), List.of(new StateStoreProtocol.Change(Incarnation.KEY, next.encode(), 0))));
     node.line.release(StateServiceTransport.COMMIT);
     run(0.3);
     assertTrue(late.isCompletedExceptionally());
@@ -342,9 +345,11 @@
     Node node = serving();
     state.loseAll();
     state.handle(
-        StateWire.commit(
+        StateStoreProtocol.transactionRequest(
             Map.of(),
-            List.of(new StateWire.Change(Incarnation.KEY, Incarnation.first("x").encode(), 0))));
+            List.of(
+                new StateStoreProtocol.Change(
+                    Incarnation.KEY, Incarnation.first("x").encode(), 0))));
     run(20);
     assertFalse(node.recovery.serving());
     assertTrue(node.recovery.events().foreign());
@@ -360,8 +365,8 @@
         Incarnation.rebuilding(cluster, 1, "n", "node-1", new Incarnation.Origin(0, 1), false)
             .finished(true, new Incarnation.Manifest(2, "0"));
     state.handle(
-        StateWire.commit(
-            Map.of(), List.of(new StateWire.Change(Incarnation.KEY, half.encode(), 0))));
+        StateStoreProtocol.transactionRequest(
+            Map.of(), List.of(new StateStoreProtocol.Change(Incarnation.KEY, half.encode(), 0))));
     run(0.8);
     assertEquals(Loss.BUNDLES_DAMAGED, node.recovery.events().lastLoss());
     run(15);
@@ -380,8 +385,8 @@
     state.loseAll();
     Incarnation same = first.client.space().incarnation();
     state.handle(
-        StateWire.commit(
-            Map.of(), List.of(new StateWire.Change(Incarnation.KEY, same.encode(), 0))));
+        StateStoreProtocol.transactionRequest(
+            Map.of(), List.of(new StateStoreProtocol.Change(Incarnation.KEY, same.encode(), 0))));
     for (int i = 0; i < 9; i++) {
       writeByOthers("c/x" + i, Map.of());
     }
@@ -427,7 +432,7 @@
       Shard owned = Shard.EMPTY.edit().assign(0, "host-1", 1, 5).build();
       node.client.commit(
           Map.of(),
-          List.of(new StateWire.Change(Records.progress(id, 0), Records.shard(owned), 0)));
+          List.of(new StateStoreProtocol.Change(Records.progress(id, 0), Records.shard(owned), 0)));
     }
     run(0.5);
     state.loseAll();
@@ -439,10 +444,10 @@
         node.client.commit(
             Map.of(Records.progress(JOB, 0), 0L, Records.progress("req-000002", 0), 0L),
             List.of(
-                new StateWire.Change(Records.progress(JOB, 0), Records.shard(ended), 0),
-                new StateWire.Change(
+                new StateStoreProtocol.Change(Records.progress(JOB, 0), Records.shard(ended), 0),
+                new StateStoreProtocol.Change(
                     Records.outcome("req-000002"), Records.outcome(Outcome.DONE), 0),
-                new StateWire.Change(Records.progress("req-000002", 0), null, 0)));
+                new StateStoreProtocol.Change(Records.progress("req-000002", 0), null, 0)));
     run(0.5);
     assertTrue(changes.join().applied());
     assertEquals(1, node.replica.active().size());
@@ -450,7 +455,7 @@
     run(5);
     assertTrue(other.recovery.serving());
     assertEquals(1, other.replica.active().size(), "the one that has ended has nothing left");
-    assertNull(other.replica.job(JOB).shard(0).shard().owner(0));
+    assertNull(other.replica.job(JOB).shard(0).shard().ownedAttempt(0));
     assertEquals(1, other.replica.job(JOB).shard(0).shard().history(0).failures());
   }
 
--- a/src/test/java/io/cherryspool/recovery/SnapshotFormatTest.java
+++ b/src/test/java/io/cherryspool/recovery/SnapshotFormatTest.java
@@ -8,8 +8,8 @@
 import io.cherryspool.compatibility.SampleRecords;
 import io.cherryspool.store.Incarnation;
 import io.cherryspool.store.Picture;
-import io.cherryspool.wire.CloudWire;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.CloudProtocol;
+import io.cherryspool.wire.MalformedMessageException;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.time.Instant;
@@ -27,7 +27,7 @@
           "9f3a",
           new Incarnation.Origin(3, 123_456_790),
           41,
-          CloudWire.encodeCatalog(SampleRecords.CATALOG),
+          CloudProtocol.encodeCatalog(SampleRecords.CATALOG),
           SampleRecords.jobs());
 
   @Test
@@ -39,13 +39,14 @@
     assertEquals("9f3a", read.picture().nonce());
     assertEquals(new Incarnation.Origin(3, 123_456_790), read.picture().origin());
     assertEquals(41, read.picture().term());
-    assertEquals(SampleRecords.CATALOG, CloudWire.parseCatalog(read.picture().catalog()));
+    assertEquals(SampleRecords.CATALOG, CloudProtocol.parseCatalog(read.picture().catalog()));
     assertEquals(2, read.picture().jobs().size());
     assertRecorded(FILE, read.encode());
   }
 
   @Test
-  void namesSortByIncarnationAndRevision(@TempDir Path folder) throws IOException, WireException {
+  void namesSortByIncarnationAndRevision(@TempDir Path folder)
+      throws IOException, MalformedMessageException {
     SnapshotDirectory directory = new SnapshotDirectory(folder);
     assertNull(new Snapshots(directory).write(PICTURE, TAKEN).failure());
     assertEquals(List.of("0000000003-0000000123456790-1764693000456.snapshot"), directory.names());
--- a/src/test/java/io/cherryspool/scheduler/SwarmTest.java
+++ b/src/test/java/io/cherryspool/scheduler/ManySmallJobsTest.java
@@ -10,9 +10,9 @@
 import io.cherryspool.model.Resources;
 import io.cherryspool.model.TaskId;
 import io.cherryspool.model.Team;
-import io.cherryspool.scheduler.ClusterView.FreeTask;
 import io.cherryspool.scheduler.ClusterView.JobView;
 import io.cherryspool.scheduler.ClusterView.MachineView;
+import io.cherryspool.scheduler.ClusterView.PendingTask;
 import io.cherryspool.scheduler.ClusterView.RunningTask;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Guests: hundreds of jobs with one task each, and one array of 25,000. */
-class SwarmTest {
+class ManySmallJobsTest {
   private static final MachineType BOX =
       new MachineType(
           "box", new Resources(16, 0, 64), 50, 1, 1, 0.5, Duration.ofSeconds(50), List.of("a"));
@@ -35,16 +35,16 @@
   }
 
   private void waiting(Job job, int free, boolean begun) {
-    List<FreeTask> tasks = new ArrayList<>();
+    List<PendingTask> tasks = new ArrayList<>();
     for (int i = 0; i < free; i++) {
-      tasks.add(new FreeTask(i, 0, 0, null));
+      tasks.add(new PendingTask(i, 0, 0, null));
     }
     jobs.add(new JobView(job, tasks, Map.of(), 0, begun));
   }
 
   private void machine(int used, Job by) {
     List<RunningTask> running = new ArrayList<>();
-    Resources free = BOX.size();
+    Resources free = BOX.capacity();
     for (int i = 0; i < used; i++) {
       TaskId task = new TaskId(by.id(), 1000 + machines.size() * 100 + i);
       running.add(new RunningTask(task, by, Duration.ZERO, false));
@@ -82,7 +82,8 @@
     }
     RoundPlan plan = plan(20);
     assertEquals(1212, plan.assignments().size());
-    assertTrue(plan.considered() < 4_000, plan.considered() + " machines were looked at");
+    assertTrue(
+        plan.machinesExamined() < 4_000, plan.machinesExamined() + " machines were looked at");
   }
 
   /** Each became older than begin-within in the same minute, and all went before urgent work. */
@@ -95,9 +96,9 @@
     machine(0, null);
     RoundPlan plan = plan(160);
     long guests =
-        plan.assignments().stream().filter(item -> !item.job().equals("req-900000")).count();
+        plan.assignments().stream().filter(item -> !item.jobId().equals("req-900000")).count();
     // One aged guest goes first; the room is 16, so that urgent work has all but its place.
-    assertEquals("req-000000", plan.assignments().get(0).job());
+    assertEquals("req-000000", plan.assignments().get(0).jobId());
     assertEquals(15, plan.assignments().size() - guests, "all the room but one place: " + guests);
   }
 }
--- a/src/test/java/io/cherryspool/scheduler/PlacementTest.java
+++ b/src/test/java/io/cherryspool/scheduler/PlacementTest.java
@@ -10,9 +10,9 @@
 import io.cherryspool.model.Resources;
 import io.cherryspool.model.TaskId;
 import io.cherryspool.model.Team;
-import io.cherryspool.scheduler.ClusterView.FreeTask;
 import io.cherryspool.scheduler.ClusterView.JobView;
 import io.cherryspool.scheduler.ClusterView.MachineView;
+import io.cherryspool.scheduler.ClusterView.PendingTask;
 import io.cherryspool.scheduler.ClusterView.RunningTask;
 import java.time.Duration;
 import java.time.Instant;
@@ -43,15 +43,15 @@
   }
 
   private static JobView free(Job job) {
-    List<FreeTask> tasks = new ArrayList<>();
-    for (int i = 0; i < job.tasks(); i++) {
-      tasks.add(new FreeTask(i, 0, 0, null));
+    List<PendingTask> tasks = new ArrayList<>();
+    for (int i = 0; i < job.taskCount(); i++) {
+      tasks.add(new PendingTask(i, 0, 0, null));
     }
     return new JobView(job, tasks, Map.of(), 0, false);
   }
 
   private static MachineView machine(String name, MachineType type, List<RunningTask> running) {
-    Resources free = type.size();
+    Resources free = type.capacity();
     for (RunningTask task : running) {
       free = free.minus(task.job().perTask());
     }
@@ -75,8 +75,8 @@
             new Team("red", 0, 12, 0, 0));
     assertEquals(
         List.of("req-000002", "req-000002", "req-000001"),
-        plan.assignments().stream().map(RoundPlan.Assignment::job).toList());
-    assertTrue(plan.unplaced().isEmpty(), "what the limit forbids is no reason to rent");
+        plan.assignments().stream().map(RoundPlan.Assignment::jobId).toList());
+    assertTrue(plan.unschedulable().isEmpty(), "what the limit forbids is no reason to rent");
   }
 
   @Test
@@ -95,11 +95,11 @@
     RoundPlan plan = plan(List.of(free(high)), List.of(machine("m", LARGE, running)), team);
     assertEquals(
         Set.of(new TaskId("req-000001", 1), new TaskId("req-000001", 2)),
-        new HashSet<>(plan.stops().stream().map(RoundPlan.Stop::task).toList()),
+        new HashSet<>(plan.victims().stream().map(RoundPlan.Victim::task).toList()),
         "the two that have run least");
     Job huge = job("req-000004", Priority.HIGH, 1, 16);
     assertTrue(
-        plan(List.of(free(huge)), List.of(machine("m", LARGE, running)), team).stops().isEmpty(),
+        plan(List.of(free(huge)), List.of(machine("m", LARGE, running)), team).victims().isEmpty(),
         "stopping all lower work would still not make room");
   }
 
@@ -132,7 +132,7 @@
     }
     RoundPlan plan = plan(List.of(free(high)), machines, new Team("red", 0, 0, 0, 0));
     assertEquals(
-        List.of("req-000010"), plan.stops().stream().map(stop -> stop.task().job()).toList());
+        List.of("req-000010"), plan.victims().stream().map(stop -> stop.task().jobId()).toList());
   }
 
   /** An urgent job once waited for its own team's long tasks, which filled the team's limit. */
@@ -159,7 +159,7 @@
     assertEquals(1, plan.assignments().size(), "what the limit still allows");
     assertEquals(
         List.of(new TaskId("req-000001", 0)),
-        plan.stops().stream().map(RoundPlan.Stop::task).toList(),
+        plan.victims().stream().map(RoundPlan.Victim::task).toList(),
         "one stop lets in the other two");
   }
 
@@ -181,7 +181,7 @@
                 base.jobClass(),
                 base.team(),
                 base.priority(),
-                base.tasks(),
+                base.taskCount(),
                 base.perTask(),
                 "img" + random.nextInt(2),
                 1,
@@ -190,7 +190,7 @@
                 random.nextInt(3) == 0,
                 random.nextInt(3) == 0,
                 random.nextBoolean(),
-                base.estimate(),
+                base.estimatedRunTime(),
                 Duration.ZERO,
                 Duration.ZERO,
                 null,
@@ -208,7 +208,7 @@
                 ZONES.get(random.nextInt(3)),
                 random.nextBoolean(),
                 random.nextInt(5) == 0,
-                type.size(),
+                type.capacity(),
                 Set.of(),
                 Set.of(),
                 List.of()));
@@ -230,19 +230,20 @@
     Set<TaskId> seen = new HashSet<>();
     Resources total = Resources.NONE;
     for (RoundPlan.Assignment item : plan.assignments()) {
-      Job job = jobs.get(item.job()).job();
+      Job job = jobs.get(item.jobId()).job();
       MachineView machine = machines.get(item.machine());
-      assertTrue(seen.add(new TaskId(item.job(), item.task())), "twice, seed " + seed);
+      assertTrue(seen.add(new TaskId(item.jobId(), item.taskIndex())), "twice, seed " + seed);
       assertTrue(
-          Rules.allows(job, machine.type(), machine.zone(), machine.spot()), "place, seed " + seed);
+          PlacementConstraints.allows(job, machine.type(), machine.zone(), machine.isSpot()),
+          "place, seed " + seed);
       used.merge(machine.name(), job.perTask(), Resources::plus);
       assertTrue(used.get(machine.name()).fitsIn(machine.free()), "room, seed " + seed);
       Map<String, Integer> perZone = zones.computeIfAbsent(job.id(), key -> new HashMap<>());
       perZone.merge(machine.zone(), 1, Integer::sum);
-      assertTrue(perZone.get(machine.zone()) <= job.zoneShare(), "spread, seed " + seed);
-      assertTrue(!job.oneZone() || perZone.size() == 1, "one zone, seed " + seed);
+      assertTrue(perZone.get(machine.zone()) <= job.maxTasksPerZone(), "spread, seed " + seed);
+      assertTrue(!job.requiresSingleZone() || perZone.size() == 1, "one zone, seed " + seed);
       total = total.plus(job.perTask());
     }
-    assertTrue(team.allows(total), "limit, seed " + seed);
+    assertTrue(team.isWithinQuota(total), "limit, seed " + seed);
   }
 }
--- a/src/test/java/io/cherryspool/scheduler/StarvationTest.java
+++ b/src/test/java/io/cherryspool/scheduler/StarvationTest.java
@@ -10,9 +10,9 @@
 import io.cherryspool.model.Resources;
 import io.cherryspool.model.TaskId;
 import io.cherryspool.model.Team;
-import io.cherryspool.scheduler.ClusterView.FreeTask;
 import io.cherryspool.scheduler.ClusterView.JobView;
 import io.cherryspool.scheduler.ClusterView.MachineView;
+import io.cherryspool.scheduler.ClusterView.PendingTask;
 import io.cherryspool.scheduler.ClusterView.RunningTask;
 import java.time.Duration;
 import java.time.Instant;
@@ -45,7 +45,7 @@
         base.jobClass(),
         base.team(),
         base.priority(),
-        base.tasks(),
+        base.taskCount(),
         base.perTask(),
         base.image(),
         base.imageGb(),
@@ -54,7 +54,7 @@
         false,
         false,
         true,
-        base.estimate(),
+        base.estimatedRunTime(),
         Duration.ZERO,
         Duration.ZERO,
         Duration.ofSeconds(60),
@@ -88,7 +88,7 @@
     Map<String, Resources> use = new HashMap<>();
     started.forEach(
         (task, since) -> {
-          Job job = jobs.get(task.job());
+          Job job = jobs.get(task.jobId());
           running
               .computeIfAbsent(where.get(task), key -> new ArrayList<>())
               .add(new RunningTask(task, job, Duration.ofSeconds(since), false));
@@ -97,7 +97,7 @@
     List<MachineView> machines = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       List<RunningTask> here = running.getOrDefault("m" + i, List.of());
-      Resources free = BOX.size();
+      Resources free = BOX.capacity();
       for (RunningTask task : here) {
         free = free.minus(task.job().perTask());
       }
@@ -107,9 +107,9 @@
     List<JobView> views = new ArrayList<>();
     for (Job job : jobs.values()) {
       int first = begun.getOrDefault(job.id(), 0);
-      List<FreeTask> free = new ArrayList<>();
-      for (int task = first; task < job.tasks(); task++) {
-        free.add(new FreeTask(task, 0, 0, null));
+      List<PendingTask> free = new ArrayList<>();
+      for (int task = first; task < job.taskCount(); task++) {
+        free.add(new PendingTask(task, 0, 0, null));
       }
       if (!free.isEmpty()) {
         views.add(new JobView(job, free, Map.of(), 0, first > 0));
@@ -118,12 +118,12 @@
     RoundPlan plan =
         Placement.plan(ClusterFixture.of(now, now, PATIENCE, views, machines, team, use, BOX));
     for (RoundPlan.Assignment item : plan.assignments()) {
-      TaskId task = new TaskId(item.job(), item.task());
+      TaskId task = new TaskId(item.jobId(), item.taskIndex());
       started.put(task, now);
       where.put(task, item.machine());
-      begun.merge(item.job(), item.task() + 1, Math::max);
+      begun.merge(item.jobId(), item.taskIndex() + 1, Math::max);
     }
-    plan.stops().forEach(stop -> stopped.put(stop.task(), true));
+    plan.victims().forEach(stop -> stopped.put(stop.task(), true));
   }
 
   /**
@@ -170,9 +170,9 @@
     List<JobView> views = new ArrayList<>();
     for (int i = 0; i < 50; i++) {
       Job job = job(String.format("req-%06d", i), Priority.NORMAL, 60, 4);
-      List<FreeTask> free = new ArrayList<>();
+      List<PendingTask> free = new ArrayList<>();
       for (int task = 0; task < 60; task++) {
-        free.add(new FreeTask(task, 0, 0, null));
+        free.add(new PendingTask(task, 0, 0, null));
       }
       views.add(new JobView(job, free, Map.of(), 0, false));
     }
@@ -181,6 +181,6 @@
             ClusterFixture.of(
                 0, 0, PATIENCE, views, machines, new Team("red", 0, 0, 0, 0), Map.of(), BOX));
     assertEquals(10, plan.assignments().size());
-    assertTrue(plan.considered() <= 20, "looked at " + plan.considered());
+    assertTrue(plan.machinesExamined() <= 20, "looked at " + plan.machinesExamined());
   }
 }
--- a/src/test/java/io/cherryspool/sim/CostCluster.java
+++ b/src/test/java/io/cherryspool/sim/CostCluster.java
@@ -10,7 +10,7 @@
 import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Priority;
 import io.cherryspool.model.Resources;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -294,9 +294,9 @@
   }
 
   /** Commits a change as some other node might. */
-  CompletableFuture<Reply> commit(StateWire.Change change) {
+  CompletableFuture<Reply> commit(StateStoreProtocol.Change change) {
     CompletableFuture<Reply> result = new CompletableFuture<>();
-    Request request = StateWire.commit(Map.of(), List.of(change));
+    Request request = StateStoreProtocol.transactionRequest(Map.of(), List.of(change));
     stateLoop.execute(() -> state.handle(request).thenAccept(result::complete));
     return result;
   }
--- a/src/test/java/io/cherryspool/sim/CostDriver.java
+++ b/src/test/java/io/cherryspool/sim/CostDriver.java
@@ -10,9 +10,9 @@
 import io.cherryspool.model.Shard;
 import io.cherryspool.sim.CostReport.Kind;
 import io.cherryspool.store.Records;
-import io.cherryspool.wire.JobWire;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
+import io.cherryspool.wire.UserProtocol;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -254,12 +254,13 @@
   }
 
   private CompletableFuture<Reply> progress(String id, int done) {
-    Shard shard = Shard.EMPTY.edit().doneRange(0, done).build();
-    return cluster.commit(new StateWire.Change(Records.progress(id, 0), Records.shard(shard), 0));
+    Shard shard = Shard.EMPTY.edit().markDone(0, done).build();
+    return cluster.commit(
+        new StateStoreProtocol.Change(Records.progress(id, 0), Records.shard(shard), 0));
   }
 
   private void put(String key, JsonNode value) {
-    CostCluster.await(cluster.commit(new StateWire.Change(key, value, 0)));
+    CostCluster.await(cluster.commit(new StateStoreProtocol.Change(key, value, 0)));
   }
 
   private void measureJobs() throws InterruptedException {
@@ -313,7 +314,7 @@
   private CompletableFuture<Reply> submit(int number, int tasks) {
     Job job = job(id(number), tasks, null);
     cluster.describe(job);
-    return cluster.ask(ASKED, Request.post("/api/jobs", Json.bytes(JobWire.encode(job))));
+    return cluster.ask(ASKED, Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(job))));
   }
 
   private CompletableFuture<Reply> cancel(int number) {
--- a/src/test/java/io/cherryspool/sim/FlapDay.java
+++ b/src/test/java/io/cherryspool/sim/FlapDay.java
@@ -101,7 +101,7 @@
     cluster.after(4, this::arrive);
     Job job = cluster.job(jobs.size() % 2 == 0 ? "red" : "blue", 4, 3, Duration.ofSeconds(12));
     jobs.add(job);
-    tasks += job.tasks();
+    tasks += job.taskCount();
     cluster.users().submit(job);
   }
 
--- a/src/test/java/io/cherryspool/sim/LoopbackFixture.java
+++ b/src/test/java/io/cherryspool/sim/LoopbackFixture.java
@@ -6,9 +6,9 @@
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
 import io.cherryspool.model.Job;
-import io.cherryspool.wire.JobWire;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.UserProtocol;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -134,7 +134,7 @@
   }
 
   private static Request submission(Job job) {
-    return Request.post("/api/jobs", Json.bytes(JobWire.encode(job)));
+    return Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(job)));
   }
 
   private static boolean accepted(Reply reply) {
@@ -155,7 +155,7 @@
   private static String status(Reply reply) {
     try {
       return Json.parseObject(reply.body()).path("status").asText();
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
@@ -206,7 +206,7 @@
     jobs.forEach(
         (id, job) -> {
           assertEquals(cancelled.contains(id) ? "withdrawn" : "done", ends.get(id), id);
-          for (int task = 0; task < job.tasks() && !cancelled.contains(id); task++) {
+          for (int task = 0; task < job.taskCount() && !cancelled.contains(id); task++) {
             int times = completed.getOrDefault(id + "/" + task, 0);
             assertTrue(leasesHeld ? times == 1 : times >= 1, id + "/" + task + ": " + times);
           }
--- a/src/test/java/io/cherryspool/sim/LoopbackNodes.java
+++ b/src/test/java/io/cherryspool/sim/LoopbackNodes.java
@@ -91,7 +91,7 @@
   /** Writes the settings of one node into the folder. */
   Path write(Path folder, int index) throws IOException {
     Path file = folder.resolve(name(index) + ".json");
-    return Files.write(file, Json.bytes(settings(index)));
+    return Files.write(file, Json.toBytes(settings(index)));
   }
 
   private ObjectNode settings(int index) {
--- a/src/test/java/io/cherryspool/sim/LostStateTest.java
+++ b/src/test/java/io/cherryspool/sim/LostStateTest.java
@@ -46,7 +46,7 @@
     allEnd(jobs);
     for (Job job : jobs) {
       int done = cluster.rules().doneTasks(job.id());
-      assertTrue(cluster.rules().cancelWanted(job.id()) || done == job.tasks(), job.id());
+      assertTrue(cluster.rules().cancelWanted(job.id()) || done == job.taskCount(), job.id());
     }
   }
 
--- a/src/test/java/io/cherryspool/sim/PartitionLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/PartitionLoopbackTest.java
@@ -6,7 +6,7 @@
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
 import java.io.IOException;
 import java.util.Optional;
 import org.junit.jupiter.api.AfterAll;
@@ -44,7 +44,7 @@
       return reply == null || reply.status() != 200
           ? Optional.empty()
           : Optional.of(Json.parseObject(reply.body()));
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
--- a/src/test/java/io/cherryspool/sim/Playground.java
+++ b/src/test/java/io/cherryspool/sim/Playground.java
@@ -7,8 +7,8 @@
 import io.cherryspool.model.Job;
 import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Resources;
-import io.cherryspool.wire.JobWire;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.UserProtocol;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -136,9 +136,9 @@
   private void describe(String key) {
     if (key.contains("/jobs/")) {
       try {
-        Job job = JobWire.parse(state.peek(key).path("job"), Instant.now());
+        Job job = UserProtocol.parseJob(state.peek(key).path("job"), Instant.now());
         descriptions.put(job.id(), job);
-      } catch (WireException e) {
+      } catch (MalformedMessageException e) {
         System.err.println("the job of " + key + " can't be read: " + e.getMessage());
       }
     }
--- a/src/test/java/io/cherryspool/sim/RecoveryDriver.java
+++ b/src/test/java/io/cherryspool/sim/RecoveryDriver.java
@@ -7,10 +7,10 @@
 import io.cherryspool.model.Outcome;
 import io.cherryspool.recovery.SnapshotDirectory;
 import io.cherryspool.store.Records;
-import io.cherryspool.wire.JobWire;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.StateWire;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.StateStoreProtocol;
+import io.cherryspool.wire.UserProtocol;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -152,16 +152,17 @@
   private void putEnded(String id) {
     CompletableFuture<Reply> put =
         cluster.commit(
-            new StateWire.Change(Records.job(id), Records.job(job(id, 1), TASKS_PER_SHARD), 0));
+            new StateStoreProtocol.Change(
+                Records.job(id), Records.job(job(id, 1), TASKS_PER_SHARD), 0));
     CostCluster.await(put);
     CostCluster.await(
         cluster.commit(
-            new StateWire.Change(Records.outcome(id), Records.outcome(Outcome.DONE), 0)));
+            new StateStoreProtocol.Change(Records.outcome(id), Records.outcome(Outcome.DONE), 0)));
   }
 
   private void submit() {
     Job array = job("req-000001", tasks);
-    Request request = Request.post("/api/jobs", Json.bytes(JobWire.encode(array)));
+    Request request = Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(array)));
     Reply reply =
         ask(
             LoopbackNodes.name(1),
@@ -252,7 +253,7 @@
     Reply reply = ask(LoopbackNodes.name(1), () -> Request.get("/recovery/status"));
     try {
       return Json.parseObject(reply.body());
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
--- a/src/test/java/io/cherryspool/sim/RuleChecker.java
+++ b/src/test/java/io/cherryspool/sim/RuleChecker.java
@@ -4,7 +4,7 @@
 import io.cherryspool.model.Resources;
 import io.cherryspool.model.TaskId;
 import io.cherryspool.model.Team;
-import io.cherryspool.scheduler.Rules;
+import io.cherryspool.scheduler.PlacementConstraints;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -97,7 +97,7 @@
   /** A task got its image and runs; {@code all} are the live workers, this one among them. */
   void started(StandInWorker on, String task, Collection<StandInWorker> all) {
     starts++;
-    String id = TaskId.parse(task).job();
+    String id = TaskId.parse(task).jobId();
     begun.putIfAbsent(id, time.now());
     startsAfterCancel += cancelTold.containsKey(id) ? 1 : 0;
     Job job = submitted.get(id);
@@ -115,9 +115,9 @@
     }
     broken(twins > 1, "ran_twice", task);
     broken(
-        !Rules.allows(job, on.machine().type, on.machine().zone, on.machine().spot)
-            || job.oneZone() && zones.size() > 1
-            || job.spread() && inZone > job.zoneShare(),
+        !PlacementConstraints.allows(job, on.machine().type, on.machine().zone, on.machine().spot)
+            || job.requiresSingleZone() && zones.size() > 1
+            || job.requiresZoneSpread() && inZone > job.maxTasksPerZone(),
         "wrong_place",
         task);
   }
@@ -127,7 +127,7 @@
     Map<String, Resources> use = new HashMap<>();
     for (StandInWorker worker : all) {
       for (String task : worker.onMachine()) {
-        Job job = submitted.get(TaskId.parse(task).job());
+        Job job = submitted.get(TaskId.parse(task).jobId());
         use.merge(job.team(), job.perTask(), Resources::plus);
         Duration told = cancelTold.get(job.id());
         broken(
@@ -136,7 +136,7 @@
             task);
       }
     }
-    use.forEach((team, sum) -> broken(!teams.get(team).allows(sum), "quota", team));
+    use.forEach((team, sum) -> broken(!teams.get(team).isWithinQuota(sum), "quota", team));
     if (breach != null) {
       throw new AssertionError(breach);
     }
@@ -144,7 +144,7 @@
 
   void finished(String task) {
     TaskId id = TaskId.parse(task);
-    finished.computeIfAbsent(id.job(), key -> new HashSet<>()).add(id.number());
+    finished.computeIfAbsent(id.jobId(), key -> new HashSet<>()).add(id.index());
   }
 
   /** How many tasks of the job have completed. */
@@ -184,7 +184,7 @@
     broken(after && !before.equals(status), "went_back", id + " to " + status);
     if (status.equals("done")) {
       int done = finished.getOrDefault(id, Set.of()).size();
-      broken(done < submitted.get(id).tasks(), "not_done", id);
+      broken(done < submitted.get(id).taskCount(), "not_done", id);
       end(id, status);
     } else if (status.equals("withdrawn")) {
       broken(!cancelAsked.containsKey(id), "went_back", id + " cancelled unasked");
@@ -209,9 +209,9 @@
     Map<StandInWorker, Resources> free = new HashMap<>();
     Set<String> onMachines = new HashSet<>();
     for (StandInWorker worker : all) {
-      Resources room = worker.machine().type.size();
+      Resources room = worker.machine().type.capacity();
       for (String task : worker.taken()) {
-        Job job = submitted.get(TaskId.parse(task).job());
+        Job job = submitted.get(TaskId.parse(task).jobId());
         room = room.minus(job.perTask());
         use.merge(job.team(), job.perTask(), Resources::plus);
         onMachines.add(task);
@@ -227,18 +227,18 @@
               && !cancelAsked.containsKey(id)
               && !job.jobClass().equals(StandInWorker.BROKEN)
               // Where its other tasks are decides where the next may go; served is checked below.
-              && !job.oneZone()
-              && !job.spread()
+              && !job.requiresSingleZone()
+              && !job.requiresZoneSpread()
               && waitingTask(job, onMachines);
       Resources after = use.getOrDefault(job.team(), Resources.NONE).plus(job.perTask());
       boolean couldRun =
           waits
-              && teams.get(job.team()).allows(after)
+              && teams.get(job.team()).isWithinQuota(after)
               && free.entrySet().stream()
                   .anyMatch(
                       entry ->
                           job.perTask().fitsIn(entry.getValue())
-                              && Rules.allows(
+                              && PlacementConstraints.allows(
                                   job,
                                   entry.getKey().machine().type,
                                   entry.getKey().machine().zone,
@@ -256,7 +256,7 @@
 
   private boolean waitingTask(Job job, Set<String> onMachines) {
     Set<Integer> done = finished.getOrDefault(job.id(), Set.of());
-    for (int i = 0; i < job.tasks(); i++) {
+    for (int i = 0; i < job.taskCount(); i++) {
       if (!done.contains(i) && !onMachines.contains(job.id() + "/" + i)) {
         return true;
       }
@@ -276,7 +276,7 @@
       }
     }
     for (List<Job> jobs : classes.values()) {
-      jobs.sort(Comparator.comparingInt(Job::tasks).reversed());
+      jobs.sort(Comparator.comparingInt(Job::taskCount).reversed());
       List<Job> largest = jobs.subList(0, Math.min(jobs.size(), 1 + jobs.size() / LARGEST));
       long inTime =
           largest.stream()
--- a/src/test/java/io/cherryspool/sim/RuleCheckerTest.java
+++ b/src/test/java/io/cherryspool/sim/RuleCheckerTest.java
@@ -122,7 +122,7 @@
     cluster.run(220);
     jobs.subList(0, 2).forEach(job -> rules.started(machine, job.id() + "/0", List.of()));
     for (Job job : jobs) {
-      for (int i = 0; i < job.tasks(); i++) {
+      for (int i = 0; i < job.taskCount(); i++) {
         rules.finished(job.id() + "/" + i);
       }
       told(job, "done");
--- a/src/test/java/io/cherryspool/sim/StandInCloud.java
+++ b/src/test/java/io/cherryspool/sim/StandInCloud.java
@@ -8,9 +8,9 @@
 import io.cherryspool.http.Request;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.model.MachineType;
-import io.cherryspool.wire.CloudWire;
+import io.cherryspool.wire.CloudProtocol;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.List;
@@ -140,7 +140,7 @@
     try {
       JsonNode body = request.body().length == 0 ? null : Json.parseObject(request.body());
       switch (request.path()) {
-        case "/catalog" -> reply(result, CloudWire.encodeCatalog(types));
+        case "/catalog" -> reply(result, CloudProtocol.encodeCatalog(types));
         case "/machines/delete" -> {
           body.path("spindles").forEach(name -> delete(name.asText()));
           reply(result, Json.object());
@@ -153,7 +153,7 @@
           }
         }
       }
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       result.complete(Reply.json(400, new byte[0]));
     }
   }
@@ -173,7 +173,7 @@
                 Duration.ofMillis(fast ? random.nextLong(2000) : 3000 + random.nextLong(12_000))));
       }
       if (names.isEmpty()) {
-        result.complete(Reply.json(503, Json.bytes(Json.object().put("error", "no capacity"))));
+        result.complete(Reply.json(503, Json.toBytes(Json.object().put("error", "no capacity"))));
         return;
       }
       rentals.put(name, names);
@@ -225,6 +225,6 @@
   }
 
   private static void reply(CompletableFuture<Reply> result, JsonNode body) {
-    result.complete(Reply.json(200, Json.bytes(body)));
+    result.complete(Reply.json(200, Json.toBytes(body)));
   }
 }
--- a/src/test/java/io/cherryspool/sim/StandInState.java
+++ b/src/test/java/io/cherryspool/sim/StandInState.java
@@ -8,7 +8,7 @@
 import io.cherryspool.http.Request;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
 import java.net.URLDecoder;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -205,7 +205,7 @@
       } else if (path.startsWith("/leases/")) {
         return lease(request, path.substring("/leases/".length()));
       }
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       return done(400, Json.object().put("error", e.getMessage()));
     }
     return done(404, Json.object());
@@ -394,7 +394,7 @@
   private void answer(Watch watch) {
     ObjectNode answer = Json.object().put("epoch", revision);
     answer.set("events", since(watch));
-    watch.result.complete(Reply.json(200, Json.bytes(answer)));
+    watch.result.complete(Reply.json(200, Json.toBytes(answer)));
   }
 
   static String query(Request request, String name, String absent) {
@@ -410,6 +410,6 @@
   }
 
   static CompletableFuture<Reply> done(int status, JsonNode body) {
-    return CompletableFuture.completedFuture(Reply.json(status, Json.bytes(body)));
+    return CompletableFuture.completedFuture(Reply.json(status, Json.toBytes(body)));
   }
 }
--- a/src/test/java/io/cherryspool/sim/StandInWorker.java
+++ b/src/test/java/io/cherryspool/sim/StandInWorker.java
@@ -12,7 +12,7 @@
 import io.cherryspool.model.Job;
 import io.cherryspool.model.TaskId;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -190,7 +190,7 @@
 
   /** What the worker would report now. */
   byte[] report() {
-    return Json.bytes(describe());
+    return Json.toBytes(describe());
   }
 
   /** How often the worker has described itself, in reports and in answers. */
@@ -251,7 +251,7 @@
     transport
         .send(
             nodes.get(names.get(at)),
-            Request.post("/v1/report", Json.bytes(describe())),
+            Request.post("/v1/report", Json.toBytes(describe())),
             ANSWER_LIMIT)
         .whenComplete((reply, failure) -> awake(() -> answered(reply, failure, sent, sentSession)));
   }
@@ -279,7 +279,7 @@
             changed = true;
             lastReport = Duration.ZERO;
           });
-    } catch (WireException e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException("a node's answer to a worker: " + e.getMessage());
     }
   }
@@ -325,7 +325,7 @@
         pieces.values().stream()
             .anyMatch(other -> other.task.equals(piece.task) && other.cause == null);
     pieces.put(key, piece);
-    Job job = jobs.apply(TaskId.parse(piece.task).job());
+    Job job = jobs.apply(TaskId.parse(piece.task).jobId());
     if (job == null) {
       exit(piece, "no_such");
     } else if (busy) {
@@ -340,7 +340,7 @@
               piece.status = "running";
               changed = true;
               onStart.accept(this, piece.task);
-              Duration run = job.estimate().dividedBy(2).plusMillis(random.nextLong(4000));
+              Duration run = job.estimatedRunTime().dividedBy(2).plusMillis(random.nextLong(4000));
               boolean fails = sick || job.jobClass().equals(BROKEN) || random.nextDouble() < faults;
               later(fails ? run.dividedBy(3) : run, () -> finish(key, piece, fails));
             }
@@ -369,16 +369,18 @@
   }
 
   private void halt(Piece piece, double grace) {
-    Job job = jobs.apply(TaskId.parse(piece.task).job());
+    Job job = jobs.apply(TaskId.parse(piece.task).jobId());
     if (piece.cause != null) {
       return;
     }
-    boolean saves = job != null && !job.checkpoint().isZero();
-    if (piece.status.equals("running") && saves && grace >= job.save().toMillis() / 1e3) {
+    boolean saves = job != null && !job.checkpointInterval().isZero();
+    if (piece.status.equals("running")
+        && saves
+        && grace >= job.checkpointDuration().toMillis() / 1e3) {
       piece.status = "saving";
       changed = true;
       later(
-          job.save(),
+          job.checkpointDuration(),
           () -> {
             if (piece.cause == null) {
               piece.saved = true;
@@ -424,7 +426,7 @@
   private Reply answer(Request request) {
     expire();
     if (request.path().equals("/inspect")) {
-      return Reply.json(200, Json.bytes(describe()));
+      return Reply.json(200, Json.toBytes(describe()));
     }
     try {
       JsonNode body = Json.parseObject(request.body());
@@ -432,12 +434,12 @@
         return Reply.json(400, new byte[0]);
       }
       if (body.path("baton").longValue() < token || body.path("shift").longValue() != session) {
-        return Reply.json(409, Json.bytes(describe()));
+        return Reply.json(409, Json.toBytes(describe()));
       }
       raise(body);
       obey(body.path("orders"));
-      return Reply.json(200, Json.bytes(describe()));
-    } catch (WireException e) {
+      return Reply.json(200, Json.toBytes(describe()));
+    } catch (MalformedMessageException e) {
       return Reply.json(400, new byte[0]);
     }
   }
--- a/src/test/java/io/cherryspool/sim/Users.java
+++ b/src/test/java/io/cherryspool/sim/Users.java
@@ -6,9 +6,9 @@
 import io.cherryspool.http.Request;
 import io.cherryspool.model.Job;
 import io.cherryspool.model.TaskId;
-import io.cherryspool.wire.JobWire;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.UserProtocol;
 import java.time.Duration;
 import java.util.HashSet;
 import java.util.List;
@@ -88,7 +88,7 @@
   private void submit(Job job, Endpoint node, int tries) {
     ask(
         node,
-        Request.post("/api/jobs", Json.bytes(JobWire.encode(job))),
+        Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(job))),
         5,
         (status, body, sent) -> {
           if (status == 200 || status == 201) {
@@ -109,7 +109,7 @@
 
   /** Submits something that lacks a field, or that no machine and no team can run. */
   void submitNonsense(Job job) {
-    ObjectNode body = JobWire.encode(job);
+    ObjectNode body = UserProtocol.encodeJob(job);
     List<String> fields = List.of("lane", "owner", "shape", "urgency", "pieces", "vcpus", "bundle");
     switch (random.nextInt(3)) {
       case 0 -> body.remove(fields.get(random.nextInt(fields.size())));
@@ -122,7 +122,7 @@
   private void submitNonsense(ObjectNode body, int tries) {
     ask(
         anyNode(),
-        Request.post("/api/jobs", Json.bytes(body)),
+        Request.post("/api/jobs", Json.toBytes(body)),
         5,
         (status, answer, sent) -> {
           rules.broken(status == 200 || status == 201, "accepted what can't run", body.toString());
@@ -194,9 +194,9 @@
 
   /** A task is done; some users cancel just as the last one of a job is. */
   void finished(String task) {
-    String id = TaskId.parse(task).job();
+    String id = TaskId.parse(task).jobId();
     if (cancelAtEnd > 0
-        && rules.doneTasks(id) == rules.job(id).tasks()
+        && rules.doneTasks(id) == rules.job(id).taskCount()
         && random.nextDouble() < cancelAtEnd) {
       after(random.nextDouble() / 5, () -> cancel(id));
     }
@@ -260,7 +260,7 @@
                         ? Json.parseObject(reply.body())
                         : Json.object(),
                     sent);
-              } catch (WireException e) {
+              } catch (MalformedMessageException e) {
                 throw new AssertionError(e);
               }
             });
--- a/src/test/java/io/cherryspool/store/GroupCommitTest.java
+++ b/src/test/java/io/cherryspool/store/GroupCommitTest.java
@@ -12,7 +12,7 @@
 import io.cherryspool.sim.StateServiceTransport.Fate;
 import io.cherryspool.sim.VirtualTime;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -74,7 +74,7 @@
     return commits.submit(
         RateLimiter.Use.SUBMIT,
         Map.of(key, 0L),
-        new StateWire.Change(key, Json.object().put("x", 1), 0));
+        new StateStoreProtocol.Change(key, Json.object().put("x", 1), 0));
   }
 
   private void run(double seconds) {
--- a/src/test/java/io/cherryspool/store/JobEntryFixture.java
+++ b/src/test/java/io/cherryspool/store/JobEntryFixture.java
@@ -28,7 +28,7 @@
     JobEntry entry = of(job);
     Shard.Editor editor = Shard.EMPTY.edit();
     for (int task = 0; task < failures.length; task++) {
-      editor.history(task, new Shard.History(failures[task] + 1, failures[task]));
+      editor.putHistory(task, new Shard.History(failures[task] + 1, failures[task]));
     }
     entry.setShard(0, new JobEntry.Versioned(editor.build(), 7));
     return entry;
--- a/src/test/java/io/cherryspool/store/PictureCodecTest.java
+++ b/src/test/java/io/cherryspool/store/PictureCodecTest.java
@@ -8,7 +8,7 @@
 import io.cherryspool.model.JobFixture;
 import io.cherryspool.model.Priority;
 import io.cherryspool.wire.Json;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.MalformedMessageException;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -19,12 +19,12 @@
 class PictureCodecTest {
   private static final int VALUE_BYTES = 16 * 1024;
 
-  private static Picture decoded(List<byte[]> chunks) throws WireException {
+  private static Picture decoded(List<byte[]> chunks) throws MalformedMessageException {
     return Picture.EMPTY.withJobs(PictureCodec.decode(chunks));
   }
 
   @Test
-  void whatIsWrittenIsReadAgain() throws WireException {
+  void whatIsWrittenIsReadAgain() throws MalformedMessageException {
     for (long seed = 1; seed <= 20; seed++) {
       Picture picture = PictureFixture.history(seed, 200).get(199);
       List<byte[]> chunks = PictureCodec.encode(picture.jobs(), 600);
@@ -36,14 +36,14 @@
 
   /** The largest job that may be submitted, all of it running. */
   @Test
-  void anArrayOfAHundredThousandTasksFitsTheServicesValues() throws WireException {
+  void anArrayOfAHundredThousandTasksFitsTheServicesValues() throws MalformedMessageException {
     int perShard = Records.tasksPerShard(VALUE_BYTES);
     Picture.PictureJob job =
         PictureFixture.running(JobFixture.job("req-000001", Priority.NORMAL, 100_000, 1), perShard);
     Picture picture = Picture.EMPTY.withJobs(HashTreePMap.singleton("req-000001", job));
     List<byte[]> chunks = PictureCodec.encode(picture.jobs(), Records.chunkBytes(VALUE_BYTES));
     for (byte[] chunk : chunks) {
-      assertTrue(Json.bytes(Records.bundle(chunk)).length <= VALUE_BYTES);
+      assertTrue(Json.toBytes(Records.bundle(chunk)).length <= VALUE_BYTES);
     }
     // At 60 changes a second these are written within a few seconds, of a lease of 16.
     assertTrue(chunks.size() <= 180, chunks.size() + " bundles");
@@ -72,8 +72,9 @@
     Picture picture = PictureFixture.history(4, 200).get(199);
     List<byte[]> chunks = PictureCodec.encode(picture.jobs(), 100_000);
     byte[] torn = java.util.Arrays.copyOf(chunks.get(0), chunks.get(0).length / 2);
-    assertThrows(WireException.class, () -> PictureCodec.decode(List.of(torn)));
-    assertThrows(WireException.class, () -> PictureCodec.decode(List.of(new byte[] {1, 2, 3})));
+    assertThrows(MalformedMessageException.class, () -> PictureCodec.decode(List.of(torn)));
+    assertThrows(
+        MalformedMessageException.class, () -> PictureCodec.decode(List.of(new byte[] {1, 2, 3})));
   }
 
   @Test
--- a/src/test/java/io/cherryspool/store/PictureFixture.java
+++ b/src/test/java/io/cherryspool/store/PictureFixture.java
@@ -56,7 +56,7 @@
     if (random.nextInt(12) == 0) {
       return jobs.plus(id, job.withOutcome(Outcome.CANCELLED));
     }
-    int task = random.nextInt(job.job().tasks());
+    int task = random.nextInt(job.job().taskCount());
     int index = task / TASKS_PER_SHARD;
     Shard shard = job.shards().getOrDefault(index, Shard.EMPTY);
     Picture.PictureJob next = job.withShard(index, moved(shard, task, random, step));
@@ -68,7 +68,7 @@
     if (shard.isDone(task)) {
       return shard;
     }
-    if (shard.owner(task) == null) {
+    if (shard.ownedAttempt(task) == null) {
       String machine = "host-" + random.nextInt(MACHINES);
       return shard.edit().assign(task, machine, 1 + random.nextInt(2), token).build();
     }
@@ -78,15 +78,15 @@
   }
 
   private static boolean isDone(Picture.PictureJob job) {
-    return job.shards().values().stream().mapToInt(Shard::doneCount).sum() == job.job().tasks();
+    return job.shards().values().stream().mapToInt(Shard::doneCount).sum() == job.job().taskCount();
   }
 
   /** A job of so many tasks, all of them owned: the largest records that there are. */
   public static Picture.PictureJob running(Job job, int tasksPerShard) {
     PSortedMap<Integer, Shard> shards = TreePMap.empty();
-    for (int first = 0; first < job.tasks(); first += tasksPerShard) {
+    for (int first = 0; first < job.taskCount(); first += tasksPerShard) {
       Shard.Editor editor = Shard.EMPTY.edit();
-      for (int task = first; task < Math.min(job.tasks(), first + tasksPerShard); task++) {
+      for (int task = first; task < Math.min(job.taskCount(), first + tasksPerShard); task++) {
         editor.adopt(new Attempt(task, "host-" + (100_000 + task % 4000), 1, 1, 1L << 33));
       }
       shards = shards.plus(first / tasksPerShard, editor.build());
@@ -126,7 +126,7 @@
                 text.append(task)
                     .append(' ')
                     .append(shard.history(task))
-                    .append(shard.owner(task)));
+                    .append(shard.ownedAttempt(task)));
     return text.toString();
   }
 }
--- a/src/test/java/io/cherryspool/store/RecordsTest.java
+++ b/src/test/java/io/cherryspool/store/RecordsTest.java
@@ -17,7 +17,7 @@
       for (int step = 0; step < 60; step++) {
         int task = random.nextInt(40);
         Shard.Editor editor = shard.edit();
-        if (shard.owner(task) != null) {
+        if (shard.ownedAttempt(task) != null) {
           shard =
               random.nextBoolean()
                   ? editor.complete(task).build()
@@ -26,10 +26,10 @@
           shard = editor.assign(task, "host-" + task, 1 + task, step).build();
         }
       }
-      Shard read = Records.readShard(Json.parseObject(Json.bytes(Records.shard(shard))));
+      Shard read = Records.readShard(Json.parseObject(Json.toBytes(Records.shard(shard))));
       for (int task = 0; task < 40; task++) {
         assertEquals(shard.isDone(task), read.isDone(task));
-        assertEquals(shard.owner(task), read.owner(task));
+        assertEquals(shard.ownedAttempt(task), read.ownedAttempt(task));
         assertEquals(shard.history(task), read.history(task));
       }
     }
@@ -42,9 +42,9 @@
     int tasks = Records.tasksPerShard(limit);
     Shard.Editor editor = Shard.EMPTY.edit();
     for (int task = 99_000; task < 99_000 + tasks; task++) {
-      editor.history(task, new Shard.History(120, 15));
+      editor.putHistory(task, new Shard.History(120, 15));
       editor.assign(task, "host-" + (100_000 + task), 12, (1L << 50) + task);
     }
-    assertTrue(Json.bytes(Records.shard(editor.build())).length <= limit);
+    assertTrue(Json.toBytes(Records.shard(editor.build())).length <= limit);
   }
 }
--- a/src/test/java/io/cherryspool/store/ReplicaCostTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaCostTest.java
@@ -57,7 +57,7 @@
     ObjectNode empty = Json.object().put("has_next", false).put("epoch", revision);
     empty.putArray("entries");
     empty.putArray("events");
-    return CompletableFuture.completedFuture(Reply.json(200, Json.bytes(empty)));
+    return CompletableFuture.completedFuture(Reply.json(200, Json.toBytes(empty)));
   }
 
   /** An answer to the watch with one change. */
@@ -65,7 +65,7 @@
     ObjectNode answer = Json.object().put("epoch", ++revision);
     ArrayNode events = answer.putArray("events");
     events.addObject().put("put", key).put("stamp", revision).set("v", value);
-    return Reply.json(200, Json.bytes(answer));
+    return Reply.json(200, Json.toBytes(answer));
   }
 
   /** The watch is answered, and opened again. */
@@ -86,7 +86,7 @@
 
   /** Some of the tasks are done, the next ones have owners. */
   private Reply progressed(int done) {
-    Shard.Editor editor = Shard.EMPTY.edit().doneRange(0, done);
+    Shard.Editor editor = Shard.EMPTY.edit().markDone(0, done);
     for (int task = done + 1; task <= done + OWNED; task++) {
       editor.assign(task, "host-" + task, 1, 7);
     }
--- a/src/test/java/io/cherryspool/store/ReplicaTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaTest.java
@@ -14,7 +14,7 @@
 import io.cherryspool.sim.StateServiceTransport;
 import io.cherryspool.sim.StateServiceTransport.Fate;
 import io.cherryspool.sim.VirtualTime;
-import io.cherryspool.wire.StateWire;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
@@ -47,18 +47,19 @@
   private void accept(String id) {
     var record = Records.job(JobFixture.job(id, Priority.NORMAL, 1, 1), 100);
     state.handle(
-        StateWire.commit(
+        StateStoreProtocol.transactionRequest(
             Map.of(Records.job(id), 0L),
-            List.of(new StateWire.Change(Records.job(id), record, 0))));
+            List.of(new StateStoreProtocol.Change(Records.job(id), record, 0))));
   }
 
   /** Another node cancels it. */
   private void cancel(String id) {
     state.handle(
-        StateWire.commit(
+        StateStoreProtocol.transactionRequest(
             Map.of(Records.outcome(id), 0L),
             List.of(
-                new StateWire.Change(Records.outcome(id), Records.outcome(Outcome.CANCELLED), 0))));
+                new StateStoreProtocol.Change(
+                    Records.outcome(id), Records.outcome(Outcome.CANCELLED), 0))));
   }
 
   /** Loaded, with a watch open that will tell that the history is gone. */
--- a/src/test/java/io/cherryspool/store/StoredFormatsTest.java
+++ b/src/test/java/io/cherryspool/store/StoredFormatsTest.java
@@ -12,9 +12,9 @@
 import io.cherryspool.model.Job;
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Shard;
-import io.cherryspool.wire.CloudWire;
-import io.cherryspool.wire.StateWire;
-import io.cherryspool.wire.WireException;
+import io.cherryspool.wire.CloudProtocol;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.StateStoreProtocol;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -40,12 +40,12 @@
   private static final int BUNDLES = 2;
 
   @Test
-  void jobs() throws WireException {
+  void jobs() throws MalformedMessageException {
     checkJob("job-constrained.json", SampleRecords.CONSTRAINED_JOB);
     checkJob("job-plain.json", SampleRecords.PLAIN_JOB);
   }
 
-  private static void checkJob(String name, Job expected) throws WireException {
+  private static void checkJob(String name, Job expected) throws MalformedMessageException {
     assertRecorded(name, Records.job(expected, SampleRecords.TASKS_PER_SHARD));
     JsonNode recorded = readJson(name);
     Job job = Records.readJob(recorded);
@@ -55,12 +55,12 @@
   }
 
   @Test
-  void outcomes() throws WireException {
+  void outcomes() throws MalformedMessageException {
     checkOutcome("outcome-done.json", Outcome.DONE);
     checkOutcome("outcome-cancelled.json", Outcome.CANCELLED);
   }
 
-  private static void checkOutcome(String name, Outcome expected) throws WireException {
+  private static void checkOutcome(String name, Outcome expected) throws MalformedMessageException {
     assertRecorded(name, Records.outcome(expected));
     Outcome read = Records.readOutcome(readJson(name));
     assertEquals(expected, read);
@@ -68,16 +68,16 @@
   }
 
   @Test
-  void progress() throws WireException {
+  void progress() throws MalformedMessageException {
     String name = "progress.json";
     assertRecorded(name, Records.shard(SampleRecords.shard()));
     Shard read = Records.readShard(readJson(name));
     assertEquals(11, read.doneCount());
     assertTrue(read.isDone(9) && read.isDone(12));
     assertFalse(read.isDone(10) || read.isDone(11));
-    assertEquals(2, read.owned().size());
-    assertEquals(new Attempt(10, "host-000003", 2, 1, 77), read.owner(10));
-    assertEquals(new Attempt(14, "host-000120", 1, 3, 1L << 33), read.owner(14));
+    assertEquals(2, read.ownedAttempts().size());
+    assertEquals(new Attempt(10, "host-000003", 2, 1, 77), read.ownedAttempt(10));
+    assertEquals(new Attempt(14, "host-000120", 1, 3, 1L << 33), read.ownedAttempt(14));
     assertEquals(3, read.histories().size());
     assertEquals(new Shard.History(5, 5), read.history(15));
     assertRecorded(name, Records.shard(read));
@@ -87,13 +87,13 @@
   }
 
   @Test
-  void terms() throws WireException {
+  void terms() throws MalformedMessageException {
     assertRecorded("term.json", Records.term(41));
     assertEquals(41, Records.readTerm(readJson("term.json")));
   }
 
   @Test
-  void leaders() throws WireException {
+  void leaders() throws MalformedMessageException {
     Records.Leader leader = new Records.Leader(41, "node-2", "node-2-life-7", 9_000_000_001L);
     assertRecorded("leader.json", Records.leader(leader));
     Records.Leader read = Records.readLeader(readJson("leader.json"));
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void successors() throws WireException {
+  void successors() throws MalformedMessageException {
     Records.Successor successor = new Records.Successor(41, "node-1", "node-2");
     assertRecorded("successor.json", Records.successor(successor));
     Records.Successor read = Records.readSuccessor(readJson("successor.json"));
@@ -111,15 +111,16 @@
   }
 
   @Test
-  void catalogs() throws WireException {
-    assertRecorded("catalog.json", CloudWire.encodeCatalog(SampleRecords.CATALOG));
+  void catalogs() throws MalformedMessageException {
+    assertRecorded("catalog.json", CloudProtocol.encodeCatalog(SampleRecords.CATALOG));
     JsonNode recorded = readJson("catalog.json");
-    assertEquals(SampleRecords.CATALOG, CloudWire.parseCatalog(recorded));
-    assertRecorded("catalog.json", CloudWire.encodeCatalog(CloudWire.parseCatalog(recorded)));
+    assertEquals(SampleRecords.CATALOG, CloudProtocol.parseCatalog(recorded));
+    assertRecorded(
+        "catalog.json", CloudProtocol.encodeCatalog(CloudProtocol.parseCatalog(recorded)));
   }
 
   @Test
-  void marksOfUnknownAndHeldJobs() throws WireException {
+  void marksOfUnknownAndHeldJobs() throws MalformedMessageException {
     assertRecorded("mark.json", Records.mark());
     assertFalse(Records.isAbandoned(readJson("mark.json")));
     assertRecorded("abandoned.json", Records.abandoned());
@@ -127,13 +128,14 @@
   }
 
   @Test
-  void incarnations() throws WireException {
+  void incarnations() throws MalformedMessageException {
     checkIncarnation("incarnation-first.json", Incarnation.first("cluster-1"));
     checkIncarnation("incarnation-rebuilding.json", REBUILDING);
     checkIncarnation("incarnation-rebuilt.json", REBUILT);
   }
 
-  private static void checkIncarnation(String name, Incarnation expected) throws WireException {
+  private static void checkIncarnation(String name, Incarnation expected)
+      throws MalformedMessageException {
     assertRecorded(name, expected.encode());
     Incarnation read = Incarnation.decode(readJson(name));
     assertEquals(expected, read);
@@ -141,7 +143,7 @@
   }
 
   @Test
-  void bundlesOfARebuild() throws WireException {
+  void bundlesOfARebuild() throws MalformedMessageException {
     List<byte[]> chunks = PictureCodec.encode(SampleRecords.jobs(), CHUNK_BYTES);
     assertEquals(BUNDLES, chunks.size());
     for (int i = 0; i < BUNDLES; i++) {
@@ -209,12 +211,12 @@
     return conditions;
   }
 
-  private static List<StateWire.Change> changes() {
+  private static List<StateStoreProtocol.Change> changes() {
     return List.of(
-        new StateWire.Change(
+        new StateStoreProtocol.Change(
             Records.progress("req-000412", 0), Records.shard(SampleRecords.shard()), 0),
-        new StateWire.Change(Records.progress("req-000412", 2), null, 0),
-        new StateWire.Change(
+        new StateStoreProtocol.Change(Records.progress("req-000412", 2), null, 0),
+        new StateStoreProtocol.Change(
             Records.LEADER,
             Records.leader(new Records.Leader(41, "node-2", "node-2-life-7", 5)),
             5));
--- a/src/test/java/io/cherryspool/wire/MessageFormatsTest.java
+++ b/src/test/java/io/cherryspool/wire/MessageFormatsTest.java
@@ -7,11 +7,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.compatibility.SampleRecords;
+import io.cherryspool.model.Instance;
 import io.cherryspool.model.Job;
-import io.cherryspool.model.Order;
-import io.cherryspool.model.RentedMachine;
-import io.cherryspool.model.Report;
 import io.cherryspool.model.TaskId;
+import io.cherryspool.model.WorkerCommand;
+import io.cherryspool.model.WorkerHeartbeat;
 import java.time.Duration;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -25,82 +25,91 @@
  */
 class MessageFormatsTest {
   private static final TaskId TASK = new TaskId("req-000412", 3);
-  private static final List<Order> ORDERS =
+  private static final List<WorkerCommand> ORDERS =
       List.of(
-          Order.start(TASK, 1),
-          Order.stop(new TaskId("req-000412", 4), 2, Duration.ofMillis(2500)),
-          Order.stop(new TaskId("req-000412", 5), 1, Duration.ZERO),
-          Order.forget(new TaskId("req-000007", 0), 7));
+          WorkerCommand.start(TASK, 1),
+          WorkerCommand.stop(new TaskId("req-000412", 4), 2, Duration.ofMillis(2500)),
+          WorkerCommand.stop(new TaskId("req-000412", 5), 1, Duration.ZERO),
+          WorkerCommand.acknowledge(new TaskId("req-000007", 0), 7));
 
   @Test
   void answersAndCommandsToWorkers() {
-    assertRecorded("worker-reply.json", WorkerWire.reply(1L << 33, ORDERS));
-    assertRecorded("worker-reply-empty.json", WorkerWire.reply(5, List.of()));
-    assertRecorded("worker-commands.json", WorkerWire.commands(1L << 33, 2, ORDERS));
-    assertRecorded("worker-redirect.json", WorkerWire.redirect("node-1"));
-    assertRecorded("worker-redirect-nowhere.json", WorkerWire.redirect(null));
+    assertRecorded("worker-reply.json", WorkerProtocol.encodeHeartbeatReply(1L << 33, ORDERS));
+    assertRecorded("worker-reply-empty.json", WorkerProtocol.encodeHeartbeatReply(5, List.of()));
+    assertRecorded("worker-commands.json", WorkerProtocol.encodeCommands(1L << 33, 2, ORDERS));
+    assertRecorded("worker-redirect.json", WorkerProtocol.encodeRedirect("node-1"));
+    assertRecorded("worker-redirect-nowhere.json", WorkerProtocol.encodeRedirect(null));
   }
 
   /** The recorded one has a task in each status and with each cause that the protocol names. */
   @Test
-  void heartbeatsOfWorkers() throws WireException {
-    Report report = WorkerWire.parseReport(readJson("worker-report.json"));
+  void heartbeatsOfWorkers() throws MalformedMessageException {
+    WorkerHeartbeat report = WorkerProtocol.parseHeartbeat(readJson("worker-report.json"));
     assertEquals("host-000003", report.machine());
     assertEquals("10.1.0.3:9000", report.address());
     assertEquals("box", report.type());
     assertEquals("zone-a", report.zone());
-    assertTrue(report.spot());
-    assertEquals(2, report.session());
+    assertTrue(report.isSpot());
+    assertEquals(2, report.agentEpoch());
     assertEquals(17, report.sequence());
-    assertEquals(1L << 33, report.token());
-    assertEquals(Duration.ofMillis(45_500), report.notice());
-    List<Report.TaskReport> expected =
+    assertEquals(1L << 33, report.highestFencingToken());
+    assertEquals(Duration.ofMillis(45_500), report.preemptionNotice());
+    List<WorkerHeartbeat.TaskStatus> expected =
         List.of(
-            task(0, Report.State.FETCHING, null),
-            task(1, Report.State.RUNNING, null),
-            task(2, Report.State.SAVING, null),
-            task(3, Report.State.EXITED, Report.Cause.DONE),
-            task(4, Report.State.EXITED, Report.Cause.STOPPED),
-            task(5, Report.State.EXITED, Report.Cause.ERROR),
-            task(6, Report.State.EXITED, Report.Cause.NO_ROOM),
-            task(7, Report.State.EXITED, Report.Cause.BUSY),
-            task(8, Report.State.EXITED, Report.Cause.UNKNOWN_JOB),
-            task(9, Report.State.EXITED, Report.Cause.ERROR));
+            task(0, WorkerHeartbeat.TaskState.FETCHING, null),
+            task(1, WorkerHeartbeat.TaskState.RUNNING, null),
+            task(2, WorkerHeartbeat.TaskState.CHECKPOINTING, null),
+            task(3, WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.DONE),
+            task(4, WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.STOPPED),
+            task(5, WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR),
+            task(
+                6,
+                WorkerHeartbeat.TaskState.EXITED,
+                WorkerHeartbeat.ExitCause.INSUFFICIENT_RESOURCES),
+            task(
+                7,
+                WorkerHeartbeat.TaskState.EXITED,
+                WorkerHeartbeat.ExitCause.OTHER_ATTEMPT_PRESENT),
+            task(8, WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.UNKNOWN_JOB),
+            task(9, WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR));
     assertEquals(expected, report.tasks());
   }
 
-  private static Report.TaskReport task(int number, Report.State state, Report.Cause cause) {
-    return new Report.TaskReport(new TaskId("req-000412", number), number + 1, state, cause);
+  private static WorkerHeartbeat.TaskStatus task(
+      int number, WorkerHeartbeat.TaskState state, WorkerHeartbeat.ExitCause cause) {
+    return new WorkerHeartbeat.TaskStatus(
+        new TaskId("req-000412", number), number + 1, state, cause);
   }
 
   @Test
   void requestsToTheCloud() {
-    assertRecorded("cloud-catalog.http", CloudWire.catalog());
-    assertRecorded("cloud-rent.http", CloudWire.rent("node-1-7", "box", "zone-a", true, 4));
-    assertRecorded("cloud-delete.http", CloudWire.delete(List.of("host-000003", "host-000120")));
-    assertRecorded("cloud-list.http", CloudWire.list(null, 500));
-    assertRecorded("cloud-list-next.http", CloudWire.list("host 3&4", 500));
+    assertRecorded("cloud-catalog.http", CloudProtocol.catalogRequest());
+    assertRecorded(
+        "cloud-rent.http", CloudProtocol.instanceRequest("node-1-7", "box", "zone-a", true, 4));
+    assertRecorded(
+        "cloud-delete.http", CloudProtocol.deleteRequest(List.of("host-000003", "host-000120")));
+    assertRecorded("cloud-list.http", CloudProtocol.listRequest(null, 500));
+    assertRecorded("cloud-list-next.http", CloudProtocol.listRequest("host 3&4", 500));
   }
 
   @Test
-  void answersOfTheCloud() throws WireException {
-    CloudWire.Page page = CloudWire.parsePage(readJson("cloud-machines.json"));
-    assertTrue(page.more());
+  void answersOfTheCloud() throws MalformedMessageException {
+    CloudProtocol.InstancePage page = CloudProtocol.parsePage(readJson("cloud-machines.json"));
+    assertTrue(page.hasMore());
     assertEquals(
         List.of(
-            machine("host-000003", "10.1.0.3:9000", true, RentedMachine.Status.RUNNING, 61_500),
-            machine("host-000004", null, false, RentedMachine.Status.BOOTING, 0),
-            machine("host-000005", null, false, RentedMachine.Status.FAILED, 1000)),
-        page.machines());
+            machine("host-000003", "10.1.0.3:9000", true, Instance.Status.RUNNING, 61_500),
+            machine("host-000004", null, false, Instance.Status.BOOTING, 0),
+            machine("host-000005", null, false, Instance.Status.FAILED, 1000)),
+        page.instances());
     assertEquals(
         List.of("host-000003", "host-000004"),
-        CloudWire.parseRented(readJson("cloud-rented.json")));
+        CloudProtocol.parseInstanceNames(readJson("cloud-rented.json")));
   }
 
-  private static RentedMachine machine(
-      String name, String address, boolean spot, RentedMachine.Status status, long ageMillis) {
-    return new RentedMachine(
-        name, address, "box", "zone-a", spot, status, Duration.ofMillis(ageMillis));
+  private static Instance machine(
+      String name, String address, boolean spot, Instance.Status status, long ageMillis) {
+    return new Instance(name, address, "box", "zone-a", spot, status, Duration.ofMillis(ageMillis));
   }
 
   @Test
@@ -108,57 +117,67 @@
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put("c/term", 40L);
     conditions.put("c/jobs/req-000412", 0L);
-    List<StateWire.Change> changes =
+    List<StateStoreProtocol.Change> changes =
         List.of(
-            new StateWire.Change("c/a", Json.object().put("term", 41), 0),
-            new StateWire.Change("c/b", Json.object(), 1L << 40),
-            new StateWire.Change("c/gone", null, 0));
-    assertRecorded("state-commit.http", StateWire.commit(conditions, changes));
-    assertRecorded("state-list.http", StateWire.list("c/", null, 1000));
-    assertRecorded("state-list-next.http", StateWire.list("c/", "c/jobs/req 1&2", 1000));
-    assertRecorded("state-follow.http", StateWire.follow("c/", 123, Duration.ofSeconds(10)));
-    assertRecorded("state-lease.http", StateWire.lease(Duration.ofMillis(4500)));
-    assertRecorded("state-extend.http", StateWire.extend(12));
-    assertRecorded("state-end.http", StateWire.end(12));
+            new StateStoreProtocol.Change("c/a", Json.object().put("term", 41), 0),
+            new StateStoreProtocol.Change("c/b", Json.object(), 1L << 40),
+            new StateStoreProtocol.Change("c/gone", null, 0));
+    assertRecorded("state-commit.http", StateStoreProtocol.transactionRequest(conditions, changes));
+    assertRecorded("state-list.http", StateStoreProtocol.listRequest("c/", null, 1000));
+    assertRecorded(
+        "state-list-next.http", StateStoreProtocol.listRequest("c/", "c/jobs/req 1&2", 1000));
+    assertRecorded(
+        "state-follow.http", StateStoreProtocol.watchRequest("c/", 123, Duration.ofSeconds(10)));
+    assertRecorded(
+        "state-lease.http", StateStoreProtocol.grantLeaseRequest(Duration.ofMillis(4500)));
+    assertRecorded("state-extend.http", StateStoreProtocol.renewLeaseRequest(12));
+    assertRecorded("state-end.http", StateStoreProtocol.revokeLeaseRequest(12));
   }
 
   @Test
-  void answersOfTheStateService() throws WireException {
-    assertEquals(1L << 40, StateWire.revision(readJson("state-conflict.json")));
-    assertEquals(Set.of("c/term", "c/leader"), StateWire.failed(readJson("state-conflict.json")));
-    assertEquals(12, StateWire.parseLease(readJson("state-leased.json")));
-    StateWire.Page page = StateWire.parsePage(readJson("state-page.json"));
+  void answersOfTheStateService() throws MalformedMessageException {
+    assertEquals(1L << 40, StateStoreProtocol.parseRevision(readJson("state-conflict.json")));
+    assertEquals(
+        Set.of("c/term", "c/leader"),
+        StateStoreProtocol.parseFailedKeys(readJson("state-conflict.json")));
+    assertEquals(12, StateStoreProtocol.parseLeaseId(readJson("state-leased.json")));
+    StateStoreProtocol.KeyPage page = StateStoreProtocol.parsePage(readJson("state-page.json"));
     assertEquals(
-        List.of(new StateWire.Event("c/term", Json.object().put("term", 41), 7)), page.items());
-    assertTrue(page.more());
+        List.of(new StateStoreProtocol.Event("c/term", Json.object().put("term", 41), 7)),
+        page.items());
+    assertTrue(page.hasMore());
     assertEquals(9, page.revision());
-    StateWire.Changes changes = StateWire.parseChanges(readJson("state-changes.json"));
+    StateStoreProtocol.WatchResult changes =
+        StateStoreProtocol.parseChanges(readJson("state-changes.json"));
     assertEquals(
         List.of(
-            new StateWire.Event("c/term", Json.object().put("term", 41), 7),
-            new StateWire.Event("c/leader", null, 8)),
+            new StateStoreProtocol.Event("c/term", Json.object().put("term", 41), 7),
+            new StateStoreProtocol.Event("c/leader", null, 8)),
         changes.events());
     assertEquals(9, changes.revision());
   }
 
   @Test
-  void submissionsOfUsersAndAnswersToThem() throws WireException {
-    assertRecorded("user-job.json", JobWire.encode(SampleRecords.CONSTRAINED_JOB));
-    Job read = JobWire.parse(readJson("user-job.json"), SampleRecords.SUBMITTED);
+  void submissionsOfUsersAndAnswersToThem() throws MalformedMessageException {
+    assertRecorded("user-job.json", UserProtocol.encodeJob(SampleRecords.CONSTRAINED_JOB));
+    Job read = UserProtocol.parseJob(readJson("user-job.json"), SampleRecords.SUBMITTED);
     assertEquals(SampleRecords.CONSTRAINED_JOB, read);
-    checkStatus("user-status-pending.json", JobWire.Status.PENDING);
-    checkStatus("user-status-running.json", JobWire.Status.RUNNING);
-    checkStatus("user-status-done.json", JobWire.Status.DONE);
-    checkStatus("user-status-cancelled.json", JobWire.Status.CANCELLED);
+    checkStatus("user-status-pending.json", UserProtocol.JobStatus.PENDING);
+    checkStatus("user-status-running.json", UserProtocol.JobStatus.RUNNING);
+    checkStatus("user-status-done.json", UserProtocol.JobStatus.DONE);
+    checkStatus("user-status-cancelled.json", UserProtocol.JobStatus.CANCELLED);
+    assertRecorded(
+        "user-poll.json",
+        UserProtocol.encodeStatus("req-000412", UserProtocol.JobStatus.RUNNING, 11, 2, 0));
     assertRecorded(
-        "user-poll.json", JobWire.status("req-000412", JobWire.Status.RUNNING, 11, 2, 0));
+        "user-poll-failing.json",
+        UserProtocol.encodeStatus("req-000412", UserProtocol.JobStatus.RUNNING, 11, 2, 1));
     assertRecorded(
-        "user-poll-failing.json", JobWire.status("req-000412", JobWire.Status.RUNNING, 11, 2, 1));
-    assertRecorded("user-error.json", JobWire.error("ref is not of the form req-000412"));
-    assertFalse(JobWire.isId("req-12"));
+        "user-error.json", UserProtocol.encodeError("ref is not of the form req-000412"));
+    assertFalse(UserProtocol.isJobId("req-12"));
   }
 
-  private static void checkStatus(String name, JobWire.Status status) {
-    assertRecorded(name, JobWire.status("req-000412", status));
+  private static void checkStatus(String name, UserProtocol.JobStatus status) {
+    assertRecorded(name, UserProtocol.encodeStatus("req-000412", status));
   }
 }
--- a/src/test/java/io/cherryspool/wire/JobWireTest.java
+++ b/src/test/java/io/cherryspool/wire/UserProtocolTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class JobWireTest {
+class UserProtocolTest {
   private static final String GOOD =
       "{\"ref\":\"req-000412\",\"lane\":\"train\",\"owner\":\"vision\",\"shape\":\"array\","
           + "\"urgency\":\"urgent\",\"pieces\":16,\"vcpus\":8.0,\"gpus\":1.0,\"mem_gb\":64.0,"
@@ -19,20 +19,20 @@
           + "\"together\":true,\"scatter\":false,\"loaners\":true,\"expect_s\":240.0,"
           + "\"bookmark_s\":30.0,\"stash_s\":4.0,\"due_s\":900.0,\"new_field\":[1]}";
 
-  private static ObjectNode good() throws WireException {
+  private static ObjectNode good() throws MalformedMessageException {
     return (ObjectNode) Json.parseObject(GOOD.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
-  void readsWhatItWrites() throws WireException {
-    var job = JobWire.parse(good(), Instant.EPOCH);
-    assertEquals(job, JobWire.parse(JobWire.encode(job), Instant.EPOCH));
+  void readsWhatItWrites() throws MalformedMessageException {
+    var job = UserProtocol.parseJob(good(), Instant.EPOCH);
+    assertEquals(job, UserProtocol.parseJob(UserProtocol.encodeJob(job), Instant.EPOCH));
     ObjectNode nulls = good();
     nulls.remove("builds");
     nulls.remove("yard");
     nulls.putNull("due_s");
-    var open = JobWire.parse(nulls, Instant.EPOCH);
-    assertEquals(open, JobWire.parse(JobWire.encode(open), Instant.EPOCH));
+    var open = UserProtocol.parseJob(nulls, Instant.EPOCH);
+    assertEquals(open, UserProtocol.parseJob(UserProtocol.encodeJob(open), Instant.EPOCH));
   }
 
   @ParameterizedTest
@@ -69,12 +69,14 @@
         "pieces|99999999999999999999",
         "vcpus|1e300"
       })
-  void namesTheFieldThatIsWrong(String field, String value) throws WireException {
+  void namesTheFieldThatIsWrong(String field, String value) throws MalformedMessageException {
     ObjectNode node = good();
     node.set(
         field,
         Json.parseObject(("{\"v\":" + value + "}").getBytes(StandardCharsets.UTF_8)).get("v"));
-    WireException e = assertThrows(WireException.class, () -> JobWire.parse(node, Instant.EPOCH));
+    MalformedMessageException e =
+        assertThrows(
+            MalformedMessageException.class, () -> UserProtocol.parseJob(node, Instant.EPOCH));
     assertTrue(e.getMessage().contains(field), e.getMessage());
   }
 
@@ -84,6 +86,7 @@
       value = {"''", "[]", "nul", "{\"a\":1", "{} {}", "{\"a\":NaN}", "7"})
   void refusesWhatIsNoObject(String text) {
     assertThrows(
-        WireException.class, () -> Json.parseObject(text.getBytes(StandardCharsets.UTF_8)));
+        MalformedMessageException.class,
+        () -> Json.parseObject(text.getBytes(StandardCharsets.UTF_8)));
   }
 }
