--- a/src/main/java/io/cherryspool/cli/SnapshotCommands.java
+++ b/src/main/java/io/cherryspool/cli/SnapshotCommands.java
@@ -67,8 +67,8 @@
         "taken %s, cluster %s, incarnation %d, revision %d, term %d, %d jobs",
         snapshot.taken(),
         snapshot.picture().cluster(),
-        snapshot.picture().origin().number(),
-        snapshot.picture().origin().revision(),
+        snapshot.picture().position().incarnationNumber(),
+        snapshot.picture().position().revision(),
         snapshot.picture().term(),
         snapshot.picture().jobs().size());
   }
--- a/src/main/java/io/cherryspool/controller/Adoption.java
+++ b/src/main/java/io/cherryspool/controller/Adoption.java
@@ -5,10 +5,10 @@
 import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.recovery.Reconciliation;
 import io.cherryspool.recovery.Reconciliation.Decision;
-import io.cherryspool.store.JobEntry;
+import io.cherryspool.store.ClusterRecords;
+import io.cherryspool.store.JobRecord;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.store.Replica;
 import io.cherryspool.wire.StateStoreProtocol;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -26,7 +26,7 @@
   /** Of records that hold every start: nothing to take in. */
   static final Adoption NONE = new Adoption(null, null, null, Set.of());
 
-  private final Replica replica;
+  private final ClusterRecords replica;
   private final Fleet fleet;
   private final Tokens tokens;
   private final Set<String> heldClasses;
@@ -35,7 +35,7 @@
    * @param heldClasses classes of which no task that may have ended unseen is run again before an
    *     operator says so
    */
-  Adoption(Replica replica, Fleet fleet, Tokens tokens, Set<String> heldClasses) {
+  Adoption(ClusterRecords replica, Fleet fleet, Tokens tokens, Set<String> heldClasses) {
     this.replica = replica;
     this.fleet = fleet;
     this.tokens = tokens;
@@ -49,7 +49,7 @@
 
   /** Whether tasks may run that the records have as free. */
   boolean open() {
-    return concerned() && !replica.settled();
+    return concerned() && !replica.isReconciled();
   }
 
   /** Whether the worker must not be told to stop or forget this task, which no record gives it. */
@@ -58,7 +58,7 @@
       return false;
     }
     Decision decision = decide(machine, item);
-    return decision == Decision.LEAVE && !replica.abandoned(item.task().jobId())
+    return decision == Decision.LEAVE && !replica.isAbandoned(item.task().jobId())
         || (decision == Decision.ADOPT || decision == Decision.COUNT_DONE)
             && concerns(item.task().jobId());
   }
@@ -77,16 +77,17 @@
   }
 
   /** Whether no task of the job may be placed or started now. */
-  boolean holdsBack(JobEntry entry) {
-    return concerned() && (concerns(entry.job().id()) || replica.held().contains(entry.job().id()));
+  boolean holdsBack(JobRecord entry) {
+    return concerned()
+        && (concerns(entry.job().id()) || replica.heldJobs().contains(entry.job().id()));
   }
 
   private boolean concerns(String job) {
-    return !replica.settled() || replica.unknownAtWorkers(job);
+    return !replica.isReconciled() || replica.unknownJobs(job);
   }
 
   private Decision decide(MachineState machine, WorkerHeartbeat.TaskStatus item) {
-    JobEntry entry = replica.job(item.task().jobId());
+    JobRecord entry = replica.job(item.task().jobId());
     return Reconciliation.decide(
         entry,
         item,
@@ -95,11 +96,11 @@
         entry != null && ownerReports(entry, item));
   }
 
-  private boolean ownerReports(JobEntry entry, WorkerHeartbeat.TaskStatus item) {
+  private boolean ownerReports(JobRecord entry, WorkerHeartbeat.TaskStatus item) {
     int task = item.task().index();
     Attempt owner =
         task < entry.job().taskCount()
-            ? entry.shard(entry.shardOf(task)).shard().ownedAttempt(task)
+            ? entry.shard(entry.shardIndexOf(task)).shard().ownedAttempt(task)
             : null;
     return owner != null && reports(entry, owner);
   }
@@ -126,13 +127,13 @@
     }
     List<RoundWriter.Unit> units = new ArrayList<>();
     for (String id : unknown) {
-      if (!replica.unknownAtWorkers(id)) {
-        units.add(unit(Map.of(Records.unknown(id), 0L), Records.unknown(id), true));
+      if (!replica.unknownJobs(id)) {
+        units.add(unit(Map.of(Records.unknownJobKey(id), 0L), Records.unknownJobKey(id), true));
       }
     }
-    for (String id : replica.unknownAtWorkers()) {
+    for (String id : replica.unknownJobs()) {
       if (replica.job(id) != null && !pending.contains(id)) {
-        units.add(unit(Map.of(), Records.unknown(id), false));
+        units.add(unit(Map.of(), Records.unknownJobKey(id), false));
       }
     }
     return units;
@@ -147,7 +148,7 @@
     String id = item.task().jobId();
     Decision decision = decide(machine, item);
     if (decision == Decision.LEAVE) {
-      if (!replica.abandoned(id)) {
+      if (!replica.isAbandoned(id)) {
         unknown.add(id);
       }
     } else if (concerns(id) && decision == Decision.ADOPT) {
@@ -175,7 +176,7 @@
       for (WorkerHeartbeat.TaskStatus item : machine.latestHeartbeat().tasks()) {
         Decision decision = decide(machine, item);
         String id = item.task().jobId();
-        boolean noted = replica.unknownAtWorkers(id) || replica.abandoned(id);
+        boolean noted = replica.unknownJobs(id) || replica.isAbandoned(id);
         boolean left = decision == Decision.LEAVE && !noted;
         if (left || decision == Decision.ADOPT || decision == Decision.COUNT_DONE) {
           return false;
@@ -188,9 +189,9 @@
   private static RoundWriter.Unit unit(Map<String, Long> conditions, String key, boolean present) {
     return new RoundWriter.Unit(
         conditions,
-        List.of(new StateStoreProtocol.Change(key, present ? Records.mark() : null, 0)),
+        List.of(new StateStoreProtocol.Change(key, present ? Records.presenceMarker() : null, 0)),
         0,
-        RateLimiter.Use.ROUND);
+        RateLimiter.WriteClass.ROUND);
   }
 
   /**
@@ -199,25 +200,25 @@
    */
   List<RoundWriter.Unit> settle() {
     List<RoundWriter.Unit> units = new ArrayList<>();
-    for (JobEntry entry : replica.active()) {
+    for (JobRecord entry : replica.activeJobs()) {
       String id = entry.job().id();
-      if (uncertain(entry) && !replica.held().contains(id)) {
-        units.add(unit(Map.of(Records.held(id), 0L), Records.held(id), true));
+      if (uncertain(entry) && !replica.heldJobs().contains(id)) {
+        units.add(unit(Map.of(Records.heldJobKey(id), 0L), Records.heldJobKey(id), true));
       }
     }
     return units.isEmpty()
-        ? List.of(unit(Map.of(Records.SETTLED, 0L), Records.SETTLED, true))
+        ? List.of(unit(Map.of(Records.RECONCILED, 0L), Records.RECONCILED, true))
         : units;
   }
 
-  private boolean uncertain(JobEntry entry) {
+  private boolean uncertain(JobRecord entry) {
     if (entry.outcome() != null
         || !heldClasses.contains(entry.job().jobClass())
-        || !replica.rebuilt(entry.job().id())) {
+        || !replica.isRebuilt(entry.job().id())) {
       return false;
     }
     int accounted = entry.doneCount();
-    for (JobEntry.Versioned item : entry.shards().values()) {
+    for (JobRecord.VersionedShard item : entry.shards().values()) {
       for (Attempt attempt : item.shard().ownedAttempts().values()) {
         accounted += reports(entry, attempt) ? 1 : 0;
       }
@@ -225,7 +226,7 @@
     return accounted < entry.job().taskCount();
   }
 
-  private boolean reports(JobEntry entry, Attempt attempt) {
+  private boolean reports(JobRecord entry, Attempt attempt) {
     MachineState machine = fleet.get(attempt.machine());
     return machine != null
         && !machine.isDeleted()
--- a/src/main/java/io/cherryspool/controller/CatalogKeeper.java
+++ b/src/main/java/io/cherryspool/controller/CatalogKeeper.java
@@ -4,10 +4,10 @@
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.lifecycle.Lifecycle;
 import io.cherryspool.model.MachineType;
+import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.store.Replica;
-import io.cherryspool.store.StateClient;
+import io.cherryspool.store.StateStoreClient;
 import io.cherryspool.wire.CloudProtocol;
 import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
@@ -28,8 +28,8 @@
 
   private final EventLoop loop;
   private final CloudClient cloud;
-  private final Replica replica;
-  private final StateClient client;
+  private final ClusterRecords replica;
+  private final StateStoreClient client;
   private final RateLimiter rateLimiter;
   private final BooleanSupplier leading;
   private List<MachineType> known;
@@ -38,8 +38,8 @@
   CatalogKeeper(
       EventLoop loop,
       CloudClient cloud,
-      Replica replica,
-      StateClient client,
+      ClusterRecords replica,
+      StateStoreClient client,
       RateLimiter rateLimiter,
       BooleanSupplier leading) {
     this.loop = loop;
@@ -91,7 +91,7 @@
     }
     Map<String, Long> conditions =
         Map.of(Records.TERM, replica.termVersion(), Records.CATALOG, replica.catalogVersion());
-    rateLimiter.force(1);
+    rateLimiter.forceAcquire(1);
     client
         .commit(
             conditions,
--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -24,10 +24,10 @@
 import io.cherryspool.reachability.VerdictRule;
 import io.cherryspool.recovery.RecoveryTimings;
 import io.cherryspool.recovery.SnapshotStore;
+import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.GroupCommit;
 import io.cherryspool.store.RateLimiter;
-import io.cherryspool.store.Replica;
-import io.cherryspool.store.StateClient;
+import io.cherryspool.store.StateStoreClient;
 import io.cherryspool.wire.StateStoreProtocol;
 import io.cherryspool.worker.WorkerClient;
 import io.micrometer.core.instrument.Gauge;
@@ -71,9 +71,9 @@
   private final Meters meters = new Meters();
   private final Reachability reachability;
   private final StateStanding standing;
-  private final StateClient state;
+  private final StateStoreClient state;
   private final RateLimiter rateLimiter;
-  private final Replica replica;
+  private final ClusterRecords replica;
   private final Election election;
   private final CloudClient cloud;
   private final WorkerClient workers;
@@ -118,7 +118,7 @@
     reachability = newReachability(given.verdicts());
     rateLimiter = new RateLimiter(loop, nodes, limits.rps(), limits.writeRps());
     state =
-        new StateClient(
+        new StateStoreClient(
             loop,
             rateLimiter,
             observed(
@@ -129,7 +129,8 @@
             settings.state(),
             timings.stateCall());
     Duration refreshGap = Duration.ofNanos((long) (2e9 * nodes / limits.rps()));
-    replica = new Replica(loop, state, rateLimiter, refreshGap, timings.stateCall().dividedBy(2));
+    replica =
+        new ClusterRecords(loop, state, rateLimiter, refreshGap, timings.stateCall().dividedBy(2));
     standing = new StateStanding(loop, replica, reachability, timings);
     election =
         new Election(
@@ -237,7 +238,7 @@
     meters.bindTo(registry);
     Gauge.builder("cherryspool.leading", () -> leaderTerm == null ? 0 : 1).register(registry);
     Gauge.builder("cherryspool.term", replica::term).register(registry);
-    Gauge.builder("cherryspool.jobs.active", () -> replica.active().size()).register(registry);
+    Gauge.builder("cherryspool.jobs.active", () -> replica.activeJobs().size()).register(registry);
     Gauge.builder("cherryspool.jobs.accepted", replica::jobCount).register(registry);
     Gauge.builder(
             "cherryspool.machines", () -> leaderTerm == null ? 0 : leaderTerm.fleet().all().size())
@@ -247,8 +248,8 @@
             () -> leaderTerm == null ? 0 : leaderTerm.fleetView().missing())
         .register(registry);
     new ReachabilityMeters(reachability, loop).bindTo(registry);
-    Gauge.builder("cherryspool.changes.waiting", commits::waiting).register(registry);
-    Gauge.builder("cherryspool.changes.left", rateLimiter::left).register(registry);
+    Gauge.builder("cherryspool.changes.waiting", commits::queuedChanges).register(registry);
+    Gauge.builder("cherryspool.changes.left", rateLimiter::availableWrites).register(registry);
     recovery.ifPresent(part -> part.bindTo(registry));
   }
 
@@ -280,7 +281,7 @@
 
   /** Calls back once the records are first read. */
   public void onLoaded(Runnable listener) {
-    replica.onLoaded(listener);
+    replica.onFirstLoaded(listener);
   }
 
   /** Whether this node leads now and may act for the controllers. */
@@ -312,7 +313,7 @@
   private void tick() {
     timer = loop.schedule(Durations.divide(timings.stateLease(), HEARTBEATS_PER_LEASE), this::tick);
     Duration now = loop.now();
-    int writes = (int) Math.ceil(10 * rateLimiter.lately());
+    int writes = (int) Math.ceil(10 * rateLimiter.recentWritesPerSecond());
     mesh.broadcast(
         new Mesh.Heartbeat(
             settings.name(),
@@ -323,7 +324,7 @@
             writes,
             recovery.map(RecoveryPart::memory).orElse(Mesh.Memory.NONE),
             linkReport()));
-    rateLimiter.others(
+    rateLimiter.setOtherNodesWriteRates(
         reachability.matrix().since(timings.stateLease(), now).stream()
             .mapToInt(Mesh.Heartbeat::writes)
             .toArray());
--- a/src/main/java/io/cherryspool/controller/CrashLoopBackoff.java
+++ b/src/main/java/io/cherryspool/controller/CrashLoopBackoff.java
@@ -1,6 +1,6 @@
 package io.cherryspool.controller;
 
-import io.cherryspool.store.JobEntry;
+import io.cherryspool.store.JobRecord;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -43,7 +43,7 @@
   }
 
   /** A task of the job failed by itself; true if the machine, not the job, is to blame. */
-  boolean failed(JobEntry entry, boolean succeeded, MachineState machine, Duration now) {
+  boolean failed(JobRecord entry, boolean succeeded, MachineState machine, Duration now) {
     String id = entry.job().id();
     if (succeeded) {
       return true;
@@ -78,13 +78,13 @@
    * Whether the job, of which no task has succeeded, is crash-looping. A new leader goes by the
    * records until it has seen for itself.
    */
-  boolean crashLooping(JobEntry entry) {
+  boolean crashLooping(JobRecord entry) {
     CrashLoop loop = loops.get(entry.job().id());
     return loop != null && crashLooping(loop) || recorded(entry);
   }
 
   /** When the job may be tried again. */
-  Duration ready(JobEntry entry, Duration now) {
+  Duration ready(JobRecord entry, Duration now) {
     CrashLoop loop = loops.get(entry.job().id());
     return loop == null ? now : loop.ready(now);
   }
@@ -94,8 +94,9 @@
   }
 
   /** All that was ever tried has failed, but for what may be under way as a try. */
-  private static boolean recorded(JobEntry entry) {
-    JobEntry.Failures failures = entry.failures();
-    return failures.all() >= MACHINES && failures.tasks() >= failures.tried() - TRIES;
+  private static boolean recorded(JobRecord entry) {
+    JobRecord.FailureCounts failures = entry.failureCounts();
+    return failures.totalFailures() >= MACHINES
+        && failures.failedTasks() >= failures.attemptedTasks() - TRIES;
   }
 }
--- a/src/main/java/io/cherryspool/controller/Election.java
+++ b/src/main/java/io/cherryspool/controller/Election.java
@@ -5,11 +5,11 @@
 import io.cherryspool.model.Durations;
 import io.cherryspool.reachability.NodeView;
 import io.cherryspool.reachability.Reachability;
+import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.store.Replica;
-import io.cherryspool.store.StateClient;
-import io.cherryspool.store.StateException;
+import io.cherryspool.store.StateStoreClient;
+import io.cherryspool.store.StateStoreException;
 import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.LinkedHashMap;
@@ -38,9 +38,9 @@
   private static final int RETRY_PART = 16;
 
   private final EventLoop loop;
-  private final StateClient client;
+  private final StateStoreClient client;
   private final RateLimiter rateLimiter;
-  private final Replica replica;
+  private final ClusterRecords replica;
   private final RandomGenerator random;
   private final Timings timings;
   private final String node;
@@ -70,9 +70,9 @@
 
   public Election(
       EventLoop loop,
-      StateClient client,
+      StateStoreClient client,
       RateLimiter rateLimiter,
-      Replica replica,
+      ClusterRecords replica,
       RandomGenerator random,
       Timings timings,
       String node,
@@ -121,8 +121,8 @@
   /** Ends a lease that nothing rests on any more. */
   private void drop(NodeLease old) {
     if (old != null) {
-      rateLimiter.force(0);
-      client.end(old.id()).exceptionally(failure -> null);
+      rateLimiter.forceAcquire(0);
+      client.revokeLease(old.id()).exceptionally(failure -> null);
     }
   }
 
@@ -146,15 +146,15 @@
   public boolean leading() {
     Records.Leader leader = replica.leader();
     return leader != null
-        && replica.loaded()
-        && leader.instance().equals(instance)
+        && replica.isLoaded()
+        && leader.processId().equals(instance)
         && (isUnder(leader, lease) || isUnder(leader, replacement))
         && leader.term() == replica.term()
         && leader.term() >= heardTerm;
   }
 
   private static boolean isUnder(Records.Leader leader, NodeLease held) {
-    return held != null && leader.lease() == held.id();
+    return held != null && leader.leaseId() == held.id();
   }
 
   /**
@@ -165,7 +165,7 @@
     return leading()
         && fresh(lease.renewed())
         && (replacement == null || fresh(replacement.renewed()))
-        && fresh(replica.confirmed());
+        && fresh(replica.lastConfirmedAt());
   }
 
   /** Whether the lease surely still holds, so that there can be no other leader. */
@@ -189,11 +189,13 @@
     yielding = true;
     NodeLease held = lease;
     Records.Successor record = new Records.Successor(replica.term(), successor, node);
-    rateLimiter.force(1);
+    rateLimiter.forceAcquire(1);
     client
         .commit(
             Map.of(Records.TERM, replica.termVersion()),
-            List.of(new StateStoreProtocol.Change(Records.SUCCESSOR, Records.successor(record), 0)))
+            List.of(
+                new StateStoreProtocol.Change(
+                    Records.SUCCESSOR, Records.encodeSuccessor(record), 0)))
         .whenComplete(
             (result, failure) -> {
               yielding = false;
@@ -212,7 +214,7 @@
   private Duration candidacyDelay() {
     Optional<NodeView.Handover> handover =
         Optional.ofNullable(replica.successor())
-            .map(record -> new NodeView.Handover(record.node(), record.by()));
+            .map(record -> new NodeView.Handover(record.node(), record.predecessor()));
     return reachability.candidacyDelay(loop.now(), handover);
   }
 
@@ -253,7 +255,7 @@
 
   /** Tries again soon, while this node's share of the service's requests lasts. */
   private void retrySoon() {
-    if (retry == null && rateLimiter.allows(RateLimiter.Use.CANCEL, 0, 0)) {
+    if (retry == null && rateLimiter.mayWrite(RateLimiter.WriteClass.CANCEL, 0, 0)) {
       retry =
           loop.schedule(
               Durations.divide(timings.stateLease(), RETRY_PART),
@@ -270,9 +272,9 @@
     }
     Duration sent = loop.now();
     taking = true;
-    rateLimiter.force(0);
+    rateLimiter.forceAcquire(0);
     client
-        .lease(timings.stateLease())
+        .grantLease(timings.stateLease())
         .whenComplete(
             (id, failure) -> {
               taking = false;
@@ -289,15 +291,15 @@
     }
     Duration sent = loop.now();
     held.renewalSent();
-    rateLimiter.force(0);
+    rateLimiter.forceAcquire(0);
     client
-        .extend(held.id())
+        .renewLease(held.id())
         .whenComplete(
             (nothing, failure) -> {
               held.renewalEnded();
               if (failure == null) {
                 held.confirmed(sent);
-              } else if (StateException.kindOf(failure) == StateException.Kind.GONE) {
+              } else if (StateStoreException.kindOf(failure) == StateStoreException.Kind.GONE) {
                 gone(held);
               } else if (held == lease || held == replacement) {
                 retrySoon();
@@ -333,9 +335,9 @@
     Duration sent = loop.now();
     NodeLease held = lease;
     taking = true;
-    rateLimiter.force(0);
+    rateLimiter.forceAcquire(0);
     client
-        .lease(wanted)
+        .grantLease(wanted)
         .whenComplete(
             (id, failure) -> {
               taking = false;
@@ -366,17 +368,18 @@
     conditions.put(Records.LEADER, replica.leaderVersion());
     conditions.put(Records.TERM, replica.termVersion());
     Records.Leader record = new Records.Leader(replica.term(), node, instance, next.id());
-    rateLimiter.force(1);
+    rateLimiter.forceAcquire(1);
     client
         .commit(
             conditions,
             List.of(
-                new StateStoreProtocol.Change(Records.LEADER, Records.leader(record), next.id())))
+                new StateStoreProtocol.Change(
+                    Records.LEADER, Records.encodeLeader(record), next.id())))
         .whenComplete(
             (result, failure) -> {
               attaching = false;
               if (failure != null
-                  && StateException.kindOf(failure) == StateException.Kind.REJECTED
+                  && StateStoreException.kindOf(failure) == StateStoreException.Kind.INVALID_REQUEST
                   && replacement == next) {
                 replacement = null;
               }
@@ -386,7 +389,7 @@
 
   /** The record is under the replacement, so that the old lease is not needed any more. */
   private void adopt(Records.Leader leader) {
-    if (leader.instance().equals(instance) && isUnder(leader, replacement)) {
+    if (leader.processId().equals(instance) && isUnder(leader, replacement)) {
       LOG.info("the lease is {} ms long now", replacement.length().toMillis());
       NodeLease old = lease;
       lease = replacement;
@@ -398,27 +401,27 @@
   private void observe() {
     onChange.run();
     Records.Leader leader = replica.leader();
-    if (leader != null && replica.loaded()) {
+    if (leader != null && replica.isLoaded()) {
       adopt(leader);
     }
-    if (!replica.loaded() || lease == null || standing || candidacy != null) {
+    if (!replica.isLoaded() || lease == null || standing || candidacy != null) {
       return;
     }
     if (leader == null) {
       long wait = random.nextLong(Math.max(1, timings.stateLease().toMillis() / 20));
       candidacy = loop.schedule(candidacyDelay().plusMillis(wait), this::stand);
-    } else if (leader.node().equals(node) && !leader.instance().equals(instance)) {
+    } else if (leader.node().equals(node) && !leader.processId().equals(instance)) {
       // The process that held this lease has ended, since this one runs in its place.
-      LOG.info("ending lease {} of an earlier process of this node", leader.lease());
+      LOG.info("ending lease {} of an earlier process of this node", leader.leaseId());
       standing = true;
-      rateLimiter.force(0);
-      client.end(leader.lease()).whenComplete((nothing, failure) -> settled());
+      rateLimiter.forceAcquire(0);
+      client.revokeLease(leader.leaseId()).whenComplete((nothing, failure) -> settled());
     }
   }
 
   private void stand() {
     candidacy = null;
-    if (!replica.loaded() || lease == null || replica.leader() != null) {
+    if (!replica.isLoaded() || lease == null || replica.leader() != null) {
       return;
     }
     standing = true;
@@ -429,21 +432,21 @@
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put(Records.LEADER, 0L);
     conditions.put(Records.TERM, replica.termVersion());
-    rateLimiter.force(2);
+    rateLimiter.forceAcquire(2);
     LOG.info("standing for leader in term {}", term);
     client
         .commit(
             conditions,
             List.of(
-                new StateStoreProtocol.Change(Records.TERM, Records.term(term), 0),
+                new StateStoreProtocol.Change(Records.TERM, Records.encodeTerm(term), 0),
                 new StateStoreProtocol.Change(
                     Records.LEADER,
-                    Records.leader(new Records.Leader(term, node, instance, held.id())),
+                    Records.encodeLeader(new Records.Leader(term, node, instance, held.id())),
                     held.id())))
         .whenComplete(
             (result, failure) -> {
               if (failure != null
-                  && StateException.kindOf(failure) == StateException.Kind.REJECTED
+                  && StateStoreException.kindOf(failure) == StateStoreException.Kind.INVALID_REQUEST
                   && lease == held) {
                 lease = null;
               }
--- a/src/main/java/io/cherryspool/controller/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/LeaderTerm.java
@@ -12,8 +12,8 @@
 import io.cherryspool.reachability.FleetView;
 import io.cherryspool.reachability.MachineRule;
 import io.cherryspool.recovery.Reconciliation;
-import io.cherryspool.store.JobEntry;
-import io.cherryspool.store.Replica;
+import io.cherryspool.store.ClusterRecords;
+import io.cherryspool.store.JobRecord;
 import io.cherryspool.wire.WorkerProtocol;
 import io.cherryspool.worker.WorkerClient;
 import java.time.Duration;
@@ -53,7 +53,7 @@
   private static final Duration SILENCE = Duration.ofMillis(1200);
 
   private final EventLoop loop;
-  private final Replica replica;
+  private final ClusterRecords replica;
   private final WorkerClient workers;
   private final Timings timings;
   private final Tokens tokens;
@@ -86,7 +86,7 @@
 
   LeaderTerm(
       EventLoop loop,
-      Replica replica,
+      ClusterRecords replica,
       WorkerClient workers,
       CloudClient cloud,
       RoundWriter writer,
@@ -109,7 +109,7 @@
     this.tokens = new Tokens(term);
     this.ownership = new Ownership(replica);
     this.adoption =
-        replica.rebuiltFromPart()
+        replica.isPartialRebuild()
             ? new Adoption(replica, fleet, tokens, cluster.heldClasses())
             : Adoption.NONE;
     this.workerCommands = new WorkerCommands(stopRequests, tokens, pendingReleases, adoption);
@@ -147,7 +147,7 @@
             provisioningLimits.listLag(),
             provisioningLimits.idleKeep(),
             adoption,
-            replica.hirePrefix() + term + "-",
+            replica.instanceRequestPrefix() + term + "-",
             cluster.authority().sole(),
             cluster.links(),
             this::inspectListed);
@@ -162,13 +162,13 @@
     }
 
     @Override
-    public void jobTouched(JobEntry entry) {
+    public void jobTouched(JobRecord entry) {
       rounds.jobTouched(entry);
       workload.accepted(entry);
     }
 
     @Override
-    public void jobEnded(JobEntry entry) {
+    public void jobEnded(JobRecord entry) {
       LOG.info("job {} is {}", entry.job().id(), entry.outcome());
     }
 
@@ -321,7 +321,7 @@
     WorkerHeartbeat before = known == null ? null : known.latestHeartbeat();
     // What a report repeats was looked at before; records only come to know more.
     if (startMissing.isPresent()
-        && replica.settled()
+        && replica.isReconciled()
         && report.hasChangedSince(before)
         && lookForMissingStart(report)) {
       return;
@@ -352,7 +352,7 @@
   private boolean lookForMissingStart(WorkerHeartbeat report) {
     for (WorkerHeartbeat.TaskStatus item : report.tasks()) {
       String job = item.task().jobId();
-      boolean noted = replica.abandoned(job) || replica.unknownAtWorkers(job);
+      boolean noted = replica.isAbandoned(job) || replica.unknownJobs(job);
       if (!noted && !Reconciliation.knowsStart(replica.job(job), item)) {
         startMissing.get().accept(item.task() + " try " + item.attempt());
         return true;
--- a/src/main/java/io/cherryspool/controller/MemoryWire.java
+++ b/src/main/java/io/cherryspool/controller/MemoryWire.java
@@ -11,7 +11,7 @@
   static Mesh.Memory encode(NodeMemory memory) {
     return new Mesh.Memory(
         memory.phase().ordinal(),
-        memory.origin().number(),
+        memory.origin().incarnationNumber(),
         memory.nonce(),
         memory.origin().revision(),
         memory.led(),
@@ -25,7 +25,7 @@
     return new NodeMemory(
         known ? phases[memory.phase()] : NodeMemory.Phase.HOLDING,
         memory.nonce(),
-        new Incarnation.Origin(memory.incarnation(), memory.revision()),
+        new Incarnation.HistoryPosition(memory.incarnation(), memory.revision()),
         memory.led(),
         memory.contributed());
   }
--- a/src/main/java/io/cherryspool/controller/NodeApi.java
+++ b/src/main/java/io/cherryspool/controller/NodeApi.java
@@ -7,8 +7,8 @@
 import io.cherryspool.mesh.LinkState;
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.model.WorkerHeartbeat;
+import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.Records;
-import io.cherryspool.store.Replica;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.MalformedMessageException;
 import io.cherryspool.wire.UserProtocol;
@@ -58,7 +58,7 @@
    */
   record Parts(
       Node node,
-      Replica replica,
+      ClusterRecords replica,
       UserApi users,
       StateStanding state,
       Optional<RequestForwarder> forwarder,
@@ -203,7 +203,7 @@
    */
   private String otherLeader() {
     if (parts.state.reached()) {
-      Records.Leader leader = parts.replica.loaded() ? parts.replica.leader() : null;
+      Records.Leader leader = parts.replica.isLoaded() ? parts.replica.leader() : null;
       return leader == null || leader.node().equals(node) ? null : leader.node();
     }
     return parts.node.peersHeard().stream()
--- a/src/main/java/io/cherryspool/controller/Ownership.java
+++ b/src/main/java/io/cherryspool/controller/Ownership.java
@@ -5,8 +5,8 @@
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Shard;
 import io.cherryspool.model.TaskId;
-import io.cherryspool.store.JobEntry;
-import io.cherryspool.store.Replica;
+import io.cherryspool.store.ClusterRecords;
+import io.cherryspool.store.JobRecord;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -18,19 +18,19 @@
  * Who owns what, by machine, as the committed records say. It follows the records change by change,
  * so that a report costs the look-up of one machine however many tasks run.
  */
-final class Ownership implements Replica.Watcher, Lifecycle {
+final class Ownership implements ClusterRecords.RecordsListener, Lifecycle {
 
   /** One owned task. */
-  record Owned(JobEntry entry, TaskId id, Attempt attempt) {}
+  record Owned(JobRecord entry, TaskId id, Attempt attempt) {}
 
   /** Who acts on the changes. */
   interface Listener {
     void machineTouched(String machine);
 
-    void jobTouched(JobEntry entry);
+    void jobTouched(JobRecord entry);
 
     /** The job has ended. */
-    void jobEnded(JobEntry entry);
+    void jobEnded(JobRecord entry);
 
     /** The records no longer hold this attempt. */
     void released(Owned owned);
@@ -39,11 +39,11 @@
     void reloaded();
   }
 
-  private final Replica replica;
+  private final ClusterRecords replica;
   private final Map<String, List<Owned>> byMachine = new HashMap<>();
   private Listener listener;
 
-  Ownership(Replica replica) {
+  Ownership(ClusterRecords replica) {
     this.replica = replica;
   }
 
@@ -53,13 +53,13 @@
 
   @Override
   public void start() {
-    replica.watch(this);
-    reloaded();
+    replica.addListener(this);
+    onReloaded();
   }
 
   @Override
   public void stop() {
-    replica.unwatch(this);
+    replica.removeListener(this);
   }
 
   List<Owned> on(String machine) {
@@ -72,7 +72,7 @@
   }
 
   @Override
-  public void progressed(JobEntry entry, Shard before, Shard after) {
+  public void onProgress(JobRecord entry, Shard before, Shard after) {
     for (Attempt attempt : before.ownedAttempts().values()) {
       if (!attempt.equals(after.ownedAttempt(attempt.taskIndex()))) {
         remove(entry, attempt);
@@ -88,18 +88,18 @@
   }
 
   @Override
-  public void changed(JobEntry entry) {
+  public void onJobChanged(JobRecord entry) {
     listener.jobTouched(entry);
     if (entry.outcome() != null) {
       listener.jobEnded(entry);
     }
     if (entry.outcome() == Outcome.DONE) {
       // All its attempts have ended, which is what its outcome rests on.
-      for (JobEntry.Versioned item : entry.shards().values()) {
+      for (JobRecord.VersionedShard item : entry.shards().values()) {
         item.shard().ownedAttempts().values().forEach(attempt -> remove(entry, attempt));
       }
     } else if (entry.outcome() == Outcome.CANCELLED) {
-      for (JobEntry.Versioned item : entry.shards().values()) {
+      for (JobRecord.VersionedShard item : entry.shards().values()) {
         for (Attempt attempt : item.shard().ownedAttempts().values()) {
           listener.machineTouched(attempt.machine());
         }
@@ -108,13 +108,13 @@
   }
 
   @Override
-  public void reloaded() {
+  public void onReloaded() {
     byMachine.clear();
-    for (JobEntry entry : replica.active()) {
+    for (JobRecord entry : replica.activeJobs()) {
       if (entry.outcome() == Outcome.DONE) {
         continue;
       }
-      for (JobEntry.Versioned item : entry.shards().values()) {
+      for (JobRecord.VersionedShard item : entry.shards().values()) {
         for (Attempt attempt : item.shard().ownedAttempts().values()) {
           add(entry, attempt);
         }
@@ -123,13 +123,13 @@
     listener.reloaded();
   }
 
-  private void add(JobEntry entry, Attempt attempt) {
+  private void add(JobRecord entry, Attempt attempt) {
     byMachine
         .computeIfAbsent(attempt.machine(), key -> new ArrayList<>(4))
         .add(new Owned(entry, new TaskId(entry.job().id(), attempt.taskIndex()), attempt));
   }
 
-  private void remove(JobEntry entry, Attempt attempt) {
+  private void remove(JobRecord entry, Attempt attempt) {
     List<Owned> list = on(attempt.machine());
     for (int i = 0; i < list.size(); i++) {
       Owned owned = list.get(i);
--- a/src/main/java/io/cherryspool/controller/RecoveryApi.java
+++ b/src/main/java/io/cherryspool/controller/RecoveryApi.java
@@ -12,11 +12,11 @@
 import io.cherryspool.recovery.Recovery;
 import io.cherryspool.recovery.SnapshotWriter;
 import io.cherryspool.recovery.Snapshots;
-import io.cherryspool.store.JobEntry;
+import io.cherryspool.store.ClusterRecords;
+import io.cherryspool.store.JobRecord;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.store.Replica;
-import io.cherryspool.store.StateClient;
+import io.cherryspool.store.StateStoreClient;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.MalformedMessageException;
 import io.cherryspool.wire.StateStoreProtocol;
@@ -38,8 +38,8 @@
 
   private final ClusterNode node;
   private final Recovery recovery;
-  private final Replica replica;
-  private final StateClient client;
+  private final ClusterRecords replica;
+  private final StateStoreClient client;
   private final RateLimiter rateLimiter;
   private final SnapshotWriter snapshots;
 
@@ -49,8 +49,8 @@
   RecoveryApi(
       ClusterNode node,
       Recovery recovery,
-      Replica replica,
-      StateClient client,
+      ClusterRecords replica,
+      StateStoreClient client,
       RateLimiter rateLimiter,
       SnapshotWriter snapshots) {
     this.node = node;
@@ -75,9 +75,9 @@
     NodeMemory memory = recovery.memory();
     ObjectNode root = Json.object().put("node", node.name());
     root.put("phase", name(memory.phase()));
-    root.put("incarnation", memory.origin().number());
+    root.put("incarnation", memory.origin().incarnationNumber());
     root.put("revision", memory.origin().revision());
-    root.put("settled", recovery.serving() && replica.settled());
+    root.put("settled", recovery.serving() && replica.isReconciled());
     root.put("foreign_cluster", recovery.events().foreign());
     root.put("losses", recovery.events().losses());
     if (recovery.events().lastLoss() != null) {
@@ -86,15 +86,15 @@
     root.put("rebuilds", recovery.events().rebuilds());
     root.put("added_after_rebuild", recovery.events().added());
     root.put("last_hold_s", recovery.events().lastHold().toMillis() / 1e3);
-    root.put("jobs_held", replica.held().size());
-    root.put("jobs_unknown", replica.unknownAtWorkers().size());
+    root.put("jobs_held", replica.heldJobs().size());
+    root.put("jobs_unknown", replica.unknownJobs().size());
     ArrayNode peers = root.putArray("peers");
     for (Peer peer : node.peers()) {
       peers
           .addObject()
           .put("node", peer.node())
           .put("phase", name(peer.memory().phase()))
-          .put("incarnation", peer.memory().origin().number())
+          .put("incarnation", peer.memory().origin().incarnationNumber())
           .put("revision", peer.memory().origin().revision())
           .put("reaches_state", peer.reachesState());
     }
@@ -127,9 +127,9 @@
             nothing -> {
               ObjectNode root = Json.object();
               ArrayNode held = root.putArray("held");
-              replica.held().stream().sorted().forEach(id -> describe(id, held.addObject()));
+              replica.heldJobs().stream().sorted().forEach(id -> describe(id, held.addObject()));
               ArrayNode unknown = root.putArray("unknown");
-              replica.unknownAtWorkers().stream().sorted().forEach(unknown::add);
+              replica.unknownJobs().stream().sorted().forEach(unknown::add);
               return json(200, root);
             })
         .exceptionally(failure -> later());
@@ -137,7 +137,7 @@
 
   private void describe(String id, ObjectNode item) {
     item.put("job", id);
-    JobEntry entry = replica.job(id);
+    JobRecord entry = replica.job(id);
     if (entry != null) {
       item.put("class", entry.job().jobClass()).put("team", entry.job().team());
       item.put("tasks", entry.job().taskCount());
@@ -166,40 +166,42 @@
   }
 
   private CompletableFuture<Reply> repeat(String id) {
-    if (replica.unknownAtWorkers(id) && replica.job(id) == null) {
+    if (replica.unknownJobs(id) && replica.job(id) == null) {
       return now(
           error(409, "nobody has described job " + id + "; its user must submit it once more"));
     }
-    if (!replica.held().contains(id)) {
+    if (!replica.heldJobs().contains(id)) {
       return now(notHeld(id));
     }
     return commit(
-        Map.of(Records.outcome(id), 0L),
-        List.of(new StateStoreProtocol.Change(Records.held(id), null, 0)),
+        Map.of(Records.outcomeKey(id), 0L),
+        List.of(new StateStoreProtocol.Change(Records.heldJobKey(id), null, 0)),
         "job " + id + " runs again where its tasks did not report");
   }
 
   private CompletableFuture<Reply> abandon(String id) {
-    if (replica.unknownAtWorkers(id) && replica.job(id) == null) {
+    if (replica.unknownJobs(id) && replica.job(id) == null) {
       return commit(
-          Map.of(Records.job(id), 0L),
-          List.of(new StateStoreProtocol.Change(Records.unknown(id), Records.abandoned(), 0)),
+          Map.of(Records.jobKey(id), 0L),
+          List.of(
+              new StateStoreProtocol.Change(
+                  Records.unknownJobKey(id), Records.abandonedMarker(), 0)),
           "tasks of job " + id + " are stopped; questions for it are answered 404");
     }
-    if (!replica.held().contains(id)) {
+    if (!replica.heldJobs().contains(id)) {
       return now(notHeld(id));
     }
     return commit(
-        Map.of(Records.outcome(id), 0L),
+        Map.of(Records.outcomeKey(id), 0L),
         List.of(
             new StateStoreProtocol.Change(
-                Records.outcome(id), Records.outcome(Outcome.CANCELLED), 0),
-            new StateStoreProtocol.Change(Records.held(id), null, 0)),
+                Records.outcomeKey(id), Records.outcomeKey(Outcome.CANCELLED), 0),
+            new StateStoreProtocol.Change(Records.heldJobKey(id), null, 0)),
         "job " + id + " is cancelled");
   }
 
   private Reply notHeld(String id) {
-    JobEntry entry = replica.job(id);
+    JobRecord entry = replica.job(id);
     String state =
         entry == null ? "is not known" : entry.outcome() == null ? "is not held" : "has ended";
     return error(409, "job " + id + " " + state);
@@ -207,7 +209,7 @@
 
   private CompletableFuture<Reply> commit(
       Map<String, Long> conditions, List<StateStoreProtocol.Change> changes, String done) {
-    rateLimiter.force(changes.size());
+    rateLimiter.forceAcquire(changes.size());
     return client
         .commit(conditions, changes)
         .thenApply(
--- a/src/main/java/io/cherryspool/controller/RecoveryPart.java
+++ b/src/main/java/io/cherryspool/controller/RecoveryPart.java
@@ -13,11 +13,11 @@
 import io.cherryspool.recovery.Snapshot;
 import io.cherryspool.recovery.SnapshotWriter;
 import io.cherryspool.recovery.Snapshots;
-import io.cherryspool.store.HistoryGuard;
-import io.cherryspool.store.Picture;
+import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.RateLimiter;
-import io.cherryspool.store.Replica;
-import io.cherryspool.store.StateClient;
+import io.cherryspool.store.RecordsSnapshot;
+import io.cherryspool.store.RollbackDetector;
+import io.cherryspool.store.StateStoreClient;
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.binder.MeterBinder;
 import java.time.Duration;
@@ -42,9 +42,9 @@
   /** What the controller works with, and the recovery as well. */
   record Shared(
       EventLoop loop,
-      StateClient client,
+      StateStoreClient client,
       RateLimiter rateLimiter,
-      Replica replica,
+      ClusterRecords replica,
       Election election,
       RandomGenerator random,
       Supplier<Instant> wall) {}
@@ -62,7 +62,8 @@
     this.node = node;
     this.election = shared.election();
     Optional<Snapshots> kept = support.map(given -> new Snapshots(given.store()));
-    Picture newest = kept.flatMap(Snapshots::newest).map(Snapshot::picture).orElse(Picture.EMPTY);
+    RecordsSnapshot newest =
+        kept.flatMap(Snapshots::newest).map(Snapshot::picture).orElse(RecordsSnapshot.EMPTY);
     recovery =
         new Recovery(
             shared.loop(),
@@ -95,7 +96,7 @@
   public void start() {
     recovery.start();
     election.onLeaseEndedEarly(
-        () -> recovery.lost(HistoryGuard.Loss.LEASE_FORGOTTEN, "this node's lease"));
+        () -> recovery.reportLoss(RollbackDetector.Loss.LEASE_FORGOTTEN, "this node's lease"));
     snapshots.ifPresent(SnapshotWriter::start);
   }
 
@@ -145,7 +146,7 @@
 
   /** A worker has a task of which the records know no such start. */
   void startMissing(String task) {
-    recovery.lost(HistoryGuard.Loss.START_MISSING, task);
+    recovery.reportLoss(RollbackDetector.Loss.START_MISSING, task);
   }
 
   /** A report that comes while nobody leads tells at least what was once given out. */
--- a/src/main/java/io/cherryspool/controller/RoundEdits.java
+++ b/src/main/java/io/cherryspool/controller/RoundEdits.java
@@ -4,7 +4,7 @@
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Priority;
 import io.cherryspool.model.Shard;
-import io.cherryspool.store.JobEntry;
+import io.cherryspool.store.JobRecord;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
 import io.cherryspool.wire.StateStoreProtocol;
@@ -30,12 +30,12 @@
 
   /** The changed shards of one job. */
   private final class Edit {
-    private final JobEntry entry;
+    private final JobRecord entry;
     private final Map<Integer, Shard.Editor> shards = new TreeMap<>();
     private final Set<Integer> assigned = new HashSet<>();
     private boolean late;
 
-    Edit(JobEntry entry) {
+    Edit(JobRecord entry) {
       this.entry = entry;
     }
 
@@ -48,7 +48,7 @@
       Shard.Editor editor = entry.shard(index).shard().edit();
       for (PendingReleases.Release release : pendingReleases.ofJob(entry.job().id()).values()) {
         int task = release.owned().id().index();
-        if (entry.shardOf(task) == index) {
+        if (entry.shardIndexOf(task) == index) {
           if (release.done()) {
             editor.complete(task);
           } else {
@@ -66,25 +66,25 @@
     this.maxChanges = maxChanges;
   }
 
-  void assign(JobEntry entry, int task, String machine, long session, long token) {
+  void assign(JobRecord entry, int task, String machine, long session, long token) {
     Edit edit = edits.computeIfAbsent(entry.job().id(), key -> new Edit(entry));
-    int shard = entry.shardOf(task);
+    int shard = entry.shardIndexOf(task);
     edit.shard(shard).assign(task, machine, session, token);
     edit.assigned.add(shard);
   }
 
   /** The task runs there, although no record says that it was started. */
-  void adopt(JobEntry entry, Attempt attempt) {
+  void adopt(JobRecord entry, Attempt attempt) {
     Edit edit = edits.computeIfAbsent(entry.job().id(), key -> new Edit(entry));
-    int shard = entry.shardOf(attempt.taskIndex());
+    int shard = entry.shardIndexOf(attempt.taskIndex());
     edit.shard(shard).adopt(attempt);
     edit.assigned.add(shard);
   }
 
   /** The task has completed, although no record says that it was started. */
-  void complete(JobEntry entry, int task) {
+  void complete(JobRecord entry, int task) {
     Edit edit = edits.computeIfAbsent(entry.job().id(), key -> new Edit(entry));
-    edit.shard(entry.shardOf(task)).complete(task);
+    edit.shard(entry.shardIndexOf(task)).complete(task);
     edit.late = true;
   }
 
@@ -94,7 +94,7 @@
    * @param due releases learnt until then are written even if nothing else needs their shard
    * @param overdue those learnt until then press as much as anything
    */
-  List<RoundWriter.Unit> units(Collection<JobEntry> active, Duration due, Duration overdue) {
+  List<RoundWriter.Unit> units(Collection<JobRecord> active, Duration due, Duration overdue) {
     // Idle work comes after all other, or its ends would go before the starts of those it waits
     // for.
     Ranks usual = new Ranks();
@@ -103,7 +103,7 @@
     Set<String> ending = new HashSet<>();
     for (String id : pendingReleases.jobs()) {
       Collection<PendingReleases.Release> known = pendingReleases.ofJob(id).values();
-      JobEntry entry = known.iterator().next().owned().entry();
+      JobRecord entry = known.iterator().next().owned().entry();
       boolean whole =
           entry.doneCount() + PendingReleases.countDone(known) == entry.job().taskCount();
       boolean write = entry.outcome() == null && whole;
@@ -115,7 +115,7 @@
       if (write) {
         Edit edit = edits.computeIfAbsent(id, key -> new Edit(entry));
         edit.late = late;
-        known.forEach(release -> edit.shard(entry.shardOf(release.owned().id().index())));
+        known.forEach(release -> edit.shard(entry.shardIndexOf(release.owned().id().index())));
       }
       if (entry.outcome() == null && whole) {
         ending.add(id);
@@ -138,12 +138,12 @@
     private final List<RoundWriter.Unit> starts = new ArrayList<>();
   }
 
-  private static boolean idle(JobEntry entry) {
+  private static boolean idle(JobRecord entry) {
     return entry.job().priority() == Priority.LOW;
   }
 
   private void add(Edit edit, boolean ending, Ranks ranks, List<RoundWriter.Unit> rest) {
-    JobEntry entry = edit.entry;
+    JobRecord entry = edit.entry;
     String id = entry.job().id();
     Map<Integer, Shard> built = new TreeMap<>();
     edit.shards.forEach((index, editor) -> built.put(index, editor.build()));
@@ -155,11 +155,11 @@
     built.forEach(
         (index, shard) -> {
           Map<String, Long> conditions = new LinkedHashMap<>();
-          conditions.put(Records.progress(id, index), entry.shard(index).version());
+          conditions.put(Records.progressKey(id, index), entry.shard(index).version());
           boolean assigns = edit.assigned.contains(index);
           if (assigns) {
             // After a cancel is committed nothing of the job may be assigned.
-            conditions.put(Records.outcome(id), 0L);
+            conditions.put(Records.outcomeKey(id), 0L);
           }
           boolean over = entry.outcome() != null && shard.ownedAttempts().isEmpty();
           RoundWriter.Unit unit =
@@ -167,9 +167,11 @@
                   conditions,
                   List.of(
                       new StateStoreProtocol.Change(
-                          Records.progress(id, index), over ? null : Records.shard(shard), 0)),
-                  Records.sizeOf(shard),
-                  assigns || ending || edit.late ? use(entry) : RateLimiter.Use.LATER);
+                          Records.progressKey(id, index),
+                          over ? null : Records.encodeShard(shard),
+                          0)),
+                  Records.maxEncodedBytes(shard),
+                  assigns || ending || edit.late ? use(entry) : RateLimiter.WriteClass.DEFERRABLE);
           (assigns ? ranks.starts : ending ? ranks.ends : rest).add(unit);
         });
   }
@@ -180,28 +182,29 @@
    * records go when there is room. With four changes for each single task, of 25 a second, idle
    * work alone took them all.
    */
-  private RoundWriter.Unit ending(JobEntry entry, Set<Integer> shards) {
+  private RoundWriter.Unit ending(JobRecord entry, Set<Integer> shards) {
     String id = entry.job().id();
     Map<String, Long> conditions = new LinkedHashMap<>();
-    conditions.put(Records.outcome(id), 0L);
+    conditions.put(Records.outcomeKey(id), 0L);
     for (int index : shards) {
-      conditions.put(Records.progress(id, index), entry.shard(index).version());
+      conditions.put(Records.progressKey(id, index), entry.shard(index).version());
     }
     return new RoundWriter.Unit(
         conditions,
         List.of(
-            new StateStoreProtocol.Change(Records.outcome(id), Records.outcome(Outcome.DONE), 0)),
+            new StateStoreProtocol.Change(
+                Records.outcomeKey(id), Records.outcomeKey(Outcome.DONE), 0)),
         0,
         use(entry));
   }
 
-  private static RateLimiter.Use use(JobEntry entry) {
-    return idle(entry) ? RateLimiter.Use.IDLE : RateLimiter.Use.ROUND;
+  private static RateLimiter.WriteClass use(JobRecord entry) {
+    return idle(entry) ? RateLimiter.WriteClass.IDLE : RateLimiter.WriteClass.ROUND;
   }
 
   /** Ends jobs whose last shards were committed apart, and removes records of ended jobs. */
-  private void clean(Collection<JobEntry> active, List<RoundWriter.Unit> units) {
-    for (JobEntry entry : active) {
+  private void clean(Collection<JobRecord> active, List<RoundWriter.Unit> units) {
+    for (JobRecord entry : active) {
       String id = entry.job().id();
       if (edits.containsKey(id)) {
         continue;
@@ -213,14 +216,14 @@
         continue;
       }
       for (int index : entry.shards().keySet()) {
-        JobEntry.Versioned item = entry.shard(index);
+        JobRecord.VersionedShard item = entry.shard(index);
         if (entry.outcome() == Outcome.DONE || item.shard().ownedAttempts().isEmpty()) {
           units.add(
               new RoundWriter.Unit(
-                  Map.of(Records.progress(id, index), item.version()),
-                  List.of(new StateStoreProtocol.Change(Records.progress(id, index), null, 0)),
+                  Map.of(Records.progressKey(id, index), item.version()),
+                  List.of(new StateStoreProtocol.Change(Records.progressKey(id, index), null, 0)),
                   0,
-                  RateLimiter.Use.LATER));
+                  RateLimiter.WriteClass.DEFERRABLE));
         }
       }
     }
--- a/src/main/java/io/cherryspool/controller/RoundView.java
+++ b/src/main/java/io/cherryspool/controller/RoundView.java
@@ -8,8 +8,8 @@
 import io.cherryspool.model.TaskId;
 import io.cherryspool.model.Team;
 import io.cherryspool.scheduler.ClusterView;
-import io.cherryspool.store.JobEntry;
-import io.cherryspool.store.Replica;
+import io.cherryspool.store.ClusterRecords;
+import io.cherryspool.store.JobRecord;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -33,7 +33,7 @@
    */
   private static final Duration ONE_MORE = Duration.ofSeconds(90);
 
-  private final Replica replica;
+  private final ClusterRecords replica;
   private final Fleet fleet;
   private final Ownership ownership;
   private final PendingReleases pendingReleases;
@@ -51,7 +51,7 @@
   private record SeenJob(ClusterView.JobView view, Duration until) {}
 
   RoundView(
-      Replica replica,
+      ClusterRecords replica,
       Fleet fleet,
       Rounds.Ledger ledger,
       Tokens tokens,
@@ -71,7 +71,7 @@
     this.failureCap = failureCap;
   }
 
-  void jobTouched(JobEntry entry) {
+  void jobTouched(JobRecord entry) {
     String id = entry.job().id();
     jobs.remove(id);
     if (entry.outcome() != null && !lapsed.isEmpty()) {
@@ -97,7 +97,7 @@
   /** The jobs that have free tasks. */
   List<ClusterView.JobView> jobs(Duration now) {
     List<ClusterView.JobView> result = new ArrayList<>();
-    for (JobEntry entry : replica.active()) {
+    for (JobRecord entry : replica.activeJobs()) {
       if (entry.outcome() != null || adoption.holdsBack(entry)) {
         continue;
       }
@@ -117,7 +117,7 @@
   /** What each team's tasks use, without those that are proved to have ended. */
   Map<String, Resources> teamUse() {
     Map<String, Resources> use = new HashMap<>();
-    for (JobEntry entry : replica.active()) {
+    for (JobRecord entry : replica.activeJobs()) {
       Map<Integer, PendingReleases.Release> known = pendingReleases.ofJob(entry.job().id());
       int count = entry.ownedCount() - known.size();
       if (count > 0) {
@@ -130,7 +130,7 @@
   /** The teams that need not wait for others: all their unfinished work fits their guarantee. */
   Set<String> owed(Map<String, Team> teams) {
     Map<String, Resources> wanted = new HashMap<>();
-    for (JobEntry entry : replica.active()) {
+    for (JobRecord entry : replica.activeJobs()) {
       if (entry.outcome() == null) {
         Job job = entry.job();
         int left = job.taskCount() - entry.doneCount();
@@ -217,7 +217,7 @@
         running);
   }
 
-  private SeenJob look(JobEntry entry, Duration now) {
+  private SeenJob look(JobRecord entry, Duration now) {
     Job job = entry.job();
     Map<Integer, PendingReleases.Release> known = pendingReleases.ofJob(job.id());
     List<ClusterView.PendingTask> free = new ArrayList<>();
@@ -279,7 +279,7 @@
   }
 
   /** Whether any task of the job was ever done. */
-  boolean succeeded(JobEntry entry) {
+  boolean succeeded(JobRecord entry) {
     return entry.doneCount() > 0
         || PendingReleases.countDone(pendingReleases.ofJob(entry.job().id()).values()) > 0;
   }
@@ -298,10 +298,10 @@
   }
 
   /** The owned tasks by zone; null if one is on a machine of which nothing is known. */
-  private Map<String, Integer> perZone(JobEntry entry) {
+  private Map<String, Integer> perZone(JobRecord entry) {
     Map<String, Integer> result = new HashMap<>();
     Map<Integer, PendingReleases.Release> known = pendingReleases.ofJob(entry.job().id());
-    for (JobEntry.Versioned item : entry.shards().values()) {
+    for (JobRecord.VersionedShard item : entry.shards().values()) {
       for (Attempt attempt : item.shard().ownedAttempts().values()) {
         if (!known.containsKey(attempt.taskIndex())) {
           MachineState machine = fleet.get(attempt.machine());
--- a/src/main/java/io/cherryspool/controller/RoundWriter.java
+++ b/src/main/java/io/cherryspool/controller/RoundWriter.java
@@ -3,8 +3,8 @@
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.store.StateClient;
-import io.cherryspool.store.StateException;
+import io.cherryspool.store.StateStoreClient;
+import io.cherryspool.store.StateStoreException;
 import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -30,7 +30,7 @@
   static final int CONDITIONS = 4;
 
   private final EventLoop loop;
-  private final StateClient client;
+  private final StateStoreClient client;
   private final RateLimiter rateLimiter;
   private final int maxChanges;
   private final long termVersion;
@@ -41,11 +41,11 @@
       Map<String, Long> conditions,
       List<StateStoreProtocol.Change> changes,
       int bytes,
-      RateLimiter.Use use) {}
+      RateLimiter.WriteClass use) {}
 
   RoundWriter(
       EventLoop loop,
-      StateClient client,
+      StateStoreClient client,
       RateLimiter rateLimiter,
       int maxChanges,
       long termVersion) {
@@ -79,14 +79,14 @@
               || conditions + unit.conditions.size() > CONDITIONS * maxChanges
               || bytes + size > StateStoreProtocol.MAX_TRANSACTION_VALUE_BYTES;
       if (full && !batch.isEmpty()) {
-        rateLimiter.force(changes);
+        rateLimiter.forceAcquire(changes);
         batch = new ArrayList<>();
         changes = 0;
         conditions = RESERVED_CONDITIONS;
         bytes = 0;
       }
       // As many as may go now, and not a batch of the largest size later: starts wait for it.
-      if (!rateLimiter.allows(unit.use, changes, count)) {
+      if (!rateLimiter.mayWrite(unit.use, changes, count)) {
         break;
       }
       if (batch.isEmpty()) {
@@ -99,7 +99,7 @@
       taken++;
     }
     if (!batch.isEmpty()) {
-      rateLimiter.force(changes);
+      rateLimiter.forceAcquire(changes);
     }
     int[] open = {transactions.size()};
     for (List<Unit> transaction : transactions) {
@@ -140,17 +140,19 @@
         .commit(conditions, changes)
         .whenComplete(
             (result, failure) -> {
-              StateException.Kind kind = failure == null ? null : StateException.kindOf(failure);
+              StateStoreException.Kind kind =
+                  failure == null ? null : StateStoreException.kindOf(failure);
               boolean refused =
-                  kind == StateException.Kind.BUSY || kind == StateException.Kind.REFUSED;
-              if (kind == StateException.Kind.BUSY) {
+                  kind == StateStoreException.Kind.RATE_LIMITED
+                      || kind == StateStoreException.Kind.NOT_EXECUTED;
+              if (kind == StateStoreException.Kind.RATE_LIMITED) {
                 rateLimiter.drain();
               }
-              if (kind == StateException.Kind.UNKNOWN || open && refused) {
+              if (kind == StateStoreException.Kind.OUTCOME_UNKNOWN || open && refused) {
                 loop.schedule(
                     AGAIN,
                     () -> {
-                      rateLimiter.force(changes.size());
+                      rateLimiter.forceAcquire(changes.size());
                       send(conditions, changes, true, certain);
                     });
                 return;
--- a/src/main/java/io/cherryspool/controller/Rounds.java
+++ b/src/main/java/io/cherryspool/controller/Rounds.java
@@ -9,9 +9,9 @@
 import io.cherryspool.scheduler.ClusterView;
 import io.cherryspool.scheduler.Placement;
 import io.cherryspool.scheduler.RoundPlan;
-import io.cherryspool.store.JobEntry;
+import io.cherryspool.store.ClusterRecords;
+import io.cherryspool.store.JobRecord;
 import io.cherryspool.store.RateLimiter;
-import io.cherryspool.store.Replica;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -46,7 +46,7 @@
   private static final Duration MAX_RELEASE_DELAY = Duration.ofSeconds(25);
 
   private final EventLoop loop;
-  private final Replica replica;
+  private final ClusterRecords replica;
   private final RoundWriter writer;
   private final Fleet fleet;
   private final ReleaseEvidence evidence;
@@ -78,7 +78,7 @@
    */
   Rounds(
       EventLoop loop,
-      Replica replica,
+      ClusterRecords replica,
       RoundWriter writer,
       Fleet fleet,
       ReleaseEvidence evidence,
@@ -200,7 +200,7 @@
         : new MachineStanding(view.usable(machine, loop.now()), machine.areCommandsFenced());
   }
 
-  void jobTouched(JobEntry entry) {
+  void jobTouched(JobRecord entry) {
     view.jobTouched(entry);
     if (entry.outcome() != null) {
       ledger.backoff().drop(entry.job().id());
@@ -257,7 +257,7 @@
     }
     units.addAll(
         edits.units(
-            replica.active(), lastRun.minus(RELEASE_DELAY), lastRun.minus(MAX_RELEASE_DELAY)));
+            replica.activeJobs(), lastRun.minus(RELEASE_DELAY), lastRun.minus(MAX_RELEASE_DELAY)));
     if (settling && ledger.adoption().open()) {
       units.addAll(ledger.adoption().settle());
     }
@@ -277,7 +277,7 @@
           "the write rateLimiter leaves {} of {} changes for later",
           units.size() - sent,
           units.size());
-      if (units.get(sent).use() == RateLimiter.Use.ROUND) {
+      if (units.get(sent).use() == RateLimiter.WriteClass.ROUND) {
         Duration pause = Durations.multiply(lastCost, COST_SHARE);
         timer = loop.schedule(pause.compareTo(RETRY_PAUSE) > 0 ? pause : RETRY_PAUSE, this::run);
       }
@@ -346,7 +346,7 @@
 
   private void take(
       Ownership.Owned owned, MachineState machine, ReleaseEvidence.Verdict verdict, Duration now) {
-    JobEntry entry = owned.entry();
+    JobRecord entry = owned.entry();
     Attempt attempt = owned.attempt();
     ledger.pendingReleases().add(new PendingReleases.Release(owned, verdict, now));
     boolean done = verdict == ReleaseEvidence.Verdict.DONE;
@@ -411,7 +411,7 @@
     last = plan;
     meters.stops.add(plan.victims().size());
     for (RoundPlan.Assignment item : plan.assignments()) {
-      JobEntry entry = replica.job(item.jobId());
+      JobRecord entry = replica.job(item.jobId());
       MachineState machine = fleet.get(item.machine());
       edits.assign(
           entry,
@@ -423,9 +423,9 @@
     }
     Map<String, Integer> stopped = new LinkedHashMap<>();
     for (RoundPlan.Victim stop : plan.victims()) {
-      JobEntry entry = replica.job(stop.task().jobId());
+      JobRecord entry = replica.job(stop.task().jobId());
       int number = stop.task().index();
-      Attempt attempt = entry.shard(entry.shardOf(number)).shard().ownedAttempt(number);
+      Attempt attempt = entry.shard(entry.shardIndexOf(number)).shard().ownedAttempt(number);
       if (attempt != null) {
         stopped.merge(stop.task().jobId(), 1, Integer::sum);
         ledger.stopRequests().add(stop.task(), attempt.number(), stop.gracePeriod());
--- a/src/main/java/io/cherryspool/controller/StateStanding.java
+++ b/src/main/java/io/cherryspool/controller/StateStanding.java
@@ -4,7 +4,7 @@
 import io.cherryspool.mesh.LinkState;
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.reachability.Reachability;
-import io.cherryspool.store.Replica;
+import io.cherryspool.store.ClusterRecords;
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
@@ -12,12 +12,13 @@
 /** How this node stands with the state service, by itself and next to the other nodes. */
 final class StateStanding {
   private final EventLoop loop;
-  private final Replica replica;
+  private final ClusterRecords replica;
   private final Reachability reachability;
   private final Timings timings;
   private Optional<RecoveryPart> recovery = Optional.empty();
 
-  StateStanding(EventLoop loop, Replica replica, Reachability reachability, Timings timings) {
+  StateStanding(
+      EventLoop loop, ClusterRecords replica, Reachability reachability, Timings timings) {
     this.loop = loop;
     this.replica = replica;
     this.reachability = reachability;
@@ -31,7 +32,7 @@
 
   /** Whether the service answered this node within a state lease. */
   boolean reached() {
-    Duration confirmed = replica.confirmed();
+    Duration confirmed = replica.lastConfirmedAt();
     if (recovery.isPresent() && !recovery.get().serving()) {
       confirmed = recovery.get().lastAnswer();
     }
@@ -40,7 +41,7 @@
 
   /** How long ago the last reading that succeeded was sent, in ms. */
   int silenceMillis() {
-    Duration read = replica.confirmed();
+    Duration read = replica.lastConfirmedAt();
     return read == null ? Integer.MAX_VALUE : (int) loop.now().minus(read).toMillis();
   }
 
@@ -50,14 +51,14 @@
    * of them must say so of itself.
    */
   boolean behind() {
-    Duration own = replica.confirmed();
+    Duration own = replica.lastConfirmedAt();
     Duration others = reachability.matrix().lastReading(timings.stateLease(), loop.now());
     return own == null || others != null && others.minus(own).compareTo(timings.behind()) > 0;
   }
 
   /** Whether the service may not answer this node, so that another is the better one. */
   boolean inDoubt() {
-    return replica.silent() || link() != LinkState.UP;
+    return replica.isReadOverdue() || link() != LinkState.UP;
   }
 
   /** The link to the service, by the last requests. */
@@ -81,6 +82,6 @@
 
   /** Whether the records can be read here, or can be read nowhere. */
   private boolean readable() {
-    return replica.loaded() || recovery.map(RecoveryPart::heldEverywhere).orElse(false);
+    return replica.isLoaded() || recovery.map(RecoveryPart::heldEverywhere).orElse(false);
   }
 }
--- a/src/main/java/io/cherryspool/controller/UserApi.java
+++ b/src/main/java/io/cherryspool/controller/UserApi.java
@@ -7,11 +7,11 @@
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Team;
 import io.cherryspool.scheduler.PlacementConstraints;
+import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.GroupCommit;
-import io.cherryspool.store.JobEntry;
+import io.cherryspool.store.JobRecord;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.store.Replica;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.MalformedMessageException;
 import io.cherryspool.wire.StateStoreProtocol;
@@ -33,7 +33,7 @@
 
   private static final String SILENT = "the state service is silent";
 
-  private final Replica replica;
+  private final ClusterRecords replica;
   private final GroupCommit commits;
   private final Map<String, Team> teams;
   private final Supplier<List<MachineType>> catalog;
@@ -46,7 +46,7 @@
    * @param behind whether other nodes read the state while this one does not
    */
   UserApi(
-      Replica replica,
+      ClusterRecords replica,
       GroupCommit commits,
       Map<String, Team> teams,
       Supplier<List<MachineType>> catalog,
@@ -75,7 +75,7 @@
     JsonNode record;
     try {
       job = UserProtocol.parseJob(node, wall.get());
-      record = Records.job(job, Records.tasksPerShard(valueBytes));
+      record = Records.jobKey(job, Records.tasksPerShard(valueBytes));
       if (Json.toBytes(record).length > valueBytes) {
         throw new MalformedMessageException("the description is too long to be kept");
       }
@@ -92,7 +92,7 @@
     if (replica.job(id) != null) {
       return known(id);
     }
-    if (!replica.loaded()) {
+    if (!replica.isLoaded()) {
       return now(later("not ready"));
     }
     if (types == null) {
@@ -100,9 +100,9 @@
     }
     return commits
         .submit(
-            RateLimiter.Use.SUBMIT,
-            Map.of(Records.job(id), 0L),
-            new StateStoreProtocol.Change(Records.job(id), record, 0))
+            RateLimiter.WriteClass.SUBMIT,
+            Map.of(Records.jobKey(id), 0L),
+            new StateStoreProtocol.Change(Records.jobKey(id), record, 0))
         .thenCompose(
             applied ->
                 applied
@@ -122,15 +122,15 @@
     if (replica.job(id) != null) {
       return known(id);
     }
-    if (!replica.loaded()) {
+    if (!replica.isLoaded()) {
       return now(later("not ready"));
     }
     return replica
         .refresh()
         .handle(
             (nothing, failure) -> {
-              JobEntry entry = replica.job(id);
-              boolean unsure = !replica.loaded() || behind.getAsBoolean();
+              JobRecord entry = replica.job(id);
+              boolean unsure = !replica.isLoaded() || behind.getAsBoolean();
               if (failure != null && (entry != null || unsure)) {
                 return later(SILENT);
               }
@@ -152,14 +152,14 @@
    * they run is known only once all are heard.
    */
   private Reply unknown(String id) {
-    boolean gone = replica.abandoned(id) || !replica.unknownAtWorkers(id);
-    return replica.settled() && gone
+    boolean gone = replica.isAbandoned(id) || !replica.unknownJobs(id);
+    return replica.isReconciled() && gone
         ? notFound()
         : later("the records of this job are lost; submit it again");
   }
 
   CompletableFuture<Reply> cancel(String id) {
-    JobEntry known = replica.job(id);
+    JobRecord known = replica.job(id);
     if (known != null && known.outcome() != null) {
       return now(ending(known));
     }
@@ -167,7 +167,7 @@
         .refresh()
         .thenCompose(
             nothing -> {
-              JobEntry entry = replica.job(id);
+              JobRecord entry = replica.job(id);
               if (entry == null) {
                 return now(unknown(id));
               }
@@ -176,10 +176,10 @@
               }
               return commits
                   .submit(
-                      RateLimiter.Use.CANCEL,
-                      Map.of(Records.outcome(id), 0L),
+                      RateLimiter.WriteClass.CANCEL,
+                      Map.of(Records.outcomeKey(id), 0L),
                       new StateStoreProtocol.Change(
-                          Records.outcome(id), Records.outcome(Outcome.CANCELLED), 0))
+                          Records.outcomeKey(id), Records.outcomeKey(Outcome.CANCELLED), 0))
                   .thenCompose(
                       applied ->
                           applied
@@ -198,7 +198,7 @@
    * told from memory, in any trouble, since nothing follows it.
    */
   private CompletableFuture<Reply> current(String id, Supplier<Reply> unknown) {
-    JobEntry known = replica.job(id);
+    JobRecord known = replica.job(id);
     if (known != null && known.outcome() != null) {
       return now(status(known));
     }
@@ -206,7 +206,7 @@
         .refresh()
         .thenApply(
             nothing -> {
-              JobEntry entry = replica.job(id);
+              JobRecord entry = replica.job(id);
               return entry == null ? unknown.get() : status(entry);
             })
         .exceptionally(failure -> later(SILENT));
@@ -216,13 +216,13 @@
    * After a cancel that met a conflict. What it met is told only from a record that is there:
    * without one nothing says how the job ended, nor that it did, and the user asks again.
    */
-  private static Reply ended(JobEntry entry) {
+  private static Reply ended(JobRecord entry) {
     return entry == null || entry.outcome() == null
         ? later("whether the job is cancelled is not known yet")
         : ending(entry);
   }
 
-  private Reply status(JobEntry entry) {
+  private Reply status(JobRecord entry) {
     int running = entry.outcome() == null ? entry.ownedCount() : 0;
     UserProtocol.JobStatus status =
         entry.outcome() == Outcome.DONE
@@ -233,10 +233,14 @@
     return Reply.json(
         200,
         UserProtocol.encodeStatus(
-            entry.job().id(), status, entry.doneCount(), running, entry.failing(failureCap)));
+            entry.job().id(),
+            status,
+            entry.doneCount(),
+            running,
+            entry.failingTaskCount(failureCap)));
   }
 
-  private static Reply ending(JobEntry entry) {
+  private static Reply ending(JobRecord entry) {
     UserProtocol.JobStatus status =
         entry.outcome() == Outcome.DONE
             ? UserProtocol.JobStatus.DONE
--- a/src/main/java/io/cherryspool/controller/Workload.java
+++ b/src/main/java/io/cherryspool/controller/Workload.java
@@ -2,8 +2,8 @@
 
 import io.cherryspool.model.Job;
 import io.cherryspool.scheduler.ScalingPlan;
-import io.cherryspool.store.JobEntry;
-import io.cherryspool.store.Replica;
+import io.cherryspool.store.ClusterRecords;
+import io.cherryspool.store.JobRecord;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -37,11 +37,11 @@
   private static final double FADE = 0.995;
   private static final double MOST = 3;
 
-  private final Replica replica;
+  private final ClusterRecords replica;
   private final PendingReleases pendingReleases;
   private final CrashLoopBackoff backoff;
   private final Supplier<Instant> wall;
-  private final Map<String, JobEntry> recent = new LinkedHashMap<>();
+  private final Map<String, JobRecord> recent = new LinkedHashMap<>();
   private final Map<String, Runs> runs = new HashMap<>();
 
   /** Run times of a class against their estimates. */
@@ -52,7 +52,7 @@
   }
 
   Workload(
-      Replica replica,
+      ClusterRecords replica,
       PendingReleases pendingReleases,
       CrashLoopBackoff backoff,
       Supplier<Instant> wall) {
@@ -67,7 +67,7 @@
     replica.jobs().forEach(this::accepted);
   }
 
-  void accepted(JobEntry entry) {
+  void accepted(JobRecord entry) {
     if (age(entry.job()).compareTo(WINDOW) < 0) {
       recent.put(entry.job().id(), entry);
     }
@@ -103,7 +103,7 @@
     double all = 0;
     double lately = 0;
     Duration span = LEAST;
-    for (JobEntry entry : recent.values()) {
+    for (JobRecord entry : recent.values()) {
       double work = work(entry.job(), entry.job().taskCount());
       Duration age = age(entry.job());
       span = age.compareTo(span) > 0 ? age : span;
@@ -113,12 +113,12 @@
     double rate = all / seconds(span);
     double bound = RISE * lately / Math.min(seconds(LATELY), seconds(span));
     double share = rate <= 0 ? 0 : Math.min(1, bound / rate) / seconds(span);
-    for (JobEntry entry : recent.values()) {
+    for (JobRecord entry : recent.values()) {
       double work = work(entry.job(), entry.job().taskCount());
       double cpus = entry.job().taskCount() * entry.job().perTask().cpus();
       result.add(new ScalingPlan.JobDemand(entry.job(), work * share, work * cpus * share, 0));
     }
-    for (JobEntry entry : replica.active()) {
+    for (JobRecord entry : replica.activeJobs()) {
       if (entry.outcome() == null && !crashLooping(entry)) {
         Collection<PendingReleases.Release> known =
             pendingReleases.ofJob(entry.job().id()).values();
@@ -133,7 +133,7 @@
     return result;
   }
 
-  private boolean crashLooping(JobEntry entry) {
+  private boolean crashLooping(JobRecord entry) {
     Collection<PendingReleases.Release> known = pendingReleases.ofJob(entry.job().id()).values();
     return entry.doneCount() + PendingReleases.countDone(known) == 0 && backoff.crashLooping(entry);
   }
--- a/src/main/java/io/cherryspool/recovery/Contributions.java
+++ b/src/main/java/io/cherryspool/recovery/Contributions.java
@@ -1,14 +1,14 @@
 package io.cherryspool.recovery;
 
 import io.cherryspool.lifecycle.EventLoop;
+import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.Incarnation;
-import io.cherryspool.store.JobEntry;
-import io.cherryspool.store.Picture;
+import io.cherryspool.store.JobRecord;
+import io.cherryspool.store.OrphanedRecords;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.store.Remains;
-import io.cherryspool.store.Replica;
-import io.cherryspool.store.StateClient;
+import io.cherryspool.store.RecordsSnapshot;
+import io.cherryspool.store.StateStoreClient;
 import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -27,9 +27,9 @@
   private static final Duration RETRY = Duration.ofMillis(250);
 
   private final EventLoop loop;
-  private final StateClient client;
+  private final StateStoreClient client;
   private final RateLimiter rateLimiter;
-  private final Replica replica;
+  private final ClusterRecords replica;
   private final RecoveryTimings timings;
   private final RecentWrites recent = new RecentWrites();
   private long contributed;
@@ -37,9 +37,9 @@
 
   Contributions(
       EventLoop loop,
-      StateClient client,
+      StateStoreClient client,
       RateLimiter rateLimiter,
-      Replica replica,
+      ClusterRecords replica,
       RecoveryTimings timings) {
     this.loop = loop;
     this.client = client;
@@ -70,10 +70,10 @@
    *
    * @return how many records it adds
    */
-  int addForgotten(Picture memory, BooleanSupplier serving) {
-    Picture known = memory;
+  int addForgotten(RecordsSnapshot memory, BooleanSupplier serving) {
+    RecordsSnapshot known = memory;
     for (StateStoreProtocol.Change change : recent.all()) {
-      known = Remains.with(known, change);
+      known = OrphanedRecords.withCommitted(known, change);
     }
     recent.clear();
     List<StateStoreProtocol.Change> changes = new ArrayList<>();
@@ -81,16 +81,16 @@
         .jobs()
         .forEach(
             (id, job) -> {
-              JobEntry entry = replica.job(id);
+              JobRecord entry = replica.job(id);
               if (entry == null) {
                 changes.add(
                     new StateStoreProtocol.Change(
-                        Records.job(id), Records.job(job.job(), job.tasksPerShard()), 0));
+                        Records.jobKey(id), Records.jobKey(job.job(), job.tasksPerShard()), 0));
               }
               if (job.outcome() != null && (entry == null || entry.outcome() == null)) {
                 changes.add(
                     new StateStoreProtocol.Change(
-                        Records.outcome(id), Records.outcome(job.outcome()), 0));
+                        Records.outcomeKey(id), Records.outcomeKey(job.outcome()), 0));
               }
             });
     if (!changes.isEmpty()) {
@@ -104,7 +104,7 @@
     if (!serving.getAsBoolean()) {
       return;
     }
-    if (!rateLimiter.takeWrites(RateLimiter.Use.SUBMIT, 1)) {
+    if (!rateLimiter.tryAcquireWrites(RateLimiter.WriteClass.SUBMIT, 1)) {
       loop.schedule(RETRY, () -> addForgotten(change, serving));
       return;
     }
@@ -124,13 +124,14 @@
       return;
     }
     List<StateStoreProtocol.Change> known = new ArrayList<>(recent.all());
-    Incarnation remembered = client.space().incarnation();
-    if (remembered != null && remembered.number() == record.origin().number()) {
-      known.addAll(replica.permanentSince(record.origin().revision()));
+    Incarnation remembered = client.keySpace().incarnation();
+    if (remembered != null && remembered.number() == record.origin().incarnationNumber()) {
+      known.addAll(replica.immutableRecordsSince(record.origin().revision()));
     }
     List<StateStoreProtocol.Change> changes = new ArrayList<>();
     for (StateStoreProtocol.Change change : known) {
-      changes.add(new StateStoreProtocol.Change(record.physical(change.key()), change.value(), 0));
+      changes.add(
+          new StateStoreProtocol.Change(record.toPhysical(change.key()), change.value(), 0));
     }
     if (changes.isEmpty()) {
       contributed = record.number();
@@ -144,7 +145,7 @@
       Incarnation record, long version, List<StateStoreProtocol.Change> changes) {
     int count = Math.min(changes.size(), timings.maxChanges() / 2);
     List<StateStoreProtocol.Change> batch = changes.subList(0, count);
-    rateLimiter.force(count);
+    rateLimiter.forceAcquire(count);
     client
         .commitPhysical(Map.of(Incarnation.KEY, version), batch)
         .whenComplete(
--- a/src/main/java/io/cherryspool/recovery/NodeMemory.java
+++ b/src/main/java/io/cherryspool/recovery/NodeMemory.java
@@ -13,7 +13,7 @@
  * @param contributed the number of the rebuild to which it has added its own last writes
  */
 public record NodeMemory(
-    Phase phase, String nonce, Incarnation.Origin origin, boolean led, long contributed) {
+    Phase phase, String nonce, Incarnation.HistoryPosition origin, boolean led, long contributed) {
 
   /** What a node does. */
   public enum Phase {
@@ -28,10 +28,10 @@
   }
 
   boolean remembers() {
-    return origin.number() >= 0;
+    return origin.incarnationNumber() >= 0;
   }
 
   boolean isOf(Incarnation incarnation) {
-    return origin.number() == incarnation.number() && nonce.equals(incarnation.nonce());
+    return origin.incarnationNumber() == incarnation.number() && nonce.equals(incarnation.nonce());
   }
 }
--- a/src/main/java/io/cherryspool/recovery/PictureMerge.java
+++ b/src/main/java/io/cherryspool/recovery/PictureMerge.java
@@ -4,8 +4,8 @@
 import io.cherryspool.model.Job;
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Shard;
-import io.cherryspool.store.Picture;
-import io.cherryspool.store.Picture.PictureJob;
+import io.cherryspool.store.RecordsSnapshot;
+import io.cherryspool.store.RecordsSnapshot.JobSnapshot;
 import java.util.Comparator;
 import java.util.Map;
 import java.util.TreeMap;
@@ -33,30 +33,30 @@
   private PictureMerge() {}
 
   /** Both together; the first one's cluster and origin where they differ in nothing else. */
-  public static Picture merge(Picture one, Picture other) {
-    boolean newer = other.origin().compareTo(one.origin()) > 0;
-    Picture first = newer ? other : one;
-    Picture second = newer ? one : other;
-    PMap<String, PictureJob> jobs = first.jobs();
-    for (Map.Entry<String, PictureJob> item : second.jobs().entrySet()) {
-      PictureJob known = jobs.get(item.getKey());
-      PictureJob merged = known == null ? item.getValue() : merge(known, item.getValue());
+  public static RecordsSnapshot merge(RecordsSnapshot one, RecordsSnapshot other) {
+    boolean newer = other.position().compareTo(one.position()) > 0;
+    RecordsSnapshot first = newer ? other : one;
+    RecordsSnapshot second = newer ? one : other;
+    PMap<String, JobSnapshot> jobs = first.jobs();
+    for (Map.Entry<String, JobSnapshot> item : second.jobs().entrySet()) {
+      JobSnapshot known = jobs.get(item.getKey());
+      JobSnapshot merged = known == null ? item.getValue() : merge(known, item.getValue());
       if (merged != known) {
         jobs = jobs.plus(item.getKey(), merged);
       }
     }
-    return new Picture(
+    return new RecordsSnapshot(
         first.cluster().isEmpty() ? second.cluster() : first.cluster(),
         first.nonce(),
-        first.origin(),
+        first.position(),
         Math.max(first.term(), second.term()),
         first.catalog() == null ? second.catalog() : first.catalog(),
         jobs);
   }
 
   /** The first job itself where the second adds nothing to it. */
-  static PictureJob merge(PictureJob one, PictureJob other) {
-    PictureJob base = BY_DESCRIPTION.compare(one.job(), other.job()) <= 0 ? one : other;
+  static JobSnapshot merge(JobSnapshot one, JobSnapshot other) {
+    JobSnapshot base = BY_DESCRIPTION.compare(one.job(), other.job()) <= 0 ? one : other;
     Outcome outcome = furthest(one.outcome(), other.outcome());
     if (base.tasksPerShard() != one.tasksPerShard()
         || base.tasksPerShard() != other.tasksPerShard()) {
@@ -72,7 +72,7 @@
       }
     }
     boolean same = base == one && outcome == one.outcome() && shards == one.shards();
-    return same ? one : new PictureJob(base.job(), base.tasksPerShard(), outcome, shards);
+    return same ? one : new JobSnapshot(base.job(), base.tasksPerShard(), outcome, shards);
   }
 
   private static Outcome furthest(Outcome one, Outcome other) {
@@ -82,7 +82,7 @@
     return one == null ? other : one;
   }
 
-  private static PictureJob resharded(PictureJob from, PictureJob base, int size) {
+  private static JobSnapshot resharded(JobSnapshot from, JobSnapshot base, int size) {
     Map<Integer, Shard.Editor> editors = new TreeMap<>();
     for (Shard shard : from.shards().values()) {
       for (int task = shard.nextDone(0); task >= 0; task = shard.nextDone(task + 1)) {
@@ -104,7 +104,7 @@
     for (Map.Entry<Integer, Shard.Editor> item : editors.entrySet()) {
       shards = shards.plus(item.getKey(), item.getValue().build());
     }
-    return new PictureJob(base.job(), size, from.outcome(), shards);
+    return new JobSnapshot(base.job(), size, from.outcome(), shards);
   }
 
   private static Shard.Editor editor(Map<Integer, Shard.Editor> editors, int index) {
--- a/src/main/java/io/cherryspool/recovery/Rebuilder.java
+++ b/src/main/java/io/cherryspool/recovery/Rebuilder.java
@@ -4,13 +4,13 @@
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.store.Incarnation;
 import io.cherryspool.store.KeyScan;
-import io.cherryspool.store.Picture;
-import io.cherryspool.store.PictureCodec;
+import io.cherryspool.store.OrphanedRecords;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.store.Remains;
-import io.cherryspool.store.StateClient;
-import io.cherryspool.store.StateException;
+import io.cherryspool.store.RecordsSnapshot;
+import io.cherryspool.store.RecordsSnapshotCodec;
+import io.cherryspool.store.StateStoreClient;
+import io.cherryspool.store.StateStoreException;
 import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -31,7 +31,7 @@
   private static final Duration RETRY = Duration.ofMillis(300);
 
   private final EventLoop loop;
-  private final StateClient client;
+  private final StateStoreClient client;
   private final RateLimiter rateLimiter;
   private final RecoveryTimings timings;
   private final BooleanSupplier contributed;
@@ -40,7 +40,7 @@
   private final Duration began;
   private Incarnation record;
   private long version;
-  private Picture picture;
+  private RecordsSnapshot picture;
   private boolean complete;
   private List<byte[]> chunks = List.of();
   private Duration contributionsUntil;
@@ -63,7 +63,7 @@
       long replaces,
       Incarnation lost,
       Incarnation interrupted,
-      Picture memory,
+      RecordsSnapshot memory,
       List<StateStoreProtocol.Change> recent,
       long term) {}
 
@@ -73,7 +73,7 @@
    */
   Rebuilder(
       EventLoop loop,
-      StateClient client,
+      StateStoreClient client,
       RateLimiter rateLimiter,
       RecoveryTimings timings,
       Plan plan,
@@ -108,8 +108,8 @@
         "rebuilding as incarnation {} from {} jobs remembered up to incarnation {} revision {}",
         record.number(),
         picture.jobs().size(),
-        plan.memory().origin().number(),
-        plan.memory().origin().revision());
+        plan.memory().position().incarnationNumber(),
+        plan.memory().position().revision());
     replaceRecord(plan.replaces(), this::readRemains);
   }
 
@@ -118,7 +118,7 @@
     if (stopped) {
       return;
     }
-    rateLimiter.force(1);
+    rateLimiter.forceAcquire(1);
     StateStoreProtocol.Change change =
         new StateStoreProtocol.Change(Incarnation.KEY, record.encode(), 0);
     client
@@ -142,7 +142,7 @@
     if (stopped) {
       return;
     }
-    rateLimiter.force(0);
+    rateLimiter.forceAcquire(0);
     client
         .readIncarnation()
         .whenComplete(
@@ -164,24 +164,26 @@
   }
 
   private void readRemains() {
-    scan = new KeyScan(loop, client, rateLimiter, Records.PREFIX, all -> writePicture(all.found()));
+    scan =
+        new KeyScan(loop, client, rateLimiter, Records.PREFIX, all -> writePicture(all.entries()));
     scan.start();
   }
 
   private void writePicture(List<StateStoreProtocol.Event> left) {
-    Picture known = plan.memory();
+    RecordsSnapshot known = plan.memory();
     boolean added = false;
     for (Incarnation earlier : new Incarnation[] {plan.lost(), plan.interrupted()}) {
       if (earlier != null) {
-        Picture remains = Remains.read(left, earlier);
-        Picture merged = PictureMerge.merge(known, remains);
+        RecordsSnapshot remains = OrphanedRecords.read(left, earlier);
+        RecordsSnapshot merged = PictureMerge.merge(known, remains);
         added |= merged.jobs() != known.jobs() || merged.term() != known.term();
         known = merged;
       }
     }
-    complete = record.complete() && !added;
-    picture = withRecent(known, plan.recent()).withTerm(plan.term());
-    chunks = PictureCodec.encode(picture.jobs(), Records.chunkBytes(timings.valueBytes()));
+    complete = record.isComplete() && !added;
+    picture = withRecent(known, plan.recent()).withTermAtLeast(plan.term());
+    chunks =
+        RecordsSnapshotCodec.encode(picture.jobs(), Records.maxChunkBytes(timings.valueBytes()));
     LOG.info(
         "writing {} jobs in {} bundles as incarnation {}; what was left {}",
         picture.jobs().size(),
@@ -191,10 +193,11 @@
     writeBundles(0);
   }
 
-  private static Picture withRecent(Picture known, List<StateStoreProtocol.Change> recent) {
-    Picture result = known;
+  private static RecordsSnapshot withRecent(
+      RecordsSnapshot known, List<StateStoreProtocol.Change> recent) {
+    RecordsSnapshot result = known;
     for (StateStoreProtocol.Change change : recent) {
-      result = Remains.with(result, change);
+      result = OrphanedRecords.withCommitted(result, change);
     }
     return result;
   }
@@ -211,7 +214,7 @@
       if (bytes + size > StateStoreProtocol.MAX_TRANSACTION_VALUE_BYTES && !changes.isEmpty()) {
         break;
       }
-      changes.add(change(Records.bundle(next), Records.bundle(chunks.get(next))));
+      changes.add(change(Records.bundleKey(next), Records.bundleKey(chunks.get(next))));
       bytes += size;
       next++;
     }
@@ -225,7 +228,7 @@
 
   private void writeTerm() {
     List<StateStoreProtocol.Change> changes = new ArrayList<>();
-    changes.add(change(Records.TERM, Records.term(picture.term())));
+    changes.add(change(Records.TERM, Records.encodeTerm(picture.term())));
     if (picture.catalog() != null) {
       changes.add(change(Records.CATALOG, picture.catalog()));
     }
@@ -238,7 +241,7 @@
   }
 
   private StateStoreProtocol.Change change(String key, JsonNode value) {
-    return new StateStoreProtocol.Change(record.physical(key), value, 0);
+    return new StateStoreProtocol.Change(record.toPhysical(key), value, 0);
   }
 
   private void commit(List<StateStoreProtocol.Change> changes, Runnable next) {
@@ -246,7 +249,7 @@
       return;
     }
     Duration sent = loop.now();
-    rateLimiter.force(changes.size());
+    rateLimiter.forceAcquire(changes.size());
     client
         .commitPhysical(Map.of(Incarnation.KEY, version), changes)
         .whenComplete(
@@ -259,7 +262,8 @@
               } else if (failure != null) {
                 // What was applied already may be written once more: the same again.
                 LOG.debug("writing the rebuilt records failed: {}", failure.toString());
-                boolean busy = StateException.kindOf(failure) == StateException.Kind.BUSY;
+                boolean busy =
+                    StateStoreException.kindOf(failure) == StateStoreException.Kind.RATE_LIMITED;
                 loop.schedule(busy ? Duration.ofSeconds(1) : RETRY, () -> commit(changes, next));
               } else {
                 paced(sent, changes.size(), next);
@@ -280,8 +284,9 @@
     }
     if (contributed.getAsBoolean() || loop.now().compareTo(contributionsUntil) > 0) {
       record =
-          record.finished(
-              complete, new Incarnation.Manifest(chunks.size(), PictureCodec.digest(chunks)));
+          record.completed(
+              complete,
+              new Incarnation.Manifest(chunks.size(), RecordsSnapshotCodec.digest(chunks)));
       replaceRecord(version, () -> end(true, "whole"));
     } else {
       loop.schedule(RETRY, this::awaitContributions);
--- a/src/main/java/io/cherryspool/recovery/RecentWrites.java
+++ b/src/main/java/io/cherryspool/recovery/RecentWrites.java
@@ -18,7 +18,7 @@
 
   void add(List<StateStoreProtocol.Change> changes, long revision) {
     for (StateStoreProtocol.Change change : changes) {
-      if (change.value() != null && Records.isPermanent(change.key())) {
+      if (change.value() != null && Records.isImmutable(change.key())) {
         writes.add(new Write(change, revision));
       }
     }
--- a/src/main/java/io/cherryspool/recovery/Reconciliation.java
+++ b/src/main/java/io/cherryspool/recovery/Reconciliation.java
@@ -3,7 +3,7 @@
 import io.cherryspool.model.Attempt;
 import io.cherryspool.model.Shard;
 import io.cherryspool.model.WorkerHeartbeat;
-import io.cherryspool.store.JobEntry;
+import io.cherryspool.store.JobRecord;
 
 /**
  * What a worker's report of a task means for records that may lack the newest starts and ends.
@@ -32,7 +32,7 @@
    *
    * @param entry the task's job, null if it is not known
    */
-  public static boolean knowsStart(JobEntry entry, WorkerHeartbeat.TaskStatus item) {
+  public static boolean knowsStart(JobRecord entry, WorkerHeartbeat.TaskStatus item) {
     if (entry == null) {
       return false;
     }
@@ -40,7 +40,7 @@
     if (entry.outcome() != null || task >= entry.job().taskCount()) {
       return true;
     }
-    Shard shard = entry.shard(entry.shardOf(task)).shard();
+    Shard shard = entry.shard(entry.shardIndexOf(task)).shard();
     return shard.isDone(task) || shard.history(task).attempts() >= item.attempt();
   }
 
@@ -49,7 +49,7 @@
    * @param ownerReports whether the machine that the records give the task to reports it as well
    */
   public static Decision decide(
-      JobEntry entry,
+      JobRecord entry,
       WorkerHeartbeat.TaskStatus item,
       String machine,
       long session,
@@ -61,7 +61,7 @@
     if (entry.outcome() != null || task >= entry.job().taskCount()) {
       return Decision.DISCARD;
     }
-    Shard shard = entry.shard(entry.shardOf(task)).shard();
+    Shard shard = entry.shard(entry.shardIndexOf(task)).shard();
     if (shard.isDone(task)) {
       return Decision.DISCARD;
     }
--- a/src/main/java/io/cherryspool/recovery/Recovery.java
+++ b/src/main/java/io/cherryspool/recovery/Recovery.java
@@ -2,13 +2,13 @@
 
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.lifecycle.Lifecycle;
-import io.cherryspool.store.HistoryGuard;
+import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.Incarnation;
-import io.cherryspool.store.Picture;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.store.Replica;
-import io.cherryspool.store.StateClient;
+import io.cherryspool.store.RecordsSnapshot;
+import io.cherryspool.store.RollbackDetector;
+import io.cherryspool.store.StateStoreClient;
 import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.List;
@@ -22,14 +22,14 @@
  * While it serves, it holds each answer against what is known; once history is lost, it stops the
  * replica, and either rebuilds or waits for the node that remembers most.
  */
-public final class Recovery implements HistoryGuard, Lifecycle {
+public final class Recovery implements RollbackDetector, Lifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(Recovery.class);
   private static final Duration TICK = Duration.ofMillis(250);
 
   private final EventLoop loop;
-  private final StateClient client;
+  private final StateStoreClient client;
   private final RateLimiter rateLimiter;
-  private final Replica replica;
+  private final ClusterRecords replica;
   private final RandomGenerator random;
   private final RecoveryTimings timings;
   private final ClusterNode node;
@@ -39,7 +39,7 @@
   private NodeMemory.Phase phase = NodeMemory.Phase.STARTING;
   private Duration since;
   private long floor;
-  private Picture memory;
+  private RecordsSnapshot memory;
 
   /** The incarnation whose loss this node has seen, null if it has seen none. */
   private Incarnation lost;
@@ -61,13 +61,13 @@
    */
   public Recovery(
       EventLoop loop,
-      StateClient client,
+      StateStoreClient client,
       RateLimiter rateLimiter,
-      Replica replica,
+      ClusterRecords replica,
       RandomGenerator random,
       RecoveryTimings timings,
       ClusterNode node,
-      Picture snapshot) {
+      RecordsSnapshot snapshot) {
     this.loop = loop;
     this.client = client;
     this.rateLimiter = rateLimiter;
@@ -82,7 +82,7 @@
 
   @Override
   public void start() {
-    replica.guard(this);
+    replica.enableRollbackDetection(this);
     since = loop.now();
     tick();
   }
@@ -100,12 +100,13 @@
   /** What this node tells the others with its heartbeats. */
   public NodeMemory memory() {
     if (phase == NodeMemory.Phase.SERVING) {
-      Incarnation present = client.space().incarnation();
-      Incarnation.Origin reached = new Incarnation.Origin(present.number(), replica.revision());
+      Incarnation present = client.keySpace().incarnation();
+      Incarnation.HistoryPosition reached =
+          new Incarnation.HistoryPosition(present.number(), replica.revision());
       return new NodeMemory(phase, present.nonce(), reached, false, contributions.contributed());
     }
     return new NodeMemory(
-        phase, memory.nonce(), memory.origin(), ledSurely, contributions.contributed());
+        phase, memory.nonce(), memory.position(), ledSurely, contributions.contributed());
   }
 
   /** Whether the records may be relied on. */
@@ -128,28 +129,28 @@
    * that one which a later reading does not show was lost.
    */
   public void termShown(long term) {
-    if (phase != NodeMemory.Phase.SERVING || term <= replica.term() || !replica.settled()) {
+    if (phase != NodeMemory.Phase.SERVING || term <= replica.term() || !replica.isReconciled()) {
       return;
     }
     replica
         .refresh()
         .whenComplete(
             (nothing, failure) -> {
-              if (failure == null && serving() && replica.term() < term && replica.settled()) {
-                lost(Loss.TERM_MISSING, "term " + term + " after term " + replica.term());
+              if (failure == null && serving() && replica.term() < term && replica.isReconciled()) {
+                reportLoss(Loss.TERM_MISSING, "term " + term + " after term " + replica.term());
               }
             });
   }
 
   @Override
-  public long floor() {
+  public long minimumRevision() {
     return phase == NodeMemory.Phase.SERVING ? floor : 0;
   }
 
   @Override
-  public boolean accepts(long atSending, long revision) {
+  public boolean verifyRevision(long atSending, long revision) {
     if (revision < atSending) {
-      lost(Loss.REVISION_WENT_BACK, "revision " + revision + " after " + atSending);
+      reportLoss(Loss.REVISION_WENT_BACK, "revision " + revision + " after " + atSending);
       return false;
     }
     if (phase == NodeMemory.Phase.SERVING) {
@@ -159,7 +160,7 @@
   }
 
   @Override
-  public void incarnationChanged() {
+  public void onIncarnationChanged() {
     if (phase == NodeMemory.Phase.SERVING) {
       LOG.info("the records are of another incarnation now");
       remember();
@@ -170,8 +171,8 @@
   }
 
   @Override
-  public void lost(Loss loss, String detail) {
-    Incarnation present = client.space().incarnation();
+  public void reportLoss(Loss loss, String detail) {
+    Incarnation present = client.keySpace().incarnation();
     boolean known = lost != null && present != null && sameBuild(lost, present);
     if (phase == NodeMemory.Phase.REBUILDING || phase == NodeMemory.Phase.HOLDING && known) {
       return;
@@ -179,7 +180,7 @@
     events.lost(loss);
     LOG.warn("the state service has lost data ({}): {}; holding until it is rebuilt", loss, detail);
     // One that leads what was rebuilt from part of it does not know of every start either.
-    ledSurely = node.leadsSurely() && !loss.showsAnotherLeader() && replica.nothingLeftOpen();
+    ledSurely = node.leadsSurely() && !loss.showsAnotherLeader() && replica.isFullyReconciled();
     lost = present;
     remember();
     hold();
@@ -187,7 +188,7 @@
 
   private void remember() {
     // A snapshot may hold what the records lack although they reach further: both are true.
-    memory = PictureMerge.merge(memory, replica.picture());
+    memory = PictureMerge.merge(memory, replica.snapshot());
   }
 
   private void hold() {
@@ -198,18 +199,19 @@
   }
 
   @Override
-  public void applied(List<StateStoreProtocol.Change> changes, long revision) {
+  public void onCommitApplied(List<StateStoreProtocol.Change> changes, long revision) {
     contributions.noteApplied(changes, revision);
   }
 
   @Override
-  public void loaded() {
+  public void onRecordsLoaded() {
     if (phase == NodeMemory.Phase.SERVING) {
       return;
     }
-    Incarnation present = client.space().incarnation();
+    Incarnation present = client.keySpace().incarnation();
     boolean same =
-        memory.origin().number() == present.number() && memory.nonce().equals(present.nonce());
+        memory.position().incarnationNumber() == present.number()
+            && memory.nonce().equals(present.nonce());
     if (same && misses(present)) {
       return;
     }
@@ -222,20 +224,21 @@
     events.serving(loop.now().minus(since));
     LOG.info("serving incarnation {} from revision {}", present.number(), floor);
     int added = contributions.addForgotten(memory, this::serving);
-    memory = Picture.EMPTY;
+    memory = RecordsSnapshot.EMPTY;
     events.added(added);
     node.servingChanged();
   }
 
   /** Whether the records lack what this node remembers of the same incarnation. */
   private boolean misses(Incarnation present) {
-    if (replica.revision() < memory.origin().revision()) {
-      lost(Loss.REVISION_WENT_BACK, replica.revision() + " after " + memory.origin().revision());
+    if (replica.revision() < memory.position().revision()) {
+      reportLoss(
+          Loss.REVISION_WENT_BACK, replica.revision() + " after " + memory.position().revision());
       return true;
     }
     for (String id : memory.jobs().keySet()) {
       if (replica.job(id) == null) {
-        lost(Loss.RECORDS_GONE, "job " + id + " of incarnation " + present.number());
+        reportLoss(Loss.RECORDS_GONE, "job " + id + " of incarnation " + present.number());
         return true;
       }
     }
@@ -246,7 +249,7 @@
     timer = loop.schedule(TICK, this::tick);
     raiseFloor();
     boolean idle = phase != NodeMemory.Phase.SERVING && phase != NodeMemory.Phase.REBUILDING;
-    if (idle && !reading && !replica.entering()) {
+    if (idle && !reading && !replica.isLoading()) {
       readRecord();
     }
   }
@@ -256,7 +259,7 @@
     if (phase != NodeMemory.Phase.SERVING) {
       return;
     }
-    Incarnation present = client.space().incarnation();
+    Incarnation present = client.keySpace().incarnation();
     for (Peer peer : node.peers()) {
       if (peer.memory().isOf(present)) {
         floor = Math.max(floor, peer.memory().origin().revision());
@@ -267,7 +270,7 @@
   private void readRecord() {
     reading = true;
     Duration sent = loop.now();
-    rateLimiter.force(0);
+    rateLimiter.forceAcquire(0);
     client
         .readIncarnation()
         .whenComplete(
@@ -280,7 +283,7 @@
             });
   }
 
-  private void decide(StateClient.IncarnationReading found) {
+  private void decide(StateStoreClient.IncarnationReading found) {
     Incarnation record = found.incarnation();
     if (record == null) {
       decideWithoutRecord();
@@ -296,7 +299,7 @@
       events.foreignFound();
       return;
     }
-    boolean older = record.number() < memory.origin().number();
+    boolean older = record.number() < memory.position().incarnationNumber();
     boolean same = lost != null && sameBuild(record, lost);
     if (record.phase() == Incarnation.Phase.SERVING && !older && !same) {
       if (heardEnough() && !heldByOthers(record)) {
@@ -336,7 +339,7 @@
   }
 
   private void decideWithoutRecord() {
-    boolean remembered = memory.origin().number() >= 0;
+    boolean remembered = memory.position().incarnationNumber() >= 0;
     for (Peer peer : node.peers()) {
       remembered |= peer.memory().remembers();
     }
@@ -368,7 +371,7 @@
    */
   private void readForInstallation() {
     reading = true;
-    rateLimiter.force(0);
+    rateLimiter.forceAcquire(0);
     client
         .list(Records.PREFIX, null)
         .whenComplete(
@@ -390,10 +393,10 @@
   }
 
   private void install() {
-    Incarnation first = Incarnation.first(nonce());
+    Incarnation first = Incarnation.firstInstallation(nonce());
     LOG.info("a first installation: cluster {}", first.cluster());
     reading = true;
-    rateLimiter.force(1);
+    rateLimiter.forceAcquire(1);
     client
         .commitPhysical(
             Map.of(Incarnation.KEY, 0L),
@@ -415,12 +418,12 @@
       return;
     }
     boolean patient = waited.compareTo(timings.patience()) < 0;
-    boolean remembers = memory.origin().number() >= 0;
+    boolean remembers = memory.position().incarnationNumber() >= 0;
     boolean ownBetter =
         record != null
             && record.phase() == Incarnation.Phase.REBUILDING
-            && (ledSurely || !record.complete())
-            && memory.origin().compareTo(record.origin()) > 0;
+            && (ledSurely || !record.isComplete())
+            && memory.position().compareTo(record.origin()) > 0;
     if (!ownBetter && record != null && underWay(record)) {
       return;
     }
@@ -467,14 +470,14 @@
     if (peer.memory().led() != ledSurely) {
       return peer.memory().led();
     }
-    int order = peer.memory().origin().compareTo(memory.origin());
+    int order = peer.memory().origin().compareTo(memory.position());
     return order > 0 || order == 0 && peer.node().compareTo(node.name()) < 0;
   }
 
   private void rebuild(Incarnation record, long version) {
-    long number = memory.origin().number();
+    long number = memory.position().incarnationNumber();
     for (Peer peer : node.peers()) {
-      number = Math.max(number, peer.memory().origin().number());
+      number = Math.max(number, peer.memory().origin().incarnationNumber());
     }
     String cluster = memory.cluster();
     Incarnation interrupted = null;
@@ -488,12 +491,12 @@
     phase = NodeMemory.Phase.REBUILDING;
     events.rebuilding();
     Incarnation next =
-        Incarnation.rebuilding(
+        Incarnation.newRebuild(
             cluster.isEmpty() ? nonce() : cluster,
             Math.max(number, 0) + 1,
             nonce(),
             node.name(),
-            memory.origin(),
+            memory.position(),
             onlyLeader);
     rebuilder =
         new Rebuilder(
--- a/src/main/java/io/cherryspool/recovery/RecoveryEvents.java
+++ b/src/main/java/io/cherryspool/recovery/RecoveryEvents.java
@@ -1,6 +1,6 @@
 package io.cherryspool.recovery;
 
-import io.cherryspool.store.HistoryGuard;
+import io.cherryspool.store.RollbackDetector;
 import java.time.Duration;
 
 /** Counts of what a node's recovery has seen and done, for metrics and the status. */
@@ -8,11 +8,11 @@
   private int losses;
   private int rebuilds;
   private int added;
-  private HistoryGuard.Loss lastLoss;
+  private RollbackDetector.Loss lastLoss;
   private Duration lastHold = Duration.ZERO;
   private boolean foreign;
 
-  void lost(HistoryGuard.Loss loss) {
+  void lost(RollbackDetector.Loss loss) {
     losses++;
     lastLoss = loss;
   }
@@ -50,7 +50,7 @@
   }
 
   /** How the last loss showed, null if there was none. */
-  public HistoryGuard.Loss lastLoss() {
+  public RollbackDetector.Loss lastLoss() {
     return lastLoss;
   }
 
--- a/src/main/java/io/cherryspool/recovery/Snapshot.java
+++ b/src/main/java/io/cherryspool/recovery/Snapshot.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.cherryspool.store.Incarnation;
-import io.cherryspool.store.Picture;
-import io.cherryspool.store.PictureCodec;
+import io.cherryspool.store.RecordsSnapshot;
+import io.cherryspool.store.RecordsSnapshotCodec;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.MalformedMessageException;
 import java.io.ByteArrayOutputStream;
@@ -23,7 +23,7 @@
  *
  * @param taken the time of day at which it was taken
  */
-public record Snapshot(Picture picture, Instant taken) {
+public record Snapshot(RecordsSnapshot picture, Instant taken) {
   /** Of the files that this program writes, and the newest that it reads. */
   public static final int FORMAT = 1;
 
@@ -67,16 +67,16 @@
 
   /** The bytes to keep. */
   public byte[] encode() {
-    List<byte[]> chunks = PictureCodec.encode(picture.jobs(), CHUNK_BYTES);
+    List<byte[]> chunks = RecordsSnapshotCodec.encode(picture.jobs(), CHUNK_BYTES);
     ObjectNode head = Json.object().put("cherryspool", "snapshot").put("format", FORMAT);
     head.put("cluster", picture.cluster());
-    head.put("incarnation", picture.origin().number());
+    head.put("incarnation", picture.position().incarnationNumber());
     head.put("nonce", picture.nonce());
-    head.put("revision", picture.origin().revision());
+    head.put("revision", picture.position().revision());
     head.put("term", picture.term());
     head.put("taken", taken.toEpochMilli());
     head.put("jobs", picture.jobs().size());
-    head.put("digest", PictureCodec.digest(chunks));
+    head.put("digest", RecordsSnapshotCodec.digest(chunks));
     if (picture.catalog() != null) {
       head.set("catalog", picture.catalog());
     }
@@ -115,19 +115,19 @@
           Fault.NEWER_FORMAT, "format " + format + ", and this program reads up to " + FORMAT);
     }
     List<byte[]> chunks = chunks(bytes, end + 1, head);
-    if (!PictureCodec.digest(chunks).equals(head.path("digest").asText())) {
+    if (!RecordsSnapshotCodec.digest(chunks).equals(head.path("digest").asText())) {
       throw new FaultException(Fault.DAMAGED, "the digest does not match");
     }
     try {
-      Picture picture =
-          new Picture(
+      RecordsSnapshot picture =
+          new RecordsSnapshot(
               head.path("cluster").asText(),
               head.path("nonce").asText(),
-              new Incarnation.Origin(
+              new Incarnation.HistoryPosition(
                   head.path("incarnation").longValue(), head.path("revision").longValue()),
               head.path("term").longValue(),
               head.has("catalog") ? head.path("catalog") : null,
-              PictureCodec.decode(chunks));
+              RecordsSnapshotCodec.decode(chunks));
       return new Snapshot(picture, Instant.ofEpochMilli(head.path("taken").longValue()));
     } catch (MalformedMessageException e) {
       throw new FaultException(Fault.DAMAGED, e.getMessage());
--- a/src/main/java/io/cherryspool/recovery/SnapshotWriter.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotWriter.java
@@ -2,9 +2,9 @@
 
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.lifecycle.Lifecycle;
+import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.Incarnation;
-import io.cherryspool.store.Picture;
-import io.cherryspool.store.Replica;
+import io.cherryspool.store.RecordsSnapshot;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.concurrent.Executor;
@@ -18,7 +18,7 @@
  */
 public final class SnapshotWriter implements Lifecycle {
   private final EventLoop loop;
-  private final Replica replica;
+  private final ClusterRecords replica;
   private final BooleanSupplier serving;
   private final Supplier<Instant> wall;
   private final Snapshots snapshots;
@@ -26,13 +26,13 @@
   private final Duration interval;
   private volatile Snapshots.Written last;
   private volatile boolean writing;
-  private Incarnation.Origin written = Incarnation.Origin.NONE;
+  private Incarnation.HistoryPosition written = Incarnation.HistoryPosition.NONE;
   private Duration writtenAt;
   private EventLoop.Timer timer;
 
   public SnapshotWriter(
       EventLoop loop,
-      Replica replica,
+      ClusterRecords replica,
       BooleanSupplier serving,
       Supplier<Instant> wall,
       Snapshots snapshots,
@@ -53,14 +53,14 @@
     if (!serving.getAsBoolean() || writing) {
       return;
     }
-    Picture picture = replica.picture();
-    if (picture.origin().equals(written)) {
+    RecordsSnapshot picture = replica.snapshot();
+    if (picture.position().equals(written)) {
       writtenAt = loop.now();
       return;
     }
     Instant now = wall.get();
     writing = true;
-    written = picture.origin();
+    written = picture.position();
     writtenAt = loop.now();
     background.execute(
         () -> {
--- a/src/main/java/io/cherryspool/recovery/Snapshots.java
+++ b/src/main/java/io/cherryspool/recovery/Snapshots.java
@@ -1,6 +1,6 @@
 package io.cherryspool.recovery;
 
-import io.cherryspool.store.Picture;
+import io.cherryspool.store.RecordsSnapshot;
 import java.io.IOException;
 import java.time.Instant;
 import java.util.List;
@@ -28,7 +28,7 @@
   public record Written(String name, int bytes, long nanos, String failure) {}
 
   /** Writes a snapshot and drops the oldest; a failure leaves those that are there. */
-  public Written write(Picture picture, Instant now) {
+  public Written write(RecordsSnapshot picture, Instant now) {
     long begun = System.nanoTime();
     String name = name(picture, now);
     try {
@@ -46,11 +46,11 @@
   }
 
   /** By incarnation and revision, which only grow; the time of day may be set back. */
-  private static String name(Picture picture, Instant now) {
+  private static String name(RecordsSnapshot picture, Instant now) {
     return String.format(
         "%010d-%016d-%d%s",
-        picture.origin().number(),
-        picture.origin().revision(),
+        picture.position().incarnationNumber(),
+        picture.position().revision(),
         now.toEpochMilli(),
         SnapshotDirectory.SUFFIX);
   }
@@ -71,8 +71,8 @@
             "snapshot {}: {} jobs up to incarnation {} revision {}",
             name,
             found.picture().jobs().size(),
-            found.picture().origin().number(),
-            found.picture().origin().revision());
+            found.picture().position().incarnationNumber(),
+            found.picture().position().revision());
         return Optional.of(found);
       } catch (Snapshot.FaultException e) {
         LOG.error("snapshot {} is not used: {}: {}", name, e.fault(), e.getMessage());
--- a/src/main/java/io/cherryspool/store/Replica.java
+++ b/src/main/java/io/cherryspool/store/ClusterRecords.java
@@ -23,8 +23,8 @@
  * {@link #refresh} brings it to a moment after the call, which is what an answer that must not be
  * old needs. Requests that wait at the same time share one reading.
  */
-public final class Replica implements Lifecycle {
-  private static final Logger LOG = LoggerFactory.getLogger(Replica.class);
+public final class ClusterRecords implements Lifecycle {
+  private static final Logger LOG = LoggerFactory.getLogger(ClusterRecords.class);
   private static final Duration WATCH = Duration.ofSeconds(10);
   private static final Duration RETRY = Duration.ofMillis(300);
 
@@ -32,21 +32,21 @@
   private static final Duration WATCH_GAP = Duration.ofMillis(100);
 
   private final EventLoop loop;
-  private final StateClient client;
+  private final StateStoreClient client;
   private final RateLimiter rateLimiter;
   private final Duration refreshGap;
   private final Duration slow;
   private final List<Runnable> listeners = new ArrayList<>();
-  private Runnable onLoaded = () -> {};
+  private Runnable onFirstLoaded = () -> {};
 
   private final RecordIndex index;
-  private HistoryGuard guard = HistoryGuard.NONE;
-  private PictureKeeper pictures;
+  private RollbackDetector enableRollbackDetection = RollbackDetector.DISABLED;
+  private SnapshotTracker pictures;
   private boolean running;
-  private boolean loaded;
+  private boolean isLoaded;
   private ReplicaLoader loader;
   private long revision;
-  private Duration confirmed;
+  private Duration lastConfirmedAt;
   private List<CompletableFuture<Void>> waiting = new ArrayList<>();
   private int generation;
 
@@ -62,9 +62,9 @@
   private EventLoop.Timer readTimer;
   private EventLoop.Timer watchTimer;
 
-  public Replica(
+  public ClusterRecords(
       EventLoop loop,
-      StateClient client,
+      StateStoreClient client,
       RateLimiter rateLimiter,
       Duration refreshGap,
       Duration slow) {
@@ -74,35 +74,35 @@
     this.refreshGap = refreshGap;
     this.slow = slow;
     this.lastReading = loop.now().minus(refreshGap);
-    this.index = new RecordIndex(client.space());
+    this.index = new RecordIndex(client.keySpace());
   }
 
   /**
    * Told of each change of the jobs' records as it is applied, so that an index of them costs what
    * changed and not what there is.
    */
-  public interface Watcher {
+  public interface RecordsListener {
     /** A progress record changed; a record that is gone is an empty shard. */
-    void progressed(JobEntry entry, Shard before, Shard after);
+    void onProgress(JobRecord entry, Shard before, Shard after);
 
     /** A job was accepted or has ended. */
-    void changed(JobEntry entry);
+    void onJobChanged(JobRecord entry);
 
     /** All was read anew; every entry is another object. */
-    void reloaded();
+    void onReloaded();
   }
 
-  public void watch(Watcher watcher) {
+  public void addListener(RecordsListener watcher) {
     index.watch(watcher);
   }
 
-  public void unwatch(Watcher watcher) {
+  public void removeListener(RecordsListener watcher) {
     index.unwatch(watcher);
   }
 
   /** Called once all keys have first been read. */
-  public void onLoaded(Runnable listener) {
-    onLoaded = listener;
+  public void onFirstLoaded(Runnable listener) {
+    onFirstLoaded = listener;
   }
 
   /** Called after each batch of changes. */
@@ -114,10 +114,10 @@
    * Holds every answer against the history that is known. The copy then reads nothing before it is
    * told which incarnation to {@link #enter}.
    */
-  public void guard(HistoryGuard with) {
-    guard = with;
-    client.guard(with);
-    pictures = new PictureKeeper(index);
+  public void enableRollbackDetection(RollbackDetector with) {
+    enableRollbackDetection = with;
+    client.setRollbackDetector(with);
+    pictures = new SnapshotTracker(index);
     index.watch(pictures);
   }
 
@@ -137,7 +137,7 @@
    */
   public void enter(Incarnation incarnation, long version, long since) {
     suspend();
-    client.space().enter(incarnation, version);
+    client.keySpace().enter(incarnation, version);
     permanent.clear();
     entered = false;
     revision = 0;
@@ -147,7 +147,7 @@
 
   /** Stops reading. What was read stays known; nothing new is learnt, and nothing is confirmed. */
   public void suspend() {
-    loaded = false;
+    isLoaded = false;
     generation++;
     readingSince = null;
     if (loader != null) {
@@ -162,7 +162,7 @@
   }
 
   /** Whether the records of an incarnation are being read. */
-  public boolean entering() {
+  public boolean isLoading() {
     return loader != null;
   }
 
@@ -170,7 +170,7 @@
    * The jobs and ends that this copy has seen written after a revision of its history, as they
    * would be written again.
    */
-  public List<StateStoreProtocol.Change> permanentSince(long after) {
+  public List<StateStoreProtocol.Change> immutableRecordsSince(long after) {
     List<StateStoreProtocol.Change> result = new ArrayList<>();
     permanent.forEach(
         (key, version) -> {
@@ -183,76 +183,76 @@
   }
 
   /** What this copy would contribute to a rebuild. */
-  public Picture picture() {
-    Incarnation incarnation = client.space().incarnation();
+  public RecordsSnapshot snapshot() {
+    Incarnation incarnation = client.keySpace().incarnation();
     if (!entered) {
-      return Picture.EMPTY;
+      return RecordsSnapshot.EMPTY;
     }
-    return new Picture(
+    return new RecordsSnapshot(
         incarnation.cluster(),
         incarnation.nonce(),
-        new Incarnation.Origin(incarnation.number(), revision),
+        new Incarnation.HistoryPosition(incarnation.number(), revision),
         index.term(),
         index.catalogRecord(),
         pictures.jobs());
   }
 
   /** Whether a leader has taken in what ran when the state was lost, if it ever was. */
-  public boolean settled() {
-    Incarnation incarnation = client.space().incarnation();
-    return incarnation == null || incarnation.complete() || index.settled();
+  public boolean isReconciled() {
+    Incarnation incarnation = client.keySpace().incarnation();
+    return incarnation == null || incarnation.isComplete() || index.settled();
   }
 
   /**
    * What names of rental requests begin with. A name must never be used again, and after a loss the
    * terms that were given out need not all be known.
    */
-  public String hirePrefix() {
-    Incarnation incarnation = client.space().incarnation();
+  public String instanceRequestPrefix() {
+    Incarnation incarnation = client.keySpace().incarnation();
     return incarnation == null || incarnation.number() == 0
         ? "cs-"
         : "cs-" + incarnation.nonce() + "-";
   }
 
   /** Whether the records were rebuilt from less than all that was ever ordered. */
-  public boolean rebuiltFromPart() {
-    Incarnation incarnation = client.space().incarnation();
-    return incarnation != null && !incarnation.complete();
+  public boolean isPartialRebuild() {
+    Incarnation incarnation = client.keySpace().incarnation();
+    return incarnation != null && !incarnation.isComplete();
   }
 
   /**
    * Whether the records hold every start and nothing waits for users or operators since an earlier
    * loss. What waits is not part of a picture; after another loss it is found again by reports.
    */
-  public boolean nothingLeftOpen() {
-    return settled()
+  public boolean isFullyReconciled() {
+    return isReconciled()
         && index.unknown().isEmpty()
         && index.abandoned().isEmpty()
         && index.held().isEmpty();
   }
 
   /** Whether workers report this job, which nobody has described since the state was lost. */
-  public boolean unknownAtWorkers(String id) {
+  public boolean unknownJobs(String id) {
     return index.unknown().contains(id);
   }
 
   /** The jobs that workers report and that nobody has described since the state was lost. */
-  public Set<String> unknownAtWorkers() {
+  public Set<String> unknownJobs() {
     return index.unknown();
   }
 
   /** Whether an operator has given up this job, which nobody has described. */
-  public boolean abandoned(String id) {
+  public boolean isAbandoned(String id) {
     return index.abandoned().contains(id);
   }
 
   /** The jobs that wait for an operator, since their tasks may have ended unseen. */
-  public Set<String> held() {
+  public Set<String> heldJobs() {
     return index.held();
   }
 
   /** Whether the job is from a rebuilt picture, not submitted since. */
-  public boolean rebuilt(String id) {
+  public boolean isRebuilt(String id) {
     return index.rebuilt(id);
   }
 
@@ -273,22 +273,22 @@
     failWaiting("stopped");
   }
 
-  public boolean loaded() {
-    return loaded;
+  public boolean isLoaded() {
+    return isLoaded;
   }
 
   /** When the last reading that succeeded was sent; null before the first. */
-  public Duration confirmed() {
-    return confirmed;
+  public Duration lastConfirmedAt() {
+    return lastConfirmedAt;
   }
 
   /** The jobs with anything left to do: not ended, or with progress records still kept. */
-  public Collection<JobEntry> active() {
+  public Collection<JobRecord> activeJobs() {
     return index.active();
   }
 
   /** All jobs ever accepted. */
-  public Collection<JobEntry> jobs() {
+  public Collection<JobRecord> jobs() {
     return index.jobs();
   }
 
@@ -298,7 +298,7 @@
   }
 
   /** The job, or null. */
-  public JobEntry job(String id) {
+  public JobRecord job(String id) {
     return index.job(id);
   }
 
@@ -339,9 +339,10 @@
    */
   public CompletableFuture<Void> refresh() {
     CompletableFuture<Void> result = new CompletableFuture<>();
-    if (!loaded || silent()) {
+    if (!isLoaded || isReadOverdue()) {
       result.completeExceptionally(
-          new StateException(StateException.Kind.REFUSED, "the state service is silent"));
+          new StateStoreException(
+              StateStoreException.Kind.NOT_EXECUTED, "the state service is silent"));
       return result;
     }
     waiting.add(result);
@@ -350,7 +351,7 @@
   }
 
   /** Whether a reading has been under way for so long that no other is begun. */
-  public boolean silent() {
+  public boolean isReadOverdue() {
     return readingSince != null && loop.now().minus(readingSince).compareTo(slow) > 0;
   }
 
@@ -372,7 +373,7 @@
   }
 
   private void read() {
-    if (!rateLimiter.takeRead()) {
+    if (!rateLimiter.tryAcquireRead()) {
       readTimer = loop.schedule(refreshGap, this::readNow);
       return;
     }
@@ -385,7 +386,8 @@
     readingSince = sent;
     lastReading = sent;
     client
-        .follow(Records.PREFIX, expected == null ? after : expected.readFrom(after), Duration.ZERO)
+        .readChanges(
+            Records.PREFIX, expected == null ? after : expected.readFrom(after), Duration.ZERO)
         .whenComplete(
             (changes, failure) -> {
               if (before != generation) {
@@ -411,7 +413,7 @@
       List<CompletableFuture<Void>> batch) {
     int before = generation;
     if (expected != null && !expected.isIn(changes)) {
-      guard.lost(HistoryGuard.Loss.CHANGE_MISSING, expected.toString());
+      enableRollbackDetection.reportLoss(RollbackDetector.Loss.CHANGE_MISSING, expected.toString());
     } else {
       apply(changes);
     }
@@ -424,28 +426,30 @@
     scheduleRead();
   }
 
-  private static StateException overtaken() {
-    return new StateException(StateException.Kind.REFUSED, "the records are not to be relied on");
+  private static StateStoreException overtaken() {
+    return new StateStoreException(
+        StateStoreException.Kind.NOT_EXECUTED, "the records are not to be relied on");
   }
 
   private void failWaiting(String why) {
     List<CompletableFuture<Void>> batch = waiting;
     waiting = new ArrayList<>();
-    StateException failure = new StateException(StateException.Kind.REFUSED, why);
+    StateStoreException failure =
+        new StateStoreException(StateStoreException.Kind.NOT_EXECUTED, why);
     batch.forEach(item -> item.completeExceptionally(failure));
   }
 
   /** A reading may return after a reload that was begun later, which does not make it newer. */
   private void confirm(Duration sent) {
-    if (confirmed == null || sent.compareTo(confirmed) > 0) {
-      confirmed = sent;
+    if (lastConfirmedAt == null || sent.compareTo(lastConfirmedAt) > 0) {
+      lastConfirmedAt = sent;
     }
   }
 
   /** {@code after} is the revision whose later changes were asked for. */
   private void failed(Throwable failure, long after) {
-    StateException.Kind kind = StateException.kindOf(failure);
-    if (kind == StateException.Kind.GONE) {
+    StateStoreException.Kind kind = StateStoreException.kindOf(failure);
+    if (kind == StateStoreException.Kind.GONE) {
       // An answer from before a reload tells of a gap that is closed. Another reload would refuse
       // all users for its time.
       if (lastChange != null && lastChange.version() < revision) {
@@ -455,21 +459,21 @@
         LOG.info("the history after revision {} is gone, reading all keys again", revision);
         load(-1);
       }
-    } else if (kind == StateException.Kind.BUSY) {
+    } else if (kind == StateStoreException.Kind.RATE_LIMITED) {
       rateLimiter.drain();
     }
   }
 
-  private void watch() {
+  private void addListener() {
     watchTimer = null;
     if (!running || loader != null) {
       return;
     }
-    rateLimiter.force(0);
+    rateLimiter.forceAcquire(0);
     long after = revision;
     int before = generation;
     client
-        .follow(Records.PREFIX, after, WATCH)
+        .readChanges(Records.PREFIX, after, WATCH)
         .whenComplete(
             (changes, failure) -> {
               if (!running || loader != null || before != generation) {
@@ -481,7 +485,7 @@
                 failed(failure, after);
               }
               if (loader == null && watchTimer == null && before == generation) {
-                watchTimer = loop.schedule(failure == null ? WATCH_GAP : RETRY, this::watch);
+                watchTimer = loop.schedule(failure == null ? WATCH_GAP : RETRY, this::addListener);
               }
             });
   }
@@ -518,14 +522,14 @@
     }
     lastChange = new LastChange(event);
     if (event.key().equals(Incarnation.KEY)) {
-      if (event.version() != client.space().version()) {
-        guard.incarnationChanged();
+      if (event.version() != client.keySpace().incarnationVersion()) {
+        enableRollbackDetection.onIncarnationChanged();
       }
       return;
     }
-    String key = client.space().logical(event.key());
+    String key = client.keySpace().toLogical(event.key());
     if (key != null) {
-      if (Records.isPermanent(key)) {
+      if (Records.isImmutable(key)) {
         permanent.put(key, event.version());
       }
       index.set(new StateStoreProtocol.Event(key, event.value(), event.version()));
@@ -536,7 +540,7 @@
     if (loader != null || !running) {
       return;
     }
-    loaded = false;
+    isLoaded = false;
     failWaiting("reading all keys");
     loader =
         new ReplicaLoader(
@@ -561,7 +565,7 @@
     if (identity != null && isRebuilt(identity)) {
       refuseRebuilt();
     } else {
-      loaded(all, List.of(), all.found().values());
+      isLoaded(all, List.of(), all.found().values());
     }
   }
 
@@ -584,48 +588,49 @@
 
   /** Takes over what was read, unless it is not what the incarnation's record says. */
   private void loadedIncarnation(ReplicaLoader.Loaded all) {
-    IncarnationRecords read = IncarnationRecords.of(all.found().values(), client.space());
+    IncarnationRecords read = IncarnationRecords.parse(all.found().values(), client.keySpace());
     if (read.superseded()) {
-      guard.incarnationChanged();
+      enableRollbackDetection.onIncarnationChanged();
       return;
     }
     String missing = read.firstMissing(permanent);
     if (missing != null) {
-      guard.lost(HistoryGuard.Loss.RECORDS_GONE, missing);
+      enableRollbackDetection.reportLoss(RollbackDetector.Loss.RECORDS_GONE, missing);
       return;
     }
     if (!read.bundlesMatch()) {
-      guard.lost(HistoryGuard.Loss.BUNDLES_DAMAGED, client.space().prefix());
+      enableRollbackDetection.reportLoss(
+          RollbackDetector.Loss.BUNDLES_DAMAGED, client.keySpace().prefix());
       return;
     }
-    Collection<Picture.PictureJob> rebuilt;
+    Collection<RecordsSnapshot.JobSnapshot> rebuilt;
     try {
       rebuilt = read.rebuiltJobs();
     } catch (MalformedMessageException e) {
-      guard.lost(HistoryGuard.Loss.BUNDLES_DAMAGED, e.getMessage());
+      enableRollbackDetection.reportLoss(RollbackDetector.Loss.BUNDLES_DAMAGED, e.getMessage());
       return;
     }
     permanent.clear();
     permanent.putAll(read.permanent());
     lastChange = read.lastChange();
-    loaded(all, rebuilt, read.records());
+    isLoaded(all, rebuilt, read.records());
   }
 
-  private void loaded(
+  private void isLoaded(
       ReplicaLoader.Loaded all,
-      Collection<Picture.PictureJob> rebuilt,
+      Collection<RecordsSnapshot.JobSnapshot> rebuilt,
       Collection<StateStoreProtocol.Event> records) {
     index.replaceAll(rebuilt, records);
     revision = all.revision();
     confirm(all.sent());
-    loaded = true;
+    isLoaded = true;
     entered = pictures != null;
     LOG.info("read {} keys up to revision {}", all.found().size(), revision);
-    onLoaded.run();
-    onLoaded = () -> {};
-    guard.loaded();
+    onFirstLoaded.run();
+    onFirstLoaded = () -> {};
+    enableRollbackDetection.onRecordsLoaded();
     listeners.forEach(Runnable::run);
-    watch();
+    addListener();
   }
 
   private static void cancel(EventLoop.Timer timer) {
--- a/src/main/java/io/cherryspool/store/GroupCommit.java
+++ b/src/main/java/io/cherryspool/store/GroupCommit.java
@@ -24,7 +24,7 @@
   private static final Duration PAUSE = Duration.ofMillis(20);
 
   private final EventLoop loop;
-  private final StateClient client;
+  private final StateStoreClient client;
   private final RateLimiter rateLimiter;
   private final int maxChanges;
   private final int maxQueue;
@@ -44,7 +44,7 @@
 
   public GroupCommit(
       EventLoop loop,
-      StateClient client,
+      StateStoreClient client,
       RateLimiter rateLimiter,
       int maxChanges,
       int maxQueue,
@@ -62,9 +62,9 @@
    * include the version of the key that is changed, so that of two changes of it one is applied.
    */
   public CompletableFuture<Boolean> submit(
-      RateLimiter.Use use, Map<String, Long> conditions, StateStoreProtocol.Change change) {
+      RateLimiter.WriteClass use, Map<String, Long> conditions, StateStoreProtocol.Change change) {
     CompletableFuture<Boolean> result = new CompletableFuture<>();
-    Deque<Item> queue = use == RateLimiter.Use.CANCEL ? cancels : submissions;
+    Deque<Item> queue = use == RateLimiter.WriteClass.CANCEL ? cancels : submissions;
     if (queue.size() >= maxQueue) {
       result.completeExceptionally(refused("too many changes wait"));
       return result;
@@ -76,7 +76,7 @@
   }
 
   /** How many users' changes wait. */
-  public int waiting() {
+  public int queuedChanges() {
     return cancels.size() + submissions.size();
   }
 
@@ -90,11 +90,12 @@
     if (queue.isEmpty()) {
       return;
     }
-    RateLimiter.Use use = queue == cancels ? RateLimiter.Use.CANCEL : RateLimiter.Use.SUBMIT;
+    RateLimiter.WriteClass use =
+        queue == cancels ? RateLimiter.WriteClass.CANCEL : RateLimiter.WriteClass.SUBMIT;
     List<Item> batch = new ArrayList<>();
     Set<String> keys = new HashSet<>();
     int bytes = 0;
-    int limit = Math.min(maxChanges, rateLimiter.largest(use));
+    int limit = Math.min(maxChanges, rateLimiter.maxTransactionChanges(use));
     for (Item item : queue) {
       if (keys.contains(item.change.key())) {
         continue;
@@ -106,7 +107,7 @@
       keys.add(item.change.key());
       bytes += item.bytes;
     }
-    while (!batch.isEmpty() && !rateLimiter.takeWrites(use, batch.size())) {
+    while (!batch.isEmpty() && !rateLimiter.tryAcquireWrites(use, batch.size())) {
       keys.remove(batch.remove(batch.size() - 1).change.key());
     }
     if (batch.isEmpty()) {
@@ -147,7 +148,8 @@
         .whenComplete(
             (outcome, failure) -> {
               busy = false;
-              if (failure != null && StateException.kindOf(failure) == StateException.Kind.BUSY) {
+              if (failure != null
+                  && StateStoreException.kindOf(failure) == StateStoreException.Kind.RATE_LIMITED) {
                 // The nodes' shares overlap, so that now and then they meet the limit together.
                 rateLimiter.drain();
                 again(queue, all);
@@ -165,7 +167,7 @@
 
   /** One failed condition fails the whole transaction; the others go again without it. */
   private static void retryOthers(
-      Deque<Item> queue, List<Item> all, StateClient.CommitResult outcome) {
+      Deque<Item> queue, List<Item> all, StateStoreClient.CommitResult outcome) {
     List<Item> others = new ArrayList<>();
     List<Item> failed = new ArrayList<>();
     for (Item item : all) {
@@ -175,8 +177,9 @@
     if (failed.isEmpty()) {
       // Sent again unchanged it would fail again, over and over, at the cost of all nodes' rate
       // limit.
-      StateException unclear =
-          new StateException(StateException.Kind.UNKNOWN, "a conflict that names no condition");
+      StateStoreException unclear =
+          new StateStoreException(
+              StateStoreException.Kind.OUTCOME_UNKNOWN, "a conflict that names no condition");
       all.forEach(item -> item.result.completeExceptionally(unclear));
       return;
     }
@@ -197,7 +200,7 @@
     }
   }
 
-  private static StateException refused(String why) {
-    return new StateException(StateException.Kind.REFUSED, why);
+  private static StateStoreException refused(String why) {
+    return new StateStoreException(StateStoreException.Kind.NOT_EXECUTED, why);
   }
 }
--- a/src/main/java/io/cherryspool/store/Incarnation.java
+++ b/src/main/java/io/cherryspool/store/Incarnation.java
@@ -14,8 +14,8 @@
  * @param phase whether the records under the prefix are whole
  * @param rebuilder the process that began the rebuild; empty for number 0
  * @param origin the history that the rebuild started from
- * @param complete whether the rebuilt picture holds every start that was ever ordered; if not, the
- *     next leaders take in what workers report before they place anything; while it is being
+ * @param isComplete whether the rebuilt picture holds every start that was ever ordered; if not,
+ *     the next leaders take in what workers report before they place anything; while it is being
  *     rebuilt, whether the rebuilder remembers every start
  * @param manifest what a whole rebuild consists of, {@link Manifest#NONE} before it is whole
  */
@@ -25,8 +25,8 @@
     String nonce,
     Phase phase,
     String rebuilder,
-    Origin origin,
-    boolean complete,
+    HistoryPosition origin,
+    boolean isComplete,
     Manifest manifest) {
 
   /** Whether the records may be read and changed. */
@@ -36,27 +36,29 @@
   }
 
   /** A point of the history: how far a node's memory reaches. */
-  public record Origin(long number, long revision) implements Comparable<Origin> {
+  public record HistoryPosition(long incarnationNumber, long revision)
+      implements Comparable<HistoryPosition> {
     /** Of a node that remembers nothing. */
-    public static final Origin NONE = new Origin(-1, 0);
+    public static final HistoryPosition NONE = new HistoryPosition(-1, 0);
 
     @Override
-    public int compareTo(Origin other) {
-      int byNumber = Long.compare(number, other.number);
+    public int compareTo(HistoryPosition other) {
+      int byNumber = Long.compare(incarnationNumber, other.incarnationNumber);
       return byNumber != 0 ? byNumber : Long.compare(revision, other.revision);
     }
   }
 
   /** How many bundles a rebuild wrote, and the digest of all of them in order. */
-  public record Manifest(int bundles, String digest) {
+  public record Manifest(int bundleCount, String digest) {
     public static final Manifest NONE = new Manifest(0, "");
   }
 
   /** The key under which the record is kept, in every incarnation. */
   public static final String KEY = "c/incarnation";
 
-  public static Incarnation first(String cluster) {
-    return new Incarnation(cluster, 0, "", Phase.SERVING, "", Origin.NONE, true, Manifest.NONE);
+  public static Incarnation firstInstallation(String cluster) {
+    return new Incarnation(
+        cluster, 0, "", Phase.SERVING, "", HistoryPosition.NONE, true, Manifest.NONE);
   }
 
   /**
@@ -64,14 +66,19 @@
    *
    * @param led whether the rebuilder surely led when the state was lost
    */
-  public static Incarnation rebuilding(
-      String cluster, long number, String nonce, String rebuilder, Origin origin, boolean led) {
+  public static Incarnation newRebuild(
+      String cluster,
+      long number,
+      String nonce,
+      String rebuilder,
+      HistoryPosition origin,
+      boolean led) {
     return new Incarnation(
         cluster, number, nonce, Phase.REBUILDING, rebuilder, origin, led, Manifest.NONE);
   }
 
   /** The same rebuild once all is written. */
-  public Incarnation finished(boolean whole, Manifest written) {
+  public Incarnation completed(boolean whole, Manifest written) {
     return new Incarnation(
         cluster, number, nonce, Phase.SERVING, rebuilder, origin, whole, written);
   }
@@ -82,7 +89,7 @@
   }
 
   /** The key under which the service keeps a record of this incarnation. */
-  public String physical(String key) {
+  public String toPhysical(String key) {
     return prefix() + key.substring(Records.PREFIX.length());
   }
 
@@ -93,10 +100,10 @@
         .put("nonce", nonce)
         .put("serving", phase == Phase.SERVING)
         .put("by", rebuilder)
-        .put("from", origin.number)
+        .put("from", origin.incarnationNumber)
         .put("revision", origin.revision)
-        .put("complete", complete)
-        .put("bundles", manifest.bundles)
+        .put("complete", isComplete)
+        .put("bundles", manifest.bundleCount)
         .put("digest", manifest.digest);
   }
 
@@ -107,7 +114,7 @@
         node.path("nonce").asText(),
         node.path("serving").asBoolean() ? Phase.SERVING : Phase.REBUILDING,
         node.path("by").asText(),
-        new Origin(node.path("from").longValue(), node.path("revision").longValue()),
+        new HistoryPosition(node.path("from").longValue(), node.path("revision").longValue()),
         node.path("complete").asBoolean(),
         new Manifest(node.path("bundles").intValue(), node.path("digest").asText()));
   }
--- a/src/main/java/io/cherryspool/store/IncarnationRecords.java
+++ b/src/main/java/io/cherryspool/store/IncarnationRecords.java
@@ -23,7 +23,7 @@
     this.space = space;
   }
 
-  static IncarnationRecords of(Collection<StateStoreProtocol.Event> found, KeySpace space) {
+  static IncarnationRecords parse(Collection<StateStoreProtocol.Event> found, KeySpace space) {
     IncarnationRecords result = new IncarnationRecords(space);
     found.forEach(result::take);
     return result;
@@ -35,14 +35,14 @@
     }
     if (event.key().equals(Incarnation.KEY)) {
       identified = true;
-      superseded = event.version() != space.version();
+      superseded = event.version() != space.incarnationVersion();
       return;
     }
-    String key = space.logical(event.key());
+    String key = space.toLogical(event.key());
     if (key == null) {
       return;
     }
-    if (Records.isPermanent(key) && event.value() != null) {
+    if (Records.isImmutable(key) && event.value() != null) {
       permanent.put(key, event.version());
     }
     StateStoreProtocol.Event logical =
@@ -88,27 +88,27 @@
   /** Whether the bundles are all there, unchanged. */
   boolean bundlesMatch() {
     Incarnation.Manifest manifest = space.incarnation().manifest();
-    if (bundles.size() != manifest.bundles()) {
+    if (bundles.size() != manifest.bundleCount()) {
       return false;
     }
     try {
-      return bundles.isEmpty() || PictureCodec.digest(chunks()).equals(manifest.digest());
+      return bundles.isEmpty() || RecordsSnapshotCodec.digest(chunks()).equals(manifest.digest());
     } catch (MalformedMessageException e) {
       return false;
     }
   }
 
   /** The jobs that the bundles hold. */
-  Collection<Picture.PictureJob> rebuiltJobs() throws MalformedMessageException {
-    return bundles.isEmpty() ? List.of() : PictureCodec.decode(chunks()).values();
+  Collection<RecordsSnapshot.JobSnapshot> rebuiltJobs() throws MalformedMessageException {
+    return bundles.isEmpty() ? List.of() : RecordsSnapshotCodec.decode(chunks()).values();
   }
 
   /** The chunks of the bundles up to the first that is missing or can't be read. */
   List<byte[]> firstChunks() {
     List<byte[]> chunks = new ArrayList<>();
-    for (int i = 0; bundles.containsKey(Records.bundle(i)); i++) {
+    for (int i = 0; bundles.containsKey(Records.bundleKey(i)); i++) {
       try {
-        chunks.add(Records.readBundle(bundles.get(Records.bundle(i)).value()));
+        chunks.add(Records.decodeBundle(bundles.get(Records.bundleKey(i)).value()));
       } catch (MalformedMessageException e) {
         break;
       }
@@ -119,7 +119,7 @@
   private List<byte[]> chunks() throws MalformedMessageException {
     List<byte[]> chunks = new ArrayList<>();
     for (StateStoreProtocol.Event bundle : bundles.values()) {
-      chunks.add(Records.readBundle(bundle.value()));
+      chunks.add(Records.decodeBundle(bundle.value()));
     }
     return chunks;
   }
--- a/src/main/java/io/cherryspool/store/JobEntry.java
+++ b/src/main/java/io/cherryspool/store/JobRecord.java
@@ -8,30 +8,30 @@
 import it.unimi.dsi.fastutil.ints.Int2ObjectSortedMaps;
 
 /** A job with its committed progress. Only the replica changes it; everyone else reads. */
-public final class JobEntry {
+public final class JobRecord {
 
   /** A progress record and the version that the next change of it must name. */
-  public record Versioned(Shard shard, long version) {
-    static final Versioned ABSENT = new Versioned(Shard.EMPTY, 0);
+  public record VersionedShard(Shard shard, long version) {
+    static final VersionedShard ABSENT = new VersionedShard(Shard.EMPTY, 0);
   }
 
   private final Job job;
   private final int tasksPerShard;
-  private final Int2ObjectSortedMap<Versioned> shards = new Int2ObjectAVLTreeMap<>();
+  private final Int2ObjectSortedMap<VersionedShard> shards = new Int2ObjectAVLTreeMap<>();
   private Outcome outcome;
   private int done;
   private int owned;
-  private Failures failures;
+  private FailureCounts failureCounts;
 
-  JobEntry(Job job, int tasksPerShard) {
+  JobRecord(Job job, int tasksPerShard) {
     this.job = job;
     this.tasksPerShard = tasksPerShard;
   }
 
   /** A job from a rebuilt picture. Its progress records have no keys of their own yet. */
-  static JobEntry of(Picture.PictureJob known) {
-    JobEntry entry = new JobEntry(known.job(), known.tasksPerShard());
-    known.shards().forEach((index, shard) -> entry.setShard(index, new Versioned(shard, 0)));
+  static JobRecord fromSnapshot(RecordsSnapshot.JobSnapshot known) {
+    JobRecord entry = new JobRecord(known.job(), known.tasksPerShard());
+    known.shards().forEach((index, shard) -> entry.setShard(index, new VersionedShard(shard, 0)));
     entry.setOutcome(known.outcome());
     return entry;
   }
@@ -53,7 +53,7 @@
     return (job.taskCount() + tasksPerShard - 1) / tasksPerShard;
   }
 
-  public int shardOf(int task) {
+  public int shardIndexOf(int task) {
     return task / tasksPerShard;
   }
 
@@ -67,12 +67,12 @@
     return Math.min(job.taskCount(), (shard + 1) * tasksPerShard);
   }
 
-  public Versioned shard(int index) {
-    return shards.getOrDefault(index, Versioned.ABSENT);
+  public VersionedShard shard(int index) {
+    return shards.getOrDefault(index, VersionedShard.ABSENT);
   }
 
   /** The shards that have a record. */
-  public Int2ObjectSortedMap<Versioned> shards() {
+  public Int2ObjectSortedMap<VersionedShard> shards() {
     return Int2ObjectSortedMaps.unmodifiable(shards);
   }
 
@@ -89,16 +89,17 @@
   /**
    * The tasks that were tried and are not done, those of them that failed, and all their failures.
    */
-  public record Failures(int tried, int tasks, int all, int most) {}
+  public record FailureCounts(
+      int attemptedTasks, int failedTasks, int totalFailures, int maxFailuresOfOneTask) {}
 
   /** Counted once for each change: with a storm of questions, polls are many times as frequent. */
-  public Failures failures() {
-    if (failures == null) {
+  public FailureCounts failureCounts() {
+    if (failureCounts == null) {
       int tried = 0;
       int tasks = 0;
       int all = 0;
       int most = 0;
-      for (Versioned item : shards.values()) {
+      for (VersionedShard item : shards.values()) {
         for (Shard.History history : item.shard().histories().values()) {
           tried++;
           tasks += history.failures() > 0 ? 1 : 0;
@@ -106,26 +107,26 @@
           most = Math.max(most, history.failures());
         }
       }
-      failures = new Failures(tried, tasks, all, most);
+      failureCounts = new FailureCounts(tried, tasks, all, most);
     }
-    return failures;
+    return failureCounts;
   }
 
   /**
    * How many tasks the job's user is to hear of as failing: those past the cap, or, where nothing
    * was ever done and the tries together have failed that often, all that failed.
    */
-  public int failing(int cap) {
-    Failures known = failures();
-    if (outcome != null || known.all < cap) {
+  public int failingTaskCount(int cap) {
+    FailureCounts known = failureCounts();
+    if (outcome != null || known.totalFailures < cap) {
       return 0;
     }
-    if (doneCount() == 0 && known.tasks >= known.tried - owned) {
-      return known.tasks;
+    if (doneCount() == 0 && known.failedTasks >= known.attemptedTasks - owned) {
+      return known.failedTasks;
     }
     int count = 0;
-    if (known.most >= cap) {
-      for (Versioned item : shards.values()) {
+    if (known.maxFailuresOfOneTask >= cap) {
+      for (VersionedShard item : shards.values()) {
         for (Shard.History history : item.shard().histories().values()) {
           count += history.failures() >= cap ? 1 : 0;
         }
@@ -139,13 +140,13 @@
   }
 
   /** Replaces a shard's record and returns what it was before. */
-  Shard setShard(int index, Versioned value) {
-    Versioned before = value == null ? shards.remove(index) : shards.put(index, value);
+  Shard setShard(int index, VersionedShard value) {
+    VersionedShard before = value == null ? shards.remove(index) : shards.put(index, value);
     Shard old = before == null ? Shard.EMPTY : before.shard();
     Shard now = value == null ? Shard.EMPTY : value.shard();
     done += now.doneCount() - old.doneCount();
     owned += now.ownedAttempts().size() - old.ownedAttempts().size();
-    failures = null;
+    failureCounts = null;
     return old;
   }
 }
--- a/src/main/java/io/cherryspool/store/KeyScan.java
+++ b/src/main/java/io/cherryspool/store/KeyScan.java
@@ -15,10 +15,10 @@
   private static final Duration RETRY = Duration.ofMillis(300);
 
   private final EventLoop loop;
-  private final StateClient client;
+  private final StateStoreClient client;
   private final RateLimiter rateLimiter;
   private final String prefix;
-  private final Consumer<Scanned> done;
+  private final Consumer<ScanResult> done;
   private final List<StateStoreProtocol.Event> found = new ArrayList<>();
   private long firstRevision = -1;
   private boolean cancelled;
@@ -28,14 +28,14 @@
    *
    * @param firstRevision the revision of the first page; changes since then may be missing
    */
-  public record Scanned(List<StateStoreProtocol.Event> found, long firstRevision) {}
+  public record ScanResult(List<StateStoreProtocol.Event> entries, long firstRevision) {}
 
   public KeyScan(
       EventLoop loop,
-      StateClient client,
+      StateStoreClient client,
       RateLimiter rateLimiter,
       String prefix,
-      Consumer<Scanned> done) {
+      Consumer<ScanResult> done) {
     this.loop = loop;
     this.client = client;
     this.rateLimiter = rateLimiter;
@@ -55,7 +55,7 @@
     if (cancelled) {
       return;
     }
-    rateLimiter.force(0);
+    rateLimiter.forceAcquire(0);
     client.list(prefix, after).whenComplete((page, failure) -> take(after, page, failure));
   }
 
@@ -72,7 +72,7 @@
     if (page.hasMore() && !page.items().isEmpty()) {
       read(page.items().get(page.items().size() - 1).key());
     } else {
-      done.accept(new Scanned(found, firstRevision));
+      done.accept(new ScanResult(found, firstRevision));
     }
   }
 }
--- a/src/main/java/io/cherryspool/store/KeySpace.java
+++ b/src/main/java/io/cherryspool/store/KeySpace.java
@@ -17,7 +17,7 @@
  */
 public final class KeySpace {
   private Incarnation incarnation;
-  private long version;
+  private long incarnationVersion;
   private String prefix = Records.PREFIX;
 
   /** Progress records that are only in a bundle, so that their removal has to be written down. */
@@ -26,7 +26,7 @@
   /** Enters an incarnation, whose record has this version. */
   public void enter(Incarnation present, long recordVersion) {
     incarnation = present;
-    version = recordVersion;
+    incarnationVersion = recordVersion;
     prefix = present.prefix();
     bundled.clear();
   }
@@ -37,12 +37,12 @@
   }
 
   /** The version of the record of {@link #incarnation}. */
-  public long version() {
-    return version;
+  public long incarnationVersion() {
+    return incarnationVersion;
   }
 
   /** Whether transactions name the incarnation. */
-  boolean fenced() {
+  boolean isFenced() {
     return incarnation != null;
   }
 
@@ -55,12 +55,12 @@
     bundled.add(progressKey);
   }
 
-  String physical(String key) {
+  String toPhysical(String key) {
     return key.equals(Incarnation.KEY) ? key : prefix + key.substring(Records.PREFIX.length());
   }
 
   /** The key as {@link Records} names it; null if it belongs to another incarnation. */
-  String logical(String physical) {
+  String toLogical(String physical) {
     if (physical.equals(Incarnation.KEY)) {
       return physical;
     }
@@ -73,15 +73,15 @@
 
   Request commit(Map<String, Long> conditions, List<StateStoreProtocol.Change> changes) {
     Map<String, Long> named = new LinkedHashMap<>();
-    named.put(Incarnation.KEY, version);
-    conditions.forEach((key, value) -> named.put(physical(key), value));
+    named.put(Incarnation.KEY, incarnationVersion);
+    conditions.forEach((key, value) -> named.put(toPhysical(key), value));
     List<StateStoreProtocol.Change> mapped = new ArrayList<>();
     for (StateStoreProtocol.Change change : changes) {
       // A bundle is never rewritten. A record that is only in one would be read again from there.
       boolean tombstone = change.value() == null && bundled.contains(change.key());
       mapped.add(
           new StateStoreProtocol.Change(
-              physical(change.key()),
+              toPhysical(change.key()),
               tombstone ? Json.object() : change.value(),
               change.leaseId()));
     }
--- a/src/main/java/io/cherryspool/store/RateLimiter.java
+++ b/src/main/java/io/cherryspool/store/RateLimiter.java
@@ -25,16 +25,16 @@
   private static final double LATELY_S = 2;
 
   /** Uses, by how much of a second's writes they leave to the more pressing ones. */
-  public enum Use {
+  public enum WriteClass {
     CANCEL(0),
     SUBMIT(0.1),
     ROUND(0.25),
     IDLE(0.45),
-    LATER(0.6);
+    DEFERRABLE(0.6);
 
     private final double leaves;
 
-    Use(double leaves) {
+    WriteClass(double leaves) {
       this.leaves = leaves;
     }
   }
@@ -47,9 +47,9 @@
   private double writeDepth;
   private double requests;
   private double writes;
-  private double lately;
+  private double recentWritesPerSecond;
   private boolean leader;
-  private double others;
+  private double setOtherNodesWriteRates;
   private Duration filled;
 
   public RateLimiter(EventLoop loop, int nodes, double rps, double writeRps) {
@@ -58,7 +58,7 @@
     this.allWrites = writeRps * MARGIN;
     this.requestRate = rps * MARGIN / nodes;
     this.filled = loop.now();
-    others(new int[0]);
+    setOtherNodesWriteRates(new int[0]);
     setLeader(false);
     requests = requestRate;
     writes = writeDepth;
@@ -76,13 +76,14 @@
    * wait while the leader used a third of its own. Of a node that says nothing, a fair part of the
    * others' share is assumed.
    */
-  public void others(int... tenths) {
+  public void setOtherNodesWriteRates(int... tenths) {
     double sum = 0;
     for (int one : tenths) {
       sum += one / 10.0;
     }
     int silent = Math.max(0, nodes - 1 - tenths.length);
-    others = sum + silent * allWrites * (1 - LEADER_WRITES) / Math.max(1, nodes - 1);
+    setOtherNodesWriteRates =
+        sum + silent * allWrites * (1 - LEADER_WRITES) / Math.max(1, nodes - 1);
     rate();
   }
 
@@ -90,30 +91,30 @@
     refill();
     writeRate =
         leader || nodes == 1
-            ? Math.max(allWrites * LEADER_LEAST, allWrites - others)
+            ? Math.max(allWrites * LEADER_LEAST, allWrites - setOtherNodesWriteRates)
             : allWrites * (1 - LEADER_WRITES);
   }
 
   /** How many changes this node could make at once now. */
-  public double left() {
+  public double availableWrites() {
     refill();
     return writes;
   }
 
   /** How many changes a second this node has made of late. */
-  public double lately() {
+  public double recentWritesPerSecond() {
     refill();
-    return lately / LATELY_S;
+    return recentWritesPerSecond / LATELY_S;
   }
 
   /** The most changes one transaction of this use may hold if it is ever to be allowed. */
-  public int largest(Use use) {
+  public int maxTransactionChanges(WriteClass use) {
     return Math.max(1, (int) (writeDepth * (1 - use.leaves)));
   }
 
   /** Takes one request with so many changes, if this use may have it now. */
-  public boolean takeWrites(Use use, int count) {
-    if (!allows(use, 0, count)) {
+  public boolean tryAcquireWrites(WriteClass use, int count) {
+    if (!mayWrite(use, 0, count)) {
       return false;
     }
     requests--;
@@ -122,7 +123,7 @@
   }
 
   /** Whether so many changes may go now, in one request with some that were allowed already. */
-  public boolean allows(Use use, int before, int count) {
+  public boolean mayWrite(WriteClass use, int before, int count) {
     refill();
     if (requests < 1) {
       return false;
@@ -135,11 +136,11 @@
     // can't be divided and is more than this use is ever left: it would wait for good.
     return before == 0
         && (count == 1 && writes >= Math.max(1, left)
-            || count > largest(use) && writes >= FULL * writeDepth);
+            || count > maxTransactionChanges(use) && writes >= FULL * writeDepth);
   }
 
   /** Counts a request that can't wait, even beyond the share. */
-  public void force(int changes) {
+  public void forceAcquire(int changes) {
     refill();
     requests--;
     spend(changes);
@@ -147,11 +148,11 @@
 
   private void spend(int changes) {
     writes -= changes;
-    lately += changes;
+    recentWritesPerSecond += changes;
   }
 
   /** Takes one reading request, if there is room. */
-  public boolean takeRead() {
+  public boolean tryAcquireRead() {
     refill();
     if (requests < 1) {
       return false;
@@ -171,7 +172,7 @@
     Duration now = loop.now();
     double seconds = now.minus(filled).toNanos() / 1e9;
     filled = now;
-    lately *= Math.exp(-seconds / LATELY_S);
+    recentWritesPerSecond *= Math.exp(-seconds / LATELY_S);
     requests = Math.min(requestRate, requests + seconds * requestRate);
     writes = Math.min(Math.max(1, writeDepth), writes + seconds * writeRate);
   }
--- a/src/main/java/io/cherryspool/store/RecordIndex.java
+++ b/src/main/java/io/cherryspool/store/RecordIndex.java
@@ -26,9 +26,9 @@
   private static final Logger LOG = LoggerFactory.getLogger(RecordIndex.class);
 
   private final KeySpace space;
-  private final List<Replica.Watcher> watchers = new ArrayList<>();
-  private final Map<String, JobEntry> jobs = new HashMap<>();
-  private final Map<String, JobEntry> active = new HashMap<>();
+  private final List<ClusterRecords.RecordsListener> watchers = new ArrayList<>();
+  private final Map<String, JobRecord> jobs = new HashMap<>();
+  private final Map<String, JobRecord> active = new HashMap<>();
   private long term;
   private long termVersion;
   private Records.Leader leader;
@@ -50,21 +50,21 @@
     this.space = space;
   }
 
-  void watch(Replica.Watcher watcher) {
+  void watch(ClusterRecords.RecordsListener watcher) {
     watchers.add(watcher);
   }
 
-  void unwatch(Replica.Watcher watcher) {
+  void unwatch(ClusterRecords.RecordsListener watcher) {
     watchers.remove(watcher);
   }
 
   /** The jobs with anything left to do: not ended, or with progress records still kept. */
-  Collection<JobEntry> active() {
+  Collection<JobRecord> active() {
     return Collections.unmodifiableCollection(active.values());
   }
 
   /** All jobs ever accepted. */
-  Collection<JobEntry> jobs() {
+  Collection<JobRecord> jobs() {
     return Collections.unmodifiableCollection(jobs.values());
   }
 
@@ -73,7 +73,7 @@
   }
 
   /** The job, or null. */
-  JobEntry job(String id) {
+  JobRecord job(String id) {
     return jobs.get(id);
   }
 
@@ -122,12 +122,12 @@
   /** The value of a job's or an end's record as it was written; null for other keys. */
   JsonNode permanentRecord(String key) {
     if (key.startsWith(Records.JOBS)) {
-      JobEntry entry = jobs.get(key.substring(Records.JOBS.length()));
-      return entry == null ? null : Records.job(entry.job(), entry.tasksPerShard());
+      JobRecord entry = jobs.get(key.substring(Records.JOBS.length()));
+      return entry == null ? null : Records.jobKey(entry.job(), entry.tasksPerShard());
     }
     if (key.startsWith(Records.OUTCOMES)) {
-      JobEntry entry = jobs.get(key.substring(Records.OUTCOMES.length()));
-      return entry == null || entry.outcome() == null ? null : Records.outcome(entry.outcome());
+      JobRecord entry = jobs.get(key.substring(Records.OUTCOMES.length()));
+      return entry == null || entry.outcome() == null ? null : Records.outcomeKey(entry.outcome());
     }
     return null;
   }
@@ -157,7 +157,8 @@
    * what refers to them.
    */
   void replaceAll(
-      Collection<Picture.PictureJob> rebuilt, Collection<StateStoreProtocol.Event> events) {
+      Collection<RecordsSnapshot.JobSnapshot> rebuilt,
+      Collection<StateStoreProtocol.Event> events) {
     jobs.clear();
     active.clear();
     term = 0;
@@ -184,16 +185,16 @@
       }
     }
     later.forEach(this::set);
-    List.copyOf(watchers).forEach(Replica.Watcher::reloaded);
+    List.copyOf(watchers).forEach(ClusterRecords.RecordsListener::onReloaded);
   }
 
-  private void addRebuilt(Picture.PictureJob known) {
+  private void addRebuilt(RecordsSnapshot.JobSnapshot known) {
     String id = known.job().id();
-    JobEntry entry = JobEntry.of(known);
+    JobRecord entry = JobRecord.fromSnapshot(known);
     jobs.put(id, entry);
     settle(entry);
     bundled.add(id);
-    known.shards().keySet().forEach(shard -> space.addBundled(Records.progress(id, shard)));
+    known.shards().keySet().forEach(shard -> space.addBundled(Records.progressKey(id, shard)));
   }
 
   /** Takes in a key's new value, or with a null value its removal. */
@@ -207,16 +208,16 @@
     } else if (key.startsWith(Records.OUTCOMES)) {
       setOutcome(key.substring(Records.OUTCOMES.length()), value);
     } else if (key.equals(Records.TERM)) {
-      term = value == null ? 0 : Records.readTerm(value);
+      term = value == null ? 0 : Records.decodeTerm(value);
       termVersion = value == null ? 0 : event.version();
     } else if (key.equals(Records.LEADER)) {
-      leader = value == null ? null : Records.readLeader(value);
+      leader = value == null ? null : Records.decodeLeader(value);
       leaderVersion = value == null ? 0 : event.version();
     } else if (key.equals(Records.SUCCESSOR)) {
-      successor = value == null ? null : Records.readSuccessor(value);
+      successor = value == null ? null : Records.decodeSuccessor(value);
     } else if (key.equals(Records.CATALOG) && value != null) {
       setCatalog(value, event.version());
-    } else if (key.equals(Records.SETTLED)) {
+    } else if (key.equals(Records.RECONCILED)) {
       settled = value != null;
     } else if (key.startsWith(Records.UNKNOWN)) {
       setUnknown(key.substring(Records.UNKNOWN.length()), value);
@@ -237,9 +238,9 @@
     } else {
       ids.remove(id);
     }
-    JobEntry entry = jobs.get(id);
+    JobRecord entry = jobs.get(id);
     if (entry != null) {
-      watchers.forEach(watcher -> watcher.changed(entry));
+      watchers.forEach(watcher -> watcher.onJobChanged(entry));
     }
   }
 
@@ -248,41 +249,41 @@
       return;
     }
     try {
-      JobEntry entry = new JobEntry(Records.readJob(value), Records.readTasksPerShard(value));
+      JobRecord entry = new JobRecord(Records.decodeJob(value), Records.decodeTasksPerShard(value));
       jobs.put(id, entry);
       active.put(id, entry);
-      watchers.forEach(watcher -> watcher.changed(entry));
+      watchers.forEach(watcher -> watcher.onJobChanged(entry));
     } catch (MalformedMessageException e) {
       LOG.error("the record of job {} is unreadable: {}", id, e.getMessage());
     }
   }
 
   private void setOutcome(String id, JsonNode value) {
-    JobEntry entry = jobs.get(id);
+    JobRecord entry = jobs.get(id);
     if (entry != null && value != null) {
-      entry.setOutcome(Records.readOutcome(value));
+      entry.setOutcome(Records.decodeOutcome(value));
       settle(entry);
-      watchers.forEach(watcher -> watcher.changed(entry));
+      watchers.forEach(watcher -> watcher.onJobChanged(entry));
     }
   }
 
   private void setProgress(String rest, JsonNode value, long version) {
     int slash = rest.lastIndexOf('/');
-    JobEntry entry = slash < 0 ? null : jobs.get(rest.substring(0, slash));
+    JobRecord entry = slash < 0 ? null : jobs.get(rest.substring(0, slash));
     if (entry != null) {
       int index = Integer.parseInt(rest.substring(slash + 1));
       // A removal that a bundle would undo is written down as an empty record.
       boolean removed = value == null || value.isEmpty();
-      JobEntry.Versioned record =
-          removed ? null : new JobEntry.Versioned(Records.readShard(value), version);
+      JobRecord.VersionedShard record =
+          removed ? null : new JobRecord.VersionedShard(Records.decodeShard(value), version);
       Shard before = entry.setShard(index, record);
       settle(entry);
       Shard after = record == null ? Shard.EMPTY : record.shard();
-      watchers.forEach(watcher -> watcher.progressed(entry, before, after));
+      watchers.forEach(watcher -> watcher.onProgress(entry, before, after));
     }
   }
 
-  private void settle(JobEntry entry) {
+  private void settle(JobRecord entry) {
     if (entry.outcome() != null && entry.shards().isEmpty()) {
       active.remove(entry.job().id());
     } else {
--- a/src/main/java/io/cherryspool/store/Records.java
+++ b/src/main/java/io/cherryspool/store/Records.java
@@ -25,7 +25,7 @@
   public static final String BUNDLES = "c/bundles/";
 
   /** Present once a leader has taken in what ran when the state was lost. */
-  public static final String SETTLED = "c/settled";
+  public static final String RECONCILED = "c/settled";
 
   /** Jobs that workers report and that nobody has described since the state was lost. */
   static final String UNKNOWN = "c/unknown/";
@@ -47,40 +47,40 @@
   private Records() {}
 
   /** Who leads: the process, not only the node, since a restarted node is another process. */
-  public record Leader(long term, String node, String instance, long lease) {}
+  public record Leader(long term, String node, String processId, long leaseId) {}
 
   /** Whom the leader of the term has made way for, and who that leader was. */
-  public record Successor(long term, String node, String by) {}
+  public record Successor(long term, String node, String predecessor) {}
 
-  public static String job(String id) {
+  public static String jobKey(String id) {
     return JOBS + id;
   }
 
-  public static String outcome(String id) {
+  public static String outcomeKey(String id) {
     return OUTCOMES + id;
   }
 
-  public static String progress(String id, int shard) {
+  public static String progressKey(String id, int shard) {
     return PROGRESS + id + "/" + shard;
   }
 
   /** A part of a rebuilt picture; keys in their order are parts in their order. */
-  public static String bundle(int number) {
+  public static String bundleKey(int number) {
     return String.format("%s%08d", BUNDLES, number);
   }
 
   /** The note that workers report a job which nobody has described. */
-  public static String unknown(String id) {
+  public static String unknownJobKey(String id) {
     return UNKNOWN + id;
   }
 
   /** The note that the job waits for an operator. */
-  public static String held(String id) {
+  public static String heldJobKey(String id) {
     return HELD + id;
   }
 
   /** Whether a record with this key is never removed nor written again. */
-  public static boolean isPermanent(String key) {
+  public static boolean isImmutable(String key) {
     return key.startsWith(JOBS) || key.startsWith(OUTCOMES) || key.startsWith(BUNDLES);
   }
 
@@ -89,11 +89,11 @@
     return Math.max(1, valueBytes / BYTES_PER_TASK);
   }
 
-  public static JsonNode bundle(byte[] chunk) {
+  public static JsonNode bundleKey(byte[] chunk) {
     return Json.object().put("z", Base64.getEncoder().encodeToString(chunk));
   }
 
-  static byte[] readBundle(JsonNode node) throws MalformedMessageException {
+  static byte[] decodeBundle(JsonNode node) throws MalformedMessageException {
     try {
       return Base64.getDecoder().decode(node.path("z").asText());
     } catch (IllegalArgumentException e) {
@@ -102,17 +102,17 @@
   }
 
   /** The largest chunk whose bundle surely fits within the service's limit on a value. */
-  public static int chunkBytes(int valueBytes) {
+  public static int maxChunkBytes(int valueBytes) {
     return (valueBytes - BUNDLE_OVERHEAD) / 4 * 3;
   }
 
   /** A record that only has to be there. */
-  public static JsonNode mark() {
+  public static JsonNode presenceMarker() {
     return Json.object();
   }
 
   /** The note of an unknown job that an operator has given up. */
-  public static JsonNode abandoned() {
+  public static JsonNode abandonedMarker() {
     return Json.object().put(ABANDONED, true);
   }
 
@@ -120,23 +120,23 @@
     return node.path(ABANDONED).asBoolean(false);
   }
 
-  public static JsonNode term(long term) {
+  public static JsonNode encodeTerm(long term) {
     return Json.object().put("term", term);
   }
 
-  static long readTerm(JsonNode node) {
+  static long decodeTerm(JsonNode node) {
     return node.path("term").longValue();
   }
 
-  public static JsonNode leader(Leader leader) {
+  public static JsonNode encodeLeader(Leader leader) {
     return Json.object()
         .put("term", leader.term())
         .put("node", leader.node())
-        .put("instance", leader.instance())
-        .put("lease", leader.lease());
+        .put("instance", leader.processId())
+        .put("lease", leader.leaseId());
   }
 
-  static Leader readLeader(JsonNode node) {
+  static Leader decodeLeader(JsonNode node) {
     return new Leader(
         node.path("term").longValue(),
         node.path("node").asText(),
@@ -144,19 +144,19 @@
         node.path("lease").longValue());
   }
 
-  public static JsonNode successor(Successor successor) {
+  public static JsonNode encodeSuccessor(Successor successor) {
     return Json.object()
         .put("term", successor.term())
         .put("node", successor.node())
-        .put("by", successor.by());
+        .put("by", successor.predecessor());
   }
 
-  static Successor readSuccessor(JsonNode node) {
+  static Successor decodeSuccessor(JsonNode node) {
     return new Successor(
         node.path("term").longValue(), node.path("node").asText(), node.path("by").asText());
   }
 
-  public static JsonNode job(Job job, int tasksPerShard) {
+  public static JsonNode jobKey(Job job, int tasksPerShard) {
     ObjectNode node = Json.object();
     node.set("job", UserProtocol.encodeJob(job));
     node.put("at", job.submittedAt().toEpochMilli());
@@ -164,24 +164,24 @@
     return node;
   }
 
-  static Job readJob(JsonNode node) throws MalformedMessageException {
+  static Job decodeJob(JsonNode node) throws MalformedMessageException {
     return UserProtocol.parseJob(
         node.path("job"), Instant.ofEpochMilli(node.path("at").longValue()));
   }
 
-  static int readTasksPerShard(JsonNode node) {
+  static int decodeTasksPerShard(JsonNode node) {
     return Math.max(1, node.path("per").intValue());
   }
 
-  public static JsonNode outcome(Outcome outcome) {
+  public static JsonNode outcomeKey(Outcome outcome) {
     return Json.object().put("end", outcome == Outcome.DONE ? "done" : "cancelled");
   }
 
-  static Outcome readOutcome(JsonNode node) {
+  static Outcome decodeOutcome(JsonNode node) {
     return "done".equals(node.path("end").asText()) ? Outcome.DONE : Outcome.CANCELLED;
   }
 
-  public static JsonNode shard(Shard shard) {
+  public static JsonNode encodeShard(Shard shard) {
     ObjectNode node = Json.object();
     ArrayNode done = node.putArray("done");
     for (int first = shard.nextDone(0); first >= 0; ) {
@@ -214,7 +214,7 @@
   }
 
   /** At most so many bytes of JSON, without writing it. */
-  public static int sizeOf(Shard shard) {
+  public static int maxEncodedBytes(Shard shard) {
     int bytes = 40 + shard.histories().size() * 24;
     for (Attempt attempt : shard.ownedAttempts().values()) {
       bytes += attempt.machine().length() + 52;
@@ -226,7 +226,7 @@
     return bytes + ranges * 14;
   }
 
-  static Shard readShard(JsonNode node) {
+  static Shard decodeShard(JsonNode node) {
     Shard.Editor editor = Shard.EMPTY.edit();
     JsonNode done = node.path("done");
     for (int i = 0; i + 1 < done.size(); i += 2) {
--- a/src/main/java/io/cherryspool/store/Picture.java
+++ b/src/main/java/io/cherryspool/store/RecordsSnapshot.java
@@ -17,17 +17,17 @@
  * @param term the highest term known to have begun
  * @param catalog the machine types as some leader recorded them, null if none did
  */
-public record Picture(
+public record RecordsSnapshot(
     String cluster,
     String nonce,
-    Incarnation.Origin origin,
+    Incarnation.HistoryPosition position,
     long term,
     JsonNode catalog,
-    PMap<String, PictureJob> jobs) {
+    PMap<String, JobSnapshot> jobs) {
 
   /** What a node knows that remembers nothing. */
-  public static final Picture EMPTY =
-      new Picture("", "", Incarnation.Origin.NONE, 0, null, HashTreePMap.empty());
+  public static final RecordsSnapshot EMPTY =
+      new RecordsSnapshot("", "", Incarnation.HistoryPosition.NONE, 0, null, HashTreePMap.empty());
 
   /**
    * A job with its progress.
@@ -35,24 +35,24 @@
    * @param outcome how it ended, null while it has not
    * @param shards its progress records by their index
    */
-  public record PictureJob(
+  public record JobSnapshot(
       Job job, int tasksPerShard, Outcome outcome, PSortedMap<Integer, Shard> shards) {
 
     /** One that was accepted and of which nothing else is known. */
-    public static PictureJob accepted(Job job, int tasksPerShard) {
-      return new PictureJob(job, tasksPerShard, null, TreePMap.empty());
+    public static JobSnapshot accepted(Job job, int tasksPerShard) {
+      return new JobSnapshot(job, tasksPerShard, null, TreePMap.empty());
     }
 
-    PictureJob withShard(int index, Shard shard) {
-      return new PictureJob(job, tasksPerShard, outcome, shards.plus(index, shard));
+    JobSnapshot withShard(int index, Shard shard) {
+      return new JobSnapshot(job, tasksPerShard, outcome, shards.plus(index, shard));
     }
 
     /** The same job with this end. */
-    public PictureJob withOutcome(Outcome end) {
-      return new PictureJob(job, tasksPerShard, end, shards);
+    public JobSnapshot withOutcome(Outcome end) {
+      return new JobSnapshot(job, tasksPerShard, end, shards);
     }
 
-    static PictureJob of(JobEntry entry) {
+    static JobSnapshot copyOf(JobRecord entry) {
       PSortedMap<Integer, Shard> shards = TreePMap.empty();
       // What the records of a job that is done still hold is only waiting to be cleared. Tasks of a
       // cancelled one may run on, and count against their team.
@@ -61,17 +61,17 @@
           shards = shards.plus(item.getIntKey(), item.getValue().shard());
         }
       }
-      return new PictureJob(entry.job(), entry.tasksPerShard(), entry.outcome(), shards);
+      return new JobSnapshot(entry.job(), entry.tasksPerShard(), entry.outcome(), shards);
     }
   }
 
   /** The same records with other jobs. */
-  public Picture withJobs(PMap<String, PictureJob> others) {
-    return new Picture(cluster, nonce, origin, term, catalog, others);
+  public RecordsSnapshot withJobs(PMap<String, JobSnapshot> others) {
+    return new RecordsSnapshot(cluster, nonce, position, term, catalog, others);
   }
 
   /** The same records at a term at least as high. */
-  public Picture withTerm(long atLeast) {
-    return new Picture(cluster, nonce, origin, Math.max(term, atLeast), catalog, jobs);
+  public RecordsSnapshot withTermAtLeast(long atLeast) {
+    return new RecordsSnapshot(cluster, nonce, position, Math.max(term, atLeast), catalog, jobs);
   }
 }
--- a/src/main/java/io/cherryspool/store/PictureCodec.java
+++ b/src/main/java/io/cherryspool/store/RecordsSnapshotCodec.java
@@ -21,11 +21,11 @@
 import org.pcollections.PMap;
 
 /**
- * Writes the jobs of a {@link Picture} as compressed chunks of bounded size, and reads them again.
- * A chunk holds whole units: a job's description, its end, or one of its progress records. Units of
- * one job may be in different chunks, and the chunks are read in order.
+ * Writes the jobs of a {@link RecordsSnapshot} as compressed chunks of bounded size, and reads them
+ * again. A chunk holds whole units: a job's description, its end, or one of its progress records.
+ * Units of one job may be in different chunks, and the chunks are read in order.
  */
-public final class PictureCodec {
+public final class RecordsSnapshotCodec {
   private static final String UNITS = "units";
   private static final String ID = "id";
   private static final String JOB = "job";
@@ -41,14 +41,14 @@
 
   private static final int BUFFER = 16 * 1024;
 
-  private PictureCodec() {}
+  private RecordsSnapshotCodec() {}
 
   /**
    * The jobs as chunks of at most so many bytes each.
    *
    * @throws IllegalArgumentException if a single record does not fit
    */
-  public static List<byte[]> encode(PMap<String, Picture.PictureJob> jobs, int maxBytes) {
+  public static List<byte[]> encode(PMap<String, RecordsSnapshot.JobSnapshot> jobs, int maxBytes) {
     List<JsonNode> units = new ArrayList<>();
     // In order of their ids, so that equal pictures have equal chunks.
     jobs.entrySet().stream()
@@ -73,18 +73,18 @@
     return chunks;
   }
 
-  private static void addUnits(String id, Picture.PictureJob job, List<JsonNode> units) {
+  private static void addUnits(String id, RecordsSnapshot.JobSnapshot job, List<JsonNode> units) {
     ObjectNode description = Json.object().put(ID, id);
-    description.set(JOB, Records.job(job.job(), job.tasksPerShard()));
+    description.set(JOB, Records.jobKey(job.job(), job.tasksPerShard()));
     if (job.outcome() != null) {
-      description.set(OUTCOME, Records.outcome(job.outcome()));
+      description.set(OUTCOME, Records.outcomeKey(job.outcome()));
     }
     units.add(description);
     job.shards()
         .forEach(
             (index, shard) -> {
               ObjectNode progress = Json.object().put(ID, id).put(SHARD, index);
-              progress.set(PROGRESS, Records.shard(shard));
+              progress.set(PROGRESS, Records.encodeShard(shard));
               units.add(progress);
             });
   }
@@ -108,9 +108,9 @@
   }
 
   /** Reads chunks that {@link #encode} wrote. */
-  public static PMap<String, Picture.PictureJob> decode(List<byte[]> chunks)
+  public static PMap<String, RecordsSnapshot.JobSnapshot> decode(List<byte[]> chunks)
       throws MalformedMessageException {
-    Map<String, Picture.PictureJob> jobs = new HashMap<>();
+    Map<String, RecordsSnapshot.JobSnapshot> jobs = new HashMap<>();
     for (byte[] chunk : chunks) {
       for (JsonNode unit : Json.parseObject(inflate(chunk)).path(UNITS)) {
         take(unit, jobs);
@@ -119,23 +119,24 @@
     return HashTreePMap.from(jobs);
   }
 
-  private static void take(JsonNode unit, Map<String, Picture.PictureJob> jobs)
+  private static void take(JsonNode unit, Map<String, RecordsSnapshot.JobSnapshot> jobs)
       throws MalformedMessageException {
     String id = unit.path(ID).asText();
     if (unit.has(JOB)) {
       JsonNode record = unit.path(JOB);
-      Outcome outcome = unit.has(OUTCOME) ? Records.readOutcome(unit.path(OUTCOME)) : null;
+      Outcome outcome = unit.has(OUTCOME) ? Records.decodeOutcome(unit.path(OUTCOME)) : null;
       jobs.put(
           id,
-          Picture.PictureJob.accepted(Records.readJob(record), Records.readTasksPerShard(record))
+          RecordsSnapshot.JobSnapshot.accepted(
+                  Records.decodeJob(record), Records.decodeTasksPerShard(record))
               .withOutcome(outcome));
       return;
     }
-    Picture.PictureJob job = jobs.get(id);
+    RecordsSnapshot.JobSnapshot job = jobs.get(id);
     if (job == null) {
       throw new MalformedMessageException("progress of " + id + ", which is not described");
     }
-    Shard shard = Records.readShard(unit.path(PROGRESS));
+    Shard shard = Records.decodeShard(unit.path(PROGRESS));
     jobs.put(id, job.withShard(unit.path(SHARD).intValue(), shard));
   }
 
--- a/src/main/java/io/cherryspool/store/ReplicaLoader.java
+++ b/src/main/java/io/cherryspool/store/ReplicaLoader.java
@@ -17,7 +17,7 @@
   private static final Duration RETRY = Duration.ofMillis(300);
 
   private final EventLoop loop;
-  private final StateClient client;
+  private final StateStoreClient client;
   private final RateLimiter rateLimiter;
   private final LongSupplier atLeast;
   private final long since;
@@ -39,7 +39,7 @@
    */
   ReplicaLoader(
       EventLoop loop,
-      StateClient client,
+      StateStoreClient client,
       RateLimiter rateLimiter,
       LongSupplier atLeast,
       long since,
@@ -57,7 +57,7 @@
       return;
     }
     found.clear();
-    scan = new KeyScan(loop, client, rateLimiter, client.space().prefix(), this::scanned);
+    scan = new KeyScan(loop, client, rateLimiter, client.keySpace().prefix(), this::scanned);
     scan.start();
   }
 
@@ -66,8 +66,8 @@
     scan.cancel();
   }
 
-  private void scanned(KeyScan.Scanned all) {
-    all.found().forEach(item -> found.put(item.key(), item));
+  private void scanned(KeyScan.ScanResult all) {
+    all.entries().forEach(item -> found.put(item.key(), item));
     catchUp(since < 0 ? all.firstRevision() : since);
   }
 
@@ -75,15 +75,15 @@
     if (cancelled) {
       return;
     }
-    rateLimiter.force(0);
+    rateLimiter.forceAcquire(0);
     Duration sent = loop.now();
     client
-        .follow(Records.PREFIX, from, Duration.ZERO)
+        .readChanges(Records.PREFIX, from, Duration.ZERO)
         .whenComplete(
             (changes, failure) -> {
               if (failure == null) {
                 take(changes, sent);
-              } else if (StateException.kindOf(failure) == StateException.Kind.GONE) {
+              } else if (StateStoreException.kindOf(failure) == StateStoreException.Kind.GONE) {
                 loop.schedule(RETRY, this::start);
               } else {
                 loop.schedule(RETRY, () -> catchUp(from));
--- a/src/main/java/io/cherryspool/store/HistoryGuard.java
+++ b/src/main/java/io/cherryspool/store/RollbackDetector.java
@@ -5,9 +5,10 @@
 
 /**
  * Watches over the history that the state service tells: whether each answer belongs to the history
- * that this node knows. Told by {@link StateClient} and {@link Replica}; called on the event loop.
+ * that this node knows. Told by {@link StateStoreClient} and {@link ClusterRecords}; called on the
+ * event loop.
  */
-public interface HistoryGuard {
+public interface RollbackDetector {
 
   /** How a loss of history shows. */
   enum Loss {
@@ -35,59 +36,59 @@
   }
 
   /** The least revision that an answer to a request sent now can tell. */
-  long floor();
+  long minimumRevision();
 
   /**
    * Takes in the revision of an answer.
    *
-   * @param floor what {@link #floor} was when the request was sent, one more for a transaction that
-   *     was applied
+   * @param floor what {@link #minimumRevision} was when the request was sent, one more for a
+   *     transaction that was applied
    * @return false if the answer belongs to another history, and must not be used
    */
-  boolean accepts(long floor, long revision);
+  boolean verifyRevision(long floor, long revision);
 
   /** The identity record has changed, or a transaction met another version of it. */
-  void incarnationChanged();
+  void onIncarnationChanged();
 
   /** Something else proves that history was lost. */
-  void lost(Loss loss, String detail);
+  void reportLoss(Loss loss, String detail);
 
   /** The records of the present incarnation were read as a whole. */
-  void loaded();
+  void onRecordsLoaded();
 
   /** A transaction of this node was applied. */
-  void applied(List<StateStoreProtocol.Change> changes, long revision);
+  void onCommitApplied(List<StateStoreProtocol.Change> changes, long revision);
 
   /** Of a node that does not look for losses. */
-  HistoryGuard NONE =
-      new HistoryGuard() {
+  RollbackDetector DISABLED =
+      new RollbackDetector() {
         @Override
-        public long floor() {
+        public long minimumRevision() {
           return 0;
         }
 
         @Override
-        public boolean accepts(long floor, long revision) {
+        public boolean verifyRevision(long floor, long revision) {
           return true;
         }
 
         @Override
-        public void incarnationChanged() {
+        public void onIncarnationChanged() {
           // There is no identity record.
         }
 
         @Override
-        public void lost(Loss loss, String detail) {
+        public void reportLoss(Loss loss, String detail) {
           // Nothing looks for losses.
         }
 
         @Override
-        public void loaded() {
+        public void onRecordsLoaded() {
           // Nothing waits for it.
         }
 
         @Override
-        public void applied(List<StateStoreProtocol.Change> changes, long revision) {
+        public void onCommitApplied(List<StateStoreProtocol.Change> changes, long revision) {
           // Nothing is remembered.
         }
       };
--- a/src/main/java/io/cherryspool/store/StateClient.java
+++ b/src/main/java/io/cherryspool/store/StateStoreClient.java
@@ -16,8 +16,8 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** The state service's calls. Failures are {@link StateException}s. */
-public final class StateClient {
+/** The state service's calls. Failures are {@link StateStoreException}s. */
+public final class StateStoreClient {
   /** After this part of its deadline a transaction without an answer is sent once more. */
   private static final int IMPATIENCE = 4;
 
@@ -29,10 +29,10 @@
   private final Transport transport;
   private final Endpoint service;
   private final Duration deadline;
-  private final KeySpace space = new KeySpace();
-  private HistoryGuard guard = HistoryGuard.NONE;
+  private final KeySpace keySpace = new KeySpace();
+  private RollbackDetector setRollbackDetector = RollbackDetector.DISABLED;
 
-  public StateClient(
+  public StateStoreClient(
       EventLoop loop,
       RateLimiter rateLimiter,
       Transport transport,
@@ -46,13 +46,13 @@
   }
 
   /** From now on answers are held against the history that is known. */
-  public void guard(HistoryGuard with) {
-    guard = with;
+  public void setRollbackDetector(RollbackDetector with) {
+    setRollbackDetector = with;
   }
 
   /** Where the records' keys are. */
-  public KeySpace space() {
-    return space;
+  public KeySpace keySpace() {
+    return keySpace;
   }
 
   /** What became of a transaction: applied, or the conditions that failed. */
@@ -66,12 +66,12 @@
    */
   public CompletableFuture<CommitResult> commit(
       Map<String, Long> conditions, List<StateStoreProtocol.Change> changes) {
-    if (!space.fenced()) {
+    if (!keySpace.isFenced()) {
       return send(StateStoreProtocol.transactionRequest(conditions, changes), changes.size());
     }
-    long floor = guard.floor();
-    Incarnation before = space.incarnation();
-    return send(space.commit(conditions, changes), changes.size())
+    long floor = setRollbackDetector.minimumRevision();
+    Incarnation before = keySpace.incarnation();
+    return send(keySpace.commit(conditions, changes), changes.size())
         .thenApply(result -> checked(result, floor, before, changes));
   }
 
@@ -93,23 +93,24 @@
       long floor,
       Incarnation before,
       List<StateStoreProtocol.Change> changes) {
-    if (space.incarnation() != before) {
+    if (keySpace.incarnation() != before) {
       throw overtaken();
     }
-    boolean known = guard.accepts(result.applied() ? floor + 1 : floor, result.revision());
+    boolean known =
+        setRollbackDetector.verifyRevision(result.applied() ? floor + 1 : floor, result.revision());
     if (result.failed().contains(Incarnation.KEY)) {
-      guard.incarnationChanged();
+      setRollbackDetector.onIncarnationChanged();
       known = false;
     }
     if (!known) {
       throw overtaken();
     }
     if (result.applied()) {
-      guard.applied(changes, result.revision());
+      setRollbackDetector.onCommitApplied(changes, result.revision());
       return result;
     }
     Set<String> failed = new HashSet<>();
-    result.failed().forEach(key -> failed.add(space.logical(key)));
+    result.failed().forEach(key -> failed.add(keySpace.toLogical(key)));
     return new CommitResult(false, failed, result.revision());
   }
 
@@ -121,8 +122,8 @@
             deadline.dividedBy(IMPATIENCE),
             () -> {
               if (!transaction.result.isDone()
-                  && rateLimiter.allows(RateLimiter.Use.CANCEL, 0, changes)) {
-                rateLimiter.force(changes);
+                  && rateLimiter.mayWrite(RateLimiter.WriteClass.CANCEL, 0, changes)) {
+                rateLimiter.forceAcquire(changes);
                 transaction.send();
               }
             });
@@ -150,7 +151,8 @@
                 if (failure == null) {
                   result.complete(outcome);
                 } else if (failed == null
-                    || StateException.kindOf(failure) == StateException.Kind.UNKNOWN) {
+                    || StateStoreException.kindOf(failure)
+                        == StateStoreException.Kind.OUTCOME_UNKNOWN) {
                   // One copy that was surely not carried out says nothing of the other.
                   failed = failure;
                 }
@@ -176,15 +178,16 @@
                     ? new CommitResult(true, Set.of(), revision)
                     : new CommitResult(false, StateStoreProtocol.parseFailedKeys(body), revision);
               } catch (MalformedMessageException e) {
-                throw new StateException(StateException.Kind.UNKNOWN, e.getMessage());
+                throw new StateStoreException(
+                    StateStoreException.Kind.OUTCOME_UNKNOWN, e.getMessage());
               }
             });
   }
 
   /** Keys as the service has them, from any incarnation. */
   public CompletableFuture<StateStoreProtocol.KeyPage> list(String prefix, String after) {
-    long floor = guard.floor();
-    Incarnation before = space.incarnation();
+    long floor = setRollbackDetector.minimumRevision();
+    Incarnation before = keySpace.incarnation();
     return call(
             StateStoreProtocol.listRequest(prefix, after, PAGE),
             deadline,
@@ -210,21 +213,21 @@
   }
 
   private <T> T known(T answer, Incarnation before, long floor, long revision) {
-    if (space.incarnation() != before || !guard.accepts(floor, revision)) {
+    if (keySpace.incarnation() != before || !setRollbackDetector.verifyRevision(floor, revision)) {
       throw overtaken();
     }
     return answer;
   }
 
-  private static StateException overtaken() {
-    return new StateException(StateException.Kind.UNKNOWN, "of another history");
+  private static StateStoreException overtaken() {
+    return new StateStoreException(StateStoreException.Kind.OUTCOME_UNKNOWN, "of another history");
   }
 
   /** Changes after a revision, waiting up to {@code wait} for the first. */
-  public CompletableFuture<StateStoreProtocol.WatchResult> follow(
+  public CompletableFuture<StateStoreProtocol.WatchResult> readChanges(
       String prefix, long after, Duration wait) {
-    long floor = guard.floor();
-    Incarnation before = space.incarnation();
+    long floor = setRollbackDetector.minimumRevision();
+    Incarnation before = keySpace.incarnation();
     return call(
             StateStoreProtocol.watchRequest(prefix, after, wait),
             deadline.plus(wait),
@@ -232,16 +235,16 @@
         .thenApply(changes -> known(changes, before, floor, changes.revision()));
   }
 
-  public CompletableFuture<Long> lease(Duration ttl) {
+  public CompletableFuture<Long> grantLease(Duration ttl) {
     return call(
         StateStoreProtocol.grantLeaseRequest(ttl), deadline, StateStoreProtocol::parseLeaseId);
   }
 
-  public CompletableFuture<Void> extend(long lease) {
+  public CompletableFuture<Void> renewLease(long lease) {
     return call(StateStoreProtocol.renewLeaseRequest(lease), deadline, body -> null);
   }
 
-  public CompletableFuture<Void> end(long lease) {
+  public CompletableFuture<Void> revokeLease(long lease) {
     return call(StateStoreProtocol.revokeLeaseRequest(lease), deadline, body -> null);
   }
 
@@ -254,30 +257,31 @@
               try {
                 return parser.parse(body);
               } catch (MalformedMessageException e) {
-                throw new StateException(StateException.Kind.UNKNOWN, e.getMessage());
+                throw new StateStoreException(
+                    StateStoreException.Kind.OUTCOME_UNKNOWN, e.getMessage());
               }
             });
   }
 
   private static JsonNode body(Reply reply, Throwable failure, int alsoFine) {
     if (failure != null) {
-      throw new StateException(StateException.Kind.UNKNOWN, failure.toString());
+      throw new StateStoreException(StateStoreException.Kind.OUTCOME_UNKNOWN, failure.toString());
     }
     int status = reply.status();
     if (status == 200 || status == alsoFine) {
       try {
         return reply.body().length == 0 ? Json.object() : Json.parseObject(reply.body());
       } catch (MalformedMessageException e) {
-        throw new StateException(StateException.Kind.UNKNOWN, e.getMessage());
+        throw new StateStoreException(StateStoreException.Kind.OUTCOME_UNKNOWN, e.getMessage());
       }
     }
-    throw new StateException(
+    throw new StateStoreException(
         switch (status) {
-          case 429 -> StateException.Kind.BUSY;
-          case 503 -> StateException.Kind.REFUSED;
-          case 404, 410 -> StateException.Kind.GONE;
-          case 400 -> StateException.Kind.REJECTED;
-          default -> StateException.Kind.UNKNOWN;
+          case 429 -> StateStoreException.Kind.RATE_LIMITED;
+          case 503 -> StateStoreException.Kind.NOT_EXECUTED;
+          case 404, 410 -> StateStoreException.Kind.GONE;
+          case 400 -> StateStoreException.Kind.INVALID_REQUEST;
+          default -> StateStoreException.Kind.OUTCOME_UNKNOWN;
         },
         "state service answered " + status);
   }
--- a/src/main/java/io/cherryspool/store/StateException.java
+++ b/src/main/java/io/cherryspool/store/StateStoreException.java
@@ -3,26 +3,26 @@
 import java.util.concurrent.CompletionException;
 
 /** A request that the state service did not answer with success. */
-public final class StateException extends RuntimeException {
+public final class StateStoreException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   /** What is known of the request's effect. */
   public enum Kind {
     /** It was not carried out, and may be tried again. */
-    REFUSED,
+    NOT_EXECUTED,
     /** It was not carried out, since the nodes together are at the service's limits. */
-    BUSY,
+    RATE_LIMITED,
     /** It may have been carried out, or may yet be. */
-    UNKNOWN,
+    OUTCOME_UNKNOWN,
     /** What it names is gone: a lease that ran out, a history too old. */
     GONE,
     /** It can't succeed as it is. */
-    REJECTED
+    INVALID_REQUEST
   }
 
   private final Kind kind;
 
-  public StateException(Kind kind, String message) {
+  public StateStoreException(Kind kind, String message) {
     super(message);
     this.kind = kind;
   }
@@ -37,6 +37,6 @@
     while (cause instanceof CompletionException && cause.getCause() != null) {
       cause = cause.getCause();
     }
-    return cause instanceof StateException e ? e.kind : Kind.UNKNOWN;
+    return cause instanceof StateStoreException e ? e.kind : Kind.OUTCOME_UNKNOWN;
   }
 }
--- a/src/test/java/io/cherryspool/compatibility/SampleRecords.java
+++ b/src/test/java/io/cherryspool/compatibility/SampleRecords.java
@@ -7,7 +7,7 @@
 import io.cherryspool.model.Priority;
 import io.cherryspool.model.Resources;
 import io.cherryspool.model.Shard;
-import io.cherryspool.store.Picture;
+import io.cherryspool.store.RecordsSnapshot;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
@@ -103,16 +103,17 @@
   }
 
   /** A running job with progress and a cancelled one. */
-  public static PMap<String, Picture.PictureJob> jobs() {
-    Picture.PictureJob running =
-        new Picture.PictureJob(
+  public static PMap<String, RecordsSnapshot.JobSnapshot> jobs() {
+    RecordsSnapshot.JobSnapshot running =
+        new RecordsSnapshot.JobSnapshot(
             CONSTRAINED_JOB,
             TASKS_PER_SHARD,
             null,
             TreePMap.singleton(0, shard()).plus(2, Shard.EMPTY.edit().markDone(400, 449).build()));
-    Picture.PictureJob cancelled =
-        Picture.PictureJob.accepted(PLAIN_JOB, TASKS_PER_SHARD).withOutcome(Outcome.CANCELLED);
-    return HashTreePMap.<String, Picture.PictureJob>empty()
+    RecordsSnapshot.JobSnapshot cancelled =
+        RecordsSnapshot.JobSnapshot.accepted(PLAIN_JOB, TASKS_PER_SHARD)
+            .withOutcome(Outcome.CANCELLED);
+    return HashTreePMap.<String, RecordsSnapshot.JobSnapshot>empty()
         .plus(CONSTRAINED_JOB.id(), running)
         .plus(PLAIN_JOB.id(), cancelled);
   }
