--- a/src/test/java/io/cherryspool/controller/CrashLoopBackoffTest.java
+++ b/src/test/java/io/cherryspool/controller/CrashLoopBackoffTest.java
@@ -6,8 +6,8 @@
 
 import io.cherryspool.model.JobFixture;
 import io.cherryspool.model.Priority;
-import io.cherryspool.store.JobEntry;
-import io.cherryspool.store.JobEntryFixture;
+import io.cherryspool.store.JobRecord;
+import io.cherryspool.store.JobRecordFixture;
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
@@ -16,8 +16,8 @@
   private static final int CAP = 20;
 
   private final CrashLoopBackoff backoff = new CrashLoopBackoff();
-  private final JobEntry entry =
-      JobEntryFixture.running(JobFixture.job("req-000001", Priority.NORMAL, 9, 1), 6, "host-0");
+  private final JobRecord entry =
+      JobRecordFixture.running(JobFixture.job("req-000001", Priority.NORMAL, 9, 1), 6, "host-0");
 
   private static MachineState machine(int number) {
     return new MachineState("host-" + number, "box", "a", false, Duration.ZERO);
@@ -28,8 +28,8 @@
         entry, succeeded, machine(machine), Duration.ofMillis((long) (at * 1000)));
   }
 
-  private static JobEntry recorded(int... failures) {
-    return JobEntryFixture.failed(JobFixture.job("req-000001", Priority.NORMAL, 99, 1), failures);
+  private static JobRecord recorded(int... failures) {
+    return JobRecordFixture.failed(JobFixture.job("req-000001", Priority.NORMAL, 99, 1), failures);
   }
 
   @Test
@@ -84,8 +84,8 @@
 
   @Test
   void itsUserHearsOfTheTasksThatFail() {
-    assertEquals(0, recorded(1, 1, 1).failing(CAP), "so far it may be chance");
-    assertEquals(4, recorded(7, 5, 5, 5).failing(CAP), "nothing of it succeeds");
-    assertEquals(1, recorded(20, 0, 0, 0).failing(CAP), "one task is past the cap");
+    assertEquals(0, recorded(1, 1, 1).failingTaskCount(CAP), "so far it may be chance");
+    assertEquals(4, recorded(7, 5, 5, 5).failingTaskCount(CAP), "nothing of it succeeds");
+    assertEquals(1, recorded(20, 0, 0, 0).failingTaskCount(CAP), "one task is past the cap");
   }
 }
--- a/src/test/java/io/cherryspool/controller/ElectionTest.java
+++ b/src/test/java/io/cherryspool/controller/ElectionTest.java
@@ -10,10 +10,10 @@
 import io.cherryspool.sim.StandInState;
 import io.cherryspool.sim.StateServiceTransport;
 import io.cherryspool.sim.VirtualTime;
+import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.store.Replica;
-import io.cherryspool.store.StateClient;
+import io.cherryspool.store.StateStoreClient;
 import java.time.Duration;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -27,10 +27,10 @@
   private final StandInState state = new StandInState(time, new SplittableRandom(1), 0);
   private final StateServiceTransport line = new StateServiceTransport(time, state);
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
-  private final StateClient client =
-      new StateClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
-  private final Replica replica =
-      new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+  private final StateStoreClient client =
+      new StateStoreClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
+  private final ClusterRecords replica =
+      new ClusterRecords(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
   private final Reachability reachability =
       ReachabilityFixture.reachability("node-0", List.of("node-1"));
   private final Election election =
--- a/src/test/java/io/cherryspool/controller/FenceTest.java
+++ b/src/test/java/io/cherryspool/controller/FenceTest.java
@@ -10,7 +10,7 @@
 import io.cherryspool.model.TaskId;
 import io.cherryspool.model.WorkerCommand;
 import io.cherryspool.model.WorkerHeartbeat;
-import io.cherryspool.store.JobEntryFixture;
+import io.cherryspool.store.JobRecordFixture;
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -41,7 +41,7 @@
   private final Job job = JobFixture.job("req-000001", Priority.NORMAL, 1, 1);
   private final Ownership.Owned owned =
       new Ownership.Owned(
-          JobEntryFixture.of(job), TASK, new Attempt(0, "host-1", 3, 1, tokens.base() - 7));
+          JobRecordFixture.accepted(job), TASK, new Attempt(0, "host-1", 3, 1, tokens.base() - 7));
   private long sequence;
 
   private void hears(
--- a/src/test/java/io/cherryspool/controller/LeaderTermFixture.java
+++ b/src/test/java/io/cherryspool/controller/LeaderTermFixture.java
@@ -15,10 +15,10 @@
 import io.cherryspool.sim.StandInState;
 import io.cherryspool.sim.StateServiceTransport;
 import io.cherryspool.sim.VirtualTime;
+import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.store.Replica;
-import io.cherryspool.store.StateClient;
+import io.cherryspool.store.StateStoreClient;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.MalformedMessageException;
 import io.cherryspool.wire.StateStoreProtocol;
@@ -61,13 +61,14 @@
   LeaderTermFixture() {
     EventLoop loop = counting();
     RateLimiter rateLimiter = new RateLimiter(loop, 1, 1000, 1000);
-    StateClient client =
-        new StateClient(loop, rateLimiter, new StateServiceTransport(time, state), ANYWHERE, CALL);
-    Replica replica =
-        new Replica(loop, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+    StateStoreClient client =
+        new StateStoreClient(
+            loop, rateLimiter, new StateServiceTransport(time, state), ANYWHERE, CALL);
+    ClusterRecords replica =
+        new ClusterRecords(loop, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
     replica.start();
     run(Duration.ofMillis(50));
-    assertTrue(replica.loaded());
+    assertTrue(replica.isLoaded());
     Transport silent = (to, request, deadline) -> new CompletableFuture<Reply>();
     term =
         new LeaderTerm(
@@ -160,7 +161,7 @@
   /** Some node accepts a job. */
   void accept(Job job) {
     StateStoreProtocol.Change change =
-        new StateStoreProtocol.Change(Records.job(job.id()), Records.job(job, 100), 0);
+        new StateStoreProtocol.Change(Records.jobKey(job.id()), Records.jobKey(job, 100), 0);
     state.handle(StateStoreProtocol.transactionRequest(Map.of(), List.of(change)));
   }
 
--- a/src/test/java/io/cherryspool/controller/MemoryWireTest.java
+++ b/src/test/java/io/cherryspool/controller/MemoryWireTest.java
@@ -13,7 +13,11 @@
 class MemoryWireTest {
   private static final NodeMemory MEMORY =
       new NodeMemory(
-          NodeMemory.Phase.REBUILDING, "9f3a", new Incarnation.Origin(3, 1L << 50), true, 4);
+          NodeMemory.Phase.REBUILDING,
+          "9f3a",
+          new Incarnation.HistoryPosition(3, 1L << 50),
+          true,
+          4);
   private static final Mesh.Memory CARRIED = new Mesh.Memory(3, 3, "9f3a", 1L << 50, true, 4);
 
   @Test
--- a/src/test/java/io/cherryspool/controller/OwnershipTest.java
+++ b/src/test/java/io/cherryspool/controller/OwnershipTest.java
@@ -6,8 +6,8 @@
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Priority;
 import io.cherryspool.model.Shard;
-import io.cherryspool.store.JobEntry;
-import io.cherryspool.store.JobEntryFixture;
+import io.cherryspool.store.JobRecord;
+import io.cherryspool.store.JobRecordFixture;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -16,8 +16,8 @@
 class OwnershipTest {
   private final List<Integer> released = new ArrayList<>();
   private final Ownership ownership = new Ownership(null);
-  private final JobEntry entry =
-      JobEntryFixture.running(JobFixture.job("req-000001", Priority.LOW, 2, 1), 2, "host-1");
+  private final JobRecord entry =
+      JobRecordFixture.running(JobFixture.job("req-000001", Priority.LOW, 2, 1), 2, "host-1");
 
   private void listen() {
     ownership.listen(
@@ -26,10 +26,10 @@
           public void machineTouched(String machine) {}
 
           @Override
-          public void jobTouched(JobEntry touched) {}
+          public void jobTouched(JobRecord touched) {}
 
           @Override
-          public void jobEnded(JobEntry ended) {}
+          public void jobEnded(JobRecord ended) {}
 
           @Override
           public void released(Ownership.Owned owned) {
@@ -39,7 +39,7 @@
           @Override
           public void reloaded() {}
         });
-    ownership.progressed(entry, Shard.EMPTY, entry.shard(0).shard());
+    ownership.onProgress(entry, Shard.EMPTY, entry.shard(0).shard());
   }
 
   /** Its records are cleared much later; until then its machines must count as empty. */
@@ -47,8 +47,8 @@
   void aJobThatIsDoneOwnsNothingWhateverItsRecordsHold() {
     listen();
     assertEquals(2, ownership.on("host-1").size());
-    JobEntryFixture.end(entry, Outcome.DONE);
-    ownership.changed(entry);
+    JobRecordFixture.end(entry, Outcome.DONE);
+    ownership.onJobChanged(entry);
     assertEquals(List.of(), ownership.on("host-1"));
     assertEquals(0, entry.ownedCount());
     released.sort(null);
@@ -58,8 +58,8 @@
   @Test
   void aCancelledOneOwnsItsTasksUntilTheirEndsAreProved() {
     listen();
-    JobEntryFixture.end(entry, Outcome.CANCELLED);
-    ownership.changed(entry);
+    JobRecordFixture.end(entry, Outcome.CANCELLED);
+    ownership.onJobChanged(entry);
     assertEquals(2, ownership.on("host-1").size());
     assertEquals(2, entry.ownedCount());
   }
--- a/src/test/java/io/cherryspool/controller/RoundEditsTest.java
+++ b/src/test/java/io/cherryspool/controller/RoundEditsTest.java
@@ -8,8 +8,8 @@
 import io.cherryspool.model.JobFixture;
 import io.cherryspool.model.Priority;
 import io.cherryspool.model.TaskId;
-import io.cherryspool.store.JobEntry;
-import io.cherryspool.store.JobEntryFixture;
+import io.cherryspool.store.JobRecord;
+import io.cherryspool.store.JobRecordFixture;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
 import io.cherryspool.wire.StateStoreProtocol;
@@ -24,7 +24,7 @@
   private static final Duration OVERDUE = Duration.ofSeconds(80);
 
   private final Job job = JobFixture.job(ID, Priority.NORMAL, 4, 1);
-  private final JobEntry entry = JobEntryFixture.running(job, 3, "host-1");
+  private final JobRecord entry = JobRecordFixture.running(job, 3, "host-1");
   private final PendingReleases pendingReleases = new PendingReleases();
 
   private void ended(int task, ReleaseEvidence.Verdict verdict, int at) {
@@ -55,16 +55,16 @@
     String value = units.get(0).changes().get(0).value().toString();
     assertTrue(value.contains("\"done\":[0,0]"), value);
     assertTrue(value.contains("[3,\"host-2\",1,1,9]"), value);
-    assertEquals(7L, units.get(0).conditions().get(Records.progress(ID, 0)));
-    assertEquals(0L, units.get(0).conditions().get(Records.outcome(ID)), "not after a cancel");
+    assertEquals(7L, units.get(0).conditions().get(Records.progressKey(ID, 0)));
+    assertEquals(0L, units.get(0).conditions().get(Records.outcomeKey(ID)), "not after a cancel");
   }
 
   @Test
   void itWaitsAsLongAsWritesAreLimitedButNotForGood() {
     ended(0, ReleaseEvidence.Verdict.DONE, 99);
-    assertEquals(RateLimiter.Use.LATER, units(edits()).get(0).use());
+    assertEquals(RateLimiter.WriteClass.DEFERRABLE, units(edits()).get(0).use());
     ended(1, ReleaseEvidence.Verdict.FAILED, 79);
-    assertEquals(RateLimiter.Use.ROUND, units(edits()).get(0).use());
+    assertEquals(RateLimiter.WriteClass.ROUND, units(edits()).get(0).use());
   }
 
   /** The freed task is planned again before its release is written. */
@@ -80,7 +80,8 @@
 
   @Test
   void theLastEndIsWrittenAtOnceAndFirst() {
-    JobEntry all = JobEntryFixture.running(JobFixture.job(ID, Priority.NORMAL, 2, 1), 2, "host-1");
+    JobRecord all =
+        JobRecordFixture.running(JobFixture.job(ID, Priority.NORMAL, 2, 1), 2, "host-1");
     for (int task = 0; task < 2; task++) {
       Attempt attempt = all.shard(0).shard().ownedAttempt(task);
       pendingReleases.add(
@@ -92,11 +93,12 @@
     List<RoundWriter.Unit> units = edits().units(List.of(all), DUE, OVERDUE);
     assertEquals(1, units.size());
     assertEquals(
-        List.of(Records.outcome(ID)),
+        List.of(Records.outcomeKey(ID)),
         units.get(0).changes().stream().map(StateStoreProtocol.Change::key).toList(),
         "one change ends a job");
-    assertEquals(0L, units.get(0).conditions().get(Records.outcome(ID)), "unless it is cancelled");
-    assertEquals(7L, units.get(0).conditions().get(Records.progress(ID, 0)));
-    assertEquals(RateLimiter.Use.ROUND, units.get(0).use());
+    assertEquals(
+        0L, units.get(0).conditions().get(Records.outcomeKey(ID)), "unless it is cancelled");
+    assertEquals(7L, units.get(0).conditions().get(Records.progressKey(ID, 0)));
+    assertEquals(RateLimiter.WriteClass.ROUND, units.get(0).use());
   }
 }
--- a/src/test/java/io/cherryspool/controller/RoundWriterTest.java
+++ b/src/test/java/io/cherryspool/controller/RoundWriterTest.java
@@ -10,7 +10,7 @@
 import io.cherryspool.sim.StateServiceTransport.Fate;
 import io.cherryspool.sim.VirtualTime;
 import io.cherryspool.store.RateLimiter;
-import io.cherryspool.store.StateClient;
+import io.cherryspool.store.StateStoreClient;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
@@ -29,8 +29,9 @@
   private final StandInState state = new StandInState(time, new SplittableRandom(1), 0);
   private final StateServiceTransport line = new StateServiceTransport(time, state);
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
-  private final StateClient client =
-      new StateClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), Duration.ofSeconds(1));
+  private final StateStoreClient client =
+      new StateStoreClient(
+          time, rateLimiter, line, new Endpoint("127.0.0.1", 1), Duration.ofSeconds(1));
   private final RoundWriter writer = new RoundWriter(time, client, rateLimiter, 8, 0);
   private int certain;
 
@@ -45,7 +46,7 @@
     StateStoreProtocol.Change change =
         new StateStoreProtocol.Change(SHARD, Json.object().put("x", 1), 0);
     RoundWriter.Unit unit =
-        new RoundWriter.Unit(Map.of(SHARD, 0L), List.of(change), 20, RateLimiter.Use.ROUND);
+        new RoundWriter.Unit(Map.of(SHARD, 0L), List.of(change), 20, RateLimiter.WriteClass.ROUND);
     writer.write(List.of(unit), () -> certain++);
   }
 
--- a/src/test/java/io/cherryspool/controller/UserApiTest.java
+++ b/src/test/java/io/cherryspool/controller/UserApiTest.java
@@ -19,11 +19,11 @@
 import io.cherryspool.sim.StateServiceTransport;
 import io.cherryspool.sim.StateServiceTransport.Fate;
 import io.cherryspool.sim.VirtualTime;
+import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.GroupCommit;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.store.Replica;
-import io.cherryspool.store.StateClient;
+import io.cherryspool.store.StateStoreClient;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.MalformedMessageException;
 import io.cherryspool.wire.StateStoreProtocol;
@@ -57,16 +57,17 @@
   /** One node as far as users see it. */
   private final class Node {
     private final StateServiceTransport line = new StateServiceTransport(time, state);
-    private final Replica replica;
+    private final ClusterRecords replica;
     private final UserApi users;
     private List<MachineType> types = TYPES;
     private boolean behind;
 
     Node() {
       RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
-      StateClient client =
-          new StateClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
-      replica = new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+      StateStoreClient client =
+          new StateStoreClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
+      replica =
+          new ClusterRecords(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
       GroupCommit commits = new GroupCommit(time, client, rateLimiter, 8, 32, CALL);
       users =
           new UserApi(
@@ -87,7 +88,7 @@
       replica.refresh();
       run(0.01);
       line.release(StateServiceTransport.READING);
-      assertFalse(replica.loaded());
+      assertFalse(replica.isLoaded());
     }
   }
 
@@ -152,9 +153,10 @@
   private void end(Outcome outcome) {
     state.handle(
         StateStoreProtocol.transactionRequest(
-            Map.of(Records.outcome(JOB), 0L),
+            Map.of(Records.outcomeKey(JOB), 0L),
             List.of(
-                new StateStoreProtocol.Change(Records.outcome(JOB), Records.outcome(outcome), 0))));
+                new StateStoreProtocol.Change(
+                    Records.outcomeKey(JOB), Records.outcomeKey(outcome), 0))));
   }
 
   @Test
@@ -196,7 +198,7 @@
   void nobodyCancelsWhatNobodySubmitted() {
     assertEquals("404", soon(one.users.cancel(JOB)));
     assertEquals("404", soon(one.users.cancel(JOB)));
-    assertNull(state.peek(Records.outcome(JOB)));
+    assertNull(state.peek(Records.outcomeKey(JOB)));
     assertEquals("201 pending", soon(other.users.submit(job())));
     assertEquals("200 pending", soon(one.users.poll(JOB)));
   }
@@ -241,7 +243,7 @@
   @Test
   void aCancelThatMetAConflictIsNotConfirmedWithoutAnOutcome() {
     soon(one.users.submit(job()));
-    String failed = "{\"failed\":[\"" + Records.outcome(JOB) + "\"],\"epoch\":1}";
+    String failed = "{\"failed\":[\"" + Records.outcomeKey(JOB) + "\"],\"epoch\":1}";
     one.line.answerNext(StateServiceTransport.COMMIT, 409, failed);
     CompletableFuture<Reply> cancel = one.users.cancel(JOB);
     run(0.05);
@@ -253,7 +255,7 @@
 
   @Test
   void aSubmissionThatMetAConflictIsNotCalledUnknown() {
-    String failed = "{\"failed\":[\"" + Records.job(JOB) + "\"],\"epoch\":1}";
+    String failed = "{\"failed\":[\"" + Records.jobKey(JOB) + "\"],\"epoch\":1}";
     one.line.answerNext(StateServiceTransport.COMMIT, 409, failed);
     CompletableFuture<Reply> submission = one.users.submit(job());
     run(0.05);
@@ -431,6 +433,6 @@
     state.setDown(false);
     assertEquals("200 pending", soon(one.users.poll(JOB)));
     assertEquals("404", soon(one.users.poll("req-000002")));
-    assertNotNull(state.peek(Records.job(JOB)));
+    assertNotNull(state.peek(Records.jobKey(JOB)));
   }
 }
--- a/src/test/java/io/cherryspool/recovery/PictureMergeTest.java
+++ b/src/test/java/io/cherryspool/recovery/PictureMergeTest.java
@@ -7,8 +7,8 @@
 
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Shard;
-import io.cherryspool.store.Picture;
-import io.cherryspool.store.PictureFixture;
+import io.cherryspool.store.RecordsSnapshot;
+import io.cherryspool.store.RecordsSnapshotFixture;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -21,24 +21,24 @@
 class PictureMergeTest {
   private static final int STEPS = 120;
 
-  private static String join(List<Picture> sources) {
-    Picture all = Picture.EMPTY;
-    for (Picture source : sources) {
+  private static String join(List<RecordsSnapshot> sources) {
+    RecordsSnapshot all = RecordsSnapshot.EMPTY;
+    for (RecordsSnapshot source : sources) {
       all = PictureMerge.merge(all, source);
     }
-    return PictureFixture.text(all);
+    return RecordsSnapshotFixture.text(all);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
   void theOrderOfSourcesAndReadingThemAgainChangesNothing(long seed) {
-    List<Picture> history = PictureFixture.history(seed, STEPS);
+    List<RecordsSnapshot> history = RecordsSnapshotFixture.history(seed, STEPS);
     Random random = new Random(seed);
-    List<Picture> sources = new ArrayList<>();
+    List<RecordsSnapshot> sources = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       sources.add(history.get(random.nextInt(STEPS)));
       // Another history from the same beginning: a node without memory went on differently.
-      sources.add(PictureFixture.history(seed + 100, STEPS).get(random.nextInt(STEPS)));
+      sources.add(RecordsSnapshotFixture.history(seed + 100, STEPS).get(random.nextInt(STEPS)));
     }
     String joined = join(sources);
     for (int i = 0; i < 20; i++) {
@@ -47,22 +47,24 @@
     }
     sources.addAll(List.copyOf(sources));
     assertEquals(joined, join(sources));
-    Picture left = PictureMerge.merge(sources.get(0), sources.get(1));
-    Picture right = PictureMerge.merge(sources.get(2), sources.get(3));
-    assertEquals(join(sources.subList(0, 4)), PictureFixture.text(PictureMerge.merge(left, right)));
+    RecordsSnapshot left = PictureMerge.merge(sources.get(0), sources.get(1));
+    RecordsSnapshot right = PictureMerge.merge(sources.get(2), sources.get(3));
+    assertEquals(
+        join(sources.subList(0, 4)), RecordsSnapshotFixture.text(PictureMerge.merge(left, right)));
   }
 
   /** Copies are prefixes of one history: the longest of them is the whole, whatever the others. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
   void theLongestPrefixOfAHistoryContainsTheOthers(long seed) {
-    List<Picture> history = PictureFixture.history(seed, STEPS);
+    List<RecordsSnapshot> history = RecordsSnapshotFixture.history(seed, STEPS);
     for (int i = 0; i < STEPS; i += 7) {
-      Picture older = history.get(i);
+      RecordsSnapshot older = history.get(i);
       for (int j = i; j < STEPS; j += 11) {
-        Picture newer = history.get(j);
+        RecordsSnapshot newer = history.get(j);
         assertEquals(
-            PictureFixture.text(newer), PictureFixture.text(PictureMerge.merge(older, newer)));
+            RecordsSnapshotFixture.text(newer),
+            RecordsSnapshotFixture.text(PictureMerge.merge(older, newer)));
         assertSame(newer.jobs(), PictureMerge.merge(newer, older).jobs(), "nothing is added");
       }
     }
@@ -71,15 +73,15 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void noEndAndNoCompletedTaskIsTakenBack(long seed) {
-    List<Picture> history = PictureFixture.history(seed, STEPS);
-    List<Picture> other = PictureFixture.history(seed + 50, STEPS);
-    Picture joined = PictureMerge.merge(history.get(STEPS - 1), other.get(STEPS / 2));
-    for (Picture source : List.of(history.get(STEPS - 1), other.get(STEPS / 2))) {
+    List<RecordsSnapshot> history = RecordsSnapshotFixture.history(seed, STEPS);
+    List<RecordsSnapshot> other = RecordsSnapshotFixture.history(seed + 50, STEPS);
+    RecordsSnapshot joined = PictureMerge.merge(history.get(STEPS - 1), other.get(STEPS / 2));
+    for (RecordsSnapshot source : List.of(history.get(STEPS - 1), other.get(STEPS / 2))) {
       source
           .jobs()
           .forEach(
               (id, job) -> {
-                Picture.PictureJob all = joined.jobs().get(id);
+                RecordsSnapshot.JobSnapshot all = joined.jobs().get(id);
                 assertNotNull(all, id);
                 if (job.outcome() == Outcome.DONE) {
                   assertEquals(Outcome.DONE, all.outcome(), id);
--- a/src/test/java/io/cherryspool/recovery/RecoveryTest.java
+++ b/src/test/java/io/cherryspool/recovery/RecoveryTest.java
@@ -15,13 +15,13 @@
 import io.cherryspool.sim.StateServiceTransport;
 import io.cherryspool.sim.StateServiceTransport.Fate;
 import io.cherryspool.sim.VirtualTime;
-import io.cherryspool.store.HistoryGuard.Loss;
+import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.Incarnation;
-import io.cherryspool.store.Picture;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.store.Replica;
-import io.cherryspool.store.StateClient;
+import io.cherryspool.store.RecordsSnapshot;
+import io.cherryspool.store.RollbackDetector.Loss;
+import io.cherryspool.store.StateStoreClient;
 import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -43,17 +43,17 @@
   private final class Node implements ClusterNode {
     private final StateServiceTransport line = new StateServiceTransport(time, state);
     private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
-    private final StateClient client =
-        new StateClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
-    private final Replica replica =
-        new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+    private final StateStoreClient client =
+        new StateStoreClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
+    private final ClusterRecords replica =
+        new ClusterRecords(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
     private final Recovery recovery;
     private final List<Peer> peers = new ArrayList<>();
     private boolean leadsSurely;
     private long knownTerm;
     private boolean workersRemember;
 
-    Node(Picture snapshot) {
+    Node(RecordsSnapshot snapshot) {
       recovery =
           new Recovery(
               time,
@@ -105,21 +105,21 @@
 
     CompletableFuture<Boolean> submit(String id) {
       return client
-          .commit(Map.of(Records.job(id), 0L), List.of(job(id)))
-          .thenApply(StateClient.CommitResult::applied);
+          .commit(Map.of(Records.jobKey(id), 0L), List.of(job(id)))
+          .thenApply(StateStoreClient.CommitResult::applied);
     }
   }
 
   private static StateStoreProtocol.Change job(String id) {
     return new StateStoreProtocol.Change(
-        Records.job(id), Records.job(JobFixture.job(id, Priority.NORMAL, 1, 1), 100), 0);
+        Records.jobKey(id), Records.jobKey(JobFixture.job(id, Priority.NORMAL, 1, 1), 100), 0);
   }
 
   /** Some process without memory changes a key. */
   private void writeByOthers(String key, Map<String, Long> conditions) {
     state.handle(
         StateStoreProtocol.transactionRequest(
-            conditions, List.of(new StateStoreProtocol.Change(key, Records.mark(), 0))));
+            conditions, List.of(new StateStoreProtocol.Change(key, Records.presenceMarker(), 0))));
   }
 
   private void run(double seconds) {
@@ -130,7 +130,7 @@
   }
 
   private Node serving() {
-    Node node = new Node(Picture.EMPTY);
+    Node node = new Node(RecordsSnapshot.EMPTY);
     run(8);
     assertTrue(node.recovery.serving());
     node.submit(JOB);
@@ -141,17 +141,17 @@
 
   @Test
   void anEmptyServiceThatNobodyRemembersIsAFirstInstallation() {
-    Node node = new Node(Picture.EMPTY);
+    Node node = new Node(RecordsSnapshot.EMPTY);
     run(8);
     assertTrue(node.recovery.serving());
     assertEquals(0, node.recovery.events().losses());
-    assertEquals(0, node.recovery.memory().origin().number());
+    assertEquals(0, node.recovery.memory().origin().incarnationNumber());
   }
 
   @Test
   void recordsWithoutAnIdentityAreThoseOfAnEarlierVersion() {
     state.handle(StateStoreProtocol.transactionRequest(Map.of(), List.of(job(JOB))));
-    Node node = new Node(Picture.EMPTY);
+    Node node = new Node(RecordsSnapshot.EMPTY);
     node.workersRemember = true;
     run(8);
     assertTrue(node.recovery.serving());
@@ -161,13 +161,13 @@
 
   @Test
   void anEmptyServiceIsALossWhereWorkersHaveServed() {
-    Node node = new Node(Picture.EMPTY);
+    Node node = new Node(RecordsSnapshot.EMPTY);
     node.workersRemember = true;
     run(10);
     assertEquals(1, node.recovery.events().losses());
     assertTrue(node.recovery.serving());
-    assertTrue(node.recovery.memory().origin().number() > 0, "not a first installation");
-    assertTrue(node.replica.rebuiltFromPart());
+    assertTrue(node.recovery.memory().origin().incarnationNumber() > 0, "not a first installation");
+    assertTrue(node.replica.isPartialRebuild());
   }
 
   @Test
@@ -192,7 +192,7 @@
         Map.of(),
         List.of(
             new StateStoreProtocol.Change(
-                Records.outcome(JOB), Records.outcome(Outcome.CANCELLED), 0)));
+                Records.outcomeKey(JOB), Records.outcomeKey(Outcome.CANCELLED), 0)));
     run(1);
     node.leadsSurely = true;
     node.knownTerm = 17;
@@ -205,7 +205,7 @@
     assertTrue(node.recovery.serving());
     assertEquals(Outcome.CANCELLED, node.replica.job(JOB).outcome());
     assertEquals(17, node.replica.term(), "above every term that was heard of");
-    assertFalse(node.replica.rebuiltFromPart(), "the leader remembers every start");
+    assertFalse(node.replica.isPartialRebuild(), "the leader remembers every start");
   }
 
   /**
@@ -222,7 +222,7 @@
     long before = node.replica.revision();
     state.loseAll();
     // Others have installed anew, with the same identity, by chance at the same version.
-    Incarnation same = node.client.space().incarnation();
+    Incarnation same = node.client.keySpace().incarnation();
     state.handle(
         StateStoreProtocol.transactionRequest(
             Map.of(), List.of(new StateStoreProtocol.Change(Incarnation.KEY, same.encode(), 0))));
@@ -288,7 +288,11 @@
             "node-1",
             true,
             new NodeMemory(
-                NodeMemory.Phase.SERVING, "", new Incarnation.Origin(0, ahead), false, 0)));
+                NodeMemory.Phase.SERVING,
+                "",
+                new Incarnation.HistoryPosition(0, ahead),
+                false,
+                0)));
     run(0.5);
     node.replica.refresh();
     run(0.1);
@@ -307,7 +311,7 @@
     node.knownTerm = 5;
     run(15);
     assertEquals(5, node.replica.term());
-    assertTrue(node.replica.rebuiltFromPart(), "its leader may have started anything");
+    assertTrue(node.replica.isPartialRebuild(), "its leader may have started anything");
   }
 
   @Test
@@ -315,7 +319,8 @@
     Node node = serving();
     state.handle(
         StateStoreProtocol.transactionRequest(
-            Map.of(), List.of(new StateStoreProtocol.Change(Records.TERM, Records.term(5), 0))));
+            Map.of(),
+            List.of(new StateStoreProtocol.Change(Records.TERM, Records.encodeTerm(5), 0))));
     node.recovery.termShown(5);
     run(1);
     assertTrue(node.recovery.serving());
@@ -329,14 +334,14 @@
     node.line.next(StateServiceTransport.COMMIT, Fate.HOLD_REQUEST);
     CompletableFuture<Boolean> late = node.submit("req-000002");
     Incarnation next =
-        Incarnation.rebuilding("other", 1, "n", "node-1", Incarnation.Origin.NONE, false);
+        Incarnation.newRebuild("other", 1, "n", "node-1", Incarnation.HistoryPosition.NONE, false);
     state.handle(
         StateStoreProtocol.transactionRequest(
             Map.of(), List.of(new StateStoreProtocol.Change(Incarnation.KEY, next.encode(), 0))));
     node.line.release(StateServiceTransport.COMMIT);
     run(0.3);
     assertTrue(late.isCompletedExceptionally());
-    assertNull(state.peek(Records.job("req-000002")), "nothing is added behind the fence");
+    assertNull(state.peek(Records.jobKey("req-000002")), "nothing is added behind the fence");
     assertFalse(node.recovery.serving());
   }
 
@@ -349,7 +354,7 @@
             Map.of(),
             List.of(
                 new StateStoreProtocol.Change(
-                    Incarnation.KEY, Incarnation.first("x").encode(), 0))));
+                    Incarnation.KEY, Incarnation.firstInstallation("x").encode(), 0))));
     run(20);
     assertFalse(node.recovery.serving());
     assertTrue(node.recovery.events().foreign());
@@ -360,10 +365,11 @@
   @Test
   void aRebuildWithoutItsBundlesIsTakenForALoss() {
     Node node = serving();
-    String cluster = node.client.space().incarnation().cluster();
+    String cluster = node.client.keySpace().incarnation().cluster();
     Incarnation half =
-        Incarnation.rebuilding(cluster, 1, "n", "node-1", new Incarnation.Origin(0, 1), false)
-            .finished(true, new Incarnation.Manifest(2, "0"));
+        Incarnation.newRebuild(
+                cluster, 1, "n", "node-1", new Incarnation.HistoryPosition(0, 1), false)
+            .completed(true, new Incarnation.Manifest(2, "0"));
     state.handle(
         StateStoreProtocol.transactionRequest(
             Map.of(), List.of(new StateStoreProtocol.Change(Incarnation.KEY, half.encode(), 0))));
@@ -371,7 +377,7 @@
     assertEquals(Loss.BUNDLES_DAMAGED, node.recovery.events().lastLoss());
     run(15);
     assertTrue(node.recovery.serving());
-    assertEquals(2, node.recovery.memory().origin().number());
+    assertEquals(2, node.recovery.memory().origin().incarnationNumber());
     assertNotNull(node.replica.job(JOB));
   }
 
@@ -379,11 +385,11 @@
   @Test
   void aSnapshotTellsALossToANodeThatHasJustStarted() {
     Node first = serving();
-    Picture snapshot = first.replica.picture();
+    RecordsSnapshot snapshot = first.replica.snapshot();
     first.recovery.stop();
     first.replica.stop();
     state.loseAll();
-    Incarnation same = first.client.space().incarnation();
+    Incarnation same = first.client.keySpace().incarnation();
     state.handle(
         StateStoreProtocol.transactionRequest(
             Map.of(), List.of(new StateStoreProtocol.Change(Incarnation.KEY, same.encode(), 0))));
@@ -404,20 +410,22 @@
     StateServiceTransport line = new StateServiceTransport(time, state);
     RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
     Endpoint anywhere = new Endpoint("127.0.0.1", 1);
-    StateClient client = new StateClient(time, rateLimiter, line, anywhere, CALL);
-    Replica plain = new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+    StateStoreClient client = new StateStoreClient(time, rateLimiter, line, anywhere, CALL);
+    ClusterRecords plain =
+        new ClusterRecords(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
     plain.start();
     run(1);
-    assertTrue(plain.loaded(), "before any loss both read the same records");
+    assertTrue(plain.isLoaded(), "before any loss both read the same records");
     assertNotNull(plain.job(JOB));
     state.loseAll();
     run(25);
     assertTrue(node.recovery.serving());
-    assertFalse(plain.loaded());
-    Replica begun = new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+    assertFalse(plain.isLoaded());
+    ClusterRecords begun =
+        new ClusterRecords(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
     begun.start();
     run(2);
-    assertFalse(begun.loaded());
+    assertFalse(begun.isLoaded());
   }
 
   /**
@@ -432,7 +440,9 @@
       Shard owned = Shard.EMPTY.edit().assign(0, "host-1", 1, 5).build();
       node.client.commit(
           Map.of(),
-          List.of(new StateStoreProtocol.Change(Records.progress(id, 0), Records.shard(owned), 0)));
+          List.of(
+              new StateStoreProtocol.Change(
+                  Records.progressKey(id, 0), Records.encodeShard(owned), 0)));
     }
     run(0.5);
     state.loseAll();
@@ -440,21 +450,22 @@
     assertTrue(node.recovery.serving());
     assertEquals(0, node.replica.job(JOB).shard(0).version(), "it is in a bundle only");
     Shard ended = node.replica.job(JOB).shard(0).shard().edit().release(0, true).build();
-    CompletableFuture<StateClient.CommitResult> changes =
+    CompletableFuture<StateStoreClient.CommitResult> changes =
         node.client.commit(
-            Map.of(Records.progress(JOB, 0), 0L, Records.progress("req-000002", 0), 0L),
+            Map.of(Records.progressKey(JOB, 0), 0L, Records.progressKey("req-000002", 0), 0L),
             List.of(
-                new StateStoreProtocol.Change(Records.progress(JOB, 0), Records.shard(ended), 0),
                 new StateStoreProtocol.Change(
-                    Records.outcome("req-000002"), Records.outcome(Outcome.DONE), 0),
-                new StateStoreProtocol.Change(Records.progress("req-000002", 0), null, 0)));
+                    Records.progressKey(JOB, 0), Records.encodeShard(ended), 0),
+                new StateStoreProtocol.Change(
+                    Records.outcomeKey("req-000002"), Records.outcomeKey(Outcome.DONE), 0),
+                new StateStoreProtocol.Change(Records.progressKey("req-000002", 0), null, 0)));
     run(0.5);
     assertTrue(changes.join().applied());
-    assertEquals(1, node.replica.active().size());
-    Node other = new Node(Picture.EMPTY);
+    assertEquals(1, node.replica.activeJobs().size());
+    Node other = new Node(RecordsSnapshot.EMPTY);
     run(5);
     assertTrue(other.recovery.serving());
-    assertEquals(1, other.replica.active().size(), "the one that has ended has nothing left");
+    assertEquals(1, other.replica.activeJobs().size(), "the one that has ended has nothing left");
     assertNull(other.replica.job(JOB).shard(0).shard().ownedAttempt(0));
     assertEquals(1, other.replica.job(JOB).shard(0).shard().history(0).failures());
   }
@@ -463,13 +474,13 @@
   @Test
   void namesOfRentalRequestsDifferAfterARebuild() {
     Node node = serving();
-    String before = node.replica.hirePrefix();
+    String before = node.replica.instanceRequestPrefix();
     state.loseAll();
     run(15);
-    String first = node.replica.hirePrefix();
+    String first = node.replica.instanceRequestPrefix();
     state.loseAll();
     run(15);
-    String second = node.replica.hirePrefix();
+    String second = node.replica.instanceRequestPrefix();
     assertTrue(node.recovery.serving());
     assertEquals(3, List.of(before, first, second).stream().distinct().count());
   }
--- a/src/test/java/io/cherryspool/recovery/SnapshotFormatTest.java
+++ b/src/test/java/io/cherryspool/recovery/SnapshotFormatTest.java
@@ -7,7 +7,7 @@
 import io.cherryspool.compatibility.RecordedBytes;
 import io.cherryspool.compatibility.SampleRecords;
 import io.cherryspool.store.Incarnation;
-import io.cherryspool.store.Picture;
+import io.cherryspool.store.RecordsSnapshot;
 import io.cherryspool.wire.CloudProtocol;
 import io.cherryspool.wire.MalformedMessageException;
 import java.io.IOException;
@@ -21,11 +21,11 @@
 class SnapshotFormatTest {
   private static final String FILE = "records.snapshot";
   private static final Instant TAKEN = Instant.ofEpochMilli(1_764_693_000_456L);
-  private static final Picture PICTURE =
-      new Picture(
+  private static final RecordsSnapshot PICTURE =
+      new RecordsSnapshot(
           "cluster-1",
           "9f3a",
-          new Incarnation.Origin(3, 123_456_790),
+          new Incarnation.HistoryPosition(3, 123_456_790),
           41,
           CloudProtocol.encodeCatalog(SampleRecords.CATALOG),
           SampleRecords.jobs());
@@ -37,7 +37,7 @@
     assertEquals(TAKEN, read.taken());
     assertEquals("cluster-1", read.picture().cluster());
     assertEquals("9f3a", read.picture().nonce());
-    assertEquals(new Incarnation.Origin(3, 123_456_790), read.picture().origin());
+    assertEquals(new Incarnation.HistoryPosition(3, 123_456_790), read.picture().position());
     assertEquals(41, read.picture().term());
     assertEquals(SampleRecords.CATALOG, CloudProtocol.parseCatalog(read.picture().catalog()));
     assertEquals(2, read.picture().jobs().size());
--- a/src/test/java/io/cherryspool/recovery/SnapshotTest.java
+++ b/src/test/java/io/cherryspool/recovery/SnapshotTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.cherryspool.store.Picture;
-import io.cherryspool.store.PictureFixture;
+import io.cherryspool.store.RecordsSnapshot;
+import io.cherryspool.store.RecordsSnapshotFixture;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,7 +20,7 @@
 class SnapshotTest {
   private static final Instant NOW = Instant.ofEpochMilli(1_700_000_000_000L);
 
-  private final Picture picture = PictureFixture.history(5, 200).get(199);
+  private final RecordsSnapshot picture = RecordsSnapshotFixture.history(5, 200).get(199);
   private final byte[] good = new Snapshot(picture, NOW).encode();
 
   private static Snapshot.Fault fault(byte[] bytes) {
@@ -32,9 +32,9 @@
     Snapshot read = Snapshot.decode(good);
     assertEquals(NOW, read.taken());
     assertEquals(picture.cluster(), read.picture().cluster());
-    assertEquals(picture.origin(), read.picture().origin());
+    assertEquals(picture.position(), read.picture().position());
     assertEquals(picture.term(), read.picture().term());
-    assertEquals(PictureFixture.text(picture), PictureFixture.text(read.picture()));
+    assertEquals(RecordsSnapshotFixture.text(picture), RecordsSnapshotFixture.text(read.picture()));
   }
 
   /** However short it was cut, and whichever byte has changed. */
@@ -66,18 +66,18 @@
     Path directory = folder.resolve("kept");
     Snapshots snapshots = new Snapshots(new SnapshotDirectory(directory));
     assertTrue(snapshots.newest().isEmpty(), "there is none yet");
-    List<Picture> history = PictureFixture.history(5, 200);
+    List<RecordsSnapshot> history = RecordsSnapshotFixture.history(5, 200);
     for (int step = 10; step < 200; step += 30) {
       assertNull(snapshots.write(history.get(step), NOW).failure());
     }
     List<String> names = new SnapshotDirectory(directory).names();
     assertEquals(3, names.size());
-    assertEquals(191, snapshots.newest().orElseThrow().picture().origin().revision());
+    assertEquals(191, snapshots.newest().orElseThrow().picture().position().revision());
     Path newest = directory.resolve(names.get(0));
     Files.write(newest, Arrays.copyOf(Files.readAllBytes(newest), 300));
     // Half-written files of a process that ended are never looked at.
     Files.write(directory.resolve("9999999999-1-1.snapshot.part"), new byte[] {1});
-    assertEquals(161, snapshots.newest().orElseThrow().picture().origin().revision());
+    assertEquals(161, snapshots.newest().orElseThrow().picture().position().revision());
   }
 
   @Test
--- a/src/test/java/io/cherryspool/sim/CostDriver.java
+++ b/src/test/java/io/cherryspool/sim/CostDriver.java
@@ -242,21 +242,21 @@
                 POLLS, REQUESTS_PER_S, i -> cluster.ask(ASKED, Request.get("/api/jobs/" + known))));
     String id = id(++jobCount);
     Job job = job(id, EVENTS + 1, List.of("none"));
-    put(Records.job(id), Records.job(job, EVENTS + 1));
+    put(Records.jobKey(id), Records.jobKey(job, EVENTS + 1));
     pause(SETTLE);
     phase(
         "progress record changed",
         Kind.EVENTS,
         EVENTS,
         () -> paced(EVENTS, EVENTS_PER_S, i -> progress(id, i)));
-    put(Records.outcome(id), Records.outcome(Outcome.CANCELLED));
+    put(Records.outcomeKey(id), Records.outcomeKey(Outcome.CANCELLED));
     pause(SETTLE);
   }
 
   private CompletableFuture<Reply> progress(String id, int done) {
     Shard shard = Shard.EMPTY.edit().markDone(0, done).build();
     return cluster.commit(
-        new StateStoreProtocol.Change(Records.progress(id, 0), Records.shard(shard), 0));
+        new StateStoreProtocol.Change(Records.progressKey(id, 0), Records.encodeShard(shard), 0));
   }
 
   private void put(String key, JsonNode value) {
--- a/src/test/java/io/cherryspool/sim/RecoveryDriver.java
+++ b/src/test/java/io/cherryspool/sim/RecoveryDriver.java
@@ -153,11 +153,12 @@
     CompletableFuture<Reply> put =
         cluster.commit(
             new StateStoreProtocol.Change(
-                Records.job(id), Records.job(job(id, 1), TASKS_PER_SHARD), 0));
+                Records.jobKey(id), Records.jobKey(job(id, 1), TASKS_PER_SHARD), 0));
     CostCluster.await(put);
     CostCluster.await(
         cluster.commit(
-            new StateStoreProtocol.Change(Records.outcome(id), Records.outcome(Outcome.DONE), 0)));
+            new StateStoreProtocol.Change(
+                Records.outcomeKey(id), Records.outcomeKey(Outcome.DONE), 0)));
   }
 
   private void submit() {
--- a/src/test/java/io/cherryspool/store/GroupCommitTest.java
+++ b/src/test/java/io/cherryspool/store/GroupCommitTest.java
@@ -29,8 +29,8 @@
   private final StandInState state = new StandInState(time, new SplittableRandom(1), 0);
   private final List<Request> swallowed = new ArrayList<>();
   private boolean swallow;
-  private final StateClient client =
-      new StateClient(
+  private final StateStoreClient client =
+      new StateStoreClient(
           time,
           new RateLimiter(time, 1, 1000, 1000),
           (to, request, deadline) -> {
@@ -58,7 +58,8 @@
   private GroupCommit lined() {
     RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
     Endpoint service = new Endpoint("127.0.0.1", 1);
-    StateClient to = new StateClient(time, rateLimiter, line, service, Duration.ofSeconds(1));
+    StateStoreClient to =
+        new StateStoreClient(time, rateLimiter, line, service, Duration.ofSeconds(1));
     return new GroupCommit(time, to, rateLimiter, 8, 100, Duration.ofSeconds(1));
   }
 
@@ -72,7 +73,7 @@
 
   private static CompletableFuture<Boolean> put(GroupCommit commits, String key) {
     return commits.submit(
-        RateLimiter.Use.SUBMIT,
+        RateLimiter.WriteClass.SUBMIT,
         Map.of(key, 0L),
         new StateStoreProtocol.Change(key, Json.object().put("x", 1), 0));
   }
--- a/src/test/java/io/cherryspool/store/RateLimiterTest.java
+++ b/src/test/java/io/cherryspool/store/RateLimiterTest.java
@@ -25,12 +25,12 @@
     return rateLimiter;
   }
 
-  private int perSecond(RateLimiter rateLimiter, RateLimiter.Use use) {
-    while (rateLimiter.takeWrites(RateLimiter.Use.CANCEL, 1)) {}
+  private int perSecond(RateLimiter rateLimiter, RateLimiter.WriteClass use) {
+    while (rateLimiter.tryAcquireWrites(RateLimiter.WriteClass.CANCEL, 1)) {}
     int count = 0;
     for (int i = 0; i < 100; i++) {
       pass(100);
-      while (rateLimiter.takeWrites(use, 1)) {
+      while (rateLimiter.tryAcquireWrites(use, 1)) {
         count++;
       }
     }
@@ -40,13 +40,15 @@
   /** With five nodes 2.4 a second were left to each, however little the leader wrote. */
   @Test
   void theLeaderLeavesToTheOthersWhatTheyUse() {
-    assertEquals(4, perSecond(rateLimiter(5, 25, false), RateLimiter.Use.SUBMIT));
+    assertEquals(4, perSecond(rateLimiter(5, 25, false), RateLimiter.WriteClass.SUBMIT));
     RateLimiter leader = rateLimiter(5, 25, true);
-    leader.others(5, 5, 5, 5);
-    assertEquals(21, perSecond(leader, RateLimiter.Use.CANCEL));
-    leader.others(40, 40, 30, 30);
+    leader.setOtherNodesWriteRates(5, 5, 5, 5);
+    assertEquals(21, perSecond(leader, RateLimiter.WriteClass.CANCEL));
+    leader.setOtherNodesWriteRates(40, 40, 30, 30);
     assertEquals(
-        9, perSecond(leader, RateLimiter.Use.CANCEL), "what is left, and never less than that");
+        9,
+        perSecond(leader, RateLimiter.WriteClass.CANCEL),
+        "what is left, and never less than that");
   }
 
   @Test
@@ -54,29 +56,31 @@
     RateLimiter rateLimiter = rateLimiter(3, 60, false);
     for (int i = 0; i < 50; i++) {
       pass(200);
-      assertTrue(rateLimiter.takeWrites(RateLimiter.Use.SUBMIT, 1));
+      assertTrue(rateLimiter.tryAcquireWrites(RateLimiter.WriteClass.SUBMIT, 1));
     }
-    assertEquals(5, rateLimiter.lately(), 0.5);
+    assertEquals(5, rateLimiter.recentWritesPerSecond(), 0.5);
     pass(10000);
-    assertEquals(0, rateLimiter.lately(), 0.1);
+    assertEquals(0, rateLimiter.recentWritesPerSecond(), 0.1);
   }
 
   /** A job that ended with more shards than a round is ever left would never have ended. */
   @Test
   void noSizeAndNoUseWaitsForGood() {
     RateLimiter leader = rateLimiter(3, 60, true);
-    for (RateLimiter.Use use : RateLimiter.Use.values()) {
+    for (RateLimiter.WriteClass use : RateLimiter.WriteClass.values()) {
       for (int count : new int[] {1, 20, 48}) {
         pass(3000);
-        assertTrue(leader.takeWrites(use, count), use + " " + count);
+        assertTrue(leader.tryAcquireWrites(use, count), use + " " + count);
       }
     }
     pass(3000);
-    assertFalse(leader.allows(RateLimiter.Use.IDLE, 20, 10), "nor may it take that bit by bit");
-    leader.force(40);
-    assertFalse(leader.allows(RateLimiter.Use.IDLE, 0, 1), "idle work leaves room for the others");
+    assertFalse(
+        leader.mayWrite(RateLimiter.WriteClass.IDLE, 20, 10), "nor may it take that bit by bit");
+    leader.forceAcquire(40);
+    assertFalse(
+        leader.mayWrite(RateLimiter.WriteClass.IDLE, 0, 1), "idle work leaves room for the others");
     pass(400);
-    assertTrue(leader.allows(RateLimiter.Use.ROUND, 0, 1));
-    assertFalse(leader.allows(RateLimiter.Use.LATER, 0, 1));
+    assertTrue(leader.mayWrite(RateLimiter.WriteClass.ROUND, 0, 1));
+    assertFalse(leader.mayWrite(RateLimiter.WriteClass.DEFERRABLE, 0, 1));
   }
 }
--- a/src/test/java/io/cherryspool/store/PictureFixture.java
+++ b/src/test/java/io/cherryspool/store/RecordsSnapshotFixture.java
@@ -15,25 +15,26 @@
 import org.pcollections.TreePMap;
 
 /** Pictures as nodes may remember them. */
-public final class PictureFixture {
+public final class RecordsSnapshotFixture {
   private static final int TASKS_PER_SHARD = 8;
   private static final int MACHINES = 6;
 
-  private PictureFixture() {}
+  private RecordsSnapshotFixture() {}
 
   /** A cluster's history of so many steps; a picture is what it was after each of them. */
-  public static List<Picture> history(long seed, int steps) {
+  public static List<RecordsSnapshot> history(long seed, int steps) {
     SplittableRandom random = new SplittableRandom(seed);
-    List<Picture> history = new ArrayList<>();
-    PMap<String, Picture.PictureJob> jobs = HashTreePMap.empty();
+    List<RecordsSnapshot> history = new ArrayList<>();
+    PMap<String, RecordsSnapshot.JobSnapshot> jobs = HashTreePMap.empty();
     for (int i = 0; i < 3; i++) {
       Job job = JobFixture.job(id(i), Priority.NORMAL, 3 + random.nextInt(20), 1);
-      jobs = jobs.plus(job.id(), Picture.PictureJob.accepted(job, TASKS_PER_SHARD));
+      jobs = jobs.plus(job.id(), RecordsSnapshot.JobSnapshot.accepted(job, TASKS_PER_SHARD));
     }
     for (int step = 1; step <= steps; step++) {
       jobs = step(jobs, random, step);
       history.add(
-          new Picture("cluster", "", new Incarnation.Origin(0, step), 1 + step / 10, null, jobs));
+          new RecordsSnapshot(
+              "cluster", "", new Incarnation.HistoryPosition(0, step), 1 + step / 10, null, jobs));
     }
     return history;
   }
@@ -42,14 +43,14 @@
     return String.format("req-%06d", number + 1);
   }
 
-  private static PMap<String, Picture.PictureJob> step(
-      PMap<String, Picture.PictureJob> jobs, SplittableRandom random, int step) {
+  private static PMap<String, RecordsSnapshot.JobSnapshot> step(
+      PMap<String, RecordsSnapshot.JobSnapshot> jobs, SplittableRandom random, int step) {
     if (random.nextInt(6) == 0) {
       Job job = JobFixture.job(id(jobs.size()), Priority.NORMAL, 1 + random.nextInt(30), 1);
-      return jobs.plus(job.id(), Picture.PictureJob.accepted(job, TASKS_PER_SHARD));
+      return jobs.plus(job.id(), RecordsSnapshot.JobSnapshot.accepted(job, TASKS_PER_SHARD));
     }
     String id = id(random.nextInt(jobs.size()));
-    Picture.PictureJob job = jobs.get(id);
+    RecordsSnapshot.JobSnapshot job = jobs.get(id);
     if (job.outcome() != null) {
       return jobs;
     }
@@ -59,7 +60,7 @@
     int task = random.nextInt(job.job().taskCount());
     int index = task / TASKS_PER_SHARD;
     Shard shard = job.shards().getOrDefault(index, Shard.EMPTY);
-    Picture.PictureJob next = job.withShard(index, moved(shard, task, random, step));
+    RecordsSnapshot.JobSnapshot next = job.withShard(index, moved(shard, task, random, step));
     return jobs.plus(id, isDone(next) ? next.withOutcome(Outcome.DONE) : next);
   }
 
@@ -77,12 +78,12 @@
         : shard.edit().release(task, random.nextBoolean()).build();
   }
 
-  private static boolean isDone(Picture.PictureJob job) {
+  private static boolean isDone(RecordsSnapshot.JobSnapshot job) {
     return job.shards().values().stream().mapToInt(Shard::doneCount).sum() == job.job().taskCount();
   }
 
   /** A job of so many tasks, all of them owned: the largest records that there are. */
-  public static Picture.PictureJob running(Job job, int tasksPerShard) {
+  public static RecordsSnapshot.JobSnapshot running(Job job, int tasksPerShard) {
     PSortedMap<Integer, Shard> shards = TreePMap.empty();
     for (int first = 0; first < job.taskCount(); first += tasksPerShard) {
       Shard.Editor editor = Shard.EMPTY.edit();
@@ -91,17 +92,17 @@
       }
       shards = shards.plus(first / tasksPerShard, editor.build());
     }
-    return new Picture.PictureJob(job, tasksPerShard, null, shards);
+    return new RecordsSnapshot.JobSnapshot(job, tasksPerShard, null, shards);
   }
 
   /** The jobs as text, for comparing. */
-  public static String text(Picture picture) {
+  public static String text(RecordsSnapshot picture) {
     StringBuilder text = new StringBuilder();
     picture.jobs().keySet().stream()
         .sorted()
         .forEach(
             id -> {
-              Picture.PictureJob job = picture.jobs().get(id);
+              RecordsSnapshot.JobSnapshot job = picture.jobs().get(id);
               text.append(id).append(' ').append(job.outcome()).append('\n');
               job.shards()
                   .forEach(
--- a/src/test/java/io/cherryspool/store/RecordsTest.java
+++ b/src/test/java/io/cherryspool/store/RecordsTest.java
@@ -26,7 +26,7 @@
           shard = editor.assign(task, "host-" + task, 1 + task, step).build();
         }
       }
-      Shard read = Records.readShard(Json.parseObject(Json.toBytes(Records.shard(shard))));
+      Shard read = Records.decodeShard(Json.parseObject(Json.toBytes(Records.encodeShard(shard))));
       for (int task = 0; task < 40; task++) {
         assertEquals(shard.isDone(task), read.isDone(task));
         assertEquals(shard.ownedAttempt(task), read.ownedAttempt(task));
@@ -45,6 +45,6 @@
       editor.putHistory(task, new Shard.History(120, 15));
       editor.assign(task, "host-" + (100_000 + task), 12, (1L << 50) + task);
     }
-    assertTrue(Json.toBytes(Records.shard(editor.build())).length <= limit);
+    assertTrue(Json.toBytes(Records.encodeShard(editor.build())).length <= limit);
   }
 }
--- a/src/test/java/io/cherryspool/store/ReplicaCostTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaCostTest.java
@@ -37,15 +37,15 @@
 
   private final VirtualTime time = new VirtualTime();
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
-  private final StateClient client =
-      new StateClient(
+  private final StateStoreClient client =
+      new StateStoreClient(
           time,
           rateLimiter,
           (to, request, deadline) -> send(request),
           new Endpoint("127.0.0.1", 1),
           CALL);
-  private final Replica replica =
-      new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+  private final ClusterRecords replica =
+      new ClusterRecords(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
   private CompletableFuture<Reply> watch;
   private long revision;
 
@@ -81,7 +81,8 @@
   }
 
   private Reply accepted(String id) {
-    return put(Records.job(id), Records.job(JobFixture.job(id, Priority.NORMAL, TASKS, 1), TASKS));
+    return put(
+        Records.jobKey(id), Records.jobKey(JobFixture.job(id, Priority.NORMAL, TASKS, 1), TASKS));
   }
 
   /** Some of the tasks are done, the next ones have owners. */
@@ -90,7 +91,7 @@
     for (int task = done + 1; task <= done + OWNED; task++) {
       editor.assign(task, "host-" + task, 1, 7);
     }
-    return put(Records.progress(JOB, 0), Records.shard(editor.build()));
+    return put(Records.progressKey(JOB, 0), Records.encodeShard(editor.build()));
   }
 
   private List<Reply> progress(int count) {
@@ -121,7 +122,7 @@
     replica.start();
     long bytes = HeapMeter.kept(this::endedJobs) / JOBS;
     assertEquals(JOBS, replica.jobCount());
-    assertEquals(0, replica.active().size());
+    assertEquals(0, replica.activeJobs().size());
     assertTrue(bytes <= MOST_KEPT_PER_JOB, bytes + " bytes a job");
   }
 
@@ -129,7 +130,7 @@
     for (int i = 0; i < JOBS; i++) {
       String id = String.format("req-%06d", i);
       tell(accepted(id));
-      tell(put(Records.outcome(id), Records.outcome(Outcome.DONE)));
+      tell(put(Records.outcomeKey(id), Records.outcomeKey(Outcome.DONE)));
     }
     return replica;
   }
--- a/src/test/java/io/cherryspool/store/ReplicaTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaTest.java
@@ -31,10 +31,10 @@
   private final StandInState state = new StandInState(time, new SplittableRandom(1), 0);
   private final StateServiceTransport line = new StateServiceTransport(time, state);
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
-  private final StateClient client =
-      new StateClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
-  private final Replica replica =
-      new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+  private final StateStoreClient client =
+      new StateStoreClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
+  private final ClusterRecords replica =
+      new ClusterRecords(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
 
   private void run(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
@@ -45,21 +45,21 @@
 
   /** Another node accepts a job. */
   private void accept(String id) {
-    var record = Records.job(JobFixture.job(id, Priority.NORMAL, 1, 1), 100);
+    var record = Records.jobKey(JobFixture.job(id, Priority.NORMAL, 1, 1), 100);
     state.handle(
         StateStoreProtocol.transactionRequest(
-            Map.of(Records.job(id), 0L),
-            List.of(new StateStoreProtocol.Change(Records.job(id), record, 0))));
+            Map.of(Records.jobKey(id), 0L),
+            List.of(new StateStoreProtocol.Change(Records.jobKey(id), record, 0))));
   }
 
   /** Another node cancels it. */
   private void cancel(String id) {
     state.handle(
         StateStoreProtocol.transactionRequest(
-            Map.of(Records.outcome(id), 0L),
+            Map.of(Records.outcomeKey(id), 0L),
             List.of(
                 new StateStoreProtocol.Change(
-                    Records.outcome(id), Records.outcome(Outcome.CANCELLED), 0))));
+                    Records.outcomeKey(id), Records.outcomeKey(Outcome.CANCELLED), 0))));
   }
 
   /** Loaded, with a watch open that will tell that the history is gone. */
@@ -67,7 +67,7 @@
     line.answerNext(StateServiceTransport.WATCH, 410, "{}");
     replica.start();
     run(0.05);
-    assertTrue(replica.loaded());
+    assertTrue(replica.isLoaded());
   }
 
   private static boolean succeeded(CompletableFuture<Void> result) {
@@ -103,7 +103,7 @@
     CompletableFuture<Void> waits = replica.refresh();
     line.next("/keys", Fate.HOLD_REQUEST);
     line.release(StateServiceTransport.WATCH);
-    assertFalse(replica.loaded());
+    assertFalse(replica.isLoaded());
     assertTrue(waits.isCompletedExceptionally(), "its reading would have been sent from a gap");
     assertTrue(replica.refresh().isCompletedExceptionally());
     line.release(StateServiceTransport.READING);
@@ -130,11 +130,11 @@
     run(0.05);
     assertTrue(succeeded(reading));
     assertNotNull(replica.job(JOB), "a user may have been told so");
-    assertFalse(replica.loaded());
+    assertFalse(replica.isLoaded());
     line.release(StateServiceTransport.READING);
     assertNotNull(replica.job(JOB));
     run(0.05);
-    assertTrue(replica.loaded());
+    assertTrue(replica.isLoaded());
     assertNotNull(replica.job(JOB));
   }
 
@@ -150,11 +150,11 @@
     line.release(StateServiceTransport.WATCH);
     run(0.05);
     assertEquals(Outcome.CANCELLED, replica.job(JOB).outcome());
-    Duration confirmed = replica.confirmed();
+    Duration confirmed = replica.lastConfirmedAt();
     line.release(StateServiceTransport.READING);
     assertTrue(succeeded(reading));
     assertEquals(Outcome.CANCELLED, replica.job(JOB).outcome());
-    assertEquals(confirmed, replica.confirmed(), "read earlier than the copy");
+    assertEquals(confirmed, replica.lastConfirmedAt(), "read earlier than the copy");
   }
 
   /** Its users would be refused for another while, for a gap that has been closed. */
@@ -167,10 +167,10 @@
     run(0.05);
     line.release(StateServiceTransport.WATCH);
     run(0.05);
-    assertTrue(replica.loaded());
+    assertTrue(replica.isLoaded());
     line.release(StateServiceTransport.READING);
     assertTrue(reading.isCompletedExceptionally());
-    assertTrue(replica.loaded());
+    assertTrue(replica.isLoaded());
     run(0.05);
     assertEquals(2, line.count("/keys"));
   }
--- a/src/test/java/io/cherryspool/store/StoredFormatsTest.java
+++ b/src/test/java/io/cherryspool/store/StoredFormatsTest.java
@@ -28,11 +28,16 @@
  */
 class StoredFormatsTest {
   private static final Incarnation REBUILDING =
-      Incarnation.rebuilding(
-          "cluster-1", 3, "9f3a", "node-1-life-4", new Incarnation.Origin(2, 123_456_789), true);
+      Incarnation.newRebuild(
+          "cluster-1",
+          3,
+          "9f3a",
+          "node-1-life-4",
+          new Incarnation.HistoryPosition(2, 123_456_789),
+          true);
 
   private static final Incarnation REBUILT =
-      REBUILDING.finished(false, new Incarnation.Manifest(2, "00112233445566778899aabbccddeeff"));
+      REBUILDING.completed(false, new Incarnation.Manifest(2, "00112233445566778899aabbccddeeff"));
 
   /** What the bundles of {@link SampleRecords#jobs} hold at most, so that there are several. */
   private static final int CHUNK_BYTES = 420;
@@ -46,12 +51,12 @@
   }
 
   private static void checkJob(String name, Job expected) throws MalformedMessageException {
-    assertRecorded(name, Records.job(expected, SampleRecords.TASKS_PER_SHARD));
+    assertRecorded(name, Records.jobKey(expected, SampleRecords.TASKS_PER_SHARD));
     JsonNode recorded = readJson(name);
-    Job job = Records.readJob(recorded);
+    Job job = Records.decodeJob(recorded);
     assertEquals(expected, job);
-    assertEquals(SampleRecords.TASKS_PER_SHARD, Records.readTasksPerShard(recorded));
-    assertRecorded(name, Records.job(job, Records.readTasksPerShard(recorded)));
+    assertEquals(SampleRecords.TASKS_PER_SHARD, Records.decodeTasksPerShard(recorded));
+    assertRecorded(name, Records.jobKey(job, Records.decodeTasksPerShard(recorded)));
   }
 
   @Test
@@ -61,17 +66,17 @@
   }
 
   private static void checkOutcome(String name, Outcome expected) throws MalformedMessageException {
-    assertRecorded(name, Records.outcome(expected));
-    Outcome read = Records.readOutcome(readJson(name));
+    assertRecorded(name, Records.outcomeKey(expected));
+    Outcome read = Records.decodeOutcome(readJson(name));
     assertEquals(expected, read);
-    assertRecorded(name, Records.outcome(read));
+    assertRecorded(name, Records.outcomeKey(read));
   }
 
   @Test
   void progress() throws MalformedMessageException {
     String name = "progress.json";
-    assertRecorded(name, Records.shard(SampleRecords.shard()));
-    Shard read = Records.readShard(readJson(name));
+    assertRecorded(name, Records.encodeShard(SampleRecords.shard()));
+    Shard read = Records.decodeShard(readJson(name));
     assertEquals(11, read.doneCount());
     assertTrue(read.isDone(9) && read.isDone(12));
     assertFalse(read.isDone(10) || read.isDone(11));
@@ -80,34 +85,34 @@
     assertEquals(new Attempt(14, "host-000120", 1, 3, 1L << 33), read.ownedAttempt(14));
     assertEquals(3, read.histories().size());
     assertEquals(new Shard.History(5, 5), read.history(15));
-    assertRecorded(name, Records.shard(read));
-    assertRecorded("progress-empty.json", Records.shard(Shard.EMPTY));
-    Shard empty = Records.readShard(readJson("progress-empty.json"));
-    assertRecorded("progress-empty.json", Records.shard(empty));
+    assertRecorded(name, Records.encodeShard(read));
+    assertRecorded("progress-empty.json", Records.encodeShard(Shard.EMPTY));
+    Shard empty = Records.decodeShard(readJson("progress-empty.json"));
+    assertRecorded("progress-empty.json", Records.encodeShard(empty));
   }
 
   @Test
   void terms() throws MalformedMessageException {
-    assertRecorded("term.json", Records.term(41));
-    assertEquals(41, Records.readTerm(readJson("term.json")));
+    assertRecorded("term.json", Records.encodeTerm(41));
+    assertEquals(41, Records.decodeTerm(readJson("term.json")));
   }
 
   @Test
   void leaders() throws MalformedMessageException {
     Records.Leader leader = new Records.Leader(41, "node-2", "node-2-life-7", 9_000_000_001L);
-    assertRecorded("leader.json", Records.leader(leader));
-    Records.Leader read = Records.readLeader(readJson("leader.json"));
+    assertRecorded("leader.json", Records.encodeLeader(leader));
+    Records.Leader read = Records.decodeLeader(readJson("leader.json"));
     assertEquals(leader, read);
-    assertRecorded("leader.json", Records.leader(read));
+    assertRecorded("leader.json", Records.encodeLeader(read));
   }
 
   @Test
   void successors() throws MalformedMessageException {
     Records.Successor successor = new Records.Successor(41, "node-1", "node-2");
-    assertRecorded("successor.json", Records.successor(successor));
-    Records.Successor read = Records.readSuccessor(readJson("successor.json"));
+    assertRecorded("successor.json", Records.encodeSuccessor(successor));
+    Records.Successor read = Records.decodeSuccessor(readJson("successor.json"));
     assertEquals(successor, read);
-    assertRecorded("successor.json", Records.successor(read));
+    assertRecorded("successor.json", Records.encodeSuccessor(read));
   }
 
   @Test
@@ -121,15 +126,15 @@
 
   @Test
   void marksOfUnknownAndHeldJobs() throws MalformedMessageException {
-    assertRecorded("mark.json", Records.mark());
+    assertRecorded("mark.json", Records.presenceMarker());
     assertFalse(Records.isAbandoned(readJson("mark.json")));
-    assertRecorded("abandoned.json", Records.abandoned());
+    assertRecorded("abandoned.json", Records.abandonedMarker());
     assertTrue(Records.isAbandoned(readJson("abandoned.json")));
   }
 
   @Test
   void incarnations() throws MalformedMessageException {
-    checkIncarnation("incarnation-first.json", Incarnation.first("cluster-1"));
+    checkIncarnation("incarnation-first.json", Incarnation.firstInstallation("cluster-1"));
     checkIncarnation("incarnation-rebuilding.json", REBUILDING);
     checkIncarnation("incarnation-rebuilt.json", REBUILT);
   }
@@ -144,26 +149,26 @@
 
   @Test
   void bundlesOfARebuild() throws MalformedMessageException {
-    List<byte[]> chunks = PictureCodec.encode(SampleRecords.jobs(), CHUNK_BYTES);
+    List<byte[]> chunks = RecordsSnapshotCodec.encode(SampleRecords.jobs(), CHUNK_BYTES);
     assertEquals(BUNDLES, chunks.size());
     for (int i = 0; i < BUNDLES; i++) {
-      assertRecorded("bundle-" + i + ".json", Records.bundle(chunks.get(i)));
+      assertRecorded("bundle-" + i + ".json", Records.bundleKey(chunks.get(i)));
     }
     List<byte[]> read = new ArrayList<>();
     for (int i = 0; i < BUNDLES; i++) {
-      read.add(Records.readBundle(readJson("bundle-" + i + ".json")));
+      read.add(Records.decodeBundle(readJson("bundle-" + i + ".json")));
     }
-    assertEquals("dab1fb5d02b54b61a9988761f201bad1", PictureCodec.digest(read));
-    PMap<String, Picture.PictureJob> jobs = PictureCodec.decode(read);
+    assertEquals("dab1fb5d02b54b61a9988761f201bad1", RecordsSnapshotCodec.digest(read));
+    PMap<String, RecordsSnapshot.JobSnapshot> jobs = RecordsSnapshotCodec.decode(read);
     assertEquals(2, jobs.size());
     assertEquals(Outcome.CANCELLED, jobs.get("req-000007").outcome());
-    Picture.PictureJob running = jobs.get("req-000412");
+    RecordsSnapshot.JobSnapshot running = jobs.get("req-000412");
     assertEquals(SampleRecords.CONSTRAINED_JOB, running.job());
     assertEquals(11, running.shards().get(0).doneCount());
     assertEquals(50, running.shards().get(2).doneCount());
-    List<byte[]> again = PictureCodec.encode(jobs, CHUNK_BYTES);
+    List<byte[]> again = RecordsSnapshotCodec.encode(jobs, CHUNK_BYTES);
     for (int i = 0; i < BUNDLES; i++) {
-      assertRecorded("bundle-" + i + ".json", Records.bundle(again.get(i)));
+      assertRecorded("bundle-" + i + ".json", Records.bundleKey(again.get(i)));
     }
   }
 
@@ -175,50 +180,50 @@
     expected.put("c/leader", Records.LEADER);
     expected.put("c/successor", Records.SUCCESSOR);
     expected.put("c/catalog", Records.CATALOG);
-    expected.put("c/settled", Records.SETTLED);
+    expected.put("c/settled", Records.RECONCILED);
     expected.put("c/incarnation", Incarnation.KEY);
-    expected.put("c/jobs/req-000412", Records.job("req-000412"));
-    expected.put("c/outcomes/req-000412", Records.outcome("req-000412"));
-    expected.put("c/progress/req-000412/2", Records.progress("req-000412", 2));
-    expected.put("c/bundles/00000012", Records.bundle(12));
-    expected.put("c/unknown/req-000412", Records.unknown("req-000412"));
-    expected.put("c/held/req-000412", Records.held("req-000412"));
+    expected.put("c/jobs/req-000412", Records.jobKey("req-000412"));
+    expected.put("c/outcomes/req-000412", Records.outcomeKey("req-000412"));
+    expected.put("c/progress/req-000412/2", Records.progressKey("req-000412", 2));
+    expected.put("c/bundles/00000012", Records.bundleKey(12));
+    expected.put("c/unknown/req-000412", Records.unknownJobKey("req-000412"));
+    expected.put("c/held/req-000412", Records.heldJobKey("req-000412"));
     expected.forEach((key, written) -> assertEquals(key, written));
-    assertEquals("c/jobs/x", Incarnation.first("cluster-1").physical("c/jobs/x"));
-    assertEquals("c/@3-9f3a/jobs/x", REBUILT.physical("c/jobs/x"));
+    assertEquals("c/jobs/x", Incarnation.firstInstallation("cluster-1").toPhysical("c/jobs/x"));
+    assertEquals("c/@3-9f3a/jobs/x", REBUILT.toPhysical("c/jobs/x"));
     KeySpace space = new KeySpace();
     space.enter(REBUILT, 88);
-    assertEquals("c/jobs/x", space.logical("c/@3-9f3a/jobs/x"));
+    assertEquals("c/jobs/x", space.toLogical("c/@3-9f3a/jobs/x"));
   }
 
   /** Each names the version of the incarnation's record, and deletes and leases as they are. */
   @Test
   void transactionsUnderTheConditionOfTheIncarnation() {
     KeySpace first = new KeySpace();
-    first.enter(Incarnation.first("cluster-1"), 1);
+    first.enter(Incarnation.firstInstallation("cluster-1"), 1);
     assertRecorded("transaction-first.http", first.commit(conditions(), changes()));
     KeySpace rebuilt = new KeySpace();
     rebuilt.enter(REBUILT, 88);
-    rebuilt.addBundled(Records.progress("req-000412", 2));
+    rebuilt.addBundled(Records.progressKey("req-000412", 2));
     assertRecorded("transaction-rebuilt.http", rebuilt.commit(conditions(), changes()));
   }
 
   private static Map<String, Long> conditions() {
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put(Records.TERM, 40L);
-    conditions.put(Records.progress("req-000412", 0), 1L << 40);
-    conditions.put(Records.outcome("req-000412"), 0L);
+    conditions.put(Records.progressKey("req-000412", 0), 1L << 40);
+    conditions.put(Records.outcomeKey("req-000412"), 0L);
     return conditions;
   }
 
   private static List<StateStoreProtocol.Change> changes() {
     return List.of(
         new StateStoreProtocol.Change(
-            Records.progress("req-000412", 0), Records.shard(SampleRecords.shard()), 0),
-        new StateStoreProtocol.Change(Records.progress("req-000412", 2), null, 0),
+            Records.progressKey("req-000412", 0), Records.encodeShard(SampleRecords.shard()), 0),
+        new StateStoreProtocol.Change(Records.progressKey("req-000412", 2), null, 0),
         new StateStoreProtocol.Change(
             Records.LEADER,
-            Records.leader(new Records.Leader(41, "node-2", "node-2-life-7", 5)),
+            Records.encodeLeader(new Records.Leader(41, "node-2", "node-2-life-7", 5)),
             5));
   }
 }
