--- a/src/main/java/io/cherryspool/cli/Server.java
+++ b/src/main/java/io/cherryspool/cli/Server.java
@@ -10,7 +10,7 @@
 import io.cherryspool.http.NettyServer;
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.mesh.NettyMesh;
-import io.cherryspool.recovery.SnapshotDirectory;
+import io.cherryspool.recovery.DirectorySnapshotStore;
 import io.micrometer.core.instrument.Gauge;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -148,6 +148,6 @@
               thread.setDaemon(true);
               return thread;
             });
-    return new Controller.SnapshotSupport(new SnapshotDirectory(directory), writer);
+    return new Controller.SnapshotSupport(new DirectorySnapshotStore(directory), writer);
   }
 }
--- a/src/main/java/io/cherryspool/cli/SnapshotCommands.java
+++ b/src/main/java/io/cherryspool/cli/SnapshotCommands.java
@@ -1,7 +1,7 @@
 package io.cherryspool.cli;
 
-import io.cherryspool.recovery.Snapshot;
-import io.cherryspool.recovery.SnapshotDirectory;
+import io.cherryspool.recovery.DirectorySnapshotStore;
+import io.cherryspool.recovery.SnapshotFile;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -39,7 +39,7 @@
       return REFUSED;
     }
     try {
-      List<String> names = new SnapshotDirectory(directory).names();
+      List<String> names = new DirectorySnapshotStore(directory).names();
       if (names.isEmpty()) {
         System.err.println("cherryspool: " + directory + " holds no snapshots");
         return REFUSED;
@@ -56,21 +56,21 @@
 
   private static String described(Path file) throws IOException {
     try {
-      return description(Snapshot.decode(Files.readAllBytes(file)));
-    } catch (Snapshot.FaultException e) {
+      return description(SnapshotFile.decode(Files.readAllBytes(file)));
+    } catch (SnapshotFile.InvalidSnapshotException e) {
       return e.fault() + ": " + e.getMessage();
     }
   }
 
-  private static String description(Snapshot snapshot) {
+  private static String description(SnapshotFile snapshot) {
     return String.format(
         "taken %s, cluster %s, incarnation %d, revision %d, term %d, %d jobs",
-        snapshot.taken(),
-        snapshot.picture().cluster(),
-        snapshot.picture().position().incarnationNumber(),
-        snapshot.picture().position().revision(),
-        snapshot.picture().term(),
-        snapshot.picture().jobs().size());
+        snapshot.takenAt(),
+        snapshot.records().cluster(),
+        snapshot.records().position().incarnationNumber(),
+        snapshot.records().position().revision(),
+        snapshot.records().term(),
+        snapshot.records().jobs().size());
   }
 
   @Command(
@@ -84,9 +84,9 @@
     }
     try {
       System.out.println(
-          file + " is good: " + description(Snapshot.decode(Files.readAllBytes(file))));
+          file + " is good: " + description(SnapshotFile.decode(Files.readAllBytes(file))));
       return 0;
-    } catch (Snapshot.FaultException e) {
+    } catch (SnapshotFile.InvalidSnapshotException e) {
       System.err.println("cherryspool: " + file + ": " + e.fault() + ": " + e.getMessage());
     } catch (IOException e) {
       System.err.println("cherryspool: " + file + " can't be read: " + e.getMessage());
--- a/src/main/java/io/cherryspool/controller/Adoption.java
+++ b/src/main/java/io/cherryspool/controller/Adoption.java
@@ -59,7 +59,7 @@
     }
     Decision decision = decide(machine, item);
     return decision == Decision.LEAVE && !replica.isAbandoned(item.task().jobId())
-        || (decision == Decision.ADOPT || decision == Decision.COUNT_DONE)
+        || (decision == Decision.ADOPT || decision == Decision.RECORD_DONE)
             && concerns(item.task().jobId());
   }
 
@@ -161,7 +161,7 @@
               machine.latestHeartbeat().agentEpoch(),
               item.attempt(),
               machine.latestHeartbeat().highestFencingToken()));
-    } else if (concerns(id) && decision == Decision.COUNT_DONE) {
+    } else if (concerns(id) && decision == Decision.RECORD_DONE) {
       pending.add(id);
       edits.complete(replica.job(id), item.task().index());
     }
@@ -178,7 +178,7 @@
         String id = item.task().jobId();
         boolean noted = replica.unknownJobs(id) || replica.isAbandoned(id);
         boolean left = decision == Decision.LEAVE && !noted;
-        if (left || decision == Decision.ADOPT || decision == Decision.COUNT_DONE) {
+        if (left || decision == Decision.ADOPT || decision == Decision.RECORD_DONE) {
           return false;
         }
       }
--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -16,7 +16,7 @@
 import io.cherryspool.model.Durations;
 import io.cherryspool.model.Team;
 import io.cherryspool.model.WorkerHeartbeat;
-import io.cherryspool.reachability.FleetView;
+import io.cherryspool.reachability.FleetReachability;
 import io.cherryspool.reachability.PartitionRule;
 import io.cherryspool.reachability.Reachability;
 import io.cherryspool.reachability.ReachabilityTimings;
@@ -125,7 +125,7 @@
                 given.transport(),
                 request -> !StateStoreProtocol.isWatch(request),
                 reply -> reply.status() == UNAVAILABLE,
-                reachability.state()),
+                reachability.stateLink()),
             settings.state(),
             timings.stateCall());
     Duration refreshGap = Duration.ofNanos((long) (2e9 * nodes / limits.rps()));
@@ -148,7 +148,10 @@
     cloud =
         new CloudClient(
             observed(
-                given.transport(), request -> true, CloudClient::isOutage, reachability.cloud()),
+                given.transport(),
+                request -> true,
+                CloudClient::isOutage,
+                reachability.cloudLink()),
             settings.cloud(),
             timings.cloudCall());
     workers = new WorkerClient(given.transport(), timings.workerCall());
@@ -325,7 +328,7 @@
             recovery.map(RecoveryPart::memory).orElse(Mesh.Memory.NONE),
             linkReport()));
     rateLimiter.setOtherNodesWriteRates(
-        reachability.matrix().since(timings.stateLease(), now).stream()
+        reachability.matrix().freshHeartbeats(timings.stateLease(), now).stream()
             .mapToInt(Mesh.Heartbeat::writes)
             .toArray());
     judgeLinks(now);
@@ -333,10 +336,10 @@
 
   /** What is done about this node's links rests on the verdict alone. */
   private void judgeLinks(Duration now) {
-    FleetView fleet = leaderTerm == null ? FleetView.EMPTY : leaderTerm.fleetView();
+    FleetReachability fleet = leaderTerm == null ? FleetReachability.EMPTY : leaderTerm.fleetView();
     Verdict before = reachability.verdict();
     Verdict verdict = reachability.judge(now, leaderTerm != null, leads(), fleet);
-    if (verdict instanceof Verdict.MakeWay away) {
+    if (verdict instanceof Verdict.HandOverLeadership away) {
       election.yieldTo(away.successor());
     }
     if (verdict.equals(before)) {
@@ -352,7 +355,7 @@
   }
 
   private LinkReport linkReport() {
-    return reachability.report(loop.now(), leads(), settings.listen().toString());
+    return reachability.linkSummary(loop.now(), leads(), settings.listen().toString());
   }
 
   private void recordsChanged() {
@@ -367,7 +370,7 @@
       leaderTerm.stop();
       leaderTerm = null;
       rateLimiter.setLeader(false);
-      reachability.leadershipLost(loop.now());
+      reachability.recordLeadershipLoss(loop.now());
     }
     if (leaderTerm == null && leading) {
       rateLimiter.setLeader(true);
@@ -402,9 +405,9 @@
             catalog::types,
             wall,
             new LeaderTerm.Links(
-                reachability::places,
-                reachability::rents,
-                reachability::holds,
+                reachability::mayPlaceTasks,
+                reachability::mayChangeFleet,
+                reachability::isZoneEvictionSuspended,
                 reachability.machineRule()),
             meters,
             operators.recovery().map(RecoverySettings::heldClasses).orElse(Set.of()),
@@ -433,12 +436,12 @@
 
     @Override
     public void sentOn(WorkerHeartbeat report) {
-      reachability.redirectedWorkers().note(report.machine(), report.zone(), loop.now());
+      reachability.redirectedWorkers().recordVisit(report.machine(), report.zone(), loop.now());
     }
 
     @Override
     public List<Mesh.Heartbeat> peersHeard() {
-      return reachability.peersHeard(loop.now());
+      return reachability.freshPeerHeartbeats(loop.now());
     }
 
     @Override
--- a/src/main/java/io/cherryspool/controller/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/LeaderTerm.java
@@ -9,8 +9,8 @@
 import io.cherryspool.model.Team;
 import io.cherryspool.model.WorkerCommand;
 import io.cherryspool.model.WorkerHeartbeat;
-import io.cherryspool.reachability.FleetView;
-import io.cherryspool.reachability.MachineRule;
+import io.cherryspool.reachability.FleetReachability;
+import io.cherryspool.reachability.MachineEvictionRule;
 import io.cherryspool.recovery.Reconciliation;
 import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.JobRecord;
@@ -218,7 +218,7 @@
       BooleanSupplier places,
       BooleanSupplier rents,
       Predicate<String> holds,
-      MachineRule machines) {}
+      MachineEvictionRule machines) {}
 
   /** What the leader may still do: {@code acts} for workers, {@code sole} for the cloud. */
   record Authority(BooleanSupplier acts, BooleanSupplier sole) {}
@@ -250,13 +250,13 @@
   }
 
   /** How this leader hears its machines. */
-  FleetView fleetView() {
+  FleetReachability fleetView() {
     Duration lateSince = loop.now().minus(timings.late());
-    FleetView.Builder view = new FleetView.Builder();
+    FleetReachability.Builder view = new FleetReachability.Builder();
     for (MachineState machine : fleet.all()) {
       if (!machine.isDeleted()) {
         boolean listedNow = provisioner.lists(machine.name());
-        view.add(machine.zone(), listedNow, machine.contactStanding(lateSince, started));
+        view.addMachine(machine.zone(), listedNow, machine.contactStanding(lateSince, started));
       }
     }
     return view.build();
@@ -353,7 +353,7 @@
     for (WorkerHeartbeat.TaskStatus item : report.tasks()) {
       String job = item.task().jobId();
       boolean noted = replica.isAbandoned(job) || replica.unknownJobs(job);
-      if (!noted && !Reconciliation.knowsStart(replica.job(job), item)) {
+      if (!noted && !Reconciliation.isStartRecorded(replica.job(job), item)) {
         startMissing.get().accept(item.task() + " try " + item.attempt());
         return true;
       }
--- a/src/main/java/io/cherryspool/controller/LinksApi.java
+++ b/src/main/java/io/cherryspool/controller/LinksApi.java
@@ -40,7 +40,7 @@
         continue;
       }
       Mesh.Heartbeat heartbeat = row.get().heartbeat();
-      long age = picture.now().minus(row.get().received()).toMillis();
+      long age = picture.now().minus(row.get().receivedAt()).toMillis();
       up &= describe(nodes.addObject(), peer, age, heartbeat.links());
     }
     root.put("all_up", up);
--- a/src/main/java/io/cherryspool/controller/MachineContact.java
+++ b/src/main/java/io/cherryspool/controller/MachineContact.java
@@ -2,7 +2,7 @@
 
 import io.cherryspool.model.TaskId;
 import io.cherryspool.model.WorkerHeartbeat;
-import io.cherryspool.reachability.Contact;
+import io.cherryspool.reachability.ContactState;
 import java.time.Duration;
 import java.util.Objects;
 import java.util.Optional;
@@ -177,18 +177,18 @@
    * @param lateSince what last came before this is late
    * @param termStart when the leader's term began, which answered nothing before
    */
-  Contact standing(Duration firstSeen, Duration lateSince, Duration termStart) {
+  ContactState standing(Duration firstSeen, Duration lateSince, Duration termStart) {
     if (latest == null) {
-      return firstSeen.compareTo(lateSince) < 0 ? Contact.NEVER_HEARD : Contact.NEW;
+      return firstSeen.compareTo(lateSince) < 0 ? ContactState.NEVER_SEEN : ContactState.NEW;
     }
     if (isNotReceiving()) {
-      return Contact.DEAF;
+      return ContactState.NOT_RECEIVING;
     }
     if (lastHeartbeatAt.compareTo(lateSince) < 0) {
-      return Contact.SILENT;
+      return ContactState.SILENT;
     }
     Duration repliedAt = lastReplyAt == null ? termStart : lastReplyAt;
-    return repliedAt.compareTo(lateSince) < 0 ? Contact.LATE : Contact.REPORTING;
+    return repliedAt.compareTo(lateSince) < 0 ? ContactState.LATE : ContactState.REACHABLE;
   }
 
   /** The task's attempt as the newest heartbeat has it; there must be one. */
--- a/src/main/java/io/cherryspool/controller/MachineState.java
+++ b/src/main/java/io/cherryspool/controller/MachineState.java
@@ -2,7 +2,7 @@
 
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.model.WorkerHeartbeat;
-import io.cherryspool.reachability.Contact;
+import io.cherryspool.reachability.ContactState;
 import io.cherryspool.scheduler.ClusterView;
 import java.time.Duration;
 import java.util.Optional;
@@ -109,7 +109,7 @@
    * @param lateSince what last came before this is late
    * @param termStart when the leader's term began, which answered nothing before
    */
-  public Contact contactStanding(Duration lateSince, Duration termStart) {
+  public ContactState contactStanding(Duration lateSince, Duration termStart) {
     return contact.standing(firstSeen, lateSince, termStart);
   }
 
--- a/src/main/java/io/cherryspool/controller/Provisioner.java
+++ b/src/main/java/io/cherryspool/controller/Provisioner.java
@@ -7,7 +7,7 @@
 import io.cherryspool.model.Instance;
 import io.cherryspool.model.MachineType;
 import io.cherryspool.reachability.LocalHealth;
-import io.cherryspool.reachability.MachineRule;
+import io.cherryspool.reachability.MachineEvictionRule;
 import io.cherryspool.scheduler.ScalingPlan;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -125,7 +125,7 @@
   private void step() {
     Duration begun = loop.now();
     // What came while this node stood still, or was far behind, waits in its sockets.
-    health.ran(begun, gap);
+    health.recordStep(begun, gap);
     timer = loop.schedule(gap, this::step);
     act();
     Duration pause = Durations.multiply(loop.now().minus(begun), COST_SHARE);
@@ -242,12 +242,12 @@
       boolean idle = ownership.on(machine.name()).isEmpty() && !adoption.occupies(machine);
       machine.setIdle(idle, now);
       Duration silentFor = now.minus(machine.lastSeenAt());
-      Optional<MachineRule.Fault> fault =
+      Optional<MachineEvictionRule.Fault> fault =
           links.machines().judge(signs(machine, silentFor, !idle, now), listening);
       if (fault.isPresent()) {
         doom(
             machine.name(),
-            fault.get() == MachineRule.Fault.DEAF
+            fault.get() == MachineEvictionRule.Fault.NOT_RECEIVING
                 ? "it reports and does not take in what it is told"
                 : "it has been silent for " + silentFor.toSeconds() + " s");
       } else if (machine.history().isFaulty()) {
@@ -256,9 +256,9 @@
     }
   }
 
-  private MachineRule.Signs signs(
+  private MachineEvictionRule.Observation signs(
       MachineState machine, Duration silentFor, boolean owns, Duration now) {
-    return new MachineRule.Signs(
+    return new MachineEvictionRule.Observation(
         silentFor,
         machine.contact().notReceivingFor(now),
         owns,
--- a/src/main/java/io/cherryspool/controller/ReachabilityMeters.java
+++ b/src/main/java/io/cherryspool/controller/ReachabilityMeters.java
@@ -28,9 +28,9 @@
 
   @Override
   public void bindTo(MeterRegistry registry) {
-    link(registry, "state", reachability.state());
-    link(registry, "cloud", reachability.cloud());
-    gauge(registry, "cherryspool.links.zones.flaps", from -> reachability.zoneFlaps());
+    link(registry, "state", reachability.stateLink());
+    link(registry, "cloud", reachability.cloudLink());
+    gauge(registry, "cherryspool.links.zones.flaps", from -> reachability.zoneFlapCount());
     gauge(registry, "cherryspool.links.peers.down", from -> peersDown());
     gauge(registry, "cherryspool.leadership.losses", from -> reachability.leadershipLosses());
     gauge(
@@ -54,7 +54,7 @@
   }
 
   private double peersDown() {
-    return reachability.report(loop.now(), false, "").peers().stream()
+    return reachability.linkSummary(loop.now(), false, "").peers().stream()
         .filter(peer -> peer.state() == LinkState.DOWN)
         .count();
   }
@@ -62,7 +62,7 @@
   private void link(MeterRegistry registry, String name, RequestLink link) {
     String prefix = "cherryspool.links." + name;
     gauge(registry, prefix, from -> link.state(loop.now()).ordinal());
-    gauge(registry, prefix + ".flaps", from -> link.damper().flaps());
+    gauge(registry, prefix + ".flaps", from -> link.damper().flapCount());
     gauge(registry, prefix + ".penalty", from -> link.damper().penalty(loop.now()));
   }
 
--- a/src/main/java/io/cherryspool/controller/RecoveryApi.java
+++ b/src/main/java/io/cherryspool/controller/RecoveryApi.java
@@ -7,11 +7,11 @@
 import io.cherryspool.http.Request;
 import io.cherryspool.model.Outcome;
 import io.cherryspool.recovery.ClusterNode;
-import io.cherryspool.recovery.NodeMemory;
 import io.cherryspool.recovery.Peer;
 import io.cherryspool.recovery.Recovery;
+import io.cherryspool.recovery.RetainedRecords;
+import io.cherryspool.recovery.SnapshotRepository;
 import io.cherryspool.recovery.SnapshotWriter;
-import io.cherryspool.recovery.Snapshots;
 import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.JobRecord;
 import io.cherryspool.store.RateLimiter;
@@ -72,20 +72,20 @@
   }
 
   private ObjectNode status() {
-    NodeMemory memory = recovery.memory();
+    RetainedRecords memory = recovery.retainedRecords();
     ObjectNode root = Json.object().put("node", node.name());
     root.put("phase", name(memory.phase()));
-    root.put("incarnation", memory.origin().incarnationNumber());
-    root.put("revision", memory.origin().revision());
-    root.put("settled", recovery.serving() && replica.isReconciled());
-    root.put("foreign_cluster", recovery.events().foreign());
-    root.put("losses", recovery.events().losses());
-    if (recovery.events().lastLoss() != null) {
-      root.put("last_loss", recovery.events().lastLoss().name().toLowerCase(Locale.ROOT));
+    root.put("incarnation", memory.position().incarnationNumber());
+    root.put("revision", memory.position().revision());
+    root.put("settled", recovery.isServing() && replica.isReconciled());
+    root.put("foreign_cluster", recovery.statistics().hasFoundOtherCluster());
+    root.put("losses", recovery.statistics().losses());
+    if (recovery.statistics().lastLoss() != null) {
+      root.put("last_loss", recovery.statistics().lastLoss().name().toLowerCase(Locale.ROOT));
     }
-    root.put("rebuilds", recovery.events().rebuilds());
-    root.put("added_after_rebuild", recovery.events().added());
-    root.put("last_hold_s", recovery.events().lastHold().toMillis() / 1e3);
+    root.put("rebuilds", recovery.statistics().rebuilds());
+    root.put("added_after_rebuild", recovery.statistics().addedRecords());
+    root.put("last_hold_s", recovery.statistics().lastHold().toMillis() / 1e3);
     root.put("jobs_held", replica.heldJobs().size());
     root.put("jobs_unknown", replica.unknownJobs().size());
     ArrayNode peers = root.putArray("peers");
@@ -93,30 +93,30 @@
       peers
           .addObject()
           .put("node", peer.node())
-          .put("phase", name(peer.memory().phase()))
-          .put("incarnation", peer.memory().origin().incarnationNumber())
-          .put("revision", peer.memory().origin().revision())
-          .put("reaches_state", peer.reachesState());
+          .put("phase", name(peer.retainedRecords().phase()))
+          .put("incarnation", peer.retainedRecords().position().incarnationNumber())
+          .put("revision", peer.retainedRecords().position().revision())
+          .put("reaches_state", peer.isStateStoreReachable());
     }
     root.set("snapshot", snapshot());
     return root;
   }
 
   private JsonNode snapshot() {
-    Snapshots.Written last = snapshots == null ? null : snapshots.last();
+    SnapshotRepository.WriteResult last = snapshots == null ? null : snapshots.lastResult();
     if (last == null) {
       return Json.object().put("taken", false);
     }
     ObjectNode result = Json.object().put("taken", last.failure() == null);
     result.put("name", last.name()).put("bytes", last.bytes());
-    result.put("took_ms", last.nanos() / 1e6).put("age_s", snapshots.ageSeconds());
+    result.put("took_ms", last.durationNanos() / 1e6).put("age_s", snapshots.ageSeconds());
     if (last.failure() != null) {
       result.put("failure", last.failure());
     }
     return result;
   }
 
-  private static String name(NodeMemory.Phase phase) {
+  private static String name(RetainedRecords.Phase phase) {
     return phase.name().toLowerCase(Locale.ROOT);
   }
 
--- a/src/main/java/io/cherryspool/controller/RecoveryMeters.java
+++ b/src/main/java/io/cherryspool/controller/RecoveryMeters.java
@@ -1,8 +1,8 @@
 package io.cherryspool.controller;
 
 import io.cherryspool.recovery.Recovery;
+import io.cherryspool.recovery.SnapshotRepository;
 import io.cherryspool.recovery.SnapshotWriter;
-import io.cherryspool.recovery.Snapshots;
 import io.cherryspool.store.ClusterRecords;
 import io.micrometer.core.instrument.Gauge;
 import io.micrometer.core.instrument.MeterRegistry;
@@ -26,24 +26,25 @@
 
   @Override
   public void bindTo(MeterRegistry registry) {
-    gauge(registry, "serving", from -> recovery.serving() ? 1 : 0);
-    gauge(registry, "incarnation", from -> recovery.memory().origin().incarnationNumber());
-    gauge(registry, "revision", from -> recovery.memory().origin().revision());
-    gauge(registry, "losses", from -> recovery.events().losses());
-    gauge(registry, "rebuilds", from -> recovery.events().rebuilds());
-    gauge(registry, "records.added", from -> recovery.events().added());
-    gauge(registry, "hold.seconds", from -> recovery.events().lastHold().toMillis() / 1e3);
+    gauge(registry, "serving", from -> recovery.isServing() ? 1 : 0);
+    gauge(
+        registry, "incarnation", from -> recovery.retainedRecords().position().incarnationNumber());
+    gauge(registry, "revision", from -> recovery.retainedRecords().position().revision());
+    gauge(registry, "losses", from -> recovery.statistics().losses());
+    gauge(registry, "rebuilds", from -> recovery.statistics().rebuilds());
+    gauge(registry, "records.added", from -> recovery.statistics().addedRecords());
+    gauge(registry, "hold.seconds", from -> recovery.statistics().lastHold().toMillis() / 1e3);
     gauge(registry, "jobs.held", from -> replica.heldJobs().size());
     gauge(registry, "jobs.unknown", from -> replica.unknownJobs().size());
     if (snapshots != null) {
       gauge(registry, "snapshot.age.seconds", from -> snapshots.ageSeconds());
-      gauge(registry, "snapshot.bytes", from -> written(Snapshots.Written::bytes));
-      gauge(registry, "snapshot.seconds", from -> written(last -> last.nanos() / 1e9));
+      gauge(registry, "snapshot.bytes", from -> written(SnapshotRepository.WriteResult::bytes));
+      gauge(registry, "snapshot.seconds", from -> written(last -> last.durationNanos() / 1e9));
     }
   }
 
-  private double written(ToDoubleFunction<Snapshots.Written> figure) {
-    Snapshots.Written last = snapshots.last();
+  private double written(ToDoubleFunction<SnapshotRepository.WriteResult> figure) {
+    SnapshotRepository.WriteResult last = snapshots.lastResult();
     return last == null ? 0 : figure.applyAsDouble(last);
   }
 
--- a/src/main/java/io/cherryspool/controller/RecoveryNode.java
+++ b/src/main/java/io/cherryspool/controller/RecoveryNode.java
@@ -55,7 +55,7 @@
   @Override
   public List<Peer> peers() {
     List<Peer> result = new ArrayList<>();
-    for (Mesh.Heartbeat heartbeat : peers.get().since(fresh, loop.now())) {
+    for (Mesh.Heartbeat heartbeat : peers.get().freshHeartbeats(fresh, loop.now())) {
       result.add(
           new Peer(heartbeat.node(), heartbeat.state(), MemoryWire.decode(heartbeat.memory())));
     }
@@ -68,22 +68,22 @@
   }
 
   @Override
-  public long knownTerm() {
+  public long highestKnownTerm() {
     return election.knownTerm();
   }
 
   @Override
-  public boolean leadsSurely() {
+  public boolean isSoleLeader() {
     return election.sole();
   }
 
   @Override
-  public boolean workersRemember() {
+  public boolean hasWorkerShownToken() {
     return workersRemember;
   }
 
   @Override
-  public void servingChanged() {
+  public void onServingChanged() {
     servingChanged.run();
   }
 }
--- a/src/main/java/io/cherryspool/controller/RecoveryPart.java
+++ b/src/main/java/io/cherryspool/controller/RecoveryPart.java
@@ -7,12 +7,12 @@
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.model.FencingToken;
 import io.cherryspool.model.WorkerHeartbeat;
-import io.cherryspool.recovery.NodeMemory;
 import io.cherryspool.recovery.Recovery;
 import io.cherryspool.recovery.RecoveryTimings;
-import io.cherryspool.recovery.Snapshot;
+import io.cherryspool.recovery.RetainedRecords;
+import io.cherryspool.recovery.SnapshotFile;
+import io.cherryspool.recovery.SnapshotRepository;
 import io.cherryspool.recovery.SnapshotWriter;
-import io.cherryspool.recovery.Snapshots;
 import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.RecordsSnapshot;
@@ -61,9 +61,11 @@
       Duration interval) {
     this.node = node;
     this.election = shared.election();
-    Optional<Snapshots> kept = support.map(given -> new Snapshots(given.store()));
+    Optional<SnapshotRepository> kept = support.map(given -> new SnapshotRepository(given.store()));
     RecordsSnapshot newest =
-        kept.flatMap(Snapshots::newest).map(Snapshot::picture).orElse(RecordsSnapshot.EMPTY);
+        kept.flatMap(SnapshotRepository::readNewest)
+            .map(SnapshotFile::records)
+            .orElse(RecordsSnapshot.EMPTY);
     recovery =
         new Recovery(
             shared.loop(),
@@ -80,7 +82,7 @@
                 new SnapshotWriter(
                     shared.loop(),
                     shared.replica(),
-                    recovery::serving,
+                    recovery::isServing,
                     shared.wall(),
                     kept.get(),
                     given.background(),
@@ -113,16 +115,16 @@
 
   /** What heartbeats tell of this node. */
   Mesh.Memory memory() {
-    return MemoryWire.encode(recovery.memory());
+    return MemoryWire.encode(recovery.retainedRecords());
   }
 
   boolean serving() {
-    return recovery.serving();
+    return recovery.isServing();
   }
 
   /** Whether this node rebuilds lost records. */
   boolean rebuilds() {
-    return recovery.memory().phase() == NodeMemory.Phase.REBUILDING;
+    return recovery.retainedRecords().phase() == RetainedRecords.Phase.REBUILDING;
   }
 
   /**
@@ -130,18 +132,18 @@
    * over helps no user, and a node that was counts as unhealthy long after.
    */
   boolean heldEverywhere() {
-    return recovery.memory().phase() != NodeMemory.Phase.STARTING
+    return recovery.retainedRecords().phase() != RetainedRecords.Phase.STARTING
         && node.peers().stream()
-            .noneMatch(peer -> peer.memory().phase() == NodeMemory.Phase.SERVING);
+            .noneMatch(peer -> peer.retainedRecords().phase() == RetainedRecords.Phase.SERVING);
   }
 
   /** When the last request that succeeded while not serving was sent; null if none was. */
   Duration lastAnswer() {
-    return recovery.lastAnswer();
+    return recovery.lastAnsweredRequestSentAt();
   }
 
   void termShown(long term) {
-    recovery.termShown(term);
+    recovery.observeTerm(term);
   }
 
   /** A worker has a task of which the records know no such start. */
@@ -151,7 +153,7 @@
 
   /** A report that comes while nobody leads tells at least what was once given out. */
   void reportUnanswered(WorkerHeartbeat report) {
-    if (!recovery.serving()) {
+    if (!recovery.isServing()) {
       if (report.highestFencingToken() > 0) {
         node.noteWorkersToken();
       }
--- a/src/main/java/io/cherryspool/controller/StateStanding.java
+++ b/src/main/java/io/cherryspool/controller/StateStanding.java
@@ -52,7 +52,7 @@
    */
   boolean behind() {
     Duration own = replica.lastConfirmedAt();
-    Duration others = reachability.matrix().lastReading(timings.stateLease(), loop.now());
+    Duration others = reachability.matrix().latestStateRead(timings.stateLease(), loop.now());
     return own == null || others != null && others.minus(own).compareTo(timings.behind()) > 0;
   }
 
@@ -63,7 +63,7 @@
 
   /** The link to the service, by the last requests. */
   LinkState link() {
-    return reachability.state().state(loop.now());
+    return reachability.stateLink().state(loop.now());
   }
 
   /**
@@ -74,7 +74,8 @@
    * @param alone whether there is no other node
    */
   boolean ready(boolean alone) {
-    List<Mesh.Heartbeat> others = reachability.matrix().since(timings.stateLease(), loop.now());
+    List<Mesh.Heartbeat> others =
+        reachability.matrix().freshHeartbeats(timings.stateLease(), loop.now());
     boolean outage =
         others.stream().noneMatch(Mesh.Heartbeat::state) && (!others.isEmpty() || alone);
     return readable() && (reached() || outage) && !behind();
--- a/src/main/java/io/cherryspool/reachability/FlapDamper.java
+++ b/src/main/java/io/cherryspool/reachability/FlapDamper.java
@@ -16,8 +16,8 @@
   private final Duration halfLife;
   private double penalty;
   private Duration changed = Duration.ZERO;
-  private boolean flapping;
-  private long flaps;
+  private boolean isFlapping;
+  private long flapCount;
 
   /**
    * @param halfLife in what time the penalty halves
@@ -27,11 +27,11 @@
   }
 
   /** The link failed, or came back, once more. */
-  public void flap(Duration now) {
+  public void recordFlap(Duration now) {
     penalty = penalty(now) + 1;
     changed = now;
-    flapping |= penalty >= SUPPRESS;
-    flaps++;
+    isFlapping |= penalty >= SUPPRESS;
+    flapCount++;
   }
 
   /** The penalty as it has decayed until now. */
@@ -41,15 +41,15 @@
   }
 
   /** Whether the link fails too often to be relied on, also while it happens to be up. */
-  public boolean flapping(Duration now) {
-    if (flapping && penalty(now) < REUSE) {
-      flapping = false;
+  public boolean isFlapping(Duration now) {
+    if (isFlapping && penalty(now) < REUSE) {
+      isFlapping = false;
     }
-    return flapping;
+    return isFlapping;
   }
 
   /** How many flaps there were in all. */
-  public long flaps() {
-    return flaps;
+  public long flapCount() {
+    return flapCount;
   }
 }
--- a/src/main/java/io/cherryspool/reachability/FleetView.java
+++ b/src/main/java/io/cherryspool/reachability/FleetReachability.java
@@ -10,17 +10,17 @@
  * @param known machines that were heard in this term, or ought to have been
  * @param missing those whose reports and answers do not get through
  */
-public record FleetView(int known, int missing, Map<String, Zone> zones) {
+public record FleetReachability(int known, int missing, Map<String, Zone> zones) {
   /** Of a node that does not lead. */
-  public static final FleetView EMPTY = new FleetView(0, 0, Map.of());
+  public static final FleetReachability EMPTY = new FleetReachability(0, 0, Map.of());
 
   /**
    * The machines of one zone.
    *
    * @param listed those that the cloud lists
-   * @param unheard those of the listed ones that are not heard, or do not hear
+   * @param unreachable those of the listed ones that are not heard, or do not hear
    */
-  public record Zone(int known, int missing, int listed, int unheard) {}
+  public record Zone(int known, int missing, int listed, int unreachable) {}
 
   /** Counts machines one by one, thousands of them twice a second. */
   public static final class Builder {
@@ -37,20 +37,20 @@
      * Counts a machine that is not gone. One that the cloud does not list was taken back, or is too
      * new for the list; it says nothing of its zone.
      */
-    public void add(String zone, boolean listed, Contact contact) {
+    public void addMachine(String zone, boolean listed, ContactState contact) {
       Counts counts = zones.computeIfAbsent(zone, key -> new Counts());
-      if (contact != Contact.NEW && (listed || contact != Contact.NEVER_HEARD)) {
+      if (contact != ContactState.NEW && (listed || contact != ContactState.NEVER_SEEN)) {
         counts.known++;
-        counts.missing += contact.missing() ? 1 : 0;
+        counts.missing += contact.isMissing() ? 1 : 0;
       }
       if (listed) {
         counts.listed++;
-        counts.unheard += contact.unheard() ? 1 : 0;
+        counts.unheard += contact.isUnreachable() ? 1 : 0;
       }
     }
 
     /** The numbers so far. */
-    public FleetView build() {
+    public FleetReachability build() {
       int known = 0;
       int missing = 0;
       Map<String, Zone> result = new TreeMap<>();
@@ -61,7 +61,7 @@
         result.put(
             entry.getKey(), new Zone(counts.known, counts.missing, counts.listed, counts.unheard));
       }
-      return new FleetView(known, missing, Collections.unmodifiableMap(result));
+      return new FleetReachability(known, missing, Collections.unmodifiableMap(result));
     }
   }
 }
--- a/src/main/java/io/cherryspool/reachability/LeaseLength.java
+++ b/src/main/java/io/cherryspool/reachability/LeaseLength.java
@@ -25,7 +25,7 @@
   }
 
   /** The length for the penalty as it is now. */
-  Duration of(double penalty) {
+  Duration forPenalty(double penalty) {
     level = Math.max(level(penalty), Math.min(level, level(penalty + HYSTERESIS)));
     Duration wanted =
         switch (level) {
--- a/src/main/java/io/cherryspool/reachability/LocalHealth.java
+++ b/src/main/java/io/cherryspool/reachability/LocalHealth.java
@@ -19,7 +19,7 @@
   }
 
   /** A step runs now; the next one is due after this pause. */
-  public void ran(Duration now, Duration pause) {
+  public void recordStep(Duration now, Duration pause) {
     if (due == null || now.minus(due).compareTo(tolerance) > 0) {
       steadySince = now;
     }
@@ -32,7 +32,7 @@
   }
 
   /** What was heard until now tells nothing of the links, for another reason. */
-  public void disturbed(Duration now) {
+  public void reset(Duration now) {
     steadySince = now;
   }
 
--- a/src/main/java/io/cherryspool/reachability/NodeView.java
+++ b/src/main/java/io/cherryspool/reachability/NodeView.java
@@ -9,12 +9,12 @@
  * All that a verdict rests on.
  *
  * @param now the moment of the judgement
- * @param state the link to the state service
- * @param stateFlaps whether that link fails again and again
+ * @param stateLink the link to the state service
+ * @param isStateLinkFlapping whether that link fails again and again
  * @param steadyFor for how long this node has led, been able to answer, and kept up
  * @param fleet how it hears its machines
- * @param zonesDown the zones that it takes for cut off
- * @param fleetDownFor for how long many machines of several zones have been unheard
+ * @param unreachableZones the zones that it takes for cut off
+ * @param fleetUnreachableFor for how long many machines of several zones have been unheard
  * @param matrix what the other nodes tell
  * @param leadershipPenalty how often leaders of the cluster changed lately
  * @param handover whom the last leader made way for, if it did
@@ -23,12 +23,12 @@
     Role role,
     String node,
     Duration now,
-    LinkState state,
-    boolean stateFlaps,
+    LinkState stateLink,
+    boolean isStateLinkFlapping,
     Duration steadyFor,
-    FleetView fleet,
-    Set<String> zonesDown,
-    Optional<Duration> fleetDownFor,
+    FleetReachability fleet,
+    Set<String> unreachableZones,
+    Optional<Duration> fleetUnreachableFor,
     ReachabilityMatrix matrix,
     double leadershipPenalty,
     Optional<Handover> handover) {
@@ -42,5 +42,5 @@
   }
 
   /** A leader made way: for whom, and who it was. */
-  public record Handover(String successor, String by) {}
+  public record Handover(String successor, String formerLeader) {}
 }
--- a/src/main/java/io/cherryspool/reachability/PartitionRule.java
+++ b/src/main/java/io/cherryspool/reachability/PartitionRule.java
@@ -40,8 +40,8 @@
       case LEADER -> judgeLeader(view);
       case CANDIDATE -> judgeCandidate(view);
       case FOLLOWER ->
-          view.state() == LinkState.DOWN
-              ? new Verdict.PassOn(Reason.STATE_UNREACHABLE)
+          view.stateLink() == LinkState.DOWN
+              ? new Verdict.ForwardRequests(Reason.STATE_UNREACHABLE)
               : new Verdict.Serve();
     };
   }
@@ -53,15 +53,17 @@
         return transfer;
       }
     }
-    if (view.state() == LinkState.DOWN) {
-      return new Verdict.HoldPlacing(Reason.STATE_UNREACHABLE);
+    if (view.stateLink() == LinkState.DOWN) {
+      return new Verdict.SuspendPlacement(Reason.STATE_UNREACHABLE);
     }
     // Longer than that, what they ran is free for others, and needs machines.
-    if (view.fleetDownFor().filter(length -> length.compareTo(timings.lapse()) < 0).isPresent()) {
-      return new Verdict.HoldFleet(Reason.FLEET_UNHEARD);
+    if (view.fleetUnreachableFor()
+        .filter(length -> length.compareTo(timings.taskLeaseExpiry()) < 0)
+        .isPresent()) {
+      return new Verdict.SuspendFleetChanges(Reason.FLEET_UNREACHABLE);
     }
-    if (!view.zonesDown().isEmpty()) {
-      return new Verdict.HoldZones(view.zonesDown(), Reason.ZONES_UNHEARD);
+    if (!view.unreachableZones().isEmpty()) {
+      return new Verdict.SuspendZoneEviction(view.unreachableZones(), Reason.ZONES_UNREACHABLE);
     }
     return new Verdict.Serve();
   }
@@ -79,7 +81,8 @@
   private boolean worthAChange(NodeView view) {
     int missing = view.fleet().missing();
     if (missing < LEAST_MISSING
-        || view.steadyFor().compareTo(Durations.multiply(timings.late(), 2)) < 0) {
+        || view.steadyFor().compareTo(Durations.multiply(timings.workerHeartbeatOverdueAfter(), 2))
+            < 0) {
       return false;
     }
     int cost = view.leadershipPenalty() < RECENT_CHANGES ? 1 : COST_GROWTH;
@@ -88,14 +91,16 @@
 
   /** The hand-over to the node that hears most of the missing workers; null if nobody does. */
   private Verdict transfer(NodeView view) {
-    List<Mesh.Heartbeat> heartbeats = view.matrix().since(timings.heartbeatLimit(), view.now());
+    List<Mesh.Heartbeat> heartbeats =
+        view.matrix().freshHeartbeats(timings.peerHeartbeatTimeout(), view.now());
     int missing = view.fleet().missing();
     if (heartbeats.isEmpty()) {
       // It can't know where its workers are; if it misses half of them, any other node is the
       // better guess.
       boolean half = missing * 2 >= view.fleet().known();
-      return half && view.matrix().heardAny()
-          ? new Verdict.MakeWay(Verdict.MakeWay.ANYBODY, Reason.NO_PEERS_AND_WORKERS_MISSING)
+      return half && view.matrix().hasReceivedAny()
+          ? new Verdict.HandOverLeadership(
+              Verdict.HandOverLeadership.ANY_NODE, Reason.NO_PEERS_AND_WORKERS_MISSING)
           : null;
     }
     Mesh.Heartbeat best = null;
@@ -109,7 +114,7 @@
       }
     }
     return best != null && redirected * 2 >= missing
-        ? new Verdict.MakeWay(best.node(), Reason.WORKERS_HEARD_ELSEWHERE)
+        ? new Verdict.HandOverLeadership(best.node(), Reason.WORKERS_REACH_OTHER_NODES)
         : null;
   }
 
@@ -120,20 +125,20 @@
 
   /** The successor stands first, and who made way for it last, as does one whose link flaps. */
   private Verdict judgeCandidate(NodeView view) {
-    Duration lease = timings.stateLease();
+    Duration lease = timings.leaderLease();
     NodeView.Handover handover = view.handover().orElse(null);
     boolean successor = handover != null && handover.successor().equals(view.node());
     if (successor) {
       return new Verdict.Serve();
     }
-    if (handover != null && handover.by().equals(view.node())) {
-      return new Verdict.StandLater(lease, Reason.MADE_WAY_LAST);
+    if (handover != null && handover.formerLeader().equals(view.node())) {
+      return new Verdict.DelayCandidacy(lease, Reason.HANDED_OVER_LAST);
     }
-    if (view.stateFlaps()) {
-      return new Verdict.StandLater(Durations.divide(lease, 2), Reason.STATE_LINK_FLAPS);
+    if (view.isStateLinkFlapping()) {
+      return new Verdict.DelayCandidacy(Durations.divide(lease, 2), Reason.STATE_LINK_FLAPS);
     }
     return handover == null
         ? new Verdict.Serve()
-        : new Verdict.StandLater(Durations.divide(lease, 4), Reason.NOT_THE_SUCCESSOR);
+        : new Verdict.DelayCandidacy(Durations.divide(lease, 4), Reason.NOT_THE_SUCCESSOR);
   }
 }
--- a/src/main/java/io/cherryspool/reachability/Reachability.java
+++ b/src/main/java/io/cherryspool/reachability/Reachability.java
@@ -19,9 +19,9 @@
   private final ReachabilityTimings timings;
   private final boolean damping;
   private final VerdictRule rule;
-  private final MachineRule machineRule;
-  private final RequestLink state;
-  private final RequestLink cloud;
+  private final MachineEvictionRule machineRule;
+  private final RequestLink stateLink;
+  private final RequestLink cloudLink;
   private final ZoneLinks zones;
   private final RedirectedWorkers redirectedWorkers = new RedirectedWorkers();
   private final LocalHealth pace;
@@ -29,7 +29,7 @@
   private final FlapDamper leadershipLosses;
   private final LeaseLength leaseLength;
   private ReachabilityMatrix matrix = ReachabilityMatrix.EMPTY;
-  private FleetView fleet = FleetView.EMPTY;
+  private FleetReachability fleet = FleetReachability.EMPTY;
   private Verdict verdict = new Verdict.Serve();
 
   /**
@@ -47,25 +47,25 @@
     this.timings = timings;
     this.damping = damping;
     this.rule = rule;
-    this.machineRule = new MachineRule(timings);
-    this.state = new RequestLink(timings.stateCall(), timings.halfLife());
-    this.cloud = new RequestLink(timings.stateLease(), timings.halfLife());
-    this.zones = new ZoneLinks(timings.halfLife());
-    Duration tolerance = Durations.divide(timings.heartbeat(), 2);
+    this.machineRule = new MachineEvictionRule(timings);
+    this.stateLink = new RequestLink(timings.stateCallTimeout(), timings.flapHalfLife());
+    this.cloudLink = new RequestLink(timings.leaderLease(), timings.flapHalfLife());
+    this.zones = new ZoneLinks(timings.flapHalfLife());
+    Duration tolerance = Durations.divide(timings.peerHeartbeatInterval(), 2);
     this.pace = new LocalHealth(tolerance);
     this.acting = new LocalHealth(tolerance);
-    this.leadershipLosses = new FlapDamper(timings.halfLife());
-    this.leaseLength = new LeaseLength(timings.stateLease(), timings.authority());
+    this.leadershipLosses = new FlapDamper(timings.flapHalfLife());
+    this.leaseLength = new LeaseLength(timings.leaderLease(), timings.maxLeaderAuthority());
   }
 
   /** The link to the state service. */
-  public RequestLink state() {
-    return state;
+  public RequestLink stateLink() {
+    return stateLink;
   }
 
   /** The link to the cloud. */
-  public RequestLink cloud() {
-    return cloud;
+  public RequestLink cloudLink() {
+    return cloudLink;
   }
 
   /** The workers that come here although another node leads. */
@@ -79,18 +79,18 @@
   }
 
   /** The latest heartbeats of the nodes that are heard. */
-  public List<Mesh.Heartbeat> peersHeard(Duration now) {
-    return matrix.since(timings.heartbeatLimit(), now);
+  public List<Mesh.Heartbeat> freshPeerHeartbeats(Duration now) {
+    return matrix.freshHeartbeats(timings.peerHeartbeatTimeout(), now);
   }
 
   /** When a single machine is given up. */
-  public MachineRule machineRule() {
+  public MachineEvictionRule machineRule() {
     return machineRule;
   }
 
   /** Takes in a heartbeat from another node. */
   public void receive(Mesh.Heartbeat heartbeat, Duration now) {
-    matrix = matrix.with(heartbeat, now);
+    matrix = matrix.withHeartbeat(heartbeat, now);
   }
 
   /**
@@ -100,11 +100,11 @@
    * @param acts whether it may answer workers
    * @param heard how it hears its machines
    */
-  public Verdict judge(Duration now, boolean leading, boolean acts, FleetView heard) {
-    pace.ran(now, timings.heartbeat());
-    acting.ran(now, timings.heartbeat());
+  public Verdict judge(Duration now, boolean leading, boolean acts, FleetReachability heard) {
+    pace.recordStep(now, timings.peerHeartbeatInterval());
+    acting.recordStep(now, timings.peerHeartbeatInterval());
     if (!acts) {
-      acting.disturbed(now);
+      acting.reset(now);
     }
     fleet = heard;
     zones.observe(heard, now);
@@ -119,62 +119,62 @@
   }
 
   /** Whether a leader may plan and record, and call the cloud. */
-  public boolean places() {
-    return !(verdict instanceof Verdict.HoldPlacing);
+  public boolean mayPlaceTasks() {
+    return !(verdict instanceof Verdict.SuspendPlacement);
   }
 
   /** Whether the machines of this zone are unheard rather than dead. */
-  public boolean holds(String zone) {
-    return verdict instanceof Verdict.HoldFleet
-        || verdict instanceof Verdict.HoldZones held && held.zones().contains(zone);
+  public boolean isZoneEvictionSuspended(String zone) {
+    return verdict instanceof Verdict.SuspendFleetChanges
+        || verdict instanceof Verdict.SuspendZoneEviction held && held.zones().contains(zone);
   }
 
   /** Whether a leader may rent machines, and return idle ones. */
-  public boolean rents() {
-    return places() && !(verdict instanceof Verdict.HoldFleet);
+  public boolean mayChangeFleet() {
+    return mayPlaceTasks() && !(verdict instanceof Verdict.SuspendFleetChanges);
   }
 
   /** How long to wait before standing for leader, so that better placed nodes go first. */
   public Duration candidacyDelay(Duration now, Optional<NodeView.Handover> handover) {
     Verdict judged = rule.judge(view(NodeView.Role.CANDIDATE, now, handover));
-    return judged instanceof Verdict.StandLater later ? later.delay() : Duration.ZERO;
+    return judged instanceof Verdict.DelayCandidacy later ? later.delay() : Duration.ZERO;
   }
 
   /** This node no longer leads, though its process lives on. */
-  public void leadershipLost(Duration now) {
-    leadershipLosses.flap(now);
+  public void recordLeadershipLoss(Duration now) {
+    leadershipLosses.recordFlap(now);
     verdict = new Verdict.Serve();
-    fleet = FleetView.EMPTY;
+    fleet = FleetReachability.EMPTY;
     zones.clear();
   }
 
   /** How often this node lost its leadership. */
   public long leadershipLosses() {
-    return leadershipLosses.flaps();
+    return leadershipLosses.flapCount();
   }
 
   /** How long this node's lease is to be if it leads. */
   public Duration leaseLength(Duration now) {
-    return damping ? leaseLength.of(leadershipPenalty(now)) : timings.stateLease();
+    return damping ? leaseLength.forPenalty(leadershipPenalty(now)) : timings.leaderLease();
   }
 
   /** How often leaders that live have lost their leadership lately, in the whole cluster. */
   public double leadershipPenalty(Duration now) {
     double sum = leadershipLosses.penalty(now);
-    for (Mesh.Heartbeat heartbeat : matrix.since(timings.halfLife(), now)) {
+    for (Mesh.Heartbeat heartbeat : matrix.freshHeartbeats(timings.flapHalfLife(), now)) {
       sum += heartbeat.links().leadershipPenalty() / 10.0;
     }
     return sum;
   }
 
   /** Whether this node's own link to the state service can't be relied on. */
-  public boolean stateFlaps(Duration now) {
-    return damping && state.damper().flapping(now);
+  public boolean isStateLinkFlapping(Duration now) {
+    return damping && stateLink.damper().isFlapping(now);
   }
 
   /** How often zones were lost. */
-  public long zoneFlaps() {
-    return zones.flaps();
+  public long zoneFlapCount() {
+    return zones.flapCount();
   }
 
   private NodeView view(NodeView.Role role, Duration now, Optional<NodeView.Handover> handover) {
@@ -182,25 +182,25 @@
         role,
         node,
         now,
-        state.state(now),
-        stateFlaps(now),
+        stateLink.state(now),
+        isStateLinkFlapping(now),
         acting.steadyFor(now),
         fleet,
-        zones.down(),
-        zones.fleetDownFor(now),
+        zones.unreachableZones(),
+        zones.fleetUnreachableFor(now),
         matrix,
         damping ? leadershipPenalty(now) : 0,
         handover);
   }
 
   /** What the other nodes are to know of this one's links. */
-  public LinkReport report(Duration now, boolean leading, String address) {
+  public LinkReport linkSummary(Duration now, boolean leading, String address) {
     return new LinkReport(
         leading,
         address,
-        state.state(now),
-        cloud.state(now),
-        pace.steadyFor(now).compareTo(timings.late()) < 0,
+        stateLink.state(now),
+        cloudLink.state(now),
+        pace.steadyFor(now).compareTo(timings.workerHeartbeatOverdueAfter()) < 0,
         (int) Math.round(10 * leadershipLosses.penalty(now)),
         verdict.describe() + ": " + verdict.reason().text(),
         peerLinks(now),
@@ -210,28 +210,28 @@
   private List<LinkReport.PeerLink> peerLinks(Duration now) {
     List<LinkReport.PeerLink> result = new ArrayList<>();
     for (String peer : peers) {
-      Duration received = matrix.row(peer).map(ReachabilityMatrix.Row::received).orElse(null);
+      Duration received = matrix.row(peer).map(ReachabilityMatrix.Row::receivedAt).orElse(null);
       if (received == null) {
         result.add(new LinkReport.PeerLink(peer, LinkState.DOWN, -1));
         continue;
       }
       Duration age = now.minus(received);
       LinkState heard =
-          age.compareTo(timings.heartbeatLimit()) < 0
+          age.compareTo(timings.peerHeartbeatTimeout()) < 0
               ? LinkState.UP
-              : age.compareTo(timings.stateLease()) < 0 ? LinkState.SUSPECT : LinkState.DOWN;
+              : age.compareTo(timings.leaderLease()) < 0 ? LinkState.SUSPECT : LinkState.DOWN;
       result.add(new LinkReport.PeerLink(peer, heard, (int) Math.min(age.toMillis(), 86_400_000)));
     }
     return result;
   }
 
   private List<LinkReport.ZoneLink> zoneLinks(Duration now) {
-    Map<String, Integer> redirected = redirectedWorkers.byZone(now);
+    Map<String, Integer> redirected = redirectedWorkers.countByZone(now);
     Set<String> names = new TreeSet<>(fleet.zones().keySet());
     names.addAll(redirected.keySet());
     List<LinkReport.ZoneLink> result = new ArrayList<>();
     for (String zone : names) {
-      FleetView.Zone heard = fleet.zones().get(zone);
+      FleetReachability.Zone heard = fleet.zones().get(zone);
       result.add(
           new LinkReport.ZoneLink(
               zone,
--- a/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
+++ b/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
@@ -20,19 +20,19 @@
   private final PMap<String, Row> rows;
 
   /** A node's latest heartbeat, and when it came. */
-  public record Row(Mesh.Heartbeat heartbeat, Duration received) {}
+  public record Row(Mesh.Heartbeat heartbeat, Duration receivedAt) {}
 
   private ReachabilityMatrix(PMap<String, Row> rows) {
     this.rows = rows;
   }
 
   /** The matrix with this heartbeat in the place of its node's last one. */
-  public ReachabilityMatrix with(Mesh.Heartbeat heartbeat, Duration now) {
+  public ReachabilityMatrix withHeartbeat(Mesh.Heartbeat heartbeat, Duration now) {
     return new ReachabilityMatrix(rows.plus(heartbeat.node(), new Row(heartbeat, now)));
   }
 
   /** Whether a heartbeat of any node ever arrived. */
-  public boolean heardAny() {
+  public boolean hasReceivedAny() {
     return !rows.isEmpty();
   }
 
@@ -42,10 +42,10 @@
   }
 
   /** The heartbeats received no longer ago than this. */
-  public List<Mesh.Heartbeat> since(Duration limit, Duration now) {
+  public List<Mesh.Heartbeat> freshHeartbeats(Duration limit, Duration now) {
     List<Mesh.Heartbeat> result = new ArrayList<>();
     for (Row row : rows.values()) {
-      if (now.minus(row.received).compareTo(limit) < 0) {
+      if (now.minus(row.receivedAt).compareTo(limit) < 0) {
         result.add(row.heartbeat);
       }
     }
@@ -56,11 +56,11 @@
    * When the latest reading of the state was sent by any of them, as far as their heartbeats are
    * fresh; null if none tells of one.
    */
-  public Duration lastReading(Duration limit, Duration now) {
+  public Duration latestStateRead(Duration limit, Duration now) {
     Duration last = null;
     for (Row row : rows.values()) {
-      boolean fresh = now.minus(row.received).compareTo(limit) < 0 && row.heartbeat.state();
-      Duration at = row.received.minusMillis(row.heartbeat.silence());
+      boolean fresh = now.minus(row.receivedAt).compareTo(limit) < 0 && row.heartbeat.state();
+      Duration at = row.receivedAt.minusMillis(row.heartbeat.silence());
       last = fresh && (last == null || at.compareTo(last) > 0) ? at : last;
     }
     return last;
--- a/src/main/java/io/cherryspool/reachability/Reason.java
+++ b/src/main/java/io/cherryspool/reachability/Reason.java
@@ -4,12 +4,12 @@
 public enum Reason {
   ALL_UP("all links are up as far as is known"),
   STATE_UNREACHABLE("the state service does not answer this node"),
-  FLEET_UNHEARD("many machines of several zones are not heard at once"),
-  ZONES_UNHEARD("many machines of a zone are not heard at once"),
-  WORKERS_HEARD_ELSEWHERE("the missing workers come to other nodes"),
+  FLEET_UNREACHABLE("many machines of several zones are not heard at once"),
+  ZONES_UNREACHABLE("many machines of a zone are not heard at once"),
+  WORKERS_REACH_OTHER_NODES("the missing workers come to other nodes"),
   NO_PEERS_AND_WORKERS_MISSING("no other node is heard, and half of the workers are missing"),
   NOT_THE_SUCCESSOR("the last leader made way for another node"),
-  MADE_WAY_LAST("this node was the last to make way"),
+  HANDED_OVER_LAST("this node was the last to make way"),
   STATE_LINK_FLAPS("this node's link to the state service fails again and again");
 
   private final String text;
--- a/src/main/java/io/cherryspool/reachability/RedirectedWorkers.java
+++ b/src/main/java/io/cherryspool/reachability/RedirectedWorkers.java
@@ -21,7 +21,7 @@
   private record Seen(String zone, Duration at) {}
 
   /** A worker of the zone came, and was sent on. */
-  public void note(String machine, String zone, Duration now) {
+  public void recordVisit(String machine, String zone, Duration now) {
     seen.remove(machine);
     seen.put(machine, new Seen(zone, now));
     forget(now);
@@ -34,7 +34,7 @@
   }
 
   /** How many came lately, by zone. */
-  public Map<String, Integer> byZone(Duration now) {
+  public Map<String, Integer> countByZone(Duration now) {
     forget(now);
     Map<String, Integer> result = new TreeMap<>();
     seen.values().forEach(item -> result.merge(item.zone, 1, Integer::sum));
--- a/src/main/java/io/cherryspool/reachability/RequestLink.java
+++ b/src/main/java/io/cherryspool/reachability/RequestLink.java
@@ -14,7 +14,7 @@
 
   private final Duration downAfter;
   private final FlapDamper damper;
-  private Duration lastAnswered;
+  private Duration lastAnsweredRequestSentAt;
   private Duration failingSince;
   private int failures;
 
@@ -29,8 +29,8 @@
 
   @Override
   public void answered(Duration sent) {
-    if (lastAnswered == null || sent.compareTo(lastAnswered) > 0) {
-      lastAnswered = sent;
+    if (lastAnsweredRequestSentAt == null || sent.compareTo(lastAnsweredRequestSentAt) > 0) {
+      lastAnsweredRequestSentAt = sent;
     }
     if (failingSince != null && sent.compareTo(failingSince) > 0) {
       failingSince = null;
@@ -40,7 +40,7 @@
 
   @Override
   public void failed(Duration sent, Duration now) {
-    if (lastAnswered != null && sent.compareTo(lastAnswered) <= 0) {
+    if (lastAnsweredRequestSentAt != null && sent.compareTo(lastAnsweredRequestSentAt) <= 0) {
       return;
     }
     if (failingSince == null || sent.compareTo(failingSince) < 0) {
@@ -48,7 +48,7 @@
     }
     failures++;
     if (failures == CONFIRMING_FAILURES) {
-      damper.flap(now);
+      damper.recordFlap(now);
     }
   }
 
@@ -63,8 +63,8 @@
   }
 
   /** When the last request that was answered was sent, null before the first. */
-  public Duration lastAnswered() {
-    return lastAnswered;
+  public Duration lastAnsweredRequestSentAt() {
+    return lastAnsweredRequestSentAt;
   }
 
   /** How often the link failed lately. */
--- a/src/main/java/io/cherryspool/reachability/Verdict.java
+++ b/src/main/java/io/cherryspool/reachability/Verdict.java
@@ -30,7 +30,7 @@
   }
 
   /** A node that does not lead passes users' requests on to nodes that can serve them. */
-  record PassOn(Reason reason) implements Verdict {
+  record ForwardRequests(Reason reason) implements Verdict {
     @Override
     public String name() {
       return "pass-on";
@@ -41,7 +41,7 @@
    * A leader plans and records nothing, and calls the cloud for nothing, until the state service
    * answers it again or its term ends.
    */
-  record HoldPlacing(Reason reason) implements Verdict {
+  record SuspendPlacement(Reason reason) implements Verdict {
     @Override
     public String name() {
       return "hold-placing";
@@ -52,7 +52,7 @@
    * The machines of these zones are unheard, not dead: none of them is deleted for its silence
    * before two leases are over, and their tasks stay theirs until a lease or a deletion frees them.
    */
-  record HoldZones(Set<String> zones, Reason reason) implements Verdict {
+  record SuspendZoneEviction(Set<String> zones, Reason reason) implements Verdict {
     @Override
     public String name() {
       return "hold-zones";
@@ -66,9 +66,9 @@
 
   /**
    * Machines of several zones are unheard, which is rather this leader's fault than theirs: as for
-   * {@link HoldZones}, in all zones, and nothing is rented or returned meanwhile.
+   * {@link SuspendZoneEviction}, in all zones, and nothing is rented or returned meanwhile.
    */
-  record HoldFleet(Reason reason) implements Verdict {
+  record SuspendFleetChanges(Reason reason) implements Verdict {
     @Override
     public String name() {
       return "hold-fleet";
@@ -78,11 +78,11 @@
   /**
    * A leader ends its term in favour of another node.
    *
-   * @param successor the node, {@link #ANYBODY} if it is not known which
+   * @param successor the node, {@link #ANY_NODE} if it is not known which
    */
-  record MakeWay(String successor, Reason reason) implements Verdict {
+  record HandOverLeadership(String successor, Reason reason) implements Verdict {
     /** No node's name. */
-    public static final String ANYBODY = "";
+    public static final String ANY_NODE = "";
 
     @Override
     public String name() {
@@ -96,7 +96,7 @@
   }
 
   /** A node stands for leader only after this time, so that others go first. */
-  record StandLater(Duration delay, Reason reason) implements Verdict {
+  record DelayCandidacy(Duration delay, Reason reason) implements Verdict {
     @Override
     public String name() {
       return "stand-later";
--- a/src/main/java/io/cherryspool/reachability/ZoneLinks.java
+++ b/src/main/java/io/cherryspool/reachability/ZoneLinks.java
@@ -27,7 +27,7 @@
 
   private final Duration halfLife;
   private final Map<String, ZoneLink> links = new HashMap<>();
-  private Duration fleetDownSince;
+  private Duration fleetUnreachableSince;
 
   private static final class ZoneLink {
     private LinkState state = LinkState.UP;
@@ -43,7 +43,7 @@
   }
 
   /** Takes in how the machines are heard now. */
-  void observe(FleetView fleet, Duration now) {
+  void observe(FleetReachability fleet, Duration now) {
     fleet
         .zones()
         .forEach(
@@ -51,42 +51,42 @@
               ZoneLink link = links.computeIfAbsent(name, key -> new ZoneLink(halfLife));
               LinkState next = next(link.state, zone);
               if (next == LinkState.DOWN && link.state != LinkState.DOWN) {
-                link.damper.flap(now);
+                link.damper.recordFlap(now);
               }
               link.state = next;
             });
     links.keySet().retainAll(fleet.zones().keySet());
-    if (!fleetDown(fleet)) {
-      fleetDownSince = null;
-    } else if (fleetDownSince == null) {
-      fleetDownSince = now;
+    if (!isFleetUnreachable(fleet)) {
+      fleetUnreachableSince = null;
+    } else if (fleetUnreachableSince == null) {
+      fleetUnreachableSince = now;
     }
   }
 
   /** Whether much of the fleet is unheard, and not in one zone alone. */
-  private static boolean fleetDown(FleetView fleet) {
+  private static boolean isFleetUnreachable(FleetReachability fleet) {
     int listed = 0;
     int unheard = 0;
     int affected = 0;
-    for (FleetView.Zone zone : fleet.zones().values()) {
+    for (FleetReachability.Zone zone : fleet.zones().values()) {
       listed += zone.listed();
-      unheard += zone.unheard();
-      affected += zone.unheard() * UP_PART > zone.listed() ? 1 : 0;
+      unheard += zone.unreachable();
+      affected += zone.unreachable() * UP_PART > zone.listed() ? 1 : 0;
     }
     return affected > 1 && unheard >= LEAST && unheard * DOWN_PART > listed;
   }
 
   /** For how long much of the fleet, in several zones, has been unheard; empty if it is heard. */
-  Optional<Duration> fleetDownFor(Duration now) {
-    return Optional.ofNullable(fleetDownSince).map(now::minus);
+  Optional<Duration> fleetUnreachableFor(Duration now) {
+    return Optional.ofNullable(fleetUnreachableSince).map(now::minus);
   }
 
-  private static LinkState next(LinkState before, FleetView.Zone zone) {
-    boolean many = zone.unheard() >= LEAST;
-    if (many && zone.unheard() * DOWN_PART > zone.listed()) {
+  private static LinkState next(LinkState before, FleetReachability.Zone zone) {
+    boolean many = zone.unreachable() >= LEAST;
+    if (many && zone.unreachable() * DOWN_PART > zone.listed()) {
       return LinkState.DOWN;
     }
-    if (many && zone.unheard() * UP_PART > zone.listed()) {
+    if (many && zone.unreachable() * UP_PART > zone.listed()) {
       return before == LinkState.DOWN ? LinkState.DOWN : LinkState.SUSPECT;
     }
     return LinkState.UP;
@@ -98,7 +98,7 @@
   }
 
   /** The zones that nobody hears, as far as this node can tell. */
-  Set<String> down() {
+  Set<String> unreachableZones() {
     Set<String> result = new TreeSet<>();
     links.forEach(
         (name, link) -> {
@@ -110,13 +110,13 @@
   }
 
   /** How often zones were lost. */
-  long flaps() {
-    return links.values().stream().mapToLong(link -> link.damper.flaps()).sum();
+  long flapCount() {
+    return links.values().stream().mapToLong(link -> link.damper.flapCount()).sum();
   }
 
   /** Forgets all; a new term hears its machines anew. */
   void clear() {
     links.clear();
-    fleetDownSince = null;
+    fleetUnreachableSince = null;
   }
 }
--- a/src/main/java/io/cherryspool/recovery/ClusterNode.java
+++ b/src/main/java/io/cherryspool/recovery/ClusterNode.java
@@ -13,14 +13,14 @@
   int peerCount();
 
   /** The highest term that was heard of, from the records, other nodes or workers. */
-  long knownTerm();
+  long highestKnownTerm();
 
   /** Whether this node leads by a lease that surely holds, so that nobody else does. */
-  boolean leadsSurely();
+  boolean isSoleLeader();
 
   /** Whether a worker has shown a token, which only an installation that served has given out. */
-  boolean workersRemember();
+  boolean hasWorkerShownToken();
 
   /** The records are not to be relied on any more, or again. */
-  void servingChanged();
+  void onServingChanged();
 }
--- a/src/main/java/io/cherryspool/recovery/Contributions.java
+++ b/src/main/java/io/cherryspool/recovery/Contributions.java
@@ -31,8 +31,8 @@
   private final RateLimiter rateLimiter;
   private final ClusterRecords replica;
   private final RecoveryTimings timings;
-  private final RecentWrites recent = new RecentWrites();
-  private long contributed;
+  private final RecentWrites recentWrites = new RecentWrites();
+  private long contributedRebuild;
   private boolean contributing;
 
   Contributions(
@@ -49,19 +49,19 @@
   }
 
   /** A transaction of this node was applied, so that its users are told. */
-  void noteApplied(List<StateStoreProtocol.Change> changes, long revision) {
-    recent.dropUntil(replica.revision());
-    recent.add(changes, revision);
+  void recordApplied(List<StateStoreProtocol.Change> changes, long revision) {
+    recentWrites.removeUpTo(replica.revision());
+    recentWrites.add(changes, revision);
   }
 
   /** The jobs and ends that the copy does not hold yet. */
-  List<StateStoreProtocol.Change> recent() {
-    return recent.all();
+  List<StateStoreProtocol.Change> recentWrites() {
+    return recentWrites.all();
   }
 
   /** The number of the last rebuild that this node has added to. */
-  long contributed() {
-    return contributed;
+  long contributedRebuild() {
+    return contributedRebuild;
   }
 
   /**
@@ -70,12 +70,12 @@
    *
    * @return how many records it adds
    */
-  int addForgotten(RecordsSnapshot memory, BooleanSupplier serving) {
+  int addMissingRecords(RecordsSnapshot memory, BooleanSupplier serving) {
     RecordsSnapshot known = memory;
-    for (StateStoreProtocol.Change change : recent.all()) {
+    for (StateStoreProtocol.Change change : recentWrites.all()) {
       known = OrphanedRecords.withCommitted(known, change);
     }
-    recent.clear();
+    recentWrites.clear();
     List<StateStoreProtocol.Change> changes = new ArrayList<>();
     known
         .jobs()
@@ -95,17 +95,17 @@
             });
     if (!changes.isEmpty()) {
       LOG.warn("adding {} records that the rebuild did not know", changes.size());
-      changes.forEach(change -> addForgotten(change, serving));
+      changes.forEach(change -> addMissingRecords(change, serving));
     }
     return changes.size();
   }
 
-  private void addForgotten(StateStoreProtocol.Change change, BooleanSupplier serving) {
+  private void addMissingRecords(StateStoreProtocol.Change change, BooleanSupplier serving) {
     if (!serving.getAsBoolean()) {
       return;
     }
     if (!rateLimiter.tryAcquireWrites(RateLimiter.WriteClass.SUBMIT, 1)) {
-      loop.schedule(RETRY, () -> addForgotten(change, serving));
+      loop.schedule(RETRY, () -> addMissingRecords(change, serving));
       return;
     }
     client
@@ -113,17 +113,17 @@
         .whenComplete(
             (result, failure) -> {
               if (failure != null) {
-                loop.schedule(RETRY, () -> addForgotten(change, serving));
+                loop.schedule(RETRY, () -> addMissingRecords(change, serving));
               }
             });
   }
 
   /** Adds what this node told users last to the rebuild that another one has begun. */
   void contribute(Incarnation record, long version) {
-    if (contributed == record.number() || contributing) {
+    if (contributedRebuild == record.number() || contributing) {
       return;
     }
-    List<StateStoreProtocol.Change> known = new ArrayList<>(recent.all());
+    List<StateStoreProtocol.Change> known = new ArrayList<>(recentWrites.all());
     Incarnation remembered = client.keySpace().incarnation();
     if (remembered != null && remembered.number() == record.origin().incarnationNumber()) {
       known.addAll(replica.immutableRecordsSince(record.origin().revision()));
@@ -134,7 +134,7 @@
           new StateStoreProtocol.Change(record.toPhysical(change.key()), change.value(), 0));
     }
     if (changes.isEmpty()) {
-      contributed = record.number();
+      contributedRebuild = record.number();
       return;
     }
     contributing = true;
@@ -143,7 +143,7 @@
 
   private void addContributions(
       Incarnation record, long version, List<StateStoreProtocol.Change> changes) {
-    int count = Math.min(changes.size(), timings.maxChanges() / 2);
+    int count = Math.min(changes.size(), timings.maxTransactionChanges() / 2);
     List<StateStoreProtocol.Change> batch = changes.subList(0, count);
     rateLimiter.forceAcquire(count);
     client
@@ -156,7 +156,7 @@
                 addContributions(record, version, changes.subList(count, changes.size()));
               } else {
                 contributing = false;
-                contributed = record.number();
+                contributedRebuild = record.number();
               }
             });
   }
--- a/src/main/java/io/cherryspool/recovery/SnapshotDirectory.java
+++ b/src/main/java/io/cherryspool/recovery/DirectorySnapshotStore.java
@@ -16,7 +16,7 @@
  * Snapshots as files of one directory. A file is written beside, forced to the disk and renamed, so
  * that a name never stands for half a file, and the directory is forced as well.
  */
-public final class SnapshotDirectory implements SnapshotStore {
+public final class DirectorySnapshotStore implements SnapshotStore {
   /** What the names of snapshots end with. */
   public static final String SUFFIX = ".snapshot";
 
@@ -24,7 +24,7 @@
 
   private final Path directory;
 
-  public SnapshotDirectory(Path directory) {
+  public DirectorySnapshotStore(Path directory) {
     this.directory = directory;
   }
 
--- a/src/main/java/io/cherryspool/recovery/Peer.java
+++ b/src/main/java/io/cherryspool/recovery/Peer.java
@@ -3,6 +3,6 @@
 /**
  * Another node, as its newest heartbeat describes it.
  *
- * @param reachesState whether it reaches the state service
+ * @param isStateStoreReachable whether it reaches the state service
  */
-public record Peer(String node, boolean reachesState, NodeMemory memory) {}
+public record Peer(String node, boolean isStateStoreReachable, RetainedRecords retainedRecords) {}
--- a/src/main/java/io/cherryspool/recovery/Rebuilder.java
+++ b/src/main/java/io/cherryspool/recovery/Rebuilder.java
@@ -175,7 +175,7 @@
     for (Incarnation earlier : new Incarnation[] {plan.lost(), plan.interrupted()}) {
       if (earlier != null) {
         RecordsSnapshot remains = OrphanedRecords.read(left, earlier);
-        RecordsSnapshot merged = PictureMerge.merge(known, remains);
+        RecordsSnapshot merged = SnapshotMerge.merge(known, remains);
         added |= merged.jobs() != known.jobs() || merged.term() != known.term();
         known = merged;
       }
@@ -183,7 +183,7 @@
     complete = record.isComplete() && !added;
     picture = withRecent(known, plan.recent()).withTermAtLeast(plan.term());
     chunks =
-        RecordsSnapshotCodec.encode(picture.jobs(), Records.maxChunkBytes(timings.valueBytes()));
+        RecordsSnapshotCodec.encode(picture.jobs(), Records.maxChunkBytes(timings.maxValueBytes()));
     LOG.info(
         "writing {} jobs in {} bundles as incarnation {}; what was left {}",
         picture.jobs().size(),
@@ -209,7 +209,7 @@
     List<StateStoreProtocol.Change> changes = new ArrayList<>();
     int bytes = 0;
     int next = from;
-    while (next < chunks.size() && changes.size() < timings.maxChanges()) {
+    while (next < chunks.size() && changes.size() < timings.maxTransactionChanges()) {
       int size = chunks.get(next).length * 4 / 3 + StateStoreProtocol.CHANGE_OVERHEAD_BYTES;
       if (bytes + size > StateStoreProtocol.MAX_TRANSACTION_VALUE_BYTES && !changes.isEmpty()) {
         break;
@@ -235,7 +235,7 @@
     commit(
         changes,
         () -> {
-          contributionsUntil = loop.now().plus(timings.patience());
+          contributionsUntil = loop.now().plus(timings.maxWait());
           awaitContributions();
         });
   }
@@ -273,7 +273,7 @@
 
   /** The next transaction goes when the service's limit on changes allows for this one. */
   private void paced(Duration sent, int changes, Runnable next) {
-    Duration due = sent.plusNanos((long) (changes * 1e9 / timings.writeRate()));
+    Duration due = sent.plusNanos((long) (changes * 1e9 / timings.changesPerSecond()));
     Duration wait = due.minus(loop.now());
     loop.schedule(wait.isNegative() ? Duration.ZERO : wait, next);
   }
--- a/src/main/java/io/cherryspool/recovery/RecentWrites.java
+++ b/src/main/java/io/cherryspool/recovery/RecentWrites.java
@@ -25,7 +25,7 @@
   }
 
   /** The copy holds everything up to this revision. */
-  void dropUntil(long revision) {
+  void removeUpTo(long revision) {
     writes.removeIf(write -> write.revision <= revision);
   }
 
--- a/src/main/java/io/cherryspool/recovery/Reconciliation.java
+++ b/src/main/java/io/cherryspool/recovery/Reconciliation.java
@@ -19,7 +19,7 @@
     /** It runs, and is to be recorded as owned where it runs. */
     ADOPT,
     /** It has completed, and is to be recorded as done. */
-    COUNT_DONE,
+    RECORD_DONE,
     /** Nobody has described its job; it is neither stopped nor forgotten. */
     LEAVE,
     /** The records are newer: it is stopped or forgotten as ever. */
@@ -32,7 +32,7 @@
    *
    * @param entry the task's job, null if it is not known
    */
-  public static boolean knowsStart(JobRecord entry, WorkerHeartbeat.TaskStatus item) {
+  public static boolean isStartRecorded(JobRecord entry, WorkerHeartbeat.TaskStatus item) {
     if (entry == null) {
       return false;
     }
@@ -74,7 +74,7 @@
     }
     if (item.state() == WorkerHeartbeat.TaskState.EXITED) {
       return item.cause() == WorkerHeartbeat.ExitCause.DONE
-          ? Decision.COUNT_DONE
+          ? Decision.RECORD_DONE
           : Decision.DISCARD;
     }
     int attempts = shard.history(task).attempts();
--- a/src/main/java/io/cherryspool/recovery/Recovery.java
+++ b/src/main/java/io/cherryspool/recovery/Recovery.java
@@ -34,19 +34,19 @@
   private final RecoveryTimings timings;
   private final ClusterNode node;
   private final Contributions contributions;
-  private final RecoveryEvents events = new RecoveryEvents();
+  private final RecoveryStatistics statistics = new RecoveryStatistics();
 
-  private NodeMemory.Phase phase = NodeMemory.Phase.STARTING;
+  private RetainedRecords.Phase phase = RetainedRecords.Phase.STARTING;
   private Duration since;
   private long floor;
-  private RecordsSnapshot memory;
+  private RecordsSnapshot retainedRecords;
 
   /** The incarnation whose loss this node has seen, null if it has seen none. */
   private Incarnation lost;
 
   private boolean ledSurely;
   private boolean reading;
-  private Duration lastAnswer;
+  private Duration lastAnsweredRequestSentAt;
 
   /** The rebuild of another node that was last seen, and since when. */
   private String seenNonce = "";
@@ -75,7 +75,7 @@
     this.random = random;
     this.timings = timings;
     this.node = node;
-    this.memory = snapshot;
+    this.retainedRecords = snapshot;
     this.since = loop.now();
     this.contributions = new Contributions(loop, client, rateLimiter, replica, timings);
   }
@@ -98,45 +98,55 @@
   }
 
   /** What this node tells the others with its heartbeats. */
-  public NodeMemory memory() {
-    if (phase == NodeMemory.Phase.SERVING) {
+  public RetainedRecords retainedRecords() {
+    if (phase == RetainedRecords.Phase.SERVING) {
       Incarnation present = client.keySpace().incarnation();
       Incarnation.HistoryPosition reached =
           new Incarnation.HistoryPosition(present.number(), replica.revision());
-      return new NodeMemory(phase, present.nonce(), reached, false, contributions.contributed());
+      return new RetainedRecords(
+          phase, present.nonce(), reached, false, contributions.contributedRebuild());
     }
-    return new NodeMemory(
-        phase, memory.nonce(), memory.position(), ledSurely, contributions.contributed());
+    return new RetainedRecords(
+        phase,
+        retainedRecords.nonce(),
+        retainedRecords.position(),
+        ledSurely,
+        contributions.contributedRebuild());
   }
 
   /** Whether the records may be relied on. */
-  public boolean serving() {
-    return phase == NodeMemory.Phase.SERVING;
+  public boolean isServing() {
+    return phase == RetainedRecords.Phase.SERVING;
   }
 
   /** When the last request that succeeded while not serving was sent; null if none was. */
-  public Duration lastAnswer() {
-    return lastAnswer;
+  public Duration lastAnsweredRequestSentAt() {
+    return lastAnsweredRequestSentAt;
   }
 
   /** What has happened since the node started. */
-  public RecoveryEvents events() {
-    return events;
+  public RecoveryStatistics statistics() {
+    return statistics;
   }
 
   /**
    * A worker or another node has shown a term. Terms are recorded before anybody hears of them, so
    * that one which a later reading does not show was lost.
    */
-  public void termShown(long term) {
-    if (phase != NodeMemory.Phase.SERVING || term <= replica.term() || !replica.isReconciled()) {
+  public void observeTerm(long term) {
+    if (phase != RetainedRecords.Phase.SERVING
+        || term <= replica.term()
+        || !replica.isReconciled()) {
       return;
     }
     replica
         .refresh()
         .whenComplete(
             (nothing, failure) -> {
-              if (failure == null && serving() && replica.term() < term && replica.isReconciled()) {
+              if (failure == null
+                  && isServing()
+                  && replica.term() < term
+                  && replica.isReconciled()) {
                 reportLoss(Loss.TERM_MISSING, "term " + term + " after term " + replica.term());
               }
             });
@@ -144,7 +154,7 @@
 
   @Override
   public long minimumRevision() {
-    return phase == NodeMemory.Phase.SERVING ? floor : 0;
+    return phase == RetainedRecords.Phase.SERVING ? floor : 0;
   }
 
   @Override
@@ -153,7 +163,7 @@
       reportLoss(Loss.REVISION_WENT_BACK, "revision " + revision + " after " + atSending);
       return false;
     }
-    if (phase == NodeMemory.Phase.SERVING) {
+    if (phase == RetainedRecords.Phase.SERVING) {
       floor = Math.max(floor, revision);
     }
     return true;
@@ -161,11 +171,11 @@
 
   @Override
   public void onIncarnationChanged() {
-    if (phase == NodeMemory.Phase.SERVING) {
+    if (phase == RetainedRecords.Phase.SERVING) {
       LOG.info("the records are of another incarnation now");
       remember();
     }
-    if (phase == NodeMemory.Phase.SERVING || phase == NodeMemory.Phase.STARTING) {
+    if (phase == RetainedRecords.Phase.SERVING || phase == RetainedRecords.Phase.STARTING) {
       hold();
     }
   }
@@ -174,13 +184,14 @@
   public void reportLoss(Loss loss, String detail) {
     Incarnation present = client.keySpace().incarnation();
     boolean known = lost != null && present != null && sameBuild(lost, present);
-    if (phase == NodeMemory.Phase.REBUILDING || phase == NodeMemory.Phase.HOLDING && known) {
+    if (phase == RetainedRecords.Phase.REBUILDING
+        || phase == RetainedRecords.Phase.HOLDING && known) {
       return;
     }
-    events.lost(loss);
+    statistics.lost(loss);
     LOG.warn("the state service has lost data ({}): {}; holding until it is rebuilt", loss, detail);
     // One that leads what was rebuilt from part of it does not know of every start either.
-    ledSurely = node.leadsSurely() && !loss.showsAnotherLeader() && replica.isFullyReconciled();
+    ledSurely = node.isSoleLeader() && !loss.showsAnotherLeader() && replica.isFullyReconciled();
     lost = present;
     remember();
     hold();
@@ -188,55 +199,56 @@
 
   private void remember() {
     // A snapshot may hold what the records lack although they reach further: both are true.
-    memory = PictureMerge.merge(memory, replica.snapshot());
+    retainedRecords = SnapshotMerge.merge(retainedRecords, replica.snapshot());
   }
 
   private void hold() {
-    phase = NodeMemory.Phase.HOLDING;
+    phase = RetainedRecords.Phase.HOLDING;
     since = loop.now();
     replica.suspend();
-    node.servingChanged();
+    node.onServingChanged();
   }
 
   @Override
   public void onCommitApplied(List<StateStoreProtocol.Change> changes, long revision) {
-    contributions.noteApplied(changes, revision);
+    contributions.recordApplied(changes, revision);
   }
 
   @Override
   public void onRecordsLoaded() {
-    if (phase == NodeMemory.Phase.SERVING) {
+    if (phase == RetainedRecords.Phase.SERVING) {
       return;
     }
     Incarnation present = client.keySpace().incarnation();
     boolean same =
-        memory.position().incarnationNumber() == present.number()
-            && memory.nonce().equals(present.nonce());
+        retainedRecords.position().incarnationNumber() == present.number()
+            && retainedRecords.nonce().equals(present.nonce());
     if (same && misses(present)) {
       return;
     }
-    phase = NodeMemory.Phase.SERVING;
+    phase = RetainedRecords.Phase.SERVING;
     floor = replica.revision();
     // Before anybody is answered: the others may know that these records are too old.
     raiseFloor();
     lost = null;
     ledSurely = false;
-    events.serving(loop.now().minus(since));
+    statistics.serving(loop.now().minus(since));
     LOG.info("serving incarnation {} from revision {}", present.number(), floor);
-    int added = contributions.addForgotten(memory, this::serving);
-    memory = RecordsSnapshot.EMPTY;
-    events.added(added);
-    node.servingChanged();
+    int added = contributions.addMissingRecords(retainedRecords, this::isServing);
+    retainedRecords = RecordsSnapshot.EMPTY;
+    statistics.addedRecords(added);
+    node.onServingChanged();
   }
 
   /** Whether the records lack what this node remembers of the same incarnation. */
   private boolean misses(Incarnation present) {
-    if (replica.revision() < memory.position().revision()) {
+    if (replica.revision() < retainedRecords.position().revision()) {
       reportLoss(
-          Loss.REVISION_WENT_BACK, replica.revision() + " after " + memory.position().revision());
+          Loss.REVISION_WENT_BACK,
+          replica.revision() + " after " + retainedRecords.position().revision());
       return true;
     }
-    for (String id : memory.jobs().keySet()) {
+    for (String id : retainedRecords.jobs().keySet()) {
       if (replica.job(id) == null) {
         reportLoss(Loss.RECORDS_GONE, "job " + id + " of incarnation " + present.number());
         return true;
@@ -248,7 +260,8 @@
   private void tick() {
     timer = loop.schedule(TICK, this::tick);
     raiseFloor();
-    boolean idle = phase != NodeMemory.Phase.SERVING && phase != NodeMemory.Phase.REBUILDING;
+    boolean idle =
+        phase != RetainedRecords.Phase.SERVING && phase != RetainedRecords.Phase.REBUILDING;
     if (idle && !reading && !replica.isLoading()) {
       readRecord();
     }
@@ -256,13 +269,13 @@
 
   /** What another node has seen of the same history, this one must see too. */
   private void raiseFloor() {
-    if (phase != NodeMemory.Phase.SERVING) {
+    if (phase != RetainedRecords.Phase.SERVING) {
       return;
     }
     Incarnation present = client.keySpace().incarnation();
     for (Peer peer : node.peers()) {
-      if (peer.memory().isOf(present)) {
-        floor = Math.max(floor, peer.memory().origin().revision());
+      if (peer.retainedRecords().belongsTo(present)) {
+        floor = Math.max(floor, peer.retainedRecords().position().revision());
       }
     }
   }
@@ -276,8 +289,8 @@
         .whenComplete(
             (found, failure) -> {
               reading = false;
-              lastAnswer = failure == null ? sent : lastAnswer;
-              if (failure == null && !serving() && phase != NodeMemory.Phase.REBUILDING) {
+              lastAnsweredRequestSentAt = failure == null ? sent : lastAnsweredRequestSentAt;
+              if (failure == null && !isServing() && phase != RetainedRecords.Phase.REBUILDING) {
                 decide(found);
               }
             });
@@ -289,17 +302,18 @@
       decideWithoutRecord();
       return;
     }
-    if (!memory.cluster().isEmpty() && !memory.cluster().equals(record.cluster())) {
-      if (!events.foreign()) {
+    if (!retainedRecords.cluster().isEmpty()
+        && !retainedRecords.cluster().equals(record.cluster())) {
+      if (!statistics.hasFoundOtherCluster()) {
         LOG.error(
             "the state service holds cluster {}, and this node belongs to {}",
             record.cluster(),
-            memory.cluster());
+            retainedRecords.cluster());
       }
-      events.foreignFound();
+      statistics.foreignFound();
       return;
     }
-    boolean older = record.number() < memory.position().incarnationNumber();
+    boolean older = record.number() < retainedRecords.position().incarnationNumber();
     boolean same = lost != null && sameBuild(record, lost);
     if (record.phase() == Incarnation.Phase.SERVING && !older && !same) {
       if (heardEnough() && !heldByOthers(record)) {
@@ -307,7 +321,7 @@
       }
       return;
     }
-    if (phase == NodeMemory.Phase.STARTING) {
+    if (phase == RetainedRecords.Phase.STARTING) {
       hold();
     }
     if (record.phase() == Incarnation.Phase.REBUILDING) {
@@ -323,28 +337,28 @@
   /** Whether another node knows that this incarnation's records are not to be relied on. */
   private boolean heldByOthers(Incarnation record) {
     return node.peers().stream()
-        .map(Peer::memory)
+        .map(Peer::retainedRecords)
         .anyMatch(
             known ->
-                known.isOf(record)
-                    && (known.phase() == NodeMemory.Phase.HOLDING
-                        || known.phase() == NodeMemory.Phase.REBUILDING));
+                known.belongsTo(record)
+                    && (known.phase() == RetainedRecords.Phase.HOLDING
+                        || known.phase() == RetainedRecords.Phase.REBUILDING));
   }
 
   /** A starting node listens to the others first: they may know that the records are too old. */
   private boolean heardEnough() {
-    return phase == NodeMemory.Phase.HOLDING
-        || loop.now().minus(since).compareTo(timings.gather()) > 0
+    return phase == RetainedRecords.Phase.HOLDING
+        || loop.now().minus(since).compareTo(timings.gatheringTime()) > 0
         || node.peers().size() == node.peerCount();
   }
 
   private void decideWithoutRecord() {
-    boolean remembered = memory.position().incarnationNumber() >= 0;
+    boolean remembered = retainedRecords.position().incarnationNumber() >= 0;
     for (Peer peer : node.peers()) {
-      remembered |= peer.memory().remembers();
+      remembered |= peer.retainedRecords().hasRecords();
     }
     if (remembered) {
-      if (phase == NodeMemory.Phase.STARTING) {
+      if (phase == RetainedRecords.Phase.STARTING) {
         hold();
       }
       considerRebuild(null, 0);
@@ -360,8 +374,8 @@
   private boolean nobodyRemembers() {
     Duration waited = loop.now().minus(since);
     boolean allHeard = node.peers().size() == node.peerCount();
-    return waited.compareTo(timings.patience()) > 0
-        || waited.compareTo(timings.gather()) > 0 && allHeard && node.workersRemember();
+    return waited.compareTo(timings.maxWait()) > 0
+        || waited.compareTo(timings.gatheringTime()) > 0 && allHeard && node.hasWorkerShownToken();
   }
 
   /**
@@ -380,8 +394,8 @@
               if (failure != null) {
                 return;
               }
-              if (page.items().isEmpty() && node.workersRemember()) {
-                events.lost(Loss.INCARNATION_GONE);
+              if (page.items().isEmpty() && node.hasWorkerShownToken()) {
+                statistics.lost(Loss.INCARNATION_GONE);
                 LOG.warn(
                     "the state service is empty, and workers have served: all records are lost");
                 hold();
@@ -414,25 +428,25 @@
    */
   private void considerRebuild(Incarnation record, long version) {
     Duration waited = loop.now().minus(since);
-    if (waited.compareTo(timings.gather()) < 0) {
+    if (waited.compareTo(timings.gatheringTime()) < 0) {
       return;
     }
-    boolean patient = waited.compareTo(timings.patience()) < 0;
-    boolean remembers = memory.position().incarnationNumber() >= 0;
+    boolean patient = waited.compareTo(timings.maxWait()) < 0;
+    boolean remembers = retainedRecords.position().incarnationNumber() >= 0;
     boolean ownBetter =
         record != null
             && record.phase() == Incarnation.Phase.REBUILDING
             && (ledSurely || !record.isComplete())
-            && memory.position().compareTo(record.origin()) > 0;
+            && retainedRecords.position().compareTo(record.origin()) > 0;
     if (!ownBetter && record != null && underWay(record)) {
       return;
     }
     // A node that still serves hears of the loss by this one's revision, unless only workers tell
     // it; then all that it has told is in what the service holds, which the rebuild reads.
-    boolean unaware = waited.compareTo(timings.gather().multipliedBy(2)) > 0;
+    boolean unaware = waited.compareTo(timings.gatheringTime().multipliedBy(2)) > 0;
     for (Peer peer : node.peers()) {
-      boolean serves = peer.memory().phase() == NodeMemory.Phase.SERVING;
-      if (better(peer) && (peer.reachesState() || patient) && !(serves && unaware)) {
+      boolean serves = peer.retainedRecords().phase() == RetainedRecords.Phase.SERVING;
+      if (better(peer) && (peer.isStateStoreReachable() || patient) && !(serves && unaware)) {
         return;
       }
     }
@@ -455,11 +469,11 @@
     }
     for (Peer peer : node.peers()) {
       if (peer.node().equals(record.rebuilder())) {
-        return peer.memory().phase() == NodeMemory.Phase.REBUILDING;
+        return peer.retainedRecords().phase() == RetainedRecords.Phase.REBUILDING;
       }
     }
     return !record.rebuilder().equals(node.name())
-        && loop.now().minus(seenSince).compareTo(timings.gather().multipliedBy(2)) < 0;
+        && loop.now().minus(seenSince).compareTo(timings.gatheringTime().multipliedBy(2)) < 0;
   }
 
   /**
@@ -467,19 +481,19 @@
    * Of the rest, the one whose memory reaches furthest.
    */
   private boolean better(Peer peer) {
-    if (peer.memory().led() != ledSurely) {
-      return peer.memory().led();
+    if (peer.retainedRecords().wasSoleLeader() != ledSurely) {
+      return peer.retainedRecords().wasSoleLeader();
     }
-    int order = peer.memory().origin().compareTo(memory.position());
+    int order = peer.retainedRecords().position().compareTo(retainedRecords.position());
     return order > 0 || order == 0 && peer.node().compareTo(node.name()) < 0;
   }
 
   private void rebuild(Incarnation record, long version) {
-    long number = memory.position().incarnationNumber();
+    long number = retainedRecords.position().incarnationNumber();
     for (Peer peer : node.peers()) {
-      number = Math.max(number, peer.memory().origin().incarnationNumber());
+      number = Math.max(number, peer.retainedRecords().position().incarnationNumber());
     }
-    String cluster = memory.cluster();
+    String cluster = retainedRecords.cluster();
     Incarnation interrupted = null;
     if (record != null) {
       number = Math.max(number, record.number());
@@ -487,16 +501,18 @@
       interrupted = lost != null && sameBuild(record, lost) ? null : record;
     }
     // Of two that led, one did so in what came after the loss, and knows of no start before it.
-    boolean onlyLeader = ledSurely && node.peers().stream().noneMatch(peer -> peer.memory().led());
-    phase = NodeMemory.Phase.REBUILDING;
-    events.rebuilding();
+    boolean onlyLeader =
+        ledSurely
+            && node.peers().stream().noneMatch(peer -> peer.retainedRecords().wasSoleLeader());
+    phase = RetainedRecords.Phase.REBUILDING;
+    statistics.rebuilding();
     Incarnation next =
         Incarnation.newRebuild(
             cluster.isEmpty() ? nonce() : cluster,
             Math.max(number, 0) + 1,
             nonce(),
             node.name(),
-            memory.position(),
+            retainedRecords.position(),
             onlyLeader);
     rebuilder =
         new Rebuilder(
@@ -509,9 +525,9 @@
                 version,
                 lost,
                 interrupted,
-                memory,
-                contributions.recent(),
-                Math.max(node.knownTerm(), memory.term())),
+                retainedRecords,
+                contributions.recentWrites(),
+                Math.max(node.highestKnownTerm(), retainedRecords.term())),
             this::allContributed,
             this::rebuildEnded);
     rebuilder.start();
@@ -519,7 +535,8 @@
 
   private boolean allContributed() {
     for (Peer peer : node.peers()) {
-      if (peer.reachesState() && peer.memory().contributed() != rebuilder.number()) {
+      if (peer.isStateStoreReachable()
+          && peer.retainedRecords().contributedRebuild() != rebuilder.number()) {
         return false;
       }
     }
@@ -528,7 +545,7 @@
 
   private void rebuildEnded(boolean finished) {
     rebuilder = null;
-    phase = NodeMemory.Phase.HOLDING;
+    phase = RetainedRecords.Phase.HOLDING;
     // A better memory may be about; otherwise this node's next attempt need not wait again.
     since = finished ? since : loop.now();
     readRecord();
--- a/src/main/java/io/cherryspool/recovery/RecoveryEvents.java
+++ b/src/main/java/io/cherryspool/recovery/RecoveryStatistics.java
@@ -4,13 +4,13 @@
 import java.time.Duration;
 
 /** Counts of what a node's recovery has seen and done, for metrics and the status. */
-public final class RecoveryEvents {
+public final class RecoveryStatistics {
   private int losses;
   private int rebuilds;
-  private int added;
+  private int addedRecords;
   private RollbackDetector.Loss lastLoss;
   private Duration lastHold = Duration.ZERO;
-  private boolean foreign;
+  private boolean hasFoundOtherCluster;
 
   void lost(RollbackDetector.Loss loss) {
     losses++;
@@ -21,17 +21,17 @@
     rebuilds++;
   }
 
-  void added(int records) {
-    added += records;
+  void addedRecords(int records) {
+    addedRecords += records;
   }
 
   void foreignFound() {
-    foreign = true;
+    hasFoundOtherCluster = true;
   }
 
   void serving(Duration held) {
     lastHold = held;
-    foreign = false;
+    hasFoundOtherCluster = false;
   }
 
   /** How often this node has seen a loss. */
@@ -45,8 +45,8 @@
   }
 
   /** Records that it added after a rebuild that did not know them. */
-  public int added() {
-    return added;
+  public int addedRecords() {
+    return addedRecords;
   }
 
   /** How the last loss showed, null if there was none. */
@@ -60,7 +60,7 @@
   }
 
   /** Whether the state service holds another cluster's records. */
-  public boolean foreign() {
-    return foreign;
+  public boolean hasFoundOtherCluster() {
+    return hasFoundOtherCluster;
   }
 }
--- a/src/main/java/io/cherryspool/recovery/Snapshot.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotFile.java
@@ -21,9 +21,9 @@
  * a copy that is cut short, changed, of another cluster or of a later program is told from a good
  * one.
  *
- * @param taken the time of day at which it was taken
+ * @param takenAt the time of day at which it was taken
  */
-public record Snapshot(RecordsSnapshot picture, Instant taken) {
+public record SnapshotFile(RecordsSnapshot records, Instant takenAt) {
   /** Of the files that this program writes, and the newest that it reads. */
   public static final int FORMAT = 1;
 
@@ -50,12 +50,12 @@
   }
 
   /** A snapshot that can't be used. */
-  public static final class FaultException extends Exception {
+  public static final class InvalidSnapshotException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final Fault fault;
 
-    FaultException(Fault fault, String message) {
+    InvalidSnapshotException(Fault fault, String message) {
       super(message);
       this.fault = fault;
     }
@@ -67,18 +67,18 @@
 
   /** The bytes to keep. */
   public byte[] encode() {
-    List<byte[]> chunks = RecordsSnapshotCodec.encode(picture.jobs(), CHUNK_BYTES);
+    List<byte[]> chunks = RecordsSnapshotCodec.encode(records.jobs(), CHUNK_BYTES);
     ObjectNode head = Json.object().put("cherryspool", "snapshot").put("format", FORMAT);
-    head.put("cluster", picture.cluster());
-    head.put("incarnation", picture.position().incarnationNumber());
-    head.put("nonce", picture.nonce());
-    head.put("revision", picture.position().revision());
-    head.put("term", picture.term());
-    head.put("taken", taken.toEpochMilli());
-    head.put("jobs", picture.jobs().size());
+    head.put("cluster", records.cluster());
+    head.put("incarnation", records.position().incarnationNumber());
+    head.put("nonce", records.nonce());
+    head.put("revision", records.position().revision());
+    head.put("term", records.term());
+    head.put("taken", takenAt.toEpochMilli());
+    head.put("jobs", records.jobs().size());
     head.put("digest", RecordsSnapshotCodec.digest(chunks));
-    if (picture.catalog() != null) {
-      head.set("catalog", picture.catalog());
+    if (records.catalog() != null) {
+      head.set("catalog", records.catalog());
     }
     ArrayNode lengths = head.putArray("chunks");
     chunks.forEach(chunk -> lengths.add(chunk.length));
@@ -92,9 +92,9 @@
   /**
    * Reads what {@link #encode} wrote.
    *
-   * @throws FaultException naming what is wrong with the bytes
+   * @throws InvalidSnapshotException naming what is wrong with the bytes
    */
-  public static Snapshot decode(byte[] bytes) throws FaultException {
+  public static SnapshotFile decode(byte[] bytes) throws InvalidSnapshotException {
     int end = 0;
     while (end < bytes.length && bytes[end] != NEWLINE) {
       end++;
@@ -103,20 +103,20 @@
         bytes.length >= BEGIN.length
             && Arrays.equals(bytes, 0, BEGIN.length, BEGIN, 0, BEGIN.length);
     if (!begins) {
-      throw new FaultException(Fault.NOT_A_SNAPSHOT, "it does not begin like one");
+      throw new InvalidSnapshotException(Fault.NOT_A_SNAPSHOT, "it does not begin like one");
     }
     if (end == bytes.length) {
-      throw new FaultException(Fault.TORN, "it ends within its first line");
+      throw new InvalidSnapshotException(Fault.TORN, "it ends within its first line");
     }
     JsonNode head = head(Arrays.copyOf(bytes, end));
     int format = head.path("format").intValue();
     if (format > FORMAT) {
-      throw new FaultException(
+      throw new InvalidSnapshotException(
           Fault.NEWER_FORMAT, "format " + format + ", and this program reads up to " + FORMAT);
     }
     List<byte[]> chunks = chunks(bytes, end + 1, head);
     if (!RecordsSnapshotCodec.digest(chunks).equals(head.path("digest").asText())) {
-      throw new FaultException(Fault.DAMAGED, "the digest does not match");
+      throw new InvalidSnapshotException(Fault.DAMAGED, "the digest does not match");
     }
     try {
       RecordsSnapshot picture =
@@ -128,34 +128,35 @@
               head.path("term").longValue(),
               head.has("catalog") ? head.path("catalog") : null,
               RecordsSnapshotCodec.decode(chunks));
-      return new Snapshot(picture, Instant.ofEpochMilli(head.path("taken").longValue()));
+      return new SnapshotFile(picture, Instant.ofEpochMilli(head.path("taken").longValue()));
     } catch (MalformedMessageException e) {
-      throw new FaultException(Fault.DAMAGED, e.getMessage());
+      throw new InvalidSnapshotException(Fault.DAMAGED, e.getMessage());
     }
   }
 
-  private static JsonNode head(byte[] line) throws FaultException {
+  private static JsonNode head(byte[] line) throws InvalidSnapshotException {
     try {
       return Json.parseObject(line);
     } catch (MalformedMessageException e) {
-      throw new FaultException(Fault.DAMAGED, "its first line is " + e.getMessage());
+      throw new InvalidSnapshotException(Fault.DAMAGED, "its first line is " + e.getMessage());
     }
   }
 
-  private static List<byte[]> chunks(byte[] bytes, int start, JsonNode head) throws FaultException {
+  private static List<byte[]> chunks(byte[] bytes, int start, JsonNode head)
+      throws InvalidSnapshotException {
     List<byte[]> chunks = new ArrayList<>();
     int at = start;
     for (JsonNode length : head.path("chunks")) {
       int size = length.intValue();
       if (size < 0 || size > bytes.length - at) {
-        throw new FaultException(
+        throw new InvalidSnapshotException(
             Fault.TORN, "chunk " + chunks.size() + " of " + head.path("chunks").size() + " is cut");
       }
       chunks.add(Arrays.copyOfRange(bytes, at, at + size));
       at += size;
     }
     if (at != bytes.length) {
-      throw new FaultException(Fault.DAMAGED, bytes.length - at + " bytes too many");
+      throw new InvalidSnapshotException(Fault.DAMAGED, bytes.length - at + " bytes too many");
     }
     return chunks;
   }
--- a/src/main/java/io/cherryspool/recovery/PictureMerge.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotMerge.java
@@ -19,7 +19,7 @@
  * over everything; for each job an end over none, and done over cancelled. The join is commutative,
  * associative and idempotent, so that neither the order of sources nor reading one twice matters.
  */
-public final class PictureMerge {
+public final class SnapshotMerge {
   /** Two attempts of one number come only from a leader without memory; the later token wins. */
   private static final Comparator<Attempt> BY_TOKEN =
       Comparator.comparingLong(Attempt::fencingToken)
@@ -30,7 +30,7 @@
   private static final Comparator<Job> BY_DESCRIPTION =
       Comparator.comparing(Job::submittedAt).thenComparing(Job::toString);
 
-  private PictureMerge() {}
+  private SnapshotMerge() {}
 
   /** Both together; the first one's cluster and origin where they differ in nothing else. */
   public static RecordsSnapshot merge(RecordsSnapshot one, RecordsSnapshot other) {
@@ -57,7 +57,7 @@
   /** The first job itself where the second adds nothing to it. */
   static JobSnapshot merge(JobSnapshot one, JobSnapshot other) {
     JobSnapshot base = BY_DESCRIPTION.compare(one.job(), other.job()) <= 0 ? one : other;
-    Outcome outcome = furthest(one.outcome(), other.outcome());
+    Outcome outcome = latest(one.outcome(), other.outcome());
     if (base.tasksPerShard() != one.tasksPerShard()
         || base.tasksPerShard() != other.tasksPerShard()) {
       int size = base.tasksPerShard();
@@ -75,7 +75,7 @@
     return same ? one : new JobSnapshot(base.job(), base.tasksPerShard(), outcome, shards);
   }
 
-  private static Outcome furthest(Outcome one, Outcome other) {
+  private static Outcome latest(Outcome one, Outcome other) {
     if (one == Outcome.DONE || other == Outcome.DONE) {
       return Outcome.DONE;
     }
--- a/src/main/java/io/cherryspool/recovery/Snapshots.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotRepository.java
@@ -12,36 +12,36 @@
  * Takes snapshots into a store and finds the newest good one. The picture is immutable, so that
  * writing it needs no pause of anything else and may be done on another thread.
  */
-public final class Snapshots {
-  private static final Logger LOG = LoggerFactory.getLogger(Snapshots.class);
+public final class SnapshotRepository {
+  private static final Logger LOG = LoggerFactory.getLogger(SnapshotRepository.class);
 
   /** The newest may turn out to be damaged when it is needed. */
   private static final int KEPT = 3;
 
   private final SnapshotStore store;
 
-  public Snapshots(SnapshotStore store) {
+  public SnapshotRepository(SnapshotStore store) {
     this.store = store;
   }
 
   /** What a snapshot cost, or why there is none. */
-  public record Written(String name, int bytes, long nanos, String failure) {}
+  public record WriteResult(String name, int bytes, long durationNanos, String failure) {}
 
   /** Writes a snapshot and drops the oldest; a failure leaves those that are there. */
-  public Written write(RecordsSnapshot picture, Instant now) {
+  public WriteResult write(RecordsSnapshot picture, Instant now) {
     long begun = System.nanoTime();
     String name = name(picture, now);
     try {
-      byte[] bytes = new Snapshot(picture, now).encode();
+      byte[] bytes = new SnapshotFile(picture, now).encode();
       store.write(name, bytes);
       List<String> names = store.names();
       for (int i = KEPT; i < names.size(); i++) {
         store.delete(names.get(i));
       }
-      return new Written(name, bytes.length, System.nanoTime() - begun, null);
+      return new WriteResult(name, bytes.length, System.nanoTime() - begun, null);
     } catch (IOException | RuntimeException e) {
       LOG.error("snapshot {} can't be written to {}: {}", name, store, e.toString());
-      return new Written(name, 0, System.nanoTime() - begun, e.toString());
+      return new WriteResult(name, 0, System.nanoTime() - begun, e.toString());
     }
   }
 
@@ -52,11 +52,11 @@
         picture.position().incarnationNumber(),
         picture.position().revision(),
         now.toEpochMilli(),
-        SnapshotDirectory.SUFFIX);
+        DirectorySnapshotStore.SUFFIX);
   }
 
   /** The newest snapshot that is good; each that is not is named in the log. */
-  public Optional<Snapshot> newest() {
+  public Optional<SnapshotFile> readNewest() {
     List<String> names;
     try {
       names = store.names();
@@ -66,15 +66,15 @@
     }
     for (String name : names) {
       try {
-        Snapshot found = Snapshot.decode(store.read(name));
+        SnapshotFile found = SnapshotFile.decode(store.read(name));
         LOG.info(
             "snapshot {}: {} jobs up to incarnation {} revision {}",
             name,
-            found.picture().jobs().size(),
-            found.picture().position().incarnationNumber(),
-            found.picture().position().revision());
+            found.records().jobs().size(),
+            found.records().position().incarnationNumber(),
+            found.records().position().revision());
         return Optional.of(found);
-      } catch (Snapshot.FaultException e) {
+      } catch (SnapshotFile.InvalidSnapshotException e) {
         LOG.error("snapshot {} is not used: {}: {}", name, e.fault(), e.getMessage());
       } catch (IOException e) {
         LOG.error("snapshot {} can't be read: {}", name, e.toString());
--- a/src/main/java/io/cherryspool/recovery/SnapshotWriter.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotWriter.java
@@ -21,10 +21,10 @@
   private final ClusterRecords replica;
   private final BooleanSupplier serving;
   private final Supplier<Instant> wall;
-  private final Snapshots snapshots;
+  private final SnapshotRepository snapshots;
   private final Executor background;
   private final Duration interval;
-  private volatile Snapshots.Written last;
+  private volatile SnapshotRepository.WriteResult lastResult;
   private volatile boolean writing;
   private Incarnation.HistoryPosition written = Incarnation.HistoryPosition.NONE;
   private Duration writtenAt;
@@ -35,7 +35,7 @@
       ClusterRecords replica,
       BooleanSupplier serving,
       Supplier<Instant> wall,
-      Snapshots snapshots,
+      SnapshotRepository snapshots,
       Executor background,
       Duration interval) {
     this.loop = loop;
@@ -64,7 +64,7 @@
     writtenAt = loop.now();
     background.execute(
         () -> {
-          last = snapshots.write(picture, now);
+          lastResult = snapshots.write(picture, now);
           writing = false;
         });
   }
@@ -77,8 +77,8 @@
   }
 
   /** What the last snapshot cost, null before the first. */
-  public Snapshots.Written last() {
-    return last;
+  public SnapshotRepository.WriteResult lastResult() {
+    return lastResult;
   }
 
   /** How old what is kept is, in seconds; -1 before the first. */
--- a/src/test/java/io/cherryspool/cli/RecoveryCommandsTest.java
+++ b/src/test/java/io/cherryspool/cli/RecoveryCommandsTest.java
@@ -5,7 +5,7 @@
 
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
-import io.cherryspool.recovery.Snapshot;
+import io.cherryspool.recovery.SnapshotFile;
 import io.cherryspool.store.RecordsSnapshot;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -67,7 +67,7 @@
   void snapshotsAreListedAndCheckedByName(@TempDir Path folder) throws Exception {
     assertEquals(1, run("snapshot", "list", folder.toString()), "none there");
     Path good = folder.resolve("1-1-1.snapshot");
-    Files.write(good, new Snapshot(RecordsSnapshot.EMPTY, Instant.EPOCH).encode());
+    Files.write(good, new SnapshotFile(RecordsSnapshot.EMPTY, Instant.EPOCH).encode());
     Path other = Files.writeString(folder.resolve("2-1-1.snapshot"), "hello");
     assertEquals(0, run("snapshot", "verify", good.toString()));
     assertEquals(1, run("snapshot", "verify", other.toString()));
--- a/src/test/java/io/cherryspool/controller/CutZoneTest.java
+++ b/src/test/java/io/cherryspool/controller/CutZoneTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.cherryspool.model.WorkerHeartbeat;
-import io.cherryspool.reachability.Contact;
-import io.cherryspool.reachability.FleetView;
+import io.cherryspool.reachability.ContactState;
+import io.cherryspool.reachability.FleetReachability;
 import io.cherryspool.reachability.Reachability;
 import io.cherryspool.reachability.ReachabilityFixture;
 import java.time.Duration;
@@ -38,16 +38,16 @@
   }
 
   private Set<String> cutAt(Duration now, Duration late) {
-    FleetView.Builder view = new FleetView.Builder();
+    FleetReachability.Builder view = new FleetReachability.Builder();
     Set<String> zones = new HashSet<>();
     for (MachineState machine : fleet) {
       zones.add(machine.zone());
-      Contact contact = machine.contactStanding(now.minus(late), Duration.ZERO);
-      view.add(machine.zone(), listed.contains(machine.name()), contact);
+      ContactState contact = machine.contactStanding(now.minus(late), Duration.ZERO);
+      view.addMachine(machine.zone(), listed.contains(machine.name()), contact);
     }
     Reachability reachability = ReachabilityFixture.reachability("node-0", List.of("node-1"));
     reachability.judge(now, true, true, view.build());
-    zones.removeIf(zone -> !reachability.holds(zone));
+    zones.removeIf(zone -> !reachability.isZoneEvictionSuspended(zone));
     return zones;
   }
 
--- a/src/test/java/io/cherryspool/controller/ElectionTest.java
+++ b/src/test/java/io/cherryspool/controller/ElectionTest.java
@@ -132,7 +132,7 @@
     begin();
     long lease = underLease();
     for (int i = 0; i < 3; i++) {
-      reachability.leadershipLost(time.now());
+      reachability.recordLeadershipLoss(time.now());
     }
     run(2);
     assertTrue(underLease() != lease, "the record is under another lease");
@@ -156,7 +156,7 @@
   void aLostAnswerToTheMoveOfTheRecordChangesNothing() {
     begin();
     for (int i = 0; i < 3; i++) {
-      reachability.leadershipLost(time.now());
+      reachability.recordLeadershipLoss(time.now());
     }
     line.next(StateServiceTransport.COMMIT, StateServiceTransport.Fate.LOSE_ANSWER);
     line.next(StateServiceTransport.COMMIT, StateServiceTransport.Fate.HOLD_REQUEST);
@@ -181,7 +181,7 @@
     }
     begin();
     for (int i = 0; i < 3; i++) {
-      reachability.leadershipLost(time.now());
+      reachability.recordLeadershipLoss(time.now());
     }
     run(2);
     long longest = underLease();
--- a/src/test/java/io/cherryspool/controller/MemoryWireTest.java
+++ b/src/test/java/io/cherryspool/controller/MemoryWireTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.cherryspool.mesh.Mesh;
-import io.cherryspool.recovery.NodeMemory;
+import io.cherryspool.recovery.RetainedRecords;
 import io.cherryspool.store.Incarnation;
 import org.junit.jupiter.api.Test;
 
@@ -11,9 +11,9 @@
  * That heartbeats carry a node's memory as version 0.1.0 did; HeartbeatFormatTest has the bytes.
  */
 class MemoryWireTest {
-  private static final NodeMemory MEMORY =
-      new NodeMemory(
-          NodeMemory.Phase.REBUILDING,
+  private static final RetainedRecords MEMORY =
+      new RetainedRecords(
+          RetainedRecords.Phase.REBUILDING,
           "9f3a",
           new Incarnation.HistoryPosition(3, 1L << 50),
           true,
@@ -29,6 +29,6 @@
   @Test
   void aPhaseOfALaterVersionIsOneInWhichTheNodeHolds() {
     Mesh.Memory later = new Mesh.Memory(4, 3, "9f3a", 1, false, 0);
-    assertEquals(NodeMemory.Phase.HOLDING, MemoryWire.decode(later).phase());
+    assertEquals(RetainedRecords.Phase.HOLDING, MemoryWire.decode(later).phase());
   }
 }
--- a/src/test/java/io/cherryspool/reachability/FlapDamperTest.java
+++ b/src/test/java/io/cherryspool/reachability/FlapDamperTest.java
@@ -16,25 +16,25 @@
 
   @Test
   void thePenaltyGrowsByOneAndHalves() {
-    damper.flap(at(10));
+    damper.recordFlap(at(10));
     assertEquals(1, damper.penalty(at(10)), 1e-9);
     assertEquals(0.5, damper.penalty(at(70)), 1e-9);
-    damper.flap(at(70));
+    damper.recordFlap(at(70));
     assertEquals(1.5, damper.penalty(at(70)), 1e-9);
-    assertEquals(2, damper.flaps());
+    assertEquals(2, damper.flapCount());
   }
 
   /** Between the two thresholds it stays what it was. */
   @Test
   void flappingBeginsAndEndsAtDifferentPenalties() {
-    damper.flap(at(0));
-    assertFalse(damper.flapping(at(0)), "a first failure is judged as ever");
-    damper.flap(at(0.5));
-    damper.flap(at(1));
-    assertTrue(damper.flapping(at(1)));
-    assertTrue(damper.flapping(at(60)), "1.5 is still too much");
-    assertFalse(damper.flapping(at(100)), "it heals");
-    damper.flap(at(100));
-    assertFalse(damper.flapping(at(100)), "1.9 is not enough to begin");
+    damper.recordFlap(at(0));
+    assertFalse(damper.isFlapping(at(0)), "a first failure is judged as ever");
+    damper.recordFlap(at(0.5));
+    damper.recordFlap(at(1));
+    assertTrue(damper.isFlapping(at(1)));
+    assertTrue(damper.isFlapping(at(60)), "1.5 is still too much");
+    assertFalse(damper.isFlapping(at(100)), "it heals");
+    damper.recordFlap(at(100));
+    assertFalse(damper.isFlapping(at(100)), "1.9 is not enough to begin");
   }
 }
--- a/src/test/java/io/cherryspool/reachability/LeadershipTransferTest.java
+++ b/src/test/java/io/cherryspool/reachability/LeadershipTransferTest.java
@@ -24,7 +24,7 @@
   /** For whom the leader makes way then, or null. */
   private String after(double seconds, int known, int lost, Mesh.Heartbeat... heartbeats) {
     Duration end = now.plusMillis((long) (seconds * 1000));
-    FleetView fleet = new FleetView(known, lost, Map.of());
+    FleetReachability fleet = new FleetReachability(known, lost, Map.of());
     Verdict verdict = new Verdict.Serve();
     for (; now.compareTo(end) < 0; now = now.plus(PERIOD)) {
       for (Mesh.Heartbeat heartbeat : heartbeats) {
@@ -32,7 +32,7 @@
       }
       verdict = reachability.judge(now, true, acting, fleet);
     }
-    return verdict instanceof Verdict.MakeWay away ? away.successor() : null;
+    return verdict instanceof Verdict.HandOverLeadership away ? away.successor() : null;
   }
 
   private static Mesh.Heartbeat says(String node, boolean state, int redirectedWorkers) {
@@ -59,7 +59,7 @@
   void withoutWordFromAnyNodeHalfOfTheMachinesDecide() {
     assertNull(after(20, 900, 850), "it never heard of another node");
     assertNull(after(1, 900, 850, says("a", true, 0)), "nobody else hears them");
-    assertEquals(Verdict.MakeWay.ANYBODY, after(3, 900, 450));
+    assertEquals(Verdict.HandOverLeadership.ANY_NODE, after(3, 900, 450));
     assertNull(after(1, 900, 449));
   }
 
@@ -94,9 +94,9 @@
   @Test
   void aWorkerCountsAsStrayWhileItKeepsComing() {
     RedirectedWorkers redirectedWorkers = new RedirectedWorkers();
-    redirectedWorkers.note("host-1", "z", START);
-    redirectedWorkers.note("host-2", "z", START.plusSeconds(5));
-    redirectedWorkers.note("host-1", "z", START.plusSeconds(6));
+    redirectedWorkers.recordVisit("host-1", "z", START);
+    redirectedWorkers.recordVisit("host-2", "z", START.plusSeconds(5));
+    redirectedWorkers.recordVisit("host-1", "z", START.plusSeconds(6));
     assertEquals(2, redirectedWorkers.count(START.plusSeconds(6)));
     assertEquals(1, redirectedWorkers.count(START.plusSeconds(12)));
     assertEquals(0, redirectedWorkers.count(START.plusSeconds(60)));
--- a/src/test/java/io/cherryspool/reachability/LeaseLengthTest.java
+++ b/src/test/java/io/cherryspool/reachability/LeaseLengthTest.java
@@ -13,21 +13,21 @@
 
   @Test
   void growsWithThePenaltyAndHealsLater() {
-    assertEquals(SHORTEST, length.of(0));
-    assertEquals(SHORTEST, length.of(1), "a first loss costs what it always did");
-    assertEquals(SHORTEST.multipliedBy(2), length.of(1.9));
-    assertEquals(LONGEST, length.of(2.6));
-    assertEquals(LONGEST, length.of(2.2), "not with each small change");
-    assertEquals(SHORTEST.multipliedBy(2), length.of(1.9));
-    assertEquals(SHORTEST.multipliedBy(2), length.of(1.1));
-    assertEquals(SHORTEST, length.of(0.9));
+    assertEquals(SHORTEST, length.forPenalty(0));
+    assertEquals(SHORTEST, length.forPenalty(1), "a first loss costs what it always did");
+    assertEquals(SHORTEST.multipliedBy(2), length.forPenalty(1.9));
+    assertEquals(LONGEST, length.forPenalty(2.6));
+    assertEquals(LONGEST, length.forPenalty(2.2), "not with each small change");
+    assertEquals(SHORTEST.multipliedBy(2), length.forPenalty(1.9));
+    assertEquals(SHORTEST.multipliedBy(2), length.forPenalty(1.1));
+    assertEquals(SHORTEST, length.forPenalty(0.9));
   }
 
   /** The time for which a leader may answer workers bounds what a cancel may outlast. */
   @Test
   void isNeverLongerThanTheAuthority() {
     LeaseLength narrow = new LeaseLength(SHORTEST, Duration.ofSeconds(5));
-    assertEquals(Duration.ofSeconds(5), narrow.of(2));
-    assertEquals(Duration.ofSeconds(5), narrow.of(9));
+    assertEquals(Duration.ofSeconds(5), narrow.forPenalty(2));
+    assertEquals(Duration.ofSeconds(5), narrow.forPenalty(9));
   }
 }
--- a/src/test/java/io/cherryspool/reachability/PartitionRuleTest.java
+++ b/src/test/java/io/cherryspool/reachability/PartitionRuleTest.java
@@ -15,12 +15,12 @@
 /** What a node does about its links; who makes way for whom is in LeadershipTransferTest. */
 class PartitionRuleTest {
   private static final Duration HEARTBEAT = ReachabilityFixture.HEARTBEAT;
-  private static final Duration LEASE = ReachabilityFixture.TIMINGS.stateLease();
+  private static final Duration LEASE = ReachabilityFixture.TIMINGS.leaderLease();
 
   private final Reachability node = ReachabilityFixture.reachability("a", List.of("b", "c"));
   private Duration now = Duration.ofSeconds(50);
 
-  private Verdict lead(double seconds, FleetView fleet) {
+  private Verdict lead(double seconds, FleetReachability fleet) {
     Duration end = now.plusMillis((long) (seconds * 1000));
     Verdict verdict = node.judge(now, true, true, fleet);
     while (now.compareTo(end) < 0) {
@@ -30,21 +30,22 @@
     return verdict;
   }
 
-  private static FleetView fleet(int... unheardOfTen) {
-    FleetView.Builder view = new FleetView.Builder();
+  private static FleetReachability fleet(int... unheardOfTen) {
+    FleetReachability.Builder view = new FleetReachability.Builder();
     for (int zone = 0; zone < unheardOfTen.length; zone++) {
       for (int i = 0; i < 10; i++) {
-        Contact contact = i < unheardOfTen[zone] ? Contact.SILENT : Contact.REPORTING;
-        view.add("zone-" + zone, true, contact);
+        ContactState contact =
+            i < unheardOfTen[zone] ? ContactState.SILENT : ContactState.REACHABLE;
+        view.addMachine("zone-" + zone, true, contact);
       }
     }
     return view.build();
   }
 
   private void stateFails(double seconds) {
-    node.state().failed(now, now);
+    node.stateLink().failed(now, now);
     now = now.plusMillis(250);
-    node.state().failed(now, now);
+    node.stateLink().failed(now, now);
     now = now.plusMillis((long) (seconds * 1000));
   }
 
@@ -52,23 +53,26 @@
   void aLeaderWithoutTheStateServiceHoldsPlacingUntilItIsAnswered() {
     stateFails(1);
     Verdict verdict = lead(0.5, fleet(0, 0, 0));
-    assertEquals(new Verdict.HoldPlacing(Reason.STATE_UNREACHABLE), verdict);
-    assertTrue(!node.places() && !node.rents());
-    node.state().answered(now);
+    assertEquals(new Verdict.SuspendPlacement(Reason.STATE_UNREACHABLE), verdict);
+    assertTrue(!node.mayPlaceTasks() && !node.mayChangeFleet());
+    node.stateLink().answered(now);
     assertEquals(new Verdict.Serve(), lead(0.5, fleet(0, 0, 0)));
   }
 
   @Test
   void aFollowerWithoutTheStateServicePassesUsersOn() {
     stateFails(1);
-    assertEquals("pass-on", node.judge(now, false, false, FleetView.EMPTY).name());
+    assertEquals("pass-on", node.judge(now, false, false, FleetReachability.EMPTY).name());
   }
 
   @Test
   void aZoneIsHeldWhileASixthOfItIsUnheard() {
     assertEquals("serve", lead(1, fleet(0, 3, 0)).name(), "three may have died together");
     assertEquals("hold-zones zone-1", lead(1, fleet(0, 4, 0)).describe());
-    assertTrue(node.holds("zone-1") && !node.holds("zone-0") && node.rents());
+    assertTrue(
+        node.isZoneEvictionSuspended("zone-1")
+            && !node.isZoneEvictionSuspended("zone-0")
+            && node.mayChangeFleet());
     assertEquals("hold-zones zone-1", lead(1, fleet(0, 2, 0)).describe(), "hysteresis");
     assertEquals("serve", lead(1, fleet(0, 1, 0)).name());
     assertEquals("serve", lead(1, fleet(0, 2, 0)).name());
@@ -78,21 +82,21 @@
   @Test
   void theFleetIsHeldForTheTimeOfALapseAtTheMost() {
     assertEquals("hold-fleet", lead(1, fleet(9, 2, 0)).name());
-    assertTrue(node.holds("zone-2") && !node.rents());
+    assertTrue(node.isZoneEvictionSuspended("zone-2") && !node.mayChangeFleet());
     assertEquals("hold-fleet", lead(20, fleet(9, 2, 0)).name());
     assertEquals("hold-zones zone-0", lead(2, fleet(9, 2, 0)).describe());
-    assertTrue(node.rents(), "what they ran is free by then, and needs machines");
+    assertTrue(node.mayChangeFleet(), "what they ran is free by then, and needs machines");
     assertEquals("serve", lead(1, fleet(0, 0, 0)).name());
     assertEquals("hold-fleet", lead(1, fleet(9, 2, 0)).name(), "another cut, another time");
   }
 
   @Test
   void machinesThatWereNeverHeardInTheTermCountAsMissing() {
-    FleetView.Builder view = new FleetView.Builder();
+    FleetReachability.Builder view = new FleetReachability.Builder();
     for (int i = 0; i < 6; i++) {
-      view.add("a", true, i < 4 ? Contact.NEVER_HEARD : Contact.REPORTING);
-      view.add("a", false, Contact.NEVER_HEARD);
-      view.add("a", true, Contact.NEW);
+      view.addMachine("a", true, i < 4 ? ContactState.NEVER_SEEN : ContactState.REACHABLE);
+      view.addMachine("a", false, ContactState.NEVER_SEEN);
+      view.addMachine("a", true, ContactState.NEW);
     }
     assertEquals(6, view.build().known(), "those that the list lacks were taken back, or are new");
     assertEquals(4, view.build().missing());
@@ -101,10 +105,10 @@
   /** Each change lately doubles what a further one must be worth. */
   @Test
   void afterChangesOfTheLeaderAFurtherOneMustBeWorthMore() {
-    FleetView fifth = new FleetView(100, 20, java.util.Map.of());
-    FleetView half = new FleetView(100, 50, java.util.Map.of());
+    FleetReachability fifth = new FleetReachability(100, 20, java.util.Map.of());
+    FleetReachability half = new FleetReachability(100, 50, java.util.Map.of());
     for (int i = 0; i < 2; i++) {
-      node.leadershipLost(now);
+      node.recordLeadershipLoss(now);
     }
     for (int i = 0; i < 40; i++) {
       now = now.plus(HEARTBEAT);
@@ -122,7 +126,7 @@
 
   @Test
   void aNodeThatTheStateServiceDoesNotAnswerIsNoSuccessor() {
-    FleetView half = new FleetView(100, 50, java.util.Map.of());
+    FleetReachability half = new FleetReachability(100, 50, java.util.Map.of());
     Verdict verdict = new Verdict.Serve();
     for (int i = 0; i < 40; i++) {
       now = now.plus(HEARTBEAT);
@@ -158,7 +162,7 @@
   void oneWhoseLinkFlapsStandsAfterOthersUntilThatHeals() {
     for (int i = 0; i < 3; i++) {
       stateFails(1);
-      node.state().answered(now);
+      node.stateLink().answered(now);
       now = now.plusSeconds(2);
     }
     assertEquals(LEASE.dividedBy(2), delay(null, null));
@@ -182,9 +186,9 @@
   @Test
   void whatANodeTellsOfItsLinks() {
     node.receive(heartbeat("b", 0, LinkState.UP), now);
-    node.redirectedWorkers().note("host-1", "zone-9", now);
+    node.redirectedWorkers().recordVisit("host-1", "zone-9", now);
     lead(2, fleet(0, 9, 0));
-    LinkReport report = node.report(now, true, "10.0.0.1:8080");
+    LinkReport report = node.linkSummary(now, true, "10.0.0.1:8080");
     assertEquals(
         List.of(
             new LinkReport.PeerLink("b", LinkState.SUSPECT, 2000),
@@ -194,6 +198,6 @@
         new LinkReport.ZoneLink("zone-1", LinkState.DOWN, 10, 9, 0), report.zones().get(1));
     assertEquals(new LinkReport.ZoneLink("zone-9", LinkState.UP, 0, 0, 1), report.zones().get(3));
     assertTrue(report.doubtful(), "it has run for 2 s only");
-    assertInstanceOf(Verdict.HoldZones.class, node.verdict());
+    assertInstanceOf(Verdict.SuspendZoneEviction.class, node.verdict());
   }
 }
--- a/src/test/java/io/cherryspool/reachability/RequestLinkTest.java
+++ b/src/test/java/io/cherryspool/reachability/RequestLinkTest.java
@@ -18,7 +18,7 @@
     link.answered(at(1));
     link.failed(at(2), at(3));
     assertEquals(LinkState.SUSPECT, link.state(at(9)), "one failure is never more than doubt");
-    assertEquals(0, link.damper().flaps());
+    assertEquals(0, link.damper().flapCount());
     link.answered(at(2.5));
     assertEquals(LinkState.UP, link.state(at(9)));
   }
@@ -30,9 +30,9 @@
     link.failed(at(2.3), at(2.4));
     assertEquals(LinkState.SUSPECT, link.state(at(2.9)));
     assertEquals(LinkState.DOWN, link.state(at(3)));
-    assertEquals(1, link.damper().flaps(), "one for each run of failures");
+    assertEquals(1, link.damper().flapCount(), "one for each run of failures");
     link.failed(at(3), at(3.1));
-    assertEquals(1, link.damper().flaps());
+    assertEquals(1, link.damper().flapCount());
     link.answered(at(3.4));
     assertEquals(LinkState.UP, link.state(at(3.5)), "the first answer ends it");
   }
@@ -44,7 +44,7 @@
     link.failed(at(2.3), at(2.4));
     link.answered(at(1));
     assertEquals(LinkState.DOWN, link.state(at(4)));
-    assertEquals(at(1), link.lastAnswered());
+    assertEquals(at(1), link.lastAnsweredRequestSentAt());
   }
 
   /** Deadlines run out in another order than answers come. */
--- a/src/test/java/io/cherryspool/recovery/RecoveryTest.java
+++ b/src/test/java/io/cherryspool/recovery/RecoveryTest.java
@@ -84,22 +84,22 @@
     }
 
     @Override
-    public long knownTerm() {
+    public long highestKnownTerm() {
       return knownTerm;
     }
 
     @Override
-    public boolean leadsSurely() {
+    public boolean isSoleLeader() {
       return leadsSurely;
     }
 
     @Override
-    public boolean workersRemember() {
+    public boolean hasWorkerShownToken() {
       return workersRemember;
     }
 
     @Override
-    public void servingChanged() {
+    public void onServingChanged() {
       // Nothing here leads.
     }
 
@@ -132,7 +132,7 @@
   private Node serving() {
     Node node = new Node(RecordsSnapshot.EMPTY);
     run(8);
-    assertTrue(node.recovery.serving());
+    assertTrue(node.recovery.isServing());
     node.submit(JOB);
     run(0.5);
     assertNotNull(node.replica.job(JOB));
@@ -143,9 +143,9 @@
   void anEmptyServiceThatNobodyRemembersIsAFirstInstallation() {
     Node node = new Node(RecordsSnapshot.EMPTY);
     run(8);
-    assertTrue(node.recovery.serving());
-    assertEquals(0, node.recovery.events().losses());
-    assertEquals(0, node.recovery.memory().origin().incarnationNumber());
+    assertTrue(node.recovery.isServing());
+    assertEquals(0, node.recovery.statistics().losses());
+    assertEquals(0, node.recovery.retainedRecords().position().incarnationNumber());
   }
 
   @Test
@@ -154,8 +154,8 @@
     Node node = new Node(RecordsSnapshot.EMPTY);
     node.workersRemember = true;
     run(8);
-    assertTrue(node.recovery.serving());
-    assertEquals(0, node.recovery.events().losses());
+    assertTrue(node.recovery.isServing());
+    assertEquals(0, node.recovery.statistics().losses());
     assertNotNull(node.replica.job(JOB));
   }
 
@@ -164,9 +164,11 @@
     Node node = new Node(RecordsSnapshot.EMPTY);
     node.workersRemember = true;
     run(10);
-    assertEquals(1, node.recovery.events().losses());
-    assertTrue(node.recovery.serving());
-    assertTrue(node.recovery.memory().origin().incarnationNumber() > 0, "not a first installation");
+    assertEquals(1, node.recovery.statistics().losses());
+    assertTrue(node.recovery.isServing());
+    assertTrue(
+        node.recovery.retainedRecords().position().incarnationNumber() > 0,
+        "not a first installation");
     assertTrue(node.replica.isPartialRebuild());
   }
 
@@ -181,8 +183,8 @@
     run(12);
     node.line.release(StateServiceTransport.WATCH);
     run(20);
-    assertTrue(node.recovery.serving());
-    assertEquals(0, node.recovery.events().losses());
+    assertTrue(node.recovery.isServing());
+    assertEquals(0, node.recovery.statistics().losses());
   }
 
   @Test
@@ -199,10 +201,10 @@
     state.loseAll();
     node.replica.refresh();
     run(0.1);
-    assertEquals(Loss.REVISION_WENT_BACK, node.recovery.events().lastLoss());
-    assertFalse(node.recovery.serving());
+    assertEquals(Loss.REVISION_WENT_BACK, node.recovery.statistics().lastLoss());
+    assertFalse(node.recovery.isServing());
     run(15);
-    assertTrue(node.recovery.serving());
+    assertTrue(node.recovery.isServing());
     assertEquals(Outcome.CANCELLED, node.replica.job(JOB).outcome());
     assertEquals(17, node.replica.term(), "above every term that was heard of");
     assertFalse(node.replica.isPartialRebuild(), "the leader remembers every start");
@@ -230,7 +232,7 @@
     run(0.05);
     assertTrue(told.isCompletedExceptionally(), "its user is told to come back");
     assertTrue(before > 3);
-    assertEquals(Loss.REVISION_WENT_BACK, node.recovery.events().lastLoss());
+    assertEquals(Loss.REVISION_WENT_BACK, node.recovery.statistics().lastLoss());
   }
 
   /** Set back by one change, and written on by a node without memory until nothing looks older. */
@@ -248,7 +250,7 @@
     CompletableFuture<Void> reading = node.replica.refresh();
     run(0.1);
     assertTrue(reading.isCompletedExceptionally(), "nobody is answered from it");
-    assertEquals(Loss.CHANGE_MISSING, node.recovery.events().lastLoss());
+    assertEquals(Loss.CHANGE_MISSING, node.recovery.statistics().lastLoss());
     run(15);
     assertNotNull(node.replica.job("req-000002"), "it is written back");
   }
@@ -274,7 +276,7 @@
     run(0.01);
     node.line.release(StateServiceTransport.READING);
     run(0.5);
-    assertEquals(Loss.RECORDS_GONE, node.recovery.events().lastLoss());
+    assertEquals(Loss.RECORDS_GONE, node.recovery.statistics().lastLoss());
     run(15);
     assertNotNull(node.replica.job("req-000002"));
   }
@@ -287,8 +289,8 @@
         new Peer(
             "node-1",
             true,
-            new NodeMemory(
-                NodeMemory.Phase.SERVING,
+            new RetainedRecords(
+                RetainedRecords.Phase.SERVING,
                 "",
                 new Incarnation.HistoryPosition(0, ahead),
                 false,
@@ -296,18 +298,18 @@
     run(0.5);
     node.replica.refresh();
     run(0.1);
-    assertEquals(Loss.REVISION_WENT_BACK, node.recovery.events().lastLoss());
+    assertEquals(Loss.REVISION_WENT_BACK, node.recovery.statistics().lastLoss());
     // That one remembers more, so that it rebuilds.
     run(3);
-    assertEquals(0, node.recovery.events().rebuilds());
+    assertEquals(0, node.recovery.statistics().rebuilds());
   }
 
   @Test
   void aTermThatIsNotRecordedIsALoss() {
     Node node = serving();
-    node.recovery.termShown(5);
+    node.recovery.observeTerm(5);
     run(0.1);
-    assertEquals(Loss.TERM_MISSING, node.recovery.events().lastLoss());
+    assertEquals(Loss.TERM_MISSING, node.recovery.statistics().lastLoss());
     node.knownTerm = 5;
     run(15);
     assertEquals(5, node.replica.term());
@@ -321,10 +323,10 @@
         StateStoreProtocol.transactionRequest(
             Map.of(),
             List.of(new StateStoreProtocol.Change(Records.TERM, Records.encodeTerm(5), 0))));
-    node.recovery.termShown(5);
+    node.recovery.observeTerm(5);
     run(1);
-    assertTrue(node.recovery.serving());
-    assertEquals(0, node.recovery.events().losses());
+    assertTrue(node.recovery.isServing());
+    assertEquals(0, node.recovery.statistics().losses());
   }
 
   /** A transaction of the old incarnation that comes after the next one was begun is refused. */
@@ -342,7 +344,7 @@
     run(0.3);
     assertTrue(late.isCompletedExceptionally());
     assertNull(state.peek(Records.jobKey("req-000002")), "nothing is added behind the fence");
-    assertFalse(node.recovery.serving());
+    assertFalse(node.recovery.isServing());
   }
 
   @Test
@@ -356,8 +358,8 @@
                 new StateStoreProtocol.Change(
                     Incarnation.KEY, Incarnation.firstInstallation("x").encode(), 0))));
     run(20);
-    assertFalse(node.recovery.serving());
-    assertTrue(node.recovery.events().foreign());
+    assertFalse(node.recovery.isServing());
+    assertTrue(node.recovery.statistics().hasFoundOtherCluster());
     assertEquals("x", state.peek(Incarnation.KEY).path("cluster").asText(), "nor overwritten");
   }
 
@@ -374,10 +376,10 @@
         StateStoreProtocol.transactionRequest(
             Map.of(), List.of(new StateStoreProtocol.Change(Incarnation.KEY, half.encode(), 0))));
     run(0.8);
-    assertEquals(Loss.BUNDLES_DAMAGED, node.recovery.events().lastLoss());
+    assertEquals(Loss.BUNDLES_DAMAGED, node.recovery.statistics().lastLoss());
     run(15);
-    assertTrue(node.recovery.serving());
-    assertEquals(2, node.recovery.memory().origin().incarnationNumber());
+    assertTrue(node.recovery.isServing());
+    assertEquals(2, node.recovery.retainedRecords().position().incarnationNumber());
     assertNotNull(node.replica.job(JOB));
   }
 
@@ -398,7 +400,7 @@
     }
     Node node = new Node(snapshot);
     run(2);
-    assertEquals(Loss.RECORDS_GONE, node.recovery.events().lastLoss());
+    assertEquals(Loss.RECORDS_GONE, node.recovery.statistics().lastLoss());
     run(15);
     assertNotNull(node.replica.job(JOB));
   }
@@ -419,7 +421,7 @@
     assertNotNull(plain.job(JOB));
     state.loseAll();
     run(25);
-    assertTrue(node.recovery.serving());
+    assertTrue(node.recovery.isServing());
     assertFalse(plain.isLoaded());
     ClusterRecords begun =
         new ClusterRecords(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
@@ -447,7 +449,7 @@
     run(0.5);
     state.loseAll();
     run(15);
-    assertTrue(node.recovery.serving());
+    assertTrue(node.recovery.isServing());
     assertEquals(0, node.replica.job(JOB).shard(0).version(), "it is in a bundle only");
     Shard ended = node.replica.job(JOB).shard(0).shard().edit().release(0, true).build();
     CompletableFuture<StateStoreClient.CommitResult> changes =
@@ -464,7 +466,7 @@
     assertEquals(1, node.replica.activeJobs().size());
     Node other = new Node(RecordsSnapshot.EMPTY);
     run(5);
-    assertTrue(other.recovery.serving());
+    assertTrue(other.recovery.isServing());
     assertEquals(1, other.replica.activeJobs().size(), "the one that has ended has nothing left");
     assertNull(other.replica.job(JOB).shard(0).shard().ownedAttempt(0));
     assertEquals(1, other.replica.job(JOB).shard(0).shard().history(0).failures());
@@ -481,7 +483,7 @@
     state.loseAll();
     run(15);
     String second = node.replica.instanceRequestPrefix();
-    assertTrue(node.recovery.serving());
+    assertTrue(node.recovery.isServing());
     assertEquals(3, List.of(before, first, second).stream().distinct().count());
   }
 }
--- a/src/test/java/io/cherryspool/recovery/SnapshotFormatTest.java
+++ b/src/test/java/io/cherryspool/recovery/SnapshotFormatTest.java
@@ -32,33 +32,33 @@
 
   @Test
   void filesAreReadAndWrittenAgainUnchanged() throws Exception {
-    assertRecorded(FILE, new Snapshot(PICTURE, TAKEN).encode());
-    Snapshot read = Snapshot.decode(RecordedBytes.read(FILE));
-    assertEquals(TAKEN, read.taken());
-    assertEquals("cluster-1", read.picture().cluster());
-    assertEquals("9f3a", read.picture().nonce());
-    assertEquals(new Incarnation.HistoryPosition(3, 123_456_790), read.picture().position());
-    assertEquals(41, read.picture().term());
-    assertEquals(SampleRecords.CATALOG, CloudProtocol.parseCatalog(read.picture().catalog()));
-    assertEquals(2, read.picture().jobs().size());
+    assertRecorded(FILE, new SnapshotFile(PICTURE, TAKEN).encode());
+    SnapshotFile read = SnapshotFile.decode(RecordedBytes.read(FILE));
+    assertEquals(TAKEN, read.takenAt());
+    assertEquals("cluster-1", read.records().cluster());
+    assertEquals("9f3a", read.records().nonce());
+    assertEquals(new Incarnation.HistoryPosition(3, 123_456_790), read.records().position());
+    assertEquals(41, read.records().term());
+    assertEquals(SampleRecords.CATALOG, CloudProtocol.parseCatalog(read.records().catalog()));
+    assertEquals(2, read.records().jobs().size());
     assertRecorded(FILE, read.encode());
   }
 
   @Test
   void namesSortByIncarnationAndRevision(@TempDir Path folder)
       throws IOException, MalformedMessageException {
-    SnapshotDirectory directory = new SnapshotDirectory(folder);
-    assertNull(new Snapshots(directory).write(PICTURE, TAKEN).failure());
+    DirectorySnapshotStore directory = new DirectorySnapshotStore(folder);
+    assertNull(new SnapshotRepository(directory).write(PICTURE, TAKEN).failure());
     assertEquals(List.of("0000000003-0000000123456790-1764693000456.snapshot"), directory.names());
   }
 
   /** Heartbeats carry the phases by these numbers. */
   @Test
   void phasesOfARecoveryKeepTheirNumbers() {
-    assertEquals(0, NodeMemory.Phase.STARTING.ordinal());
-    assertEquals(1, NodeMemory.Phase.SERVING.ordinal());
-    assertEquals(2, NodeMemory.Phase.HOLDING.ordinal());
-    assertEquals(3, NodeMemory.Phase.REBUILDING.ordinal());
-    assertEquals(4, NodeMemory.Phase.values().length);
+    assertEquals(0, RetainedRecords.Phase.STARTING.ordinal());
+    assertEquals(1, RetainedRecords.Phase.SERVING.ordinal());
+    assertEquals(2, RetainedRecords.Phase.HOLDING.ordinal());
+    assertEquals(3, RetainedRecords.Phase.REBUILDING.ordinal());
+    assertEquals(4, RetainedRecords.Phase.values().length);
   }
 }
--- a/src/test/java/io/cherryspool/recovery/PictureMergeTest.java
+++ b/src/test/java/io/cherryspool/recovery/SnapshotMergeTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** That joining what several sources know loses nothing, and depends on no order. */
-class PictureMergeTest {
+class SnapshotMergeTest {
   private static final int STEPS = 120;
 
   private static String join(List<RecordsSnapshot> sources) {
     RecordsSnapshot all = RecordsSnapshot.EMPTY;
     for (RecordsSnapshot source : sources) {
-      all = PictureMerge.merge(all, source);
+      all = SnapshotMerge.merge(all, source);
     }
     return RecordsSnapshotFixture.text(all);
   }
@@ -47,10 +47,10 @@
     }
     sources.addAll(List.copyOf(sources));
     assertEquals(joined, join(sources));
-    RecordsSnapshot left = PictureMerge.merge(sources.get(0), sources.get(1));
-    RecordsSnapshot right = PictureMerge.merge(sources.get(2), sources.get(3));
+    RecordsSnapshot left = SnapshotMerge.merge(sources.get(0), sources.get(1));
+    RecordsSnapshot right = SnapshotMerge.merge(sources.get(2), sources.get(3));
     assertEquals(
-        join(sources.subList(0, 4)), RecordsSnapshotFixture.text(PictureMerge.merge(left, right)));
+        join(sources.subList(0, 4)), RecordsSnapshotFixture.text(SnapshotMerge.merge(left, right)));
   }
 
   /** Copies are prefixes of one history: the longest of them is the whole, whatever the others. */
@@ -64,8 +64,8 @@
         RecordsSnapshot newer = history.get(j);
         assertEquals(
             RecordsSnapshotFixture.text(newer),
-            RecordsSnapshotFixture.text(PictureMerge.merge(older, newer)));
-        assertSame(newer.jobs(), PictureMerge.merge(newer, older).jobs(), "nothing is added");
+            RecordsSnapshotFixture.text(SnapshotMerge.merge(older, newer)));
+        assertSame(newer.jobs(), SnapshotMerge.merge(newer, older).jobs(), "nothing is added");
       }
     }
   }
@@ -75,7 +75,7 @@
   void noEndAndNoCompletedTaskIsTakenBack(long seed) {
     List<RecordsSnapshot> history = RecordsSnapshotFixture.history(seed, STEPS);
     List<RecordsSnapshot> other = RecordsSnapshotFixture.history(seed + 50, STEPS);
-    RecordsSnapshot joined = PictureMerge.merge(history.get(STEPS - 1), other.get(STEPS / 2));
+    RecordsSnapshot joined = SnapshotMerge.merge(history.get(STEPS - 1), other.get(STEPS / 2));
     for (RecordsSnapshot source : List.of(history.get(STEPS - 1), other.get(STEPS / 2))) {
       source
           .jobs()
@@ -105,10 +105,10 @@
     Shard owned = Shard.EMPTY.edit().assign(0, "host-1", 1, 7).build();
     Shard ended = owned.edit().release(0, true).build();
     Shard again = ended.edit().assign(0, "host-2", 1, 9).build();
-    assertNull(PictureMerge.merge(owned, ended).ownedAttempt(0));
-    assertNull(PictureMerge.merge(ended, owned).ownedAttempt(0));
-    assertEquals("host-2", PictureMerge.merge(owned, again).ownedAttempt(0).machine());
-    assertEquals("host-2", PictureMerge.merge(again, ended).ownedAttempt(0).machine());
-    assertEquals(2, PictureMerge.merge(owned, again).history(0).attempts());
+    assertNull(SnapshotMerge.merge(owned, ended).ownedAttempt(0));
+    assertNull(SnapshotMerge.merge(ended, owned).ownedAttempt(0));
+    assertEquals("host-2", SnapshotMerge.merge(owned, again).ownedAttempt(0).machine());
+    assertEquals("host-2", SnapshotMerge.merge(again, ended).ownedAttempt(0).machine());
+    assertEquals(2, SnapshotMerge.merge(owned, again).history(0).attempts());
   }
 }
--- a/src/test/java/io/cherryspool/sim/RandomVerdictsTest.java
+++ b/src/test/java/io/cherryspool/sim/RandomVerdictsTest.java
@@ -48,17 +48,19 @@
 
     private Verdict draw(NodeView view) {
       return switch (random.nextInt(7)) {
-        case 0 -> new Verdict.HoldPlacing(Reason.STATE_UNREACHABLE);
-        case 1 -> new Verdict.HoldZones(Set.of("a", "c"), Reason.ZONES_UNHEARD);
-        case 2 -> new Verdict.HoldFleet(Reason.FLEET_UNHEARD);
+        case 0 -> new Verdict.SuspendPlacement(Reason.STATE_UNREACHABLE);
+        case 1 -> new Verdict.SuspendZoneEviction(Set.of("a", "c"), Reason.ZONES_UNREACHABLE);
+        case 2 -> new Verdict.SuspendFleetChanges(Reason.FLEET_UNREACHABLE);
         case 3 ->
-            new Verdict.MakeWay(
-                random.nextBoolean() ? "node-" + random.nextInt(5) : Verdict.MakeWay.ANYBODY,
-                Reason.WORKERS_HEARD_ELSEWHERE);
+            new Verdict.HandOverLeadership(
+                random.nextBoolean()
+                    ? "node-" + random.nextInt(5)
+                    : Verdict.HandOverLeadership.ANY_NODE,
+                Reason.WORKERS_REACH_OTHER_NODES);
         case 4 ->
-            new Verdict.StandLater(
+            new Verdict.DelayCandidacy(
                 Duration.ofMillis(random.nextInt(4000)), Reason.STATE_LINK_FLAPS);
-        case 5 -> new Verdict.PassOn(Reason.STATE_UNREACHABLE);
+        case 5 -> new Verdict.ForwardRequests(Reason.STATE_UNREACHABLE);
         default -> new Verdict.Serve();
       };
     }
--- a/src/test/java/io/cherryspool/sim/RecoveryDriver.java
+++ b/src/test/java/io/cherryspool/sim/RecoveryDriver.java
@@ -5,7 +5,7 @@
 import io.cherryspool.http.Request;
 import io.cherryspool.model.Job;
 import io.cherryspool.model.Outcome;
-import io.cherryspool.recovery.SnapshotDirectory;
+import io.cherryspool.recovery.DirectorySnapshotStore;
 import io.cherryspool.store.Records;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.MalformedMessageException;
@@ -120,7 +120,7 @@
   private static void dropSnapshots() throws IOException {
     try (Stream<Path> files = Files.walk(WORK)) {
       List<Path> old =
-          files.filter(file -> file.toString().endsWith(SnapshotDirectory.SUFFIX)).toList();
+          files.filter(file -> file.toString().endsWith(DirectorySnapshotStore.SUFFIX)).toList();
       for (Path file : old) {
         Files.delete(file);
       }
