--- a/src/main/java/io/cherryspool/cli/Rehearsal.java
+++ b/src/main/java/io/cherryspool/cli/ClassDataTraining.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.http.NettyClient;
-import io.cherryspool.http.NettyLoop;
-import io.cherryspool.http.NettyServer;
+import io.cherryspool.http.NettyEventLoop;
+import io.cherryspool.http.NettyHttpClient;
+import io.cherryspool.http.NettyHttpServer;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
 import io.cherryspool.model.Job;
@@ -29,12 +29,12 @@
 import java.util.jar.JarFile;
 
 /**
- * Runs a whole node once among {@link RehearsalServices}, from reading its settings to its
- * shutdown, so that the class-data archive made on exit holds what a node loads that starts, takes
- * over and serves, lambdas included: only those that were in use are kept. Starting on a fraction
- * of a core takes seconds otherwise.
+ * Runs a whole node once among {@link TrainingServices}, from reading its settings to its shutdown,
+ * so that the class-data archive made on exit holds what a node loads that starts, takes over and
+ * serves, lambdas included: only those that were in use are kept. Starting on a fraction of a core
+ * takes seconds otherwise.
  */
-final class Rehearsal {
+final class ClassDataTraining {
   private static final Duration LIMIT = Duration.ofSeconds(2);
   private static final int SOCKETS = 16;
 
@@ -44,15 +44,15 @@
   private static final int STEP_MS = 50;
   private static final String HOST = "127.0.0.1";
 
-  private final NettyLoop loop = new NettyLoop();
-  private final NettyClient client = new NettyClient(loop, SOCKETS);
+  private final NettyEventLoop loop = new NettyEventLoop();
+  private final NettyHttpClient client = new NettyHttpClient(loop, SOCKETS);
   private final Endpoint node = new Endpoint(HOST, freePort());
-  private final RehearsalServices services;
+  private final TrainingServices services;
 
-  private Rehearsal() throws IOException, InterruptedException {
-    NettyServer server = new NettyServer(loop, this::handle, SOCKETS);
+  private ClassDataTraining() throws IOException, InterruptedException {
+    NettyHttpServer server = new NettyHttpServer(loop, this::handle, SOCKETS);
     server.bind(new Endpoint(HOST, 0));
-    services = new RehearsalServices(new Endpoint(HOST, server.port()));
+    services = new TrainingServices(new Endpoint(HOST, server.port()));
   }
 
   private CompletableFuture<Reply> handle(Request request) {
@@ -64,7 +64,7 @@
    * would, so that its shutdown is rehearsed too.
    */
   static void run() throws Exception {
-    Rehearsal rehearsal = new Rehearsal();
+    ClassDataTraining rehearsal = new ClassDataTraining();
     Path settings = Files.createTempFile("rehearsal", ".json");
     try {
       Files.write(settings, Json.toBytes(rehearsal.settings()));
@@ -78,7 +78,7 @@
 
   private static void serve(Path settings) {
     try {
-      Server.serve(settings, Path.of(Server.OPERATORS_FILE));
+      NodeLauncher.serve(settings, Path.of(NodeLauncher.OPERATORS_FILE));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -108,19 +108,19 @@
     Job second = job("req-000002");
     boolean submitted = false;
     for (int i = 0; i < STEPS; i++) {
-      Reply told = ask(Request.post("/v1/report", Json.toBytes(services.report())));
+      Reply told = ask(Request.post("/v1/report", Json.toBytes(services.workerHeartbeat())));
       if (told.status() == 200) {
-        services.told(Json.parseObject(told.body()));
+        services.receiveToken(Json.parseObject(told.body()));
         if (!submitted) {
           submitted = true;
           ask(Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(first))));
-        } else if (services.finish()) {
+        } else if (services.completeTasks()) {
           break;
         }
       }
       Thread.sleep(STEP_MS);
     }
-    ask(Request.post("/v1/report", Json.toBytes(services.report())));
+    ask(Request.post("/v1/report", Json.toBytes(services.workerHeartbeat())));
     awaitDone(first);
     for (Request request :
         List.of(
@@ -172,14 +172,14 @@
   private ObjectNode settings() throws IOException {
     String mesh = new Endpoint(HOST, freePort()).toString();
     ObjectNode root = Json.object().put("host_name", "rehearsal");
-    root.put("site", RehearsalServices.ZONE);
+    root.put("site", TrainingServices.ZONE);
     root.put("client_listen", node.toString());
     root.put("mesh_addr", mesh);
     ArrayNode known = root.putArray("known");
     known
         .addObject()
         .put("host_name", "peer")
-        .put("site", RehearsalServices.ZONE)
+        .put("site", TrainingServices.ZONE)
         .put("endpoint", mesh);
     String self = services.endpoint().toString();
     root.putObject("services").put("cloud", self).put("state", self);
@@ -206,7 +206,8 @@
   private static void loadOwnClasses()
       throws IOException, URISyntaxException, ClassNotFoundException {
     Path home =
-        Path.of(Rehearsal.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+        Path.of(
+            ClassDataTraining.class.getProtectionDomain().getCodeSource().getLocation().toURI());
     if (!home.toString().endsWith(".jar")) {
       return;
     }
--- a/src/main/java/io/cherryspool/cli/Main.java
+++ b/src/main/java/io/cherryspool/cli/Main.java
@@ -23,8 +23,8 @@
     boolean plain = args.length == 3 && args[0].equals("serve") && args[1].equals("--config");
     int status =
         plain
-            ? Server.serve(Path.of(args[2]), Path.of(Server.OPERATORS_FILE))
-            : Commands.execute(args);
+            ? NodeLauncher.serve(Path.of(args[2]), Path.of(NodeLauncher.OPERATORS_FILE))
+            : RootCommand.execute(args);
     if (status != 0) {
       System.exit(status);
     }
--- a/src/main/java/io/cherryspool/cli/NodeAddress.java
+++ b/src/main/java/io/cherryspool/cli/NodeAddress.java
@@ -30,6 +30,6 @@
   String text() throws ConfigException {
     return choice.address != null
         ? choice.address
-        : Settings.load(choice.config).listen().toString();
+        : Settings.load(choice.config).clientAddress().toString();
   }
 }
--- a/src/main/java/io/cherryspool/cli/Server.java
+++ b/src/main/java/io/cherryspool/cli/NodeLauncher.java
@@ -5,9 +5,9 @@
 import io.cherryspool.config.RecoverySettings;
 import io.cherryspool.config.Settings;
 import io.cherryspool.controller.Controller;
-import io.cherryspool.http.NettyClient;
-import io.cherryspool.http.NettyLoop;
-import io.cherryspool.http.NettyServer;
+import io.cherryspool.http.NettyEventLoop;
+import io.cherryspool.http.NettyHttpClient;
+import io.cherryspool.http.NettyHttpServer;
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.mesh.NettyMesh;
 import io.cherryspool.recovery.DirectorySnapshotStore;
@@ -27,8 +27,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Wires the parts of a node on real sockets and clocks. */
-final class Server {
-  private static final Logger LOG = LoggerFactory.getLogger(Server.class);
+final class NodeLauncher {
+  private static final Logger LOG = LoggerFactory.getLogger(NodeLauncher.class);
 
   /** Sockets kept for the calls to the state service, the cloud, the workers and the mesh. */
   private static final double OWN_SOCKETS = 0.25;
@@ -45,30 +45,31 @@
   /** Where the operators' settings are if nobody says otherwise. */
   static final String OPERATORS_FILE = "deploy/cherryspool.xml";
 
-  private Server() {}
+  private NodeLauncher() {}
 
   /** Runs a node until it is ended; returns the exit status. */
   static int serve(Path config, Path operators) throws InterruptedException {
-    Optional<Loaded> settings = load(config, operators);
+    Optional<LoadedSettings> settings = load(config, operators);
     return settings.isPresent() ? run(settings.get()) : BAD_SETTINGS;
   }
 
   /** Both settings, checked. */
-  record Loaded(Settings platform, OperatorSettings operators) {}
+  record LoadedSettings(Settings platform, OperatorSettings operators) {}
 
   /** Reads the settings; a mistake is one line on standard error. */
-  static Optional<Loaded> load(Path config, Path operators) {
+  static Optional<LoadedSettings> load(Path config, Path operators) {
     try {
-      return Optional.of(new Loaded(Settings.load(config), OperatorSettings.load(operators)));
+      return Optional.of(
+          new LoadedSettings(Settings.load(config), OperatorSettings.load(operators)));
     } catch (ConfigException e) {
       System.err.println("cherryspool: " + e.getMessage());
       return Optional.empty();
     }
   }
 
-  private static int run(Loaded settings) throws InterruptedException {
+  private static int run(LoadedSettings settings) throws InterruptedException {
     Settings platform = settings.platform();
-    NettyLoop loop = new NettyLoop();
+    NettyEventLoop loop = new NettyEventLoop();
     Controller[] controller = new Controller[1];
     NettyMesh mesh =
         new NettyMesh(
@@ -78,29 +79,29 @@
     MetricsExport metrics = new MetricsExport();
     controller[0] = controller(platform, settings.operators(), loop, mesh, metrics);
     int connections = (int) (platform.fdLimit() * (1 - OWN_SOCKETS));
-    NettyServer server = new NettyServer(loop, controller[0], connections);
+    NettyHttpServer server = new NettyHttpServer(loop, controller[0], connections);
     metrics.add(controller[0]);
     metrics.add(
         registry ->
-            Gauge.builder("cherryspool.connections", server::connections).register(registry));
+            Gauge.builder("cherryspool.connections", server::connectionCount).register(registry));
     List<Runnable> stops = List.of(controller[0]::stop, mesh::stop, loop::shutdown);
     Runtime.getRuntime()
         .addShutdownHook(new Thread(() -> stops.forEach(loop::execute), "shutdown"));
     CountDownLatch loaded = new CountDownLatch(1);
     try {
-      mesh.bind(platform.mesh());
+      mesh.bind(platform.meshAddress());
       loop.execute(mesh::start);
       loop.execute(() -> controller[0].onLoaded(loaded::countDown));
       loop.execute(controller[0]::start);
       // Until then the node could only turn away who comes. After a restart of all, a thousand
       // workers come at once, and each refused connection costs it next to nothing.
       boolean early = !loaded.await(UNLOADED.toMillis(), TimeUnit.MILLISECONDS);
-      server.bind(platform.listen());
+      server.bind(platform.clientAddress());
       LOG.info(
           "{} in {} listens on {}{}",
           platform.name(),
           platform.zone(),
-          platform.listen(),
+          platform.clientAddress(),
           early ? ", with no records read yet" : "");
     } catch (InterruptedException e) {
       throw e;
@@ -109,7 +110,7 @@
       System.err.println("cherryspool: " + e.getMessage());
       return 1;
     }
-    loop.join();
+    loop.awaitTermination();
     return 0;
   }
 
@@ -117,7 +118,7 @@
   static Controller controller(
       Settings platform,
       OperatorSettings operators,
-      NettyLoop loop,
+      NettyEventLoop loop,
       Mesh mesh,
       MetricsExport metrics) {
     long[] entropy = SystemEntropy.read(3);
@@ -126,7 +127,7 @@
         operators,
         new Controller.Surroundings(
             loop,
-            new NettyClient(loop, (int) (platform.fdLimit() * OWN_SOCKETS * OWN_CALLS)),
+            new NettyHttpClient(loop, (int) (platform.fdLimit() * OWN_SOCKETS * OWN_CALLS)),
             mesh,
             new SplittableRandom(entropy[0]),
             Instant::now,
--- a/src/main/java/io/cherryspool/cli/RecoveryCommands.java
+++ b/src/main/java/io/cherryspool/cli/RecoveryCommand.java
@@ -16,7 +16,7 @@
     name = "recovery",
     mixinStandardHelpOptions = true,
     description = "Shows and decides what a loss of the state service's data left open.")
-final class RecoveryCommands implements Runnable {
+final class RecoveryCommand implements Runnable {
   /** The exit status when the node refuses, or can't be reached. */
   static final int REFUSED = NodeClient.REFUSED;
 
--- a/src/main/java/io/cherryspool/cli/Commands.java
+++ b/src/main/java/io/cherryspool/cli/RootCommand.java
@@ -13,15 +13,15 @@
 @Command(
     name = "cherryspool",
     mixinStandardHelpOptions = true,
-    versionProvider = Commands.Version.class,
-    subcommands = {LinksCommand.class, RecoveryCommands.class, SnapshotCommands.class},
+    versionProvider = RootCommand.Version.class,
+    subcommands = {LinksCommand.class, RecoveryCommand.class, SnapshotCommand.class},
     description = "A small cluster scheduler: three to five controllers, no disk.")
-final class Commands implements Runnable {
+final class RootCommand implements Runnable {
   @Spec private CommandSpec spec;
 
   /** Does what the arguments say; returns the exit status. */
   static int execute(String[] args) {
-    return new CommandLine(new Commands()).execute(args);
+    return new CommandLine(new RootCommand()).execute(args);
   }
 
   @Override
@@ -42,7 +42,7 @@
     @Option(
         names = "--operators",
         paramLabel = "FILE",
-        defaultValue = Server.OPERATORS_FILE,
+        defaultValue = NodeLauncher.OPERATORS_FILE,
         description = "The operators' settings, XML (default: ${DEFAULT-VALUE}).")
     Path operators;
   }
@@ -52,7 +52,7 @@
       mixinStandardHelpOptions = true,
       description = "Runs a controller node until it is ended.")
   int serve(@CommandLine.Mixin Files files) throws InterruptedException {
-    return Server.serve(files.config, files.operators);
+    return NodeLauncher.serve(files.config, files.operators);
   }
 
   @Command(
@@ -60,13 +60,13 @@
       mixinStandardHelpOptions = true,
       description = "Checks both settings files and starts nothing.")
   int checkConfig(@CommandLine.Mixin Files files) {
-    return Server.load(files.config, files.operators)
+    return NodeLauncher.load(files.config, files.operators)
         .map(
             settings -> {
               System.out.println("settings of " + settings.platform().name() + " are fine");
               return 0;
             })
-        .orElse(Server.BAD_SETTINGS);
+        .orElse(NodeLauncher.BAD_SETTINGS);
   }
 
   @Command(
@@ -74,7 +74,7 @@
       hidden = true,
       description = "Loads what a starting node needs; the build makes the class-data archive so.")
   void rehearse() throws Exception {
-    Rehearsal.run();
+    ClassDataTraining.run();
     System.exit(0);
   }
 
@@ -82,7 +82,7 @@
   static final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() {
-      String version = Commands.class.getPackage().getImplementationVersion();
+      String version = RootCommand.class.getPackage().getImplementationVersion();
       return new String[] {"cherryspool " + (version == null ? "development" : version)};
     }
   }
--- a/src/main/java/io/cherryspool/cli/SnapshotCommands.java
+++ b/src/main/java/io/cherryspool/cli/SnapshotCommand.java
@@ -17,7 +17,7 @@
     name = "snapshot",
     mixinStandardHelpOptions = true,
     description = "Lists and checks the snapshots that nodes keep.")
-final class SnapshotCommands implements Runnable {
+final class SnapshotCommand implements Runnable {
   /** The exit status when a snapshot can't be used, or there is none. */
   static final int REFUSED = 1;
 
--- a/src/main/java/io/cherryspool/cli/RehearsalServices.java
+++ b/src/main/java/io/cherryspool/cli/TrainingServices.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.http.Handler;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
+import io.cherryspool.http.RequestHandler;
 import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Resources;
 import io.cherryspool.wire.CloudProtocol;
@@ -21,7 +21,7 @@
  * What a rehearsing node meets: a state service that grants everything, a cloud with one machine,
  * and the worker on it. It is as much as a node needs to lead, place a task and see it done.
  */
-final class RehearsalServices implements Handler {
+final class TrainingServices implements RequestHandler {
   static final String ZONE = "none";
 
   private static final List<MachineType> TYPES =
@@ -37,7 +37,7 @@
   private long sequence;
   private long token;
 
-  RehearsalServices(Endpoint self) {
+  TrainingServices(Endpoint self) {
     this.self = self;
   }
 
@@ -56,7 +56,7 @@
         case "/catalog" -> done(CloudProtocol.encodeCatalog(TYPES));
         case "/machines" -> done(request.method().equals("GET") ? machines() : rented());
         case "/commands" -> commands(Json.parseObject(request.body()));
-        case "/inspect" -> done(report());
+        case "/inspect" -> done(workerHeartbeat());
         default -> done(Json.object().put("tenancy", 1));
       };
     } catch (MalformedMessageException e) {
@@ -65,7 +65,7 @@
   }
 
   /** The worker's next report. */
-  ObjectNode report() {
+  ObjectNode workerHeartbeat() {
     ObjectNode node = Json.object().put("spindle", "host-000001").put("endpoint", self.toString());
     node.put("build", "box").put("yard", ZONE).put("loaners", false);
     node.put("shift", 1).put("tick", ++sequence).put("baton", token);
@@ -74,12 +74,12 @@
   }
 
   /** The worker takes in the token of an answer. */
-  void told(JsonNode answer) {
+  void receiveToken(JsonNode answer) {
     token = Math.max(token, answer.path("baton").longValue());
   }
 
   /** All that the worker has is done; false if it has nothing yet. */
-  boolean finish() {
+  boolean completeTasks() {
     for (JsonNode piece : pieces) {
       ((ObjectNode) piece).put("status", "ended").put("cause", "done");
     }
@@ -138,7 +138,7 @@
   }
 
   private CompletableFuture<Reply> commands(JsonNode body) {
-    told(body);
+    receiveToken(body);
     for (JsonNode order : body.path("orders")) {
       if (order.path("verb").asText().equals("launch")) {
         pieces
@@ -148,7 +148,7 @@
             .put("status", "running");
       }
     }
-    return done(report());
+    return done(workerHeartbeat());
   }
 
   private static CompletableFuture<Reply> done(JsonNode body) {
--- a/src/main/java/io/cherryspool/cloud/CloudClient.java
+++ b/src/main/java/io/cherryspool/cloud/CloudClient.java
@@ -31,18 +31,18 @@
   }
 
   /** The cloud's refusal, as opposed to no answer. */
-  public static final class Refused extends RuntimeException {
+  public static final class RefusedException extends RuntimeException {
     private static final long serialVersionUID = 1L;
-    private final boolean noCapacity;
+    private final boolean isOutOfCapacity;
 
-    Refused(int status, boolean noCapacity) {
+    RefusedException(int status, boolean noCapacity) {
       super("the cloud answered " + status + (noCapacity ? ", no capacity" : ""));
-      this.noCapacity = noCapacity;
+      this.isOutOfCapacity = noCapacity;
     }
 
     /** Whether this type, zone and kind is sold out, rather than the cloud in trouble. */
-    public boolean noCapacity() {
-      return noCapacity;
+    public boolean isOutOfCapacity() {
+      return isOutOfCapacity;
     }
   }
 
@@ -53,22 +53,22 @@
     return reply.status() == NO_CAPACITY && !CloudProtocol.isNoCapacity(reply.body());
   }
 
-  public CompletableFuture<List<MachineType>> catalog() {
+  public CompletableFuture<List<MachineType>> fetchMachineTypes() {
     return call(CloudProtocol.catalogRequest(), CloudProtocol::parseCatalog);
   }
 
-  public CompletableFuture<CloudProtocol.InstancePage> list(String after) {
+  public CompletableFuture<CloudProtocol.InstancePage> listInstances(String after) {
     return call(CloudProtocol.listRequest(after, PAGE), CloudProtocol::parsePage);
   }
 
-  public CompletableFuture<List<String>> rent(
+  public CompletableFuture<List<String>> requestInstances(
       String name, String type, String zone, boolean spot, int count) {
     return call(
         CloudProtocol.instanceRequest(name, type, zone, spot, count),
         CloudProtocol::parseInstanceNames);
   }
 
-  public CompletableFuture<Void> delete(List<String> machines) {
+  public CompletableFuture<Void> deleteInstances(List<String> machines) {
     return call(CloudProtocol.deleteRequest(machines), body -> null);
   }
 
@@ -81,7 +81,7 @@
                 if (reply.status() != 200) {
                   boolean full =
                       reply.status() == NO_CAPACITY && CloudProtocol.isNoCapacity(reply.body());
-                  throw new Refused(reply.status(), full);
+                  throw new RefusedException(reply.status(), full);
                 }
                 JsonNode body =
                     reply.body().length == 0 ? Json.object() : Json.parseObject(reply.body());
--- a/src/main/java/io/cherryspool/config/OperatorSettings.java
+++ b/src/main/java/io/cherryspool/config/OperatorSettings.java
@@ -88,7 +88,7 @@
       }
       return Optional.empty();
     }
-    Duration gather = duration(file, values, "recovery-gather", defaults.gather(), 0.5, 60);
+    Duration gather = duration(file, values, "recovery-gather", defaults.gatherDuration(), 0.5, 60);
     boolean interval = values.containsKey("snapshot-interval");
     Duration every =
         duration(file, values, "snapshot-interval", defaults.snapshotInterval(), 1, 86_400);
@@ -107,14 +107,14 @@
   private static PartitionSettings partitions(Path file, Map<String, String> values)
       throws ConfigException {
     PartitionSettings defaults = PartitionSettings.DEFAULTS;
-    boolean damping = isOn(file, values, "flap-damping", defaults.damping());
+    boolean damping = isOn(file, values, "flap-damping", defaults.dampsFlapping());
     if (!damping && values.containsKey("flap-half-life")) {
       throw new ConfigException(file + ": <flap-half-life> needs <flap-damping>on</flap-damping>");
     }
     return new PartitionSettings(
         damping,
-        duration(file, values, "flap-half-life", defaults.halfLife(), 5, 3600),
-        isOn(file, values, "request-forwarding", defaults.forwarding()));
+        duration(file, values, "flap-half-life", defaults.flapHalfLife(), 5, 3600),
+        isOn(file, values, "request-forwarding", defaults.forwardsRequests()));
   }
 
   private static boolean isOn(Path file, Map<String, String> values, String name, boolean absent)
--- a/src/main/java/io/cherryspool/config/RecoverySettings.java
+++ b/src/main/java/io/cherryspool/config/RecoverySettings.java
@@ -8,14 +8,14 @@
 /**
  * How a cluster that looks for losses of its state recovers.
  *
- * @param gather how long the nodes listen to one another before one of them rebuilds
+ * @param gatherDuration how long the nodes listen to one another before one of them rebuilds
  * @param snapshotDirectory where each node keeps its snapshots, in a folder of its own name
  * @param snapshotInterval how often it takes one
  * @param heldClasses classes of which no task that may have ended unseen is run again before an
  *     operator says so
  */
 public record RecoverySettings(
-    Duration gather,
+    Duration gatherDuration,
     Optional<Path> snapshotDirectory,
     Duration snapshotInterval,
     Set<String> heldClasses) {
--- a/src/main/java/io/cherryspool/config/Settings.java
+++ b/src/main/java/io/cherryspool/config/Settings.java
@@ -18,24 +18,24 @@
 /**
  * The settings that the platform hands over, as JSON. Fields it adds later are ignored.
  *
- * @param deadlineTimes by class, the multiples of the deadline that the aims name, rising
+ * @param deadlineMultiples by class, the multiples of the deadline that the aims name, rising
  */
 public record Settings(
     String name,
     String zone,
-    Endpoint listen,
-    Endpoint mesh,
+    Endpoint clientAddress,
+    Endpoint meshAddress,
     List<Peer> peers,
-    Endpoint cloud,
-    Endpoint state,
+    Endpoint cloudAddress,
+    Endpoint stateStoreAddress,
     List<Team> teams,
-    Map<String, List<Double>> deadlineTimes,
-    Duration report,
+    Map<String, List<Double>> deadlineMultiples,
+    Duration heartbeatInterval,
     Duration workerLease,
-    Duration cancelWithin,
-    StateLimits stateLimits,
-    double cloudRps,
-    Duration listLag,
+    Duration cancelLimit,
+    StateStoreLimits stateStoreLimits,
+    double cloudRequestsPerSecond,
+    Duration cloudListLag,
     int fdLimit) {
   /** Calls, the mesh, files and a few workers and users need so many. */
   private static final int MIN_SOCKETS = 64;
@@ -52,7 +52,11 @@
   }
 
   /** What the state service bears, from all nodes together. */
-  public record StateLimits(double rps, double writeRps, int valueBytes, int txnOps) {}
+  public record StateStoreLimits(
+      double requestsPerSecond,
+      double writesPerSecond,
+      int maxValueBytes,
+      int maxTransactionOperations) {}
 
   /**
    * How long after sending its last confirmed renewal and reading a leader may keep workers alive.
@@ -61,7 +65,7 @@
    * clock drift and for messages late within their deadlines.
    */
   public Duration authority() {
-    return authority(workerLease, cancelWithin);
+    return authority(workerLease, cancelLimit);
   }
 
   private static Duration authority(Duration lease, Duration cancel) {
@@ -143,7 +147,7 @@
         report,
         lease,
         cancel,
-        new StateLimits(
+        new StateStoreLimits(
             state.positive("rps"),
             state.positive("write_rps"),
             (int) (state.positive("value_kb") * 1024),
--- a/src/main/java/io/cherryspool/controller/CatalogKeeper.java
+++ b/src/main/java/io/cherryspool/controller/CatalogKeeper.java
@@ -69,7 +69,7 @@
 
   private void fetch() {
     cloud
-        .catalog()
+        .fetchMachineTypes()
         .whenComplete(
             (types, failure) -> {
               if (failure == null) {
--- a/src/main/java/io/cherryspool/controller/CommandSender.java
+++ b/src/main/java/io/cherryspool/controller/CommandSender.java
@@ -47,7 +47,7 @@
     long token = tokens.current();
     machine.commands().beginCall(commands, token);
     workers
-        .commands(machine.endpoint(), token, machine.latestHeartbeat().agentEpoch(), commands)
+        .sendCommands(machine.endpoint(), token, machine.latestHeartbeat().agentEpoch(), commands)
         .whenComplete(
             (report, failure) -> {
               if (failure == null) {
--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -4,14 +4,14 @@
 import io.cherryspool.config.OperatorSettings;
 import io.cherryspool.config.RecoverySettings;
 import io.cherryspool.config.Settings;
-import io.cherryspool.http.Handler;
 import io.cherryspool.http.ObservedTransport;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
+import io.cherryspool.http.RequestHandler;
 import io.cherryspool.http.Transport;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.lifecycle.Lifecycle;
-import io.cherryspool.mesh.LinkReport;
+import io.cherryspool.mesh.LinkSummary;
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.model.Durations;
 import io.cherryspool.model.Team;
@@ -52,7 +52,7 @@
  * One controller node: answers requests, takes part in elections, and leads while it is elected. It
  * knows sockets, clocks and chance only through what it is given.
  */
-public final class Controller implements Lifecycle, Handler, MeterBinder {
+public final class Controller implements Lifecycle, RequestHandler, MeterBinder {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
   private static final int HEARTBEATS_PER_LEASE = 8;
   private static final int UNAVAILABLE = 503;
@@ -113,10 +113,11 @@
     this.metrics = given.metrics();
     this.timings = Timings.of(settings, operators);
     settings.teams().forEach(team -> teams.put(team.name(), team));
-    Settings.StateLimits limits = settings.stateLimits();
+    Settings.StateStoreLimits limits = settings.stateStoreLimits();
     int nodes = settings.peers().size() + 1;
     reachability = newReachability(given.verdicts());
-    rateLimiter = new RateLimiter(loop, nodes, limits.rps(), limits.writeRps());
+    rateLimiter =
+        new RateLimiter(loop, nodes, limits.requestsPerSecond(), limits.writesPerSecond());
     state =
         new StateStoreClient(
             loop,
@@ -126,9 +127,9 @@
                 request -> !StateStoreProtocol.isWatch(request),
                 reply -> reply.status() == UNAVAILABLE,
                 reachability.stateLink()),
-            settings.state(),
+            settings.stateStoreAddress(),
             timings.stateCall());
-    Duration refreshGap = Duration.ofNanos((long) (2e9 * nodes / limits.rps()));
+    Duration refreshGap = Duration.ofNanos((long) (2e9 * nodes / limits.requestsPerSecond()));
     replica =
         new ClusterRecords(loop, state, rateLimiter, refreshGap, timings.stateCall().dividedBy(2));
     standing = new StateStanding(loop, replica, reachability, timings);
@@ -152,13 +153,18 @@
                 request -> true,
                 CloudClient::isOutage,
                 reachability.cloudLink()),
-            settings.cloud(),
+            settings.cloudAddress(),
             timings.cloudCall());
     workers = new WorkerClient(given.transport(), timings.workerCall());
     catalog = new CatalogKeeper(loop, cloud, replica, state, rateLimiter, election::leading);
     commits =
         new GroupCommit(
-            loop, state, rateLimiter, limits.txnOps(), 4 * limits.txnOps(), timings.stateCall());
+            loop,
+            state,
+            rateLimiter,
+            limits.maxTransactionOperations(),
+            4 * limits.maxTransactionOperations(),
+            timings.stateCall());
     api = newApi(given.transport());
   }
 
@@ -170,12 +176,12 @@
             teams,
             catalog::types,
             wall,
-            settings.stateLimits().valueBytes(),
+            settings.stateStoreLimits().maxValueBytes(),
             operators.failureCap(),
             standing::behind);
     NodeApi.Node answers = new Answers();
     Optional<RequestForwarder> forwarder =
-        operators.partitions().forwarding()
+        operators.partitions().forwardsRequests()
             ? Optional.of(new RequestForwarder(transport, answers::peersHeard))
             : Optional.empty();
     return new NodeApi(
@@ -194,12 +200,12 @@
             timings.stateLease(),
             timings.authority(),
             timings.stateCall(),
-            operators.partitions().halfLife());
+            operators.partitions().flapHalfLife());
     return new Reachability(
         settings.name(),
         settings.peerNames(),
         times,
-        operators.partitions().damping(),
+        operators.partitions().dampsFlapping(),
         rule.orElse(new PartitionRule(times)));
   }
 
@@ -212,7 +218,7 @@
   }
 
   private RecoveryPart newRecovery(RecoverySettings wanted, Surroundings given) {
-    Settings.StateLimits limits = settings.stateLimits();
+    Settings.StateStoreLimits limits = settings.stateStoreLimits();
     Duration bootstrap = timings.report().multipliedBy(2).plus(timings.stateLease());
     RecoveryNode node =
         new RecoveryNode(
@@ -227,11 +233,11 @@
         new RecoveryPart.Shared(loop, state, rateLimiter, replica, election, given.random(), wall),
         node,
         new RecoveryTimings(
-            wanted.gather(),
+            wanted.gatherDuration(),
             bootstrap,
-            limits.valueBytes(),
-            limits.txnOps(),
-            limits.writeRps() * REBUILD_WRITES),
+            limits.maxValueBytes(),
+            limits.maxTransactionOperations(),
+            limits.writesPerSecond() * REBUILD_WRITES),
         given.snapshots(),
         wanted.snapshotInterval());
   }
@@ -303,7 +309,7 @@
   }
 
   /** Takes in a heartbeat from another node. */
-  public void receive(Mesh.Heartbeat heartbeat) {
+  public void receive(Mesh.PeerHeartbeat heartbeat) {
     termShown(heartbeat.term());
     reachability.receive(heartbeat, loop.now());
   }
@@ -318,18 +324,18 @@
     Duration now = loop.now();
     int writes = (int) Math.ceil(10 * rateLimiter.recentWritesPerSecond());
     mesh.broadcast(
-        new Mesh.Heartbeat(
+        new Mesh.PeerHeartbeat(
             settings.name(),
             replica.term(),
             standing.reached(),
             standing.silenceMillis(),
             reachability.redirectedWorkers().count(now),
             writes,
-            recovery.map(RecoveryPart::memory).orElse(Mesh.Memory.NONE),
+            recovery.map(RecoveryPart::memory).orElse(Mesh.RetainedRecordsSummary.NONE),
             linkReport()));
     rateLimiter.setOtherNodesWriteRates(
         reachability.matrix().freshHeartbeats(timings.stateLease(), now).stream()
-            .mapToInt(Mesh.Heartbeat::writes)
+            .mapToInt(Mesh.PeerHeartbeat::writeRateTenths)
             .toArray());
     judgeLinks(now);
   }
@@ -354,8 +360,8 @@
     recordsChanged();
   }
 
-  private LinkReport linkReport() {
-    return reachability.linkSummary(loop.now(), leads(), settings.listen().toString());
+  private LinkSummary linkReport() {
+    return reachability.linkSummary(loop.now(), leads(), settings.clientAddress().toString());
   }
 
   private void recordsChanged() {
@@ -380,7 +386,7 @@
   }
 
   private LeaderTerm newLeaderTerm() {
-    int maxChanges = settings.stateLimits().txnOps();
+    int maxChanges = settings.stateStoreLimits().maxTransactionOperations();
     RoundWriter writer =
         new RoundWriter(loop, state, rateLimiter, maxChanges, replica.termVersion());
     return new LeaderTerm(
@@ -396,9 +402,9 @@
             operators.beginWithin(),
             operators.failureCap(),
             maxChanges,
-            settings.deadlineTimes()),
+            settings.deadlineMultiples()),
         new LeaderTerm.ProvisioningLimits(
-            settings.cloudRps(), settings.listLag(), operators.idleKeep()),
+            settings.cloudRequestsPerSecond(), settings.cloudListLag(), operators.idleKeep()),
         new LeaderTerm.Cluster(
             new LeaderTerm.Authority(election::authorized, election::sole),
             teams,
@@ -440,7 +446,7 @@
     }
 
     @Override
-    public List<Mesh.Heartbeat> peersHeard() {
+    public List<Mesh.PeerHeartbeat> peersHeard() {
       return reachability.freshPeerHeartbeats(loop.now());
     }
 
--- a/src/main/java/io/cherryspool/controller/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/LeaderTerm.java
@@ -526,7 +526,7 @@
       inspecting++;
       Duration asked = loop.now();
       workers
-          .inspect(machine.endpoint())
+          .requestHeartbeat(machine.endpoint())
           .whenComplete(
               (report, failure) -> {
                 inspecting--;
--- a/src/main/java/io/cherryspool/controller/LinksApi.java
+++ b/src/main/java/io/cherryspool/controller/LinksApi.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.cherryspool.http.Reply;
-import io.cherryspool.mesh.LinkReport;
 import io.cherryspool.mesh.LinkState;
+import io.cherryspool.mesh.LinkSummary;
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.reachability.ReachabilityMatrix;
 import io.cherryspool.wire.Json;
@@ -21,7 +21,7 @@
   private final List<String> peers;
 
   /** What this node tells of itself, and what the others last told. */
-  record Picture(Duration now, LinkReport own, ReachabilityMatrix matrix) {}
+  record Picture(Duration now, LinkSummary own, ReachabilityMatrix matrix) {}
 
   LinksApi(String node, List<String> peers) {
     this.node = node;
@@ -39,7 +39,7 @@
         up = false;
         continue;
       }
-      Mesh.Heartbeat heartbeat = row.get().heartbeat();
+      Mesh.PeerHeartbeat heartbeat = row.get().heartbeat();
       long age = picture.now().minus(row.get().receivedAt()).toMillis();
       up &= describe(nodes.addObject(), peer, age, heartbeat.links());
     }
@@ -48,31 +48,31 @@
   }
 
   /** Whether all the links that the node tells of are up. */
-  private static boolean describe(ObjectNode target, String name, long age, LinkReport report) {
+  private static boolean describe(ObjectNode target, String name, long age, LinkSummary report) {
     target.put("node", name).put("heard_ms", age).put("address", report.address());
-    target.put("leading", report.leading()).put("doubtful", report.doubtful());
+    target.put("leading", report.isLeading()).put("doubtful", report.wasStalled());
     target.put("verdict", report.verdict());
     target.put("leadership_penalty", report.leadershipPenalty() / 10.0);
-    target.put("state", name(report.state())).put("cloud", name(report.cloud()));
-    boolean up = report.state() == LinkState.UP && report.cloud() == LinkState.UP;
+    target.put("state", name(report.stateStore())).put("cloud", name(report.cloud()));
+    boolean up = report.stateStore() == LinkState.UP && report.cloud() == LinkState.UP;
     ArrayNode heard = target.putArray("peers");
-    for (LinkReport.PeerLink peer : report.peers()) {
+    for (LinkSummary.PeerLink peer : report.peers()) {
       heard
           .addObject()
           .put("node", peer.node())
           .put("link", name(peer.state()))
-          .put("heard_ms", peer.age());
+          .put("heard_ms", peer.heartbeatAgeMillis());
       up &= peer.state() == LinkState.UP;
     }
     ArrayNode zones = target.putArray("zones");
-    for (LinkReport.ZoneLink zone : report.zones()) {
+    for (LinkSummary.ZoneLink zone : report.zones()) {
       zones
           .addObject()
           .put("zone", zone.zone())
           .put("link", name(zone.state()))
-          .put("machines", zone.known())
-          .put("missing", zone.missing())
-          .put("redirected", zone.redirected());
+          .put("machines", zone.knownMachines())
+          .put("missing", zone.missingMachines())
+          .put("redirected", zone.redirectedWorkers());
       up &= zone.state() == LinkState.UP;
     }
     return up;
--- a/src/main/java/io/cherryspool/controller/MemoryWire.java
+++ b/src/main/java/io/cherryspool/controller/MemoryWire.java
@@ -8,8 +8,8 @@
 final class MemoryWire {
   private MemoryWire() {}
 
-  static Mesh.Memory encode(RetainedRecords memory) {
-    return new Mesh.Memory(
+  static Mesh.RetainedRecordsSummary encode(RetainedRecords memory) {
+    return new Mesh.RetainedRecordsSummary(
         memory.phase().ordinal(),
         memory.position().incarnationNumber(),
         memory.nonce(),
@@ -19,14 +19,14 @@
   }
 
   /** A phase that this version does not know is one in which the node does not serve. */
-  static RetainedRecords decode(Mesh.Memory memory) {
+  static RetainedRecords decode(Mesh.RetainedRecordsSummary memory) {
     RetainedRecords.Phase[] phases = RetainedRecords.Phase.values();
-    boolean known = memory.phase() >= 0 && memory.phase() < phases.length;
+    boolean known = memory.recoveryPhase() >= 0 && memory.recoveryPhase() < phases.length;
     return new RetainedRecords(
-        known ? phases[memory.phase()] : RetainedRecords.Phase.HOLDING,
+        known ? phases[memory.recoveryPhase()] : RetainedRecords.Phase.HOLDING,
         memory.nonce(),
         new Incarnation.HistoryPosition(memory.incarnation(), memory.revision()),
-        memory.led(),
-        memory.contributed());
+        memory.wasLeader(),
+        memory.contributedRebuild());
   }
 }
--- a/src/main/java/io/cherryspool/controller/NodeApi.java
+++ b/src/main/java/io/cherryspool/controller/NodeApi.java
@@ -1,9 +1,9 @@
 package io.cherryspool.controller;
 
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.http.Handler;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
+import io.cherryspool.http.RequestHandler;
 import io.cherryspool.mesh.LinkState;
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.model.WorkerHeartbeat;
@@ -23,7 +23,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Answers whoever comes to a node's address: workers, users, operators and the load balancer. */
-final class NodeApi implements Handler {
+final class NodeApi implements RequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(NodeApi.class);
   private static final String JOBS = "/api/jobs";
   private static final String CANCEL = "/withdraw";
@@ -42,7 +42,7 @@
     void sentOn(WorkerHeartbeat report);
 
     /** The latest heartbeats of the nodes that are heard. */
-    List<Mesh.Heartbeat> peersHeard();
+    List<Mesh.PeerHeartbeat> peersHeard();
 
     /** What this node and the others tell of their links. */
     LinksApi.Picture links();
@@ -158,7 +158,7 @@
       return reply;
     }
     parts.meters.refused.increment();
-    return parts.state.behind() ? reply.asLast() : reply;
+    return parts.state.behind() ? reply.closingConnection() : reply;
   }
 
   private Reply ready() {
@@ -207,9 +207,9 @@
       return leader == null || leader.node().equals(node) ? null : leader.node();
     }
     return parts.node.peersHeard().stream()
-        .filter(heartbeat -> heartbeat.links().leading())
-        .max(Comparator.comparingLong(Mesh.Heartbeat::term))
-        .map(Mesh.Heartbeat::node)
+        .filter(heartbeat -> heartbeat.links().isLeading())
+        .max(Comparator.comparingLong(Mesh.PeerHeartbeat::term))
+        .map(Mesh.PeerHeartbeat::node)
         .orElse(null);
   }
 
--- a/src/main/java/io/cherryspool/controller/Provisioner.java
+++ b/src/main/java/io/cherryspool/controller/Provisioner.java
@@ -189,7 +189,7 @@
   private void readList(String after, Map<String, Instance> found) {
     busy = true;
     cloud
-        .list(after)
+        .listInstances(after)
         .whenComplete(
             (page, failure) -> {
               busy = timer == null;
@@ -293,7 +293,7 @@
     List<String> batch = names.subList(0, Math.min(names.size(), MOST_PER_DELETE));
     busy = true;
     cloud
-        .delete(batch)
+        .deleteInstances(batch)
         .whenComplete(
             (nothing, failure) -> {
               busy = timer == null;
@@ -408,15 +408,16 @@
     repeat = request;
     ScalingPlan.Offering offer = request.offer;
     cloud
-        .rent(request.name, offer.type().name(), offer.zone(), offer.isSpot(), request.count)
+        .requestInstances(
+            request.name, offer.type().name(), offer.zone(), offer.isSpot(), request.count)
         .whenComplete(
             (names, failure) -> {
               busy = timer == null;
               if (failure == null) {
                 repeat = null;
                 rented(request, names);
-              } else if (cause(failure) instanceof CloudClient.Refused refused
-                  && refused.noCapacity()) {
+              } else if (cause(failure) instanceof CloudClient.RefusedException refused
+                  && refused.isOutOfCapacity()) {
                 repeat = null;
                 soldOut.put(offer, loop.now());
                 LOG.info(
--- a/src/main/java/io/cherryspool/controller/RecoveryApi.java
+++ b/src/main/java/io/cherryspool/controller/RecoveryApi.java
@@ -224,7 +224,8 @@
   }
 
   private static Reply later() {
-    return Reply.retry(503, UserProtocol.encodeError("the records can't be read now"), COME_BACK_S);
+    return Reply.withRetryAfter(
+        503, UserProtocol.encodeError("the records can't be read now"), COME_BACK_S);
   }
 
   private static Reply json(int status, JsonNode body) {
--- a/src/main/java/io/cherryspool/controller/RecoveryNode.java
+++ b/src/main/java/io/cherryspool/controller/RecoveryNode.java
@@ -55,9 +55,12 @@
   @Override
   public List<Peer> peers() {
     List<Peer> result = new ArrayList<>();
-    for (Mesh.Heartbeat heartbeat : peers.get().freshHeartbeats(fresh, loop.now())) {
+    for (Mesh.PeerHeartbeat heartbeat : peers.get().freshHeartbeats(fresh, loop.now())) {
       result.add(
-          new Peer(heartbeat.node(), heartbeat.state(), MemoryWire.decode(heartbeat.memory())));
+          new Peer(
+              heartbeat.node(),
+              heartbeat.isStateStoreReachable(),
+              MemoryWire.decode(heartbeat.retainedRecords())));
     }
     return result;
   }
--- a/src/main/java/io/cherryspool/controller/RecoveryPart.java
+++ b/src/main/java/io/cherryspool/controller/RecoveryPart.java
@@ -114,7 +114,7 @@
   }
 
   /** What heartbeats tell of this node. */
-  Mesh.Memory memory() {
+  Mesh.RetainedRecordsSummary memory() {
     return MemoryWire.encode(recovery.retainedRecords());
   }
 
--- a/src/main/java/io/cherryspool/controller/RequestForwarder.java
+++ b/src/main/java/io/cherryspool/controller/RequestForwarder.java
@@ -27,13 +27,13 @@
   private static final String MARK = "?forwarded";
 
   private final Transport transport;
-  private final Supplier<List<Mesh.Heartbeat>> peers;
+  private final Supplier<List<Mesh.PeerHeartbeat>> peers;
   private int turn;
 
   /**
    * @param peers the latest heartbeats of the nodes that are heard
    */
-  RequestForwarder(Transport transport, Supplier<List<Mesh.Heartbeat>> peers) {
+  RequestForwarder(Transport transport, Supplier<List<Mesh.PeerHeartbeat>> peers) {
     this.transport = transport;
     this.peers = peers;
   }
@@ -45,8 +45,9 @@
   /** The next of the nodes that can serve users now. */
   Optional<Endpoint> target() {
     List<Endpoint> able = new ArrayList<>();
-    for (Mesh.Heartbeat heartbeat : peers.get()) {
-      boolean reads = heartbeat.state() && heartbeat.links().state() == LinkState.UP;
+    for (Mesh.PeerHeartbeat heartbeat : peers.get()) {
+      boolean reads =
+          heartbeat.isStateStoreReachable() && heartbeat.links().stateStore() == LinkState.UP;
       if (reads && !heartbeat.links().address().isEmpty()) {
         able.add(Endpoint.parse(heartbeat.links().address()));
       }
--- a/src/main/java/io/cherryspool/controller/StateStanding.java
+++ b/src/main/java/io/cherryspool/controller/StateStanding.java
@@ -74,10 +74,11 @@
    * @param alone whether there is no other node
    */
   boolean ready(boolean alone) {
-    List<Mesh.Heartbeat> others =
+    List<Mesh.PeerHeartbeat> others =
         reachability.matrix().freshHeartbeats(timings.stateLease(), loop.now());
     boolean outage =
-        others.stream().noneMatch(Mesh.Heartbeat::state) && (!others.isEmpty() || alone);
+        others.stream().noneMatch(Mesh.PeerHeartbeat::isStateStoreReachable)
+            && (!others.isEmpty() || alone);
     return readable() && (reached() || outage) && !behind();
   }
 
--- a/src/main/java/io/cherryspool/controller/Timings.java
+++ b/src/main/java/io/cherryspool/controller/Timings.java
@@ -43,13 +43,13 @@
         authority.compareTo(operators.stateLease()) < 0 ? authority : operators.stateLease();
     Duration call = stateLease.dividedBy(4);
     return new Timings(
-        settings.report(),
+        settings.heartbeatInterval(),
         authority,
         lease.plus(lease.dividedBy(500)).plusMillis(500),
         stateLease,
         call,
-        settings.report().compareTo(Duration.ofSeconds(2)) < 0
-            ? settings.report()
+        settings.heartbeatInterval().compareTo(Duration.ofSeconds(2)) < 0
+            ? settings.heartbeatInterval()
             : Duration.ofSeconds(2),
         Duration.ofSeconds(5));
   }
--- a/src/main/java/io/cherryspool/controller/UserApi.java
+++ b/src/main/java/io/cherryspool/controller/UserApi.java
@@ -257,7 +257,7 @@
   }
 
   private static Reply later(String why) {
-    return Reply.retry(503, UserProtocol.encodeError(why), COME_BACK_S);
+    return Reply.withRetryAfter(503, UserProtocol.encodeError(why), COME_BACK_S);
   }
 
   private static CompletableFuture<Reply> now(Reply reply) {
--- a/src/main/java/io/cherryspool/http/PeerCheck.java
+++ b/src/main/java/io/cherryspool/http/AbandonedRequestFilter.java
@@ -14,7 +14,7 @@
  * answer them would take the time in which those that still wait could be answered, so that all of
  * them would be answered too late. A peer that closes only its sending side is not answered either.
  */
-final class PeerCheck extends ChannelInboundHandlerAdapter {
+final class AbandonedRequestFilter extends ChannelInboundHandlerAdapter {
   /**
    * So much is held of a connection; a request that is larger is passed on as it comes. Otherwise
    * many large bodies at once would take all of the buffers' memory.
--- a/src/main/java/io/cherryspool/http/NettyLoop.java
+++ b/src/main/java/io/cherryspool/http/NettyEventLoop.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /** The node's event loop: one Netty NIO thread, since the machine is a fraction of a core. */
-public final class NettyLoop implements EventLoop {
-  private static final Logger LOG = LoggerFactory.getLogger(NettyLoop.class);
+public final class NettyEventLoop implements EventLoop {
+  private static final Logger LOG = LoggerFactory.getLogger(NettyEventLoop.class);
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final long origin = System.nanoTime();
@@ -40,7 +40,7 @@
   }
 
   /** Waits until the loop has ended. */
-  public void join() throws InterruptedException {
+  public void awaitTermination() throws InterruptedException {
     group.terminationFuture().await();
   }
 
--- a/src/main/java/io/cherryspool/http/NettyClient.java
+++ b/src/main/java/io/cherryspool/http/NettyHttpClient.java
@@ -35,18 +35,18 @@
  * are bounded, since a leader calls a thousand workers: an idle connection makes way for a new one,
  * the longest unused first, and a call beyond the bound fails at once.
  */
-public final class NettyClient implements Transport {
+public final class NettyHttpClient implements Transport {
   private static final int MAX_REPLY = 64 << 20;
   private static final int MAX_IDLE = 4;
   private static final Duration CONNECT = Duration.ofSeconds(2);
 
-  private final NettyLoop loop;
+  private final NettyEventLoop loop;
   private final int maxSockets;
   private final Map<Endpoint, Deque<Exchange>> idle = new HashMap<>();
   private final LinkedHashSet<Exchange> unused = new LinkedHashSet<>();
   private int open;
 
-  public NettyClient(NettyLoop loop, int maxSockets) {
+  public NettyHttpClient(NettyEventLoop loop, int maxSockets) {
     this.loop = loop;
     this.maxSockets = maxSockets;
   }
--- a/src/main/java/io/cherryspool/http/NettyServer.java
+++ b/src/main/java/io/cherryspool/http/NettyHttpServer.java
@@ -38,8 +38,8 @@
  * it has something to say, while one that is turned away would take this node for dead. At the
  * bound the connection that was unused longest makes way; by then it is most likely a dead peer's.
  */
-public final class NettyServer {
-  private static final Logger LOG = LoggerFactory.getLogger(NettyServer.class);
+public final class NettyHttpServer {
+  private static final Logger LOG = LoggerFactory.getLogger(NettyHttpServer.class);
   private static final int MAX_BODY = 64 * 1024;
 
   /** Reads of one connection at a time, as Netty's own bound is. */
@@ -59,15 +59,15 @@
   private static final byte[] BROKEN =
       "{\"error\":\"internal error\"}".getBytes(StandardCharsets.UTF_8);
 
-  private final NettyLoop loop;
-  private final Handler handler;
+  private final NettyEventLoop loop;
+  private final RequestHandler handler;
   private final int maxConnections;
   private final int crowd;
   private final LinkedHashSet<Connection> unused = new LinkedHashSet<>();
   private int open;
   private Channel listener;
 
-  public NettyServer(NettyLoop loop, Handler handler, int maxConnections) {
+  public NettyHttpServer(NettyEventLoop loop, RequestHandler handler, int maxConnections) {
     this.loop = loop;
     this.handler = handler;
     this.maxConnections = maxConnections;
@@ -90,7 +90,7 @@
                   protected void initChannel(Channel channel) {
                     channel
                         .pipeline()
-                        .addLast(new PeerCheck())
+                        .addLast(new AbandonedRequestFilter())
                         .addLast(new HttpServerCodec(4096, 8192, 8192))
                         .addLast(new HttpObjectAggregator(MAX_BODY))
                         .addLast(new Connection());
@@ -115,7 +115,7 @@
     return ((InetSocketAddress) listener.localAddress()).getPort();
   }
 
-  public int connections() {
+  public int connectionCount() {
     return open;
   }
 
@@ -204,8 +204,8 @@
                 if (failure != null) {
                   LOG.error("answering {} {} failed", request.method(), request.path(), failure);
                 }
-                Reply answer = failure == null ? reply : Reply.retry(503, BROKEN, 1);
-                write(ctx, keep && open <= crowd && !answer.last(), answer);
+                Reply answer = failure == null ? reply : Reply.withRetryAfter(503, BROKEN, 1);
+                write(ctx, keep && open <= crowd && !answer.closesConnection(), answer);
               });
     }
 
@@ -225,8 +225,8 @@
               Unpooled.wrappedBuffer(reply.body()));
       response.headers().set(HttpHeaderNames.CONTENT_TYPE, reply.contentType());
       response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, reply.body().length);
-      if (reply.retryAfterS() > 0) {
-        response.headers().setInt(HttpHeaderNames.RETRY_AFTER, reply.retryAfterS());
+      if (reply.retryAfterSeconds() > 0) {
+        response.headers().setInt(HttpHeaderNames.RETRY_AFTER, reply.retryAfterSeconds());
       }
       if (!keep) {
         response.headers().set(HttpHeaderNames.CONNECTION, "close");
--- a/src/main/java/io/cherryspool/http/Handler.java
+++ b/src/main/java/io/cherryspool/http/RequestHandler.java
@@ -4,6 +4,6 @@
 
 /** Answers requests. The future completes on the event loop. */
 @FunctionalInterface
-public interface Handler {
+public interface RequestHandler {
   CompletableFuture<Reply> handle(Request request);
 }
--- a/src/main/java/io/cherryspool/mesh/LinkReportCodec.java
+++ b/src/main/java/io/cherryspool/mesh/LinkSummaryCodec.java
@@ -7,7 +7,7 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** A link report as MessagePack. A field that a later version adds comes last, and is ignored. */
-final class LinkReportCodec {
+final class LinkSummaryCodec {
   private static final int FIELDS = 9;
   private static final int PEER_FIELDS = 3;
   private static final int ZONE_FIELDS = 5;
@@ -15,40 +15,40 @@
   /** So that a heartbeat stays within a frame; a node names the first so many of its zones. */
   private static final int MOST_ZONES = 40;
 
-  private LinkReportCodec() {}
+  private LinkSummaryCodec() {}
 
-  static void pack(MessagePacker packer, LinkReport report) throws IOException {
+  static void pack(MessagePacker packer, LinkSummary report) throws IOException {
     packer.packArrayHeader(FIELDS);
-    packer.packBoolean(report.leading());
+    packer.packBoolean(report.isLeading());
     packer.packString(report.address());
-    packer.packInt(report.state().ordinal());
+    packer.packInt(report.stateStore().ordinal());
     packer.packInt(report.cloud().ordinal());
-    packer.packBoolean(report.doubtful());
+    packer.packBoolean(report.wasStalled());
     packer.packInt(report.leadershipPenalty());
     packer.packString(report.verdict());
     packer.packArrayHeader(report.peers().size());
-    for (LinkReport.PeerLink peer : report.peers()) {
+    for (LinkSummary.PeerLink peer : report.peers()) {
       packer.packArrayHeader(PEER_FIELDS);
       packer.packString(peer.node());
       packer.packInt(peer.state().ordinal());
-      packer.packInt(peer.age());
+      packer.packInt(peer.heartbeatAgeMillis());
     }
     int zones = Math.min(MOST_ZONES, report.zones().size());
     packer.packArrayHeader(zones);
-    for (LinkReport.ZoneLink zone : report.zones().subList(0, zones)) {
+    for (LinkSummary.ZoneLink zone : report.zones().subList(0, zones)) {
       packer.packArrayHeader(ZONE_FIELDS);
       packer.packString(zone.zone());
       packer.packInt(zone.state().ordinal());
-      packer.packInt(zone.known());
-      packer.packInt(zone.missing());
-      packer.packInt(zone.redirected());
+      packer.packInt(zone.knownMachines());
+      packer.packInt(zone.missingMachines());
+      packer.packInt(zone.redirectedWorkers());
     }
   }
 
-  static LinkReport unpack(MessageUnpacker unpacker) throws IOException {
+  static LinkSummary unpack(MessageUnpacker unpacker) throws IOException {
     int fields = header(unpacker, FIELDS);
-    LinkReport report =
-        new LinkReport(
+    LinkSummary report =
+        new LinkSummary(
             unpacker.unpackBoolean(),
             unpacker.unpackString(),
             state(unpacker),
@@ -62,25 +62,25 @@
     return report;
   }
 
-  private static List<LinkReport.PeerLink> peers(MessageUnpacker unpacker) throws IOException {
+  private static List<LinkSummary.PeerLink> peers(MessageUnpacker unpacker) throws IOException {
     int count = unpacker.unpackArrayHeader();
-    List<LinkReport.PeerLink> result = new ArrayList<>();
+    List<LinkSummary.PeerLink> result = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       int fields = header(unpacker, PEER_FIELDS);
       result.add(
-          new LinkReport.PeerLink(unpacker.unpackString(), state(unpacker), unpacker.unpackInt()));
+          new LinkSummary.PeerLink(unpacker.unpackString(), state(unpacker), unpacker.unpackInt()));
       unpacker.skipValue(fields - PEER_FIELDS);
     }
     return result;
   }
 
-  private static List<LinkReport.ZoneLink> zones(MessageUnpacker unpacker) throws IOException {
+  private static List<LinkSummary.ZoneLink> zones(MessageUnpacker unpacker) throws IOException {
     int count = unpacker.unpackArrayHeader();
-    List<LinkReport.ZoneLink> result = new ArrayList<>();
+    List<LinkSummary.ZoneLink> result = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       int fields = header(unpacker, ZONE_FIELDS);
       result.add(
-          new LinkReport.ZoneLink(
+          new LinkSummary.ZoneLink(
               unpacker.unpackString(),
               state(unpacker),
               unpacker.unpackInt(),
--- a/src/main/java/io/cherryspool/mesh/NettyMesh.java
+++ b/src/main/java/io/cherryspool/mesh/NettyMesh.java
@@ -1,7 +1,7 @@
 package io.cherryspool.mesh;
 
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.http.NettyLoop;
+import io.cherryspool.http.NettyEventLoop;
 import io.cherryspool.lifecycle.Lifecycle;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -50,14 +50,14 @@
   private static final int QUIET_S = 30;
   private static final int MAX_UNSENT = 16 * 1024;
 
-  private final NettyLoop loop;
+  private final NettyEventLoop loop;
   private final List<Endpoint> peers;
-  private final Consumer<Heartbeat> sink;
+  private final Consumer<PeerHeartbeat> sink;
   private final Map<Endpoint, Channel> links = new HashMap<>();
   private Channel listener;
   private boolean stopped;
 
-  public NettyMesh(NettyLoop loop, List<Endpoint> peers, Consumer<Heartbeat> sink) {
+  public NettyMesh(NettyEventLoop loop, List<Endpoint> peers, Consumer<PeerHeartbeat> sink) {
     this.loop = loop;
     this.peers = peers;
     this.sink = sink;
@@ -103,7 +103,7 @@
   }
 
   @Override
-  public void broadcast(Heartbeat heartbeat) {
+  public void broadcast(PeerHeartbeat heartbeat) {
     if (stopped) {
       return;
     }
@@ -143,22 +143,22 @@
     channel.closeFuture().addListener(closed -> links.remove(peer, channel));
   }
 
-  static byte[] encode(Heartbeat heartbeat) {
+  static byte[] encode(PeerHeartbeat heartbeat) {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       packer.packArrayHeader(ALL_FIELDS);
       packer.packString(heartbeat.node());
       packer.packLong(heartbeat.term());
-      packer.packBoolean(heartbeat.state());
-      packer.packInt(heartbeat.silence());
+      packer.packBoolean(heartbeat.isStateStoreReachable());
+      packer.packInt(heartbeat.stateReadAgeMillis());
       packer.packInt(heartbeat.redirectedWorkers());
-      packer.packInt(heartbeat.writes());
-      packer.packInt(heartbeat.memory().phase());
-      packer.packLong(heartbeat.memory().incarnation());
-      packer.packString(heartbeat.memory().nonce());
-      packer.packLong(heartbeat.memory().revision());
-      packer.packBoolean(heartbeat.memory().led());
-      packer.packLong(heartbeat.memory().contributed());
-      LinkReportCodec.pack(packer, heartbeat.links());
+      packer.packInt(heartbeat.writeRateTenths());
+      packer.packInt(heartbeat.retainedRecords().recoveryPhase());
+      packer.packLong(heartbeat.retainedRecords().incarnation());
+      packer.packString(heartbeat.retainedRecords().nonce());
+      packer.packLong(heartbeat.retainedRecords().revision());
+      packer.packBoolean(heartbeat.retainedRecords().wasLeader());
+      packer.packLong(heartbeat.retainedRecords().contributedRebuild());
+      LinkSummaryCodec.pack(packer, heartbeat.links());
       return packer.toByteArray();
     } catch (IOException e) {
       throw new IllegalStateException("packing into memory", e);
@@ -166,26 +166,26 @@
   }
 
   /** Reads a heartbeat; fields that a later version adds are ignored. */
-  static Heartbeat decode(byte[] frame) throws IOException {
+  static PeerHeartbeat decode(byte[] frame) throws IOException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(frame)) {
       int fields = unpacker.unpackArrayHeader();
       if (fields < FIELDS) {
         throw new IOException("a heartbeat that is too short");
       }
-      return new Heartbeat(
+      return new PeerHeartbeat(
           unpacker.unpackString(),
           unpacker.unpackLong(),
           unpacker.unpackBoolean(),
           unpacker.unpackInt(),
           unpacker.unpackInt(),
           unpacker.unpackInt(),
-          fields < MEMORY_FIELDS ? Memory.NONE : decodeMemory(unpacker),
-          fields < ALL_FIELDS ? LinkReport.NONE : LinkReportCodec.unpack(unpacker));
+          fields < MEMORY_FIELDS ? RetainedRecordsSummary.NONE : decodeMemory(unpacker),
+          fields < ALL_FIELDS ? LinkSummary.NONE : LinkSummaryCodec.unpack(unpacker));
     }
   }
 
-  private static Memory decodeMemory(MessageUnpacker unpacker) throws IOException {
-    return new Memory(
+  private static RetainedRecordsSummary decodeMemory(MessageUnpacker unpacker) throws IOException {
+    return new RetainedRecordsSummary(
         unpacker.unpackInt(),
         unpacker.unpackLong(),
         unpacker.unpackString(),
--- a/src/main/java/io/cherryspool/reachability/PartitionRule.java
+++ b/src/main/java/io/cherryspool/reachability/PartitionRule.java
@@ -1,7 +1,7 @@
 package io.cherryspool.reachability;
 
-import io.cherryspool.mesh.LinkReport;
 import io.cherryspool.mesh.LinkState;
+import io.cherryspool.mesh.LinkSummary;
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.model.Durations;
 import java.time.Duration;
@@ -91,7 +91,7 @@
 
   /** The hand-over to the node that hears most of the missing workers; null if nobody does. */
   private Verdict transfer(NodeView view) {
-    List<Mesh.Heartbeat> heartbeats =
+    List<Mesh.PeerHeartbeat> heartbeats =
         view.matrix().freshHeartbeats(timings.peerHeartbeatTimeout(), view.now());
     int missing = view.fleet().missing();
     if (heartbeats.isEmpty()) {
@@ -103,9 +103,9 @@
               Verdict.HandOverLeadership.ANY_NODE, Reason.NO_PEERS_AND_WORKERS_MISSING)
           : null;
     }
-    Mesh.Heartbeat best = null;
+    Mesh.PeerHeartbeat best = null;
     int redirected = 0;
-    for (Mesh.Heartbeat heartbeat : heartbeats) {
+    for (Mesh.PeerHeartbeat heartbeat : heartbeats) {
       if (mayLead(heartbeat) && heartbeat.redirectedWorkers() > 0) {
         redirected += heartbeat.redirectedWorkers();
         if (best == null || heartbeat.redirectedWorkers() > best.redirectedWorkers()) {
@@ -118,9 +118,9 @@
         : null;
   }
 
-  private static boolean mayLead(Mesh.Heartbeat heartbeat) {
-    LinkReport links = heartbeat.links();
-    return heartbeat.state() && links.state() != LinkState.DOWN;
+  private static boolean mayLead(Mesh.PeerHeartbeat heartbeat) {
+    LinkSummary links = heartbeat.links();
+    return heartbeat.isStateStoreReachable() && links.stateStore() != LinkState.DOWN;
   }
 
   /** The successor stands first, and who made way for it last, as does one whose link flaps. */
--- a/src/main/java/io/cherryspool/reachability/Reachability.java
+++ b/src/main/java/io/cherryspool/reachability/Reachability.java
@@ -1,7 +1,7 @@
 package io.cherryspool.reachability;
 
-import io.cherryspool.mesh.LinkReport;
 import io.cherryspool.mesh.LinkState;
+import io.cherryspool.mesh.LinkSummary;
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.model.Durations;
 import java.time.Duration;
@@ -79,7 +79,7 @@
   }
 
   /** The latest heartbeats of the nodes that are heard. */
-  public List<Mesh.Heartbeat> freshPeerHeartbeats(Duration now) {
+  public List<Mesh.PeerHeartbeat> freshPeerHeartbeats(Duration now) {
     return matrix.freshHeartbeats(timings.peerHeartbeatTimeout(), now);
   }
 
@@ -89,7 +89,7 @@
   }
 
   /** Takes in a heartbeat from another node. */
-  public void receive(Mesh.Heartbeat heartbeat, Duration now) {
+  public void receive(Mesh.PeerHeartbeat heartbeat, Duration now) {
     matrix = matrix.withHeartbeat(heartbeat, now);
   }
 
@@ -161,7 +161,7 @@
   /** How often leaders that live have lost their leadership lately, in the whole cluster. */
   public double leadershipPenalty(Duration now) {
     double sum = leadershipLosses.penalty(now);
-    for (Mesh.Heartbeat heartbeat : matrix.freshHeartbeats(timings.flapHalfLife(), now)) {
+    for (Mesh.PeerHeartbeat heartbeat : matrix.freshHeartbeats(timings.flapHalfLife(), now)) {
       sum += heartbeat.links().leadershipPenalty() / 10.0;
     }
     return sum;
@@ -194,8 +194,8 @@
   }
 
   /** What the other nodes are to know of this one's links. */
-  public LinkReport linkSummary(Duration now, boolean leading, String address) {
-    return new LinkReport(
+  public LinkSummary linkSummary(Duration now, boolean leading, String address) {
+    return new LinkSummary(
         leading,
         address,
         stateLink.state(now),
@@ -207,12 +207,12 @@
         zoneLinks(now));
   }
 
-  private List<LinkReport.PeerLink> peerLinks(Duration now) {
-    List<LinkReport.PeerLink> result = new ArrayList<>();
+  private List<LinkSummary.PeerLink> peerLinks(Duration now) {
+    List<LinkSummary.PeerLink> result = new ArrayList<>();
     for (String peer : peers) {
       Duration received = matrix.row(peer).map(ReachabilityMatrix.Row::receivedAt).orElse(null);
       if (received == null) {
-        result.add(new LinkReport.PeerLink(peer, LinkState.DOWN, -1));
+        result.add(new LinkSummary.PeerLink(peer, LinkState.DOWN, -1));
         continue;
       }
       Duration age = now.minus(received);
@@ -220,20 +220,20 @@
           age.compareTo(timings.peerHeartbeatTimeout()) < 0
               ? LinkState.UP
               : age.compareTo(timings.leaderLease()) < 0 ? LinkState.SUSPECT : LinkState.DOWN;
-      result.add(new LinkReport.PeerLink(peer, heard, (int) Math.min(age.toMillis(), 86_400_000)));
+      result.add(new LinkSummary.PeerLink(peer, heard, (int) Math.min(age.toMillis(), 86_400_000)));
     }
     return result;
   }
 
-  private List<LinkReport.ZoneLink> zoneLinks(Duration now) {
+  private List<LinkSummary.ZoneLink> zoneLinks(Duration now) {
     Map<String, Integer> redirected = redirectedWorkers.countByZone(now);
     Set<String> names = new TreeSet<>(fleet.zones().keySet());
     names.addAll(redirected.keySet());
-    List<LinkReport.ZoneLink> result = new ArrayList<>();
+    List<LinkSummary.ZoneLink> result = new ArrayList<>();
     for (String zone : names) {
       FleetReachability.Zone heard = fleet.zones().get(zone);
       result.add(
-          new LinkReport.ZoneLink(
+          new LinkSummary.ZoneLink(
               zone,
               zones.state(zone),
               heard == null ? 0 : heard.known(),
--- a/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
+++ b/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
@@ -20,14 +20,14 @@
   private final PMap<String, Row> rows;
 
   /** A node's latest heartbeat, and when it came. */
-  public record Row(Mesh.Heartbeat heartbeat, Duration receivedAt) {}
+  public record Row(Mesh.PeerHeartbeat heartbeat, Duration receivedAt) {}
 
   private ReachabilityMatrix(PMap<String, Row> rows) {
     this.rows = rows;
   }
 
   /** The matrix with this heartbeat in the place of its node's last one. */
-  public ReachabilityMatrix withHeartbeat(Mesh.Heartbeat heartbeat, Duration now) {
+  public ReachabilityMatrix withHeartbeat(Mesh.PeerHeartbeat heartbeat, Duration now) {
     return new ReachabilityMatrix(rows.plus(heartbeat.node(), new Row(heartbeat, now)));
   }
 
@@ -42,8 +42,8 @@
   }
 
   /** The heartbeats received no longer ago than this. */
-  public List<Mesh.Heartbeat> freshHeartbeats(Duration limit, Duration now) {
-    List<Mesh.Heartbeat> result = new ArrayList<>();
+  public List<Mesh.PeerHeartbeat> freshHeartbeats(Duration limit, Duration now) {
+    List<Mesh.PeerHeartbeat> result = new ArrayList<>();
     for (Row row : rows.values()) {
       if (now.minus(row.receivedAt).compareTo(limit) < 0) {
         result.add(row.heartbeat);
@@ -59,8 +59,9 @@
   public Duration latestStateRead(Duration limit, Duration now) {
     Duration last = null;
     for (Row row : rows.values()) {
-      boolean fresh = now.minus(row.receivedAt).compareTo(limit) < 0 && row.heartbeat.state();
-      Duration at = row.receivedAt.minusMillis(row.heartbeat.silence());
+      boolean fresh =
+          now.minus(row.receivedAt).compareTo(limit) < 0 && row.heartbeat.isStateStoreReachable();
+      Duration at = row.receivedAt.minusMillis(row.heartbeat.stateReadAgeMillis());
       last = fresh && (last == null || at.compareTo(last) > 0) ? at : last;
     }
     return last;
--- a/src/main/java/io/cherryspool/worker/WorkerClient.java
+++ b/src/main/java/io/cherryspool/worker/WorkerClient.java
@@ -26,13 +26,13 @@
   }
 
   /** Fails without an answer; the commands may then still run, as long as the token is current. */
-  public CompletableFuture<WorkerHeartbeat> commands(
+  public CompletableFuture<WorkerHeartbeat> sendCommands(
       Endpoint worker, long token, long session, List<WorkerCommand> orders) {
     return report(
         worker, Request.post("/commands", WorkerProtocol.encodeCommands(token, session, orders)));
   }
 
-  public CompletableFuture<WorkerHeartbeat> inspect(Endpoint worker) {
+  public CompletableFuture<WorkerHeartbeat> requestHeartbeat(Endpoint worker) {
     return report(worker, Request.get("/inspect"));
   }
 
--- a/src/test/java/io/cherryspool/cli/CommandFixture.java
+++ b/src/test/java/io/cherryspool/cli/CommandFixture.java
@@ -1,8 +1,8 @@
 package io.cherryspool.cli;
 
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.http.NettyLoop;
-import io.cherryspool.http.NettyServer;
+import io.cherryspool.http.NettyEventLoop;
+import io.cherryspool.http.NettyHttpServer;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
 import java.io.ByteArrayOutputStream;
@@ -14,7 +14,7 @@
 
 /** A node that answers as the test says, and what commands print. */
 abstract class CommandFixture {
-  private final NettyLoop loop = new NettyLoop();
+  private final NettyEventLoop loop = new NettyEventLoop();
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
   private final PrintStream realOut = System.out;
@@ -23,8 +23,8 @@
 
   @BeforeEach
   void begin() throws InterruptedException {
-    NettyServer server =
-        new NettyServer(loop, request -> CompletableFuture.completedFuture(answer(request)), 8);
+    NettyHttpServer server =
+        new NettyHttpServer(loop, request -> CompletableFuture.completedFuture(answer(request)), 8);
     server.bind(new Endpoint("127.0.0.1", 0));
     node = "127.0.0.1:" + server.port();
     System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
@@ -36,7 +36,7 @@
     System.setOut(realOut);
     System.setErr(realErr);
     loop.shutdown();
-    loop.join();
+    loop.awaitTermination();
   }
 
   /** What the node answers; called on its loop. */
@@ -47,7 +47,7 @@
   }
 
   static int run(String... words) {
-    return Commands.execute(words);
+    return RootCommand.execute(words);
   }
 
   /** What was printed to standard output so far. */
--- a/src/test/java/io/cherryspool/cli/RecoveryCommandsTest.java
+++ b/src/test/java/io/cherryspool/cli/RecoveryCommandTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What the commands print, and how they end. */
-class RecoveryCommandsTest extends CommandFixture {
+class RecoveryCommandTest extends CommandFixture {
   private volatile Request last;
 
   @Override
--- a/src/test/java/io/cherryspool/config/ConfigTest.java
+++ b/src/test/java/io/cherryspool/config/ConfigTest.java
@@ -33,8 +33,8 @@
   @Test
   void readsSettingsAndIgnoresWhatIsNew() throws Exception {
     Settings settings = Settings.parse(good(), "test");
-    assertEquals(Duration.ofMillis(2500), settings.report());
-    assertEquals(16 * 1024, settings.stateLimits().valueBytes());
+    assertEquals(Duration.ofMillis(2500), settings.heartbeatInterval());
+    assertEquals(16 * 1024, settings.stateStoreLimits().maxValueBytes());
     assertEquals("n1", settings.peers().get(0).name());
   }
 
@@ -94,9 +94,9 @@
     ObjectNode root = good();
     ((ObjectNode) root.at("/facts/workers")).put("lease_s", lease).put("cancel_s", cancel);
     Settings settings = Settings.parse(root, "test");
-    Duration margins = settings.cancelWithin().dividedBy(10).plusSeconds(2);
+    Duration margins = settings.cancelLimit().dividedBy(10).plusSeconds(2);
     assertEquals(
-        settings.cancelWithin(), settings.authority().plus(settings.workerLease()).plus(margins));
+        settings.cancelLimit(), settings.authority().plus(settings.workerLease()).plus(margins));
     assertTrue(settings.authority().compareTo(Duration.ofSeconds(1)) >= 0);
   }
 
--- a/src/test/java/io/cherryspool/controller/MemoryWireTest.java
+++ b/src/test/java/io/cherryspool/controller/MemoryWireTest.java
@@ -18,7 +18,8 @@
           new Incarnation.HistoryPosition(3, 1L << 50),
           true,
           4);
-  private static final Mesh.Memory CARRIED = new Mesh.Memory(3, 3, "9f3a", 1L << 50, true, 4);
+  private static final Mesh.RetainedRecordsSummary CARRIED =
+      new Mesh.RetainedRecordsSummary(3, 3, "9f3a", 1L << 50, true, 4);
 
   @Test
   void eachFieldHasItsPlace() {
@@ -28,7 +29,7 @@
 
   @Test
   void aPhaseOfALaterVersionIsOneInWhichTheNodeHolds() {
-    Mesh.Memory later = new Mesh.Memory(4, 3, "9f3a", 1, false, 0);
+    Mesh.RetainedRecordsSummary later = new Mesh.RetainedRecordsSummary(4, 3, "9f3a", 1, false, 0);
     assertEquals(RetainedRecords.Phase.HOLDING, MemoryWire.decode(later).phase());
   }
 }
--- a/src/test/java/io/cherryspool/controller/RequestForwarderTest.java
+++ b/src/test/java/io/cherryspool/controller/RequestForwarderTest.java
@@ -7,8 +7,8 @@
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
-import io.cherryspool.mesh.LinkReport;
 import io.cherryspool.mesh.LinkState;
+import io.cherryspool.mesh.LinkSummary;
 import io.cherryspool.mesh.Mesh;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,7 +18,7 @@
 
 /** To whom users' requests are passed on, and as what. */
 class RequestForwarderTest {
-  private final List<Mesh.Heartbeat> heard = new ArrayList<>();
+  private final List<Mesh.PeerHeartbeat> heard = new ArrayList<>();
   private final List<Request> sent = new ArrayList<>();
   private final RequestForwarder forwarder =
       new RequestForwarder(
@@ -29,9 +29,11 @@
           () -> heard);
 
   private void hear(String address, boolean reads, LinkState state) {
-    LinkReport links =
-        new LinkReport(false, address, state, LinkState.UP, false, 0, "", List.of(), List.of());
-    heard.add(new Mesh.Heartbeat(address, 1, reads, 0, 0, 0, Mesh.Memory.NONE, links));
+    LinkSummary links =
+        new LinkSummary(false, address, state, LinkState.UP, false, 0, "", List.of(), List.of());
+    heard.add(
+        new Mesh.PeerHeartbeat(
+            address, 1, reads, 0, 0, 0, Mesh.RetainedRecordsSummary.NONE, links));
   }
 
   @Test
--- a/src/test/java/io/cherryspool/controller/TimingsTest.java
+++ b/src/test/java/io/cherryspool/controller/TimingsTest.java
@@ -31,7 +31,7 @@
         Duration.ofSeconds(2),
         seconds(lease),
         seconds(cancel),
-        new Settings.StateLimits(100, 50, 2048, 12),
+        new Settings.StateStoreLimits(100, 50, 2048, 12),
         6,
         Duration.ofSeconds(6),
         100);
--- a/src/test/java/io/cherryspool/controller/UserApiTest.java
+++ b/src/test/java/io/cherryspool/controller/UserApiTest.java
@@ -132,7 +132,7 @@
   private static String told(CompletableFuture<Reply> answer) {
     assertTrue(answer.isDone(), "held back");
     Reply reply = answer.join();
-    assertEquals(reply.status() == 503, reply.retryAfterS() > 0);
+    assertEquals(reply.status() == 503, reply.retryAfterSeconds() > 0);
     try {
       String status = Json.parseObject(reply.body()).path("status").asText();
       return (reply.status() + " " + status).trim();
--- a/src/test/java/io/cherryspool/http/PeerCheckTest.java
+++ b/src/test/java/io/cherryspool/http/AbandonedRequestFilterTest.java
@@ -9,7 +9,7 @@
 import io.netty.channel.embedded.EmbeddedChannel;
 import org.junit.jupiter.api.Test;
 
-class PeerCheckTest {
+class AbandonedRequestFilterTest {
   private static final int SMALL = 100;
   private static final int LARGE = 5000;
 
@@ -17,7 +17,7 @@
   private boolean closed;
 
   private final EmbeddedChannel channel =
-      new EmbeddedChannel(new PeerCheck()) {
+      new EmbeddedChannel(new AbandonedRequestFilter()) {
         @Override
         public boolean isActive() {
           return !closed && super.isActive();
--- a/src/test/java/io/cherryspool/http/LoopbackTest.java
+++ b/src/test/java/io/cherryspool/http/LoopbackTest.java
@@ -18,15 +18,15 @@
 
 /** The HTTP parts over real sockets. */
 class LoopbackTest {
-  private final NettyLoop loop = new NettyLoop();
+  private final NettyEventLoop loop = new NettyEventLoop();
   private final CompletableFuture<Reply> never = new CompletableFuture<>();
-  private NettyServer server;
+  private NettyHttpServer server;
   private Endpoint address;
   private volatile int counted;
 
   @BeforeEach
   void bind() throws InterruptedException {
-    server = new NettyServer(loop, this::handle, 8);
+    server = new NettyHttpServer(loop, this::handle, 8);
     server.bind(new Endpoint("127.0.0.1", 0));
     address = new Endpoint("127.0.0.1", server.port());
   }
@@ -34,7 +34,7 @@
   @AfterEach
   void shutdown() throws InterruptedException {
     loop.shutdown();
-    loop.join();
+    loop.awaitTermination();
   }
 
   private CompletableFuture<Reply> handle(Request request) {
@@ -47,12 +47,12 @@
       case "/broken" -> throw new IllegalStateException("a defect");
       default ->
           CompletableFuture.completedFuture(
-              Reply.retry(200, request.body(), request.path().equals("/later") ? 3 : 0));
+              Reply.withRetryAfter(200, request.body(), request.path().equals("/later") ? 3 : 0));
     };
   }
 
   private Reply send(Request request, Duration deadline) throws Exception {
-    NettyClient client = new NettyClient(loop, 8);
+    NettyHttpClient client = new NettyHttpClient(loop, 8);
     CompletableFuture<Reply> result = new CompletableFuture<>();
     loop.execute(
         () ->
@@ -145,7 +145,7 @@
         silent[i] = new Socket(address.host(), address.port());
       }
       assertEquals(200, send(Request.get("/echo"), Duration.ofSeconds(20)).status());
-      assertTrue(server.connections() <= 8, server.connections() + " connections");
+      assertTrue(server.connectionCount() <= 8, server.connectionCount() + " connections");
     } finally {
       for (Socket socket : silent) {
         socket.close();
--- a/src/test/java/io/cherryspool/mesh/HeartbeatFormatTest.java
+++ b/src/test/java/io/cherryspool/mesh/HeartbeatFormatTest.java
@@ -10,8 +10,8 @@
 
 /** That controllers of version 0.1.0 and of this one read each other's heartbeats. */
 class HeartbeatFormatTest {
-  private static final LinkReport LINKS =
-      new LinkReport(
+  private static final LinkSummary LINKS =
+      new LinkSummary(
           true,
           "10.0.0.1:8080",
           LinkState.SUSPECT,
@@ -20,25 +20,26 @@
           17,
           "hold-zones a: many machines of a zone are not heard at once",
           List.of(
-              new LinkReport.PeerLink("node-0", LinkState.UP, 120),
-              new LinkReport.PeerLink("node-2", LinkState.DOWN, -1)),
+              new LinkSummary.PeerLink("node-0", LinkState.UP, 120),
+              new LinkSummary.PeerLink("node-2", LinkState.DOWN, -1)),
           List.of(
-              new LinkReport.ZoneLink("a", LinkState.DOWN, 900, 870, 12),
-              new LinkReport.ZoneLink("b", LinkState.SUSPECT, 70_000, 1, 0)));
+              new LinkSummary.ZoneLink("a", LinkState.DOWN, 900, 870, 12),
+              new LinkSummary.ZoneLink("b", LinkState.SUSPECT, 70_000, 1, 0)));
 
-  private static final Mesh.Heartbeat FULL =
-      new Mesh.Heartbeat(
+  private static final Mesh.PeerHeartbeat FULL =
+      new Mesh.PeerHeartbeat(
           "node-1",
           1L << 40,
           true,
           40,
           1650,
           237,
-          new Mesh.Memory(2, 3, "9f3a", 1L << 50, true, 4),
+          new Mesh.RetainedRecordsSummary(2, 3, "9f3a", 1L << 50, true, 4),
           LINKS);
 
-  private static final Mesh.Heartbeat PLAIN =
-      new Mesh.Heartbeat("node-2", 7, false, 99_000, 0, 0, Mesh.Memory.NONE, LinkReport.NONE);
+  private static final Mesh.PeerHeartbeat PLAIN =
+      new Mesh.PeerHeartbeat(
+          "node-2", 7, false, 99_000, 0, 0, Mesh.RetainedRecordsSummary.NONE, LinkSummary.NONE);
 
   @Test
   void heartbeatsAreReadAndWrittenAgainUnchanged() throws IOException {
@@ -46,9 +47,9 @@
     check("heartbeat-plain.msgpack", PLAIN);
   }
 
-  private static void check(String name, Mesh.Heartbeat expected) throws IOException {
+  private static void check(String name, Mesh.PeerHeartbeat expected) throws IOException {
     assertRecorded(name, NettyMesh.encode(expected));
-    Mesh.Heartbeat read = NettyMesh.decode(RecordedBytes.read(name));
+    Mesh.PeerHeartbeat read = NettyMesh.decode(RecordedBytes.read(name));
     assertEquals(expected, read);
     assertRecorded(name, NettyMesh.encode(read));
   }
--- a/src/test/java/io/cherryspool/mesh/NettyMeshTest.java
+++ b/src/test/java/io/cherryspool/mesh/NettyMeshTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.http.NettyLoop;
+import io.cherryspool.http.NettyEventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -17,13 +17,14 @@
 
 class NettyMeshTest {
   private static final long LIMIT_S = 10;
-  private static final Mesh.Heartbeat WORD =
-      new Mesh.Heartbeat("node", 1, true, 0, 0, 0, Mesh.Memory.NONE, LinkReport.NONE);
+  private static final Mesh.PeerHeartbeat WORD =
+      new Mesh.PeerHeartbeat(
+          "node", 1, true, 0, 0, 0, Mesh.RetainedRecordsSummary.NONE, LinkSummary.NONE);
 
   /** Closing the links while walking over them failed, so that the listener stayed open. */
   @Test
   void stopsWithLinksOpen() throws Exception {
-    NettyLoop loop = new NettyLoop();
+    NettyEventLoop loop = new NettyEventLoop();
     Endpoint own = freeEndpoint();
     CountDownLatch received = new CountDownLatch(2);
     NettyMesh mesh = new NettyMesh(loop, List.of(own), word -> received.countDown());
@@ -47,7 +48,7 @@
     stopped.get(LIMIT_S, TimeUnit.SECONDS);
     assertTrue(refuses(own), "the listener is still open");
     loop.shutdown();
-    loop.join();
+    loop.awaitTermination();
   }
 
   private static Endpoint freeEndpoint() throws Exception {
--- a/src/test/java/io/cherryspool/mesh/HeartbeatTest.java
+++ b/src/test/java/io/cherryspool/mesh/PeerHeartbeatCodecTest.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class HeartbeatTest {
-  private static final LinkReport LINKS =
-      new LinkReport(
+class PeerHeartbeatCodecTest {
+  private static final LinkSummary LINKS =
+      new LinkSummary(
           true,
           "10.0.0.1:8080",
           LinkState.SUSPECT,
@@ -20,15 +20,16 @@
           17,
           "hold-zones a: many machines of a zone are not heard at once",
           List.of(
-              new LinkReport.PeerLink("node-0", LinkState.UP, 120),
-              new LinkReport.PeerLink("node-2", LinkState.DOWN, -1)),
-          List.of(new LinkReport.ZoneLink("a", LinkState.DOWN, 900, 870, 12)));
+              new LinkSummary.PeerLink("node-0", LinkState.UP, 120),
+              new LinkSummary.PeerLink("node-2", LinkState.DOWN, -1)),
+          List.of(new LinkSummary.ZoneLink("a", LinkState.DOWN, 900, 870, 12)));
 
   @Test
   void readsWhatItWritesAndRefusesTheRest() throws IOException {
-    Mesh.Memory memory = new Mesh.Memory(2, 3, "9f", 1L << 50, true, 4);
-    Mesh.Heartbeat heartbeat =
-        new Mesh.Heartbeat("node-1", 1L << 40, true, 40, 1650, 237, memory, LINKS);
+    Mesh.RetainedRecordsSummary memory =
+        new Mesh.RetainedRecordsSummary(2, 3, "9f", 1L << 50, true, 4);
+    Mesh.PeerHeartbeat heartbeat =
+        new Mesh.PeerHeartbeat("node-1", 1L << 40, true, 40, 1650, 237, memory, LINKS);
     assertEquals(heartbeat, NettyMesh.decode(NettyMesh.encode(heartbeat)));
     assertThrows(IOException.class, () -> NettyMesh.decode(new byte[] {(byte) 0x91, 1}));
   }
@@ -36,8 +37,9 @@
   /** Nodes are replaced one at a time, so that both forms are about. */
   @Test
   void readsHeartbeatsOfNodesThatTellNoMemory() throws IOException {
-    Mesh.Heartbeat expected =
-        new Mesh.Heartbeat("n", 7, true, 1, 2, 3, Mesh.Memory.NONE, LinkReport.NONE);
+    Mesh.PeerHeartbeat expected =
+        new Mesh.PeerHeartbeat(
+            "n", 7, true, 1, 2, 3, Mesh.RetainedRecordsSummary.NONE, LinkSummary.NONE);
     byte[] old = {(byte) 0x96, (byte) 0xa1, 'n', 7, (byte) 0xc3, 1, 2, 3};
     assertEquals(expected, NettyMesh.decode(old));
   }
@@ -45,8 +47,9 @@
   /** Nodes of the version before tell what they remember, and nothing of their links. */
   @Test
   void readsHeartbeatsOfNodesThatTellNothingOfTheirLinks() throws IOException {
-    Mesh.Memory memory = new Mesh.Memory(1, 2, "9f", 3, false, 4);
-    Mesh.Heartbeat expected = new Mesh.Heartbeat("n", 7, true, 1, 2, 3, memory, LinkReport.NONE);
+    Mesh.RetainedRecordsSummary memory = new Mesh.RetainedRecordsSummary(1, 2, "9f", 3, false, 4);
+    Mesh.PeerHeartbeat expected =
+        new Mesh.PeerHeartbeat("n", 7, true, 1, 2, 3, memory, LinkSummary.NONE);
     byte[] old = {
       (byte) 0x9c,
       (byte) 0xa1,
@@ -71,15 +74,16 @@
   /** A frame holds 4,096 bytes, however many machines there are. */
   @Test
   void fitsIntoAFrameWithManyZones() throws IOException {
-    List<LinkReport.ZoneLink> zones = new ArrayList<>();
+    List<LinkSummary.ZoneLink> zones = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
-      zones.add(new LinkReport.ZoneLink("a-zone-with-a-name-" + i, LinkState.UP, 4000, 4000, 4000));
+      zones.add(
+          new LinkSummary.ZoneLink("a-zone-with-a-name-" + i, LinkState.UP, 4000, 4000, 4000));
     }
-    LinkReport links =
-        new LinkReport(
+    LinkSummary links =
+        new LinkSummary(
             true, "10.0.0.1:8080", LinkState.UP, LinkState.UP, false, 0, "", List.of(), zones);
-    Mesh.Heartbeat heartbeat =
-        new Mesh.Heartbeat("node-1", 1, true, 0, 0, 0, Mesh.Memory.NONE, links);
+    Mesh.PeerHeartbeat heartbeat =
+        new Mesh.PeerHeartbeat("node-1", 1, true, 0, 0, 0, Mesh.RetainedRecordsSummary.NONE, links);
     byte[] frame = NettyMesh.encode(heartbeat);
     assertTrue(frame.length <= 4096, frame.length + " bytes");
     assertEquals(40, NettyMesh.decode(frame).links().zones().size());
--- a/src/test/java/io/cherryspool/reachability/LeadershipTransferTest.java
+++ b/src/test/java/io/cherryspool/reachability/LeadershipTransferTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import io.cherryspool.mesh.LinkReport;
+import io.cherryspool.mesh.LinkSummary;
 import io.cherryspool.mesh.Mesh;
 import java.time.Duration;
 import java.util.List;
@@ -22,12 +22,12 @@
   private boolean acting = true;
 
   /** For whom the leader makes way then, or null. */
-  private String after(double seconds, int known, int lost, Mesh.Heartbeat... heartbeats) {
+  private String after(double seconds, int known, int lost, Mesh.PeerHeartbeat... heartbeats) {
     Duration end = now.plusMillis((long) (seconds * 1000));
     FleetReachability fleet = new FleetReachability(known, lost, Map.of());
     Verdict verdict = new Verdict.Serve();
     for (; now.compareTo(end) < 0; now = now.plus(PERIOD)) {
-      for (Mesh.Heartbeat heartbeat : heartbeats) {
+      for (Mesh.PeerHeartbeat heartbeat : heartbeats) {
         reachability.receive(heartbeat, now);
       }
       verdict = reachability.judge(now, true, acting, fleet);
@@ -35,9 +35,16 @@
     return verdict instanceof Verdict.HandOverLeadership away ? away.successor() : null;
   }
 
-  private static Mesh.Heartbeat says(String node, boolean state, int redirectedWorkers) {
-    return new Mesh.Heartbeat(
-        node, 7, state, 0, redirectedWorkers, 0, Mesh.Memory.NONE, LinkReport.NONE);
+  private static Mesh.PeerHeartbeat says(String node, boolean state, int redirectedWorkers) {
+    return new Mesh.PeerHeartbeat(
+        node,
+        7,
+        state,
+        0,
+        redirectedWorkers,
+        0,
+        Mesh.RetainedRecordsSummary.NONE,
+        LinkSummary.NONE);
   }
 
   @Test
@@ -66,7 +73,7 @@
   /** What waited in the sockets of a node that stood still is not read yet. */
   @Test
   void aNodeThatStoodStillOrLeadsOnlyNowLetsItsWorkersComeFirst() {
-    Mesh.Heartbeat heartbeat = says("a", true, 800);
+    Mesh.PeerHeartbeat heartbeat = says("a", true, 800);
     assertNull(after(3, 900, 850, heartbeat), "it has led for 3 s");
     assertEquals("a", after(20, 900, 850, heartbeat));
     now = now.plusSeconds(9);
@@ -82,7 +89,7 @@
   /** It answers so late that its workers go round, and hands its work to one that is no larger. */
   @Test
   void aNodeThatIsTooBusyToAnswerInTimeKeepsItsWork() {
-    Mesh.Heartbeat heartbeat = says("a", true, 400);
+    Mesh.PeerHeartbeat heartbeat = says("a", true, 400);
     assertEquals("a", after(20, 900, 450, heartbeat));
     for (int i = 0; i < 40; i++) {
       now = now.plusMillis(300);
--- a/src/test/java/io/cherryspool/reachability/PartitionRuleTest.java
+++ b/src/test/java/io/cherryspool/reachability/PartitionRuleTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.cherryspool.mesh.LinkReport;
 import io.cherryspool.mesh.LinkState;
+import io.cherryspool.mesh.LinkSummary;
 import io.cherryspool.mesh.Mesh;
 import java.time.Duration;
 import java.util.List;
@@ -137,10 +137,11 @@
     assertEquals("make-way for c", verdict.describe());
   }
 
-  private static Mesh.Heartbeat heartbeat(String name, int redirected, LinkState state) {
-    LinkReport links =
-        new LinkReport(false, "", state, LinkState.UP, false, 0, "", List.of(), List.of());
-    return new Mesh.Heartbeat(name, 7, true, 0, redirected, 0, Mesh.Memory.NONE, links);
+  private static Mesh.PeerHeartbeat heartbeat(String name, int redirected, LinkState state) {
+    LinkSummary links =
+        new LinkSummary(false, "", state, LinkState.UP, false, 0, "", List.of(), List.of());
+    return new Mesh.PeerHeartbeat(
+        name, 7, true, 0, redirected, 0, Mesh.RetainedRecordsSummary.NONE, links);
   }
 
   private Duration delay(String successor, String by) {
@@ -175,10 +176,12 @@
   @Test
   void leasesGrowWithTheLossesInTheWholeCluster() {
     assertEquals(LEASE, node.leaseLength(now));
-    LinkReport links =
-        new LinkReport(false, "", LinkState.UP, LinkState.UP, false, 9, "", List.of(), List.of());
+    LinkSummary links =
+        new LinkSummary(false, "", LinkState.UP, LinkState.UP, false, 9, "", List.of(), List.of());
     for (String name : List.of("b", "c")) {
-      node.receive(new Mesh.Heartbeat(name, 7, true, 0, 0, 0, Mesh.Memory.NONE, links), now);
+      node.receive(
+          new Mesh.PeerHeartbeat(name, 7, true, 0, 0, 0, Mesh.RetainedRecordsSummary.NONE, links),
+          now);
     }
     assertEquals(LEASE.multipliedBy(2), node.leaseLength(now));
   }
@@ -188,16 +191,16 @@
     node.receive(heartbeat("b", 0, LinkState.UP), now);
     node.redirectedWorkers().recordVisit("host-1", "zone-9", now);
     lead(2, fleet(0, 9, 0));
-    LinkReport report = node.linkSummary(now, true, "10.0.0.1:8080");
+    LinkSummary report = node.linkSummary(now, true, "10.0.0.1:8080");
     assertEquals(
         List.of(
-            new LinkReport.PeerLink("b", LinkState.SUSPECT, 2000),
-            new LinkReport.PeerLink("c", LinkState.DOWN, -1)),
+            new LinkSummary.PeerLink("b", LinkState.SUSPECT, 2000),
+            new LinkSummary.PeerLink("c", LinkState.DOWN, -1)),
         report.peers());
     assertEquals(
-        new LinkReport.ZoneLink("zone-1", LinkState.DOWN, 10, 9, 0), report.zones().get(1));
-    assertEquals(new LinkReport.ZoneLink("zone-9", LinkState.UP, 0, 0, 1), report.zones().get(3));
-    assertTrue(report.doubtful(), "it has run for 2 s only");
+        new LinkSummary.ZoneLink("zone-1", LinkState.DOWN, 10, 9, 0), report.zones().get(1));
+    assertEquals(new LinkSummary.ZoneLink("zone-9", LinkState.UP, 0, 0, 1), report.zones().get(3));
+    assertTrue(report.wasStalled(), "it has run for 2 s only");
     assertInstanceOf(Verdict.SuspendZoneEviction.class, node.verdict());
   }
 }
--- a/src/test/java/io/cherryspool/sim/Cluster.java
+++ b/src/test/java/io/cherryspool/sim/Cluster.java
@@ -261,7 +261,7 @@
         REPORT,
         LEASE,
         CANCEL,
-        new Settings.StateLimits(150, writeRate, 2048, 12),
+        new Settings.StateStoreLimits(150, writeRate, 2048, 12),
         6,
         Duration.ofSeconds(6),
         1000);
--- a/src/test/java/io/cherryspool/sim/ControllerNode.java
+++ b/src/test/java/io/cherryspool/sim/ControllerNode.java
@@ -64,7 +64,7 @@
     controller.bindTo(registry);
   }
 
-  private void broadcast(Gate own, Mesh.Heartbeat heartbeat) {
+  private void broadcast(Gate own, Mesh.PeerHeartbeat heartbeat) {
     if (own.closed() || alone || cluster.meshRefused()) {
       return;
     }
@@ -80,7 +80,7 @@
     }
   }
 
-  private void receive(Mesh.Heartbeat heartbeat) {
+  private void receive(Mesh.PeerHeartbeat heartbeat) {
     if (controller != null && !alone) {
       Controller live = controller;
       gate.pass(() -> live.receive(heartbeat));
--- a/src/test/java/io/cherryspool/sim/CostCluster.java
+++ b/src/test/java/io/cherryspool/sim/CostCluster.java
@@ -1,9 +1,9 @@
 package io.cherryspool.sim;
 
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.http.NettyClient;
-import io.cherryspool.http.NettyLoop;
-import io.cherryspool.http.NettyServer;
+import io.cherryspool.http.NettyEventLoop;
+import io.cherryspool.http.NettyHttpClient;
+import io.cherryspool.http.NettyHttpServer;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
 import io.cherryspool.model.Job;
@@ -58,15 +58,15 @@
   private final int size;
   private final Endpoint stateAddress;
   private final Endpoint cloudAddress;
-  private final NettyLoop loop = new NettyLoop();
+  private final NettyEventLoop loop = new NettyEventLoop();
   private final SplittableRandom random = new SplittableRandom(1);
 
   /** Of its own, so that a fleet that begins to report does not make the state service silent. */
-  private final NettyLoop stateLoop = new NettyLoop();
+  private final NettyEventLoop stateLoop = new NettyEventLoop();
 
   private final StandInState state = new StandInState(stateLoop, random.split(), 0);
   private final StandInCloud cloud;
-  private final NettyClient client = new NettyClient(loop, SOCKETS);
+  private final NettyHttpClient client = new NettyHttpClient(loop, SOCKETS);
   private final LoopbackNodes nodes;
   private final Map<String, Endpoint> workerAddresses;
   private final ExecutorService binding = Executors.newSingleThreadExecutor();
@@ -141,8 +141,8 @@
 
   /** The services listen; there is no machine yet. */
   void listen() throws InterruptedException {
-    new NettyServer(stateLoop, state, SOCKETS).bind(stateAddress);
-    new NettyServer(loop, cloud, SOCKETS).bind(cloudAddress);
+    new NettyHttpServer(stateLoop, state, SOCKETS).bind(stateAddress);
+    new NettyHttpServer(loop, cloud, SOCKETS).bind(cloudAddress);
   }
 
   LoopbackNodes nodes() {
@@ -166,7 +166,7 @@
         new StandInWorker(
             loop,
             random.split(),
-            new NettyClient(loop, SOCKETS_PER_WORKER),
+            new NettyHttpClient(loop, SOCKETS_PER_WORKER),
             machine,
             workerAddresses,
             jobs::get,
@@ -182,7 +182,7 @@
 
   private void listen(StandInCloud.Machine machine, StandInWorker worker) {
     try {
-      new NettyServer(loop, worker, SOCKETS).bind(Endpoint.parse(machine.address()));
+      new NettyHttpServer(loop, worker, SOCKETS).bind(Endpoint.parse(machine.address()));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -301,7 +301,7 @@
     return result;
   }
 
-  NettyLoop loop() {
+  NettyEventLoop loop() {
     return loop;
   }
 
--- a/src/test/java/io/cherryspool/sim/Playground.java
+++ b/src/test/java/io/cherryspool/sim/Playground.java
@@ -1,9 +1,9 @@
 package io.cherryspool.sim;
 
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.http.NettyClient;
-import io.cherryspool.http.NettyLoop;
-import io.cherryspool.http.NettyServer;
+import io.cherryspool.http.NettyEventLoop;
+import io.cherryspool.http.NettyHttpClient;
+import io.cherryspool.http.NettyHttpServer;
 import io.cherryspool.model.Job;
 import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Resources;
@@ -39,13 +39,13 @@
       new MachineType(
           "box", new Resources(16, 0, 64), 50, 0.5, 1, 0.4, Duration.ofSeconds(10), ZONES);
 
-  private final NettyLoop loop = new NettyLoop();
+  private final NettyEventLoop loop = new NettyEventLoop();
   private final SplittableRandom random = new SplittableRandom();
   private final StandInState state = new StandInState(loop, random.split(), 0);
   private final StandInCloud cloud =
       new StandInCloud(
           loop, random.split(), List.of(BOX), MACHINES, "127.1.", this::boot, this::end);
-  private final NettyClient client = new NettyClient(loop, SOCKETS);
+  private final NettyHttpClient client = new NettyHttpClient(loop, SOCKETS);
   private final LoopbackNodes nodes =
       new LoopbackNodes(
           ZONES.size(),
@@ -71,8 +71,8 @@
 
   private void run(Path folder) throws IOException, InterruptedException {
     state.listen(this::describe);
-    new NettyServer(loop, state, SOCKETS).bind(STATE);
-    new NettyServer(loop, cloud, SOCKETS).bind(CLOUD);
+    new NettyHttpServer(loop, state, SOCKETS).bind(STATE);
+    new NettyHttpServer(loop, cloud, SOCKETS).bind(CLOUD);
     loop.execute(() -> ZONES.forEach(zone -> cloud.add("box", zone, false, REPORT)));
     Files.createDirectories(folder);
     for (int i = 0; i < ZONES.size(); i++) {
@@ -81,7 +81,7 @@
     }
     System.out.println("a line with \"lose\" makes the state service lose its data");
     readCommands();
-    loop.join();
+    loop.awaitTermination();
   }
 
   private void readCommands() throws IOException {
@@ -116,7 +116,7 @@
 
   private void listen(StandInCloud.Machine machine, StandInWorker worker) {
     try {
-      new NettyServer(loop, worker, SOCKETS).bind(Endpoint.parse(machine.address()));
+      new NettyHttpServer(loop, worker, SOCKETS).bind(Endpoint.parse(machine.address()));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/test/java/io/cherryspool/sim/SimNet.java
+++ b/src/test/java/io/cherryspool/sim/SimNet.java
@@ -1,9 +1,9 @@
 package io.cherryspool.sim;
 
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.http.Handler;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
+import io.cherryspool.http.RequestHandler;
 import io.cherryspool.http.Transport;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -50,7 +50,7 @@
   private final Map<String, List<Runnable>> held = new HashMap<>();
 
   /** Who listens at an address, and how it is reached. */
-  private record Host(Handler handler, Gate gate) {}
+  private record Host(RequestHandler handler, Gate gate) {}
 
   /**
    * @param zoneOf the zone of a host, empty for what no zone holds
@@ -62,11 +62,11 @@
     this.zoneOf = zoneOf;
   }
 
-  void listen(Endpoint at, Handler handler) {
+  void listen(Endpoint at, RequestHandler handler) {
     listen(at, handler, Gate.open());
   }
 
-  void listen(Endpoint at, Handler handler, Gate gate) {
+  void listen(Endpoint at, RequestHandler handler, Gate gate) {
     hosts.put(at, new Host(handler, gate));
   }
 
--- a/src/test/java/io/cherryspool/sim/StandInCloud.java
+++ b/src/test/java/io/cherryspool/sim/StandInCloud.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.cherryspool.http.Handler;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
+import io.cherryspool.http.RequestHandler;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.model.MachineType;
 import io.cherryspool.wire.CloudProtocol;
@@ -21,7 +21,7 @@
 import java.util.random.RandomGenerator;
 
 /** A stand-in for the cloud: rents machines, boots workers on them, and tells of them late. */
-public final class StandInCloud implements Handler {
+public final class StandInCloud implements RequestHandler {
   private static final int PORT = 9000;
 
   /** Each machine is given the next address in this network. */
--- a/src/test/java/io/cherryspool/sim/StandInState.java
+++ b/src/test/java/io/cherryspool/sim/StandInState.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.cherryspool.http.Handler;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
+import io.cherryspool.http.RequestHandler;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.MalformedMessageException;
@@ -25,7 +25,7 @@
  * A stand-in for the state service: keys, leases, watches, conditional transactions. It can be
  * down, and now and then it applies a transaction without answering it, at once or much later.
  */
-public final class StandInState implements Handler {
+public final class StandInState implements RequestHandler {
   private final EventLoop loop;
   private final RandomGenerator random;
   private final double late;
--- a/src/test/java/io/cherryspool/sim/StandInWorker.java
+++ b/src/test/java/io/cherryspool/sim/StandInWorker.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.http.Handler;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
+import io.cherryspool.http.RequestHandler;
 import io.cherryspool.http.Transport;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.model.Job;
@@ -27,7 +27,7 @@
 import java.util.random.RandomGenerator;
 
 /** A stand-in for a worker: reports, obeys, keeps its lease; it can hang, and go on later. */
-public final class StandInWorker implements Handler {
+public final class StandInWorker implements RequestHandler {
   /** The class of jobs that were submitted with a mistake. */
   static final String BROKEN = "broken";
 
--- a/src/test/java/io/cherryspool/sim/StateServiceTransport.java
+++ b/src/test/java/io/cherryspool/sim/StateServiceTransport.java
@@ -1,9 +1,9 @@
 package io.cherryspool.sim;
 
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.http.Handler;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
+import io.cherryspool.http.RequestHandler;
 import io.cherryspool.http.Transport;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -27,7 +27,7 @@
   private static final Duration WAY = Duration.ofMillis(1);
 
   private final VirtualTime time;
-  private final Handler state;
+  private final RequestHandler state;
   private final List<Plan> plans = new ArrayList<>();
   private final List<Held> held = new ArrayList<>();
   private final List<Request> sent = new ArrayList<>();
@@ -45,7 +45,7 @@
 
   private record Held(String target, Runnable message) {}
 
-  public StateServiceTransport(VirtualTime time, Handler state) {
+  public StateServiceTransport(VirtualTime time, RequestHandler state) {
     this.time = time;
     this.state = state;
   }
