--- a/src/main/java/io/cherryspool/cli/NodeLauncher.java
+++ b/src/main/java/io/cherryspool/cli/NodeLauncher.java
@@ -91,7 +91,7 @@
     try {
       mesh.bind(platform.meshAddress());
       loop.execute(mesh::start);
-      loop.execute(() -> controller[0].onLoaded(loaded::countDown));
+      loop.execute(() -> controller[0].onRecordsLoaded(loaded::countDown));
       loop.execute(controller[0]::start);
       // Until then the node could only turn away who comes. After a restart of all, a thousand
       // workers come at once, and each refused connection costs it next to nothing.
@@ -125,7 +125,7 @@
     return new Controller(
         platform,
         operators,
-        new Controller.Surroundings(
+        new Controller.Dependencies(
             loop,
             new NettyHttpClient(loop, (int) (platform.fdLimit() * OWN_SOCKETS * OWN_CALLS)),
             mesh,
@@ -141,7 +141,7 @@
   }
 
   /** Snapshots are written by a thread of their own, which ends with the process. */
-  private static Controller.SnapshotSupport snapshots(Path directory) {
+  private static Controller.SnapshotTarget snapshots(Path directory) {
     ExecutorService writer =
         Executors.newSingleThreadExecutor(
             task -> {
@@ -149,6 +149,6 @@
               thread.setDaemon(true);
               return thread;
             });
-    return new Controller.SnapshotSupport(new DirectorySnapshotStore(directory), writer);
+    return new Controller.SnapshotTarget(new DirectorySnapshotStore(directory), writer);
   }
 }
--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -4,6 +4,21 @@
 import io.cherryspool.config.OperatorSettings;
 import io.cherryspool.config.RecoverySettings;
 import io.cherryspool.config.Settings;
+import io.cherryspool.controller.api.LinksApi;
+import io.cherryspool.controller.api.NodeApi;
+import io.cherryspool.controller.api.RequestForwarder;
+import io.cherryspool.controller.api.StateStoreHealth;
+import io.cherryspool.controller.api.UserApi;
+import io.cherryspool.controller.election.Election;
+import io.cherryspool.controller.leader.LeaderTerm;
+import io.cherryspool.controller.metrics.Meters;
+import io.cherryspool.controller.metrics.ReachabilityMeters;
+import io.cherryspool.controller.provisioning.MachineTypeCatalog;
+import io.cherryspool.controller.recovery.ElectionClusterNode;
+import io.cherryspool.controller.recovery.RecoveryModule;
+import io.cherryspool.controller.rounds.RoundCommitter;
+import io.cherryspool.controller.rounds.SchedulingLoop;
+import io.cherryspool.controller.timing.Timings;
 import io.cherryspool.http.ObservedTransport;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
@@ -34,7 +49,7 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.binder.MeterBinder;
 import java.time.Duration;
-import java.time.Instant;
+import java.time.InstantSource;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -65,57 +80,57 @@
   private final OperatorSettings operators;
   private final Timings timings;
   private final Mesh mesh;
-  private final Supplier<Instant> wall;
+  private final InstantSource clock;
   private final Supplier<String> metrics;
   private final Map<String, Team> teams = new HashMap<>();
   private final Meters meters = new Meters();
   private final Reachability reachability;
-  private final StateStanding standing;
+  private final StateStoreHealth standing;
   private final StateStoreClient state;
   private final RateLimiter rateLimiter;
   private final ClusterRecords replica;
   private final Election election;
   private final CloudClient cloud;
   private final WorkerClient workers;
-  private final CatalogKeeper catalog;
+  private final MachineTypeCatalog catalog;
   private final GroupCommit commits;
   private final NodeApi api;
-  private final Optional<RecoveryPart> recovery;
+  private final Optional<RecoveryModule> recovery;
   private LeaderTerm leaderTerm;
   private EventLoop.Timer timer;
 
   /**
    * What the node is given to work with.
    *
-   * @param metrics writes the node's meters out
-   * @param verdicts judges the links, where it is not to be done as usual
+   * @param metricsText writes the node's meters out
+   * @param verdictRule judges the links, where it is not to be done as usual
    */
-  public record Surroundings(
+  public record Dependencies(
       EventLoop loop,
       Transport transport,
       Mesh mesh,
       RandomGenerator random,
-      Supplier<Instant> wall,
-      String instance,
-      Supplier<String> metrics,
-      Optional<SnapshotSupport> snapshots,
-      Optional<VerdictRule> verdicts) {}
+      InstantSource clock,
+      String processId,
+      Supplier<String> metricsText,
+      Optional<SnapshotTarget> snapshotTarget,
+      Optional<VerdictRule> verdictRule) {}
 
   /** Where snapshots go, and who writes them. */
-  public record SnapshotSupport(SnapshotStore store, Executor background) {}
+  public record SnapshotTarget(SnapshotStore store, Executor writerExecutor) {}
 
-  public Controller(Settings settings, OperatorSettings operators, Surroundings given) {
+  public Controller(Settings settings, OperatorSettings operators, Dependencies given) {
     this.settings = settings;
     this.operators = operators;
     this.loop = given.loop();
     this.mesh = given.mesh();
-    this.wall = given.wall();
-    this.metrics = given.metrics();
-    this.timings = Timings.of(settings, operators);
+    this.clock = given.clock();
+    this.metrics = given.metricsText();
+    this.timings = Timings.fromSettings(settings, operators);
     settings.teams().forEach(team -> teams.put(team.name(), team));
     Settings.StateStoreLimits limits = settings.stateStoreLimits();
     int nodes = settings.peers().size() + 1;
-    reachability = newReachability(given.verdicts());
+    reachability = newReachability(given.verdictRule());
     rateLimiter =
         new RateLimiter(loop, nodes, limits.requestsPerSecond(), limits.writesPerSecond());
     state =
@@ -128,11 +143,12 @@
                 reply -> reply.status() == UNAVAILABLE,
                 reachability.stateLink()),
             settings.stateStoreAddress(),
-            timings.stateCall());
+            timings.stateStoreTimeout());
     Duration refreshGap = Duration.ofNanos((long) (2e9 * nodes / limits.requestsPerSecond()));
     replica =
-        new ClusterRecords(loop, state, rateLimiter, refreshGap, timings.stateCall().dividedBy(2));
-    standing = new StateStanding(loop, replica, reachability, timings);
+        new ClusterRecords(
+            loop, state, rateLimiter, refreshGap, timings.stateStoreTimeout().dividedBy(2));
+    standing = new StateStoreHealth(loop, replica, reachability, timings);
     election =
         new Election(
             loop,
@@ -142,7 +158,7 @@
             given.random(),
             timings,
             settings.name(),
-            given.instance(),
+            given.processId(),
             reachability);
     recovery = operators.recovery().map(wanted -> newRecovery(wanted, given));
     recovery.ifPresent(standing::with);
@@ -154,9 +170,9 @@
                 CloudClient::isOutage,
                 reachability.cloudLink()),
             settings.cloudAddress(),
-            timings.cloudCall());
-    workers = new WorkerClient(given.transport(), timings.workerCall());
-    catalog = new CatalogKeeper(loop, cloud, replica, state, rateLimiter, election::leading);
+            timings.cloudTimeout());
+    workers = new WorkerClient(given.transport(), timings.workerTimeout());
+    catalog = new MachineTypeCatalog(loop, cloud, replica, state, rateLimiter, election::isLeader);
     commits =
         new GroupCommit(
             loop,
@@ -164,7 +180,7 @@
             rateLimiter,
             limits.maxTransactionOperations(),
             4 * limits.maxTransactionOperations(),
-            timings.stateCall());
+            timings.stateStoreTimeout());
     api = newApi(given.transport());
   }
 
@@ -175,14 +191,14 @@
             commits,
             teams,
             catalog::types,
-            wall,
+            clock,
             settings.stateStoreLimits().maxValueBytes(),
             operators.failureCap(),
-            standing::behind);
+            standing::isBehindPeers);
     NodeApi.Node answers = new Answers();
     Optional<RequestForwarder> forwarder =
         operators.partitions().forwardsRequests()
-            ? Optional.of(new RequestForwarder(transport, answers::peersHeard))
+            ? Optional.of(new RequestForwarder(transport, answers::recentPeerHeartbeats))
             : Optional.empty();
     return new NodeApi(
         new NodeApi.Parts(answers, replica, users, standing, forwarder, recovery, meters),
@@ -193,13 +209,13 @@
   private Reachability newReachability(Optional<VerdictRule> rule) {
     ReachabilityTimings times =
         new ReachabilityTimings(
-            Durations.divide(timings.stateLease(), HEARTBEATS_PER_LEASE),
-            timings.late(),
-            timings.report(),
-            timings.lapse(),
-            timings.stateLease(),
+            Durations.divide(timings.stateStoreLease(), HEARTBEATS_PER_LEASE),
+            timings.lateAfter(),
+            timings.heartbeatInterval(),
+            timings.workerLeaseExpiry(),
+            timings.stateStoreLease(),
             timings.authority(),
-            timings.stateCall(),
+            timings.stateStoreTimeout(),
             operators.partitions().flapHalfLife());
     return new Reachability(
         settings.name(),
@@ -217,20 +233,22 @@
     return new ObservedTransport(loop, transport, telling, refusal, observer);
   }
 
-  private RecoveryPart newRecovery(RecoverySettings wanted, Surroundings given) {
+  private RecoveryModule newRecovery(RecoverySettings wanted, Dependencies given) {
     Settings.StateStoreLimits limits = settings.stateStoreLimits();
-    Duration bootstrap = timings.report().multipliedBy(2).plus(timings.stateLease());
-    RecoveryNode node =
-        new RecoveryNode(
+    Duration bootstrap =
+        timings.heartbeatInterval().multipliedBy(2).plus(timings.stateStoreLease());
+    ElectionClusterNode node =
+        new ElectionClusterNode(
             loop,
             settings.name(),
             settings.peers().size(),
             reachability::matrix,
-            timings.stateLease(),
+            timings.stateStoreLease(),
             election,
             this::leadership);
-    return new RecoveryPart(
-        new RecoveryPart.Shared(loop, state, rateLimiter, replica, election, given.random(), wall),
+    return new RecoveryModule(
+        new RecoveryModule.Dependencies(
+            loop, state, rateLimiter, replica, election, given.random(), clock),
         node,
         new RecoveryTimings(
             wanted.gatherDuration(),
@@ -238,7 +256,7 @@
             limits.maxValueBytes(),
             limits.maxTransactionOperations(),
             limits.writesPerSecond() * REBUILD_WRITES),
-        given.snapshots(),
+        given.snapshotTarget(),
         wanted.snapshotInterval());
   }
 
@@ -264,9 +282,9 @@
 
   @Override
   public void start() {
-    election.onChange(this::leadership);
+    election.onLeadershipChange(this::leadership);
     replica.onChange(this::recordsChanged);
-    recovery.ifPresent(RecoveryPart::start);
+    recovery.ifPresent(RecoveryModule::start);
     replica.start();
     election.start();
     catalog.start();
@@ -282,20 +300,20 @@
     if (timer != null) {
       timer.cancel();
     }
-    recovery.ifPresent(RecoveryPart::stop);
+    recovery.ifPresent(RecoveryModule::stop);
     catalog.stop();
     election.stop();
     replica.stop();
   }
 
   /** Calls back once the records are first read. */
-  public void onLoaded(Runnable listener) {
+  public void onRecordsLoaded(Runnable listener) {
     replica.onFirstLoaded(listener);
   }
 
   /** Whether this node leads now and may act for the controllers. */
-  public boolean leads() {
-    return leaderTerm != null && election.authorized();
+  public boolean isLeading() {
+    return leaderTerm != null && election.mayCommandWorkers();
   }
 
   /** What this node does about its links. */
@@ -304,8 +322,8 @@
   }
 
   /** Whether this node rebuilds lost records. */
-  public boolean rebuilds() {
-    return recovery.map(RecoveryPart::rebuilds).orElse(false);
+  public boolean isRebuilding() {
+    return recovery.map(RecoveryModule::isRebuilding).orElse(false);
   }
 
   /** Takes in a heartbeat from another node. */
@@ -315,26 +333,30 @@
   }
 
   private void termShown(long term) {
-    election.hear(term);
-    recovery.ifPresent(part -> part.termShown(term));
+    election.observeTerm(term);
+    recovery.ifPresent(part -> part.observeTerm(term));
   }
 
   private void tick() {
-    timer = loop.schedule(Durations.divide(timings.stateLease(), HEARTBEATS_PER_LEASE), this::tick);
+    timer =
+        loop.schedule(
+            Durations.divide(timings.stateStoreLease(), HEARTBEATS_PER_LEASE), this::tick);
     Duration now = loop.now();
     int writes = (int) Math.ceil(10 * rateLimiter.recentWritesPerSecond());
     mesh.broadcast(
         new Mesh.PeerHeartbeat(
             settings.name(),
             replica.term(),
-            standing.reached(),
-            standing.silenceMillis(),
+            standing.isReachable(),
+            standing.millisSinceLastRead(),
             reachability.redirectedWorkers().count(now),
             writes,
-            recovery.map(RecoveryPart::memory).orElse(Mesh.RetainedRecordsSummary.NONE),
+            recovery
+                .map(RecoveryModule::retainedRecordsSummary)
+                .orElse(Mesh.RetainedRecordsSummary.NONE),
             linkReport()));
     rateLimiter.setOtherNodesWriteRates(
-        reachability.matrix().freshHeartbeats(timings.stateLease(), now).stream()
+        reachability.matrix().freshHeartbeats(timings.stateStoreLease(), now).stream()
             .mapToInt(Mesh.PeerHeartbeat::writeRateTenths)
             .toArray());
     judgeLinks(now);
@@ -344,9 +366,9 @@
   private void judgeLinks(Duration now) {
     FleetReachability fleet = leaderTerm == null ? FleetReachability.EMPTY : leaderTerm.fleetView();
     Verdict before = reachability.verdict();
-    Verdict verdict = reachability.judge(now, leaderTerm != null, leads(), fleet);
+    Verdict verdict = reachability.judge(now, leaderTerm != null, isLeading(), fleet);
     if (verdict instanceof Verdict.HandOverLeadership away) {
-      election.yieldTo(away.successor());
+      election.handOverTo(away.successor());
     }
     if (verdict.equals(before)) {
       return;
@@ -361,7 +383,7 @@
   }
 
   private LinkSummary linkReport() {
-    return reachability.linkSummary(loop.now(), leads(), settings.clientAddress().toString());
+    return reachability.linkSummary(loop.now(), isLeading(), settings.clientAddress().toString());
   }
 
   private void recordsChanged() {
@@ -371,7 +393,7 @@
   }
 
   private void leadership() {
-    boolean leading = election.leading();
+    boolean leading = election.isLeader();
     if (leaderTerm != null && (!leading || leaderTerm.term() != replica.term())) {
       leaderTerm.stop();
       leaderTerm = null;
@@ -387,17 +409,17 @@
 
   private LeaderTerm newLeaderTerm() {
     int maxChanges = settings.stateStoreLimits().maxTransactionOperations();
-    RoundWriter writer =
-        new RoundWriter(loop, state, rateLimiter, maxChanges, replica.termVersion());
+    RoundCommitter writer =
+        new RoundCommitter(loop, state, rateLimiter, maxChanges, replica.termVersion());
     return new LeaderTerm(
         loop,
         replica,
         workers,
         cloud,
         writer,
-        new Rounds.Limits(
+        new SchedulingLoop.Limits(
             operators.roundMax(),
-            timings.report().multipliedBy(2).plusMillis(500),
+            timings.heartbeatInterval().multipliedBy(2).plusMillis(500),
             settings.workerLease().dividedBy(2),
             operators.beginWithin(),
             operators.failureCap(),
@@ -405,19 +427,19 @@
             settings.deadlineMultiples()),
         new LeaderTerm.ProvisioningLimits(
             settings.cloudRequestsPerSecond(), settings.cloudListLag(), operators.idleKeep()),
-        new LeaderTerm.Cluster(
-            new LeaderTerm.Authority(election::authorized, election::sole),
+        new LeaderTerm.TermDependencies(
+            new LeaderTerm.Authority(election::mayCommandWorkers, election::mayChangeFleet),
             teams,
             catalog::types,
-            wall,
-            new LeaderTerm.Links(
+            clock,
+            new LeaderTerm.FleetPermissions(
                 reachability::mayPlaceTasks,
                 reachability::mayChangeFleet,
                 reachability::isZoneEvictionSuspended,
                 reachability.machineRule()),
             meters,
             operators.recovery().map(RecoverySettings::heldClasses).orElse(Set.of()),
-            recovery.map(part -> part::startMissing)),
+            recovery.map(part -> part::reportUnrecordedStart)),
         timings,
         replica.term(),
         this::termShown);
@@ -431,32 +453,32 @@
   /** What the node's address is answered by. */
   private final class Answers implements NodeApi.Node {
     @Override
-    public Optional<byte[]> report(WorkerHeartbeat report) {
-      if (!leads()) {
+    public Optional<byte[]> answerHeartbeat(WorkerHeartbeat report) {
+      if (!isLeading()) {
         return Optional.empty();
       }
-      byte[] answer = leaderTerm.report(report);
+      byte[] answer = leaderTerm.handleHeartbeat(report);
       // What a report shows may end the term.
       return leaderTerm == null ? Optional.empty() : Optional.of(answer);
     }
 
     @Override
-    public void sentOn(WorkerHeartbeat report) {
+    public void workerRedirected(WorkerHeartbeat report) {
       reachability.redirectedWorkers().recordVisit(report.machine(), report.zone(), loop.now());
     }
 
     @Override
-    public List<Mesh.PeerHeartbeat> peersHeard() {
+    public List<Mesh.PeerHeartbeat> recentPeerHeartbeats() {
       return reachability.freshPeerHeartbeats(loop.now());
     }
 
     @Override
-    public LinksApi.Picture links() {
-      return new LinksApi.Picture(loop.now(), linkReport(), reachability.matrix());
+    public LinksApi.Observations links() {
+      return new LinksApi.Observations(loop.now(), linkReport(), reachability.matrix());
     }
 
     @Override
-    public String metrics() {
+    public String metricsText() {
       return metrics.get();
     }
   }
--- a/src/main/java/io/cherryspool/controller/LinksApi.java
+++ b/src/main/java/io/cherryspool/controller/api/LinksApi.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.api;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -14,21 +14,21 @@
 import java.util.Optional;
 
 /** What operators ask about links: how each node hears the others, as this node knows it. */
-final class LinksApi {
+public final class LinksApi {
   static final String PATH = "/links";
 
   private final String node;
   private final List<String> peers;
 
   /** What this node tells of itself, and what the others last told. */
-  record Picture(Duration now, LinkSummary own, ReachabilityMatrix matrix) {}
+  public record Observations(Duration now, LinkSummary own, ReachabilityMatrix matrix) {}
 
   LinksApi(String node, List<String> peers) {
     this.node = node;
     this.peers = peers;
   }
 
-  Reply answer(Picture picture) {
+  Reply answer(Observations picture) {
     ObjectNode root = Json.object().put("node", node);
     ArrayNode nodes = root.putArray("nodes");
     boolean up = describe(nodes.addObject(), node, 0, picture.own());
--- a/src/main/java/io/cherryspool/controller/NodeApi.java
+++ b/src/main/java/io/cherryspool/controller/api/NodeApi.java
@@ -1,5 +1,8 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.api;
 
+import io.cherryspool.controller.metrics.Meters;
+import io.cherryspool.controller.recovery.RecoveryApi;
+import io.cherryspool.controller.recovery.RecoveryModule;
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
@@ -23,7 +26,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Answers whoever comes to a node's address: workers, users, operators and the load balancer. */
-final class NodeApi implements RequestHandler {
+public final class NodeApi implements RequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(NodeApi.class);
   private static final String JOBS = "/api/jobs";
   private static final String CANCEL = "/withdraw";
@@ -34,21 +37,21 @@
   private final List<String> peers;
 
   /** What the node does for those who ask. */
-  interface Node {
+  public interface Node {
     /** The answer to a worker's report; empty if this node does not lead. */
-    Optional<byte[]> report(WorkerHeartbeat report);
+    Optional<byte[]> answerHeartbeat(WorkerHeartbeat report);
 
     /** A worker of this zone was sent on to the node that leads. */
-    void sentOn(WorkerHeartbeat report);
+    void workerRedirected(WorkerHeartbeat report);
 
     /** The latest heartbeats of the nodes that are heard. */
-    List<Mesh.PeerHeartbeat> peersHeard();
+    List<Mesh.PeerHeartbeat> recentPeerHeartbeats();
 
     /** What this node and the others tell of their links. */
-    LinksApi.Picture links();
+    LinksApi.Observations links();
 
     /** The metrics, as text. */
-    String metrics();
+    String metricsText();
   }
 
   /**
@@ -56,19 +59,19 @@
    *
    * @param forwarder passes users' requests on, where that is wanted
    */
-  record Parts(
+  public record Parts(
       Node node,
       ClusterRecords replica,
       UserApi users,
-      StateStanding state,
+      StateStoreHealth state,
       Optional<RequestForwarder> forwarder,
-      Optional<RecoveryPart> recovery,
+      Optional<RecoveryModule> recovery,
       Meters meters) {}
 
   /**
    * @param peers the names of the other nodes
    */
-  NodeApi(Parts parts, String node, List<String> peers) {
+  public NodeApi(Parts parts, String node, List<String> peers) {
     this.parts = parts;
     this.node = node;
     this.peers = peers;
@@ -124,24 +127,24 @@
       return own.get();
     }
     // A link that is down would keep the user waiting; one that is in doubt is tried first.
-    if (parts.state.link() == LinkState.DOWN) {
+    if (parts.state.linkState() == LinkState.DOWN) {
       return passOn(parts.forwarder.get(), request, own);
     }
     return own.get()
         .thenCompose(
             reply ->
-                reply.status() == UNAVAILABLE && parts.state.inDoubt()
+                reply.status() == UNAVAILABLE && parts.state.mayBeUnreachable()
                     ? passOn(parts.forwarder.get(), request, () -> done(reply))
                     : done(reply));
   }
 
   private CompletableFuture<Reply> passOn(
       RequestForwarder forwarder, Request request, Supplier<CompletableFuture<Reply>> otherwise) {
-    Optional<Endpoint> to = forwarder.target();
+    Optional<Endpoint> to = forwarder.nextTarget();
     if (to.isEmpty()) {
       return otherwise.get();
     }
-    parts.meters.forwarded.increment();
+    parts.meters.forwardedRequests.increment();
     return forwarder
         .forward(to.get(), request)
         .handle(
@@ -157,12 +160,12 @@
     if (reply.status() != UNAVAILABLE) {
       return reply;
     }
-    parts.meters.refused.increment();
-    return parts.state.behind() ? reply.closingConnection() : reply;
+    parts.meters.refusedRequests.increment();
+    return parts.state.isBehindPeers() ? reply.closingConnection() : reply;
   }
 
   private Reply ready() {
-    boolean ready = parts.state.ready(peers.isEmpty());
+    boolean ready = parts.state.isReady(peers.isEmpty());
     return Reply.json(
         ready ? 200 : UNAVAILABLE, UserProtocol.encodeError(ready ? "none" : "not ready"));
   }
@@ -172,7 +175,7 @@
   }
 
   private Reply metrics() {
-    byte[] text = parts.node.metrics().getBytes(StandardCharsets.UTF_8);
+    byte[] text = parts.node.metricsText().getBytes(StandardCharsets.UTF_8);
     return new Reply(200, text, 0, "text/plain; version=0.0.4; charset=utf-8", false);
   }
 
@@ -184,16 +187,16 @@
       LOG.warn("a malformed report: {}", e.getMessage());
       return Reply.json(400, UserProtocol.encodeError(e.getMessage()));
     }
-    Optional<byte[]> answer = parts.node.report(report);
+    Optional<byte[]> answer = parts.node.answerHeartbeat(report);
     if (answer.isPresent()) {
       return Reply.json(200, answer.get());
     }
-    parts.recovery.ifPresent(part -> part.reportUnanswered(report));
+    parts.recovery.ifPresent(part -> part.observeUnansweredHeartbeat(report));
     String leader = otherLeader();
     if (leader != null) {
-      parts.node.sentOn(report);
+      parts.node.workerRedirected(report);
     }
-    parts.meters.redirected.increment();
+    parts.meters.redirectedHeartbeats.increment();
     return Reply.json(421, WorkerProtocol.encodeRedirect(leader));
   }
 
@@ -202,11 +205,11 @@
    * the nodes say. Where a worker is sent is a hint; a node that does not lead sends it on.
    */
   private String otherLeader() {
-    if (parts.state.reached()) {
+    if (parts.state.isReachable()) {
       Records.Leader leader = parts.replica.isLoaded() ? parts.replica.leader() : null;
       return leader == null || leader.node().equals(node) ? null : leader.node();
     }
-    return parts.node.peersHeard().stream()
+    return parts.node.recentPeerHeartbeats().stream()
         .filter(heartbeat -> heartbeat.links().isLeading())
         .max(Comparator.comparingLong(Mesh.PeerHeartbeat::term))
         .map(Mesh.PeerHeartbeat::node)
--- a/src/main/java/io/cherryspool/controller/RequestForwarder.java
+++ b/src/main/java/io/cherryspool/controller/api/RequestForwarder.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.api;
 
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.http.Reply;
@@ -19,7 +19,7 @@
  * so that an answer passed back is as good as one of its own; a request that is carried out twice
  * is one that its user repeated.
  */
-final class RequestForwarder {
+public final class RequestForwarder {
   /** Users wait 2 s for the state of a job. */
   private static final Duration DEADLINE = Duration.ofMillis(1500);
 
@@ -33,7 +33,7 @@
   /**
    * @param peers the latest heartbeats of the nodes that are heard
    */
-  RequestForwarder(Transport transport, Supplier<List<Mesh.PeerHeartbeat>> peers) {
+  public RequestForwarder(Transport transport, Supplier<List<Mesh.PeerHeartbeat>> peers) {
     this.transport = transport;
     this.peers = peers;
   }
@@ -43,7 +43,7 @@
   }
 
   /** The next of the nodes that can serve users now. */
-  Optional<Endpoint> target() {
+  Optional<Endpoint> nextTarget() {
     List<Endpoint> able = new ArrayList<>();
     for (Mesh.PeerHeartbeat heartbeat : peers.get()) {
       boolean reads =
--- a/src/main/java/io/cherryspool/controller/StateStanding.java
+++ b/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
@@ -1,5 +1,7 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.api;
 
+import io.cherryspool.controller.recovery.RecoveryModule;
+import io.cherryspool.controller.timing.Timings;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.mesh.LinkState;
 import io.cherryspool.mesh.Mesh;
@@ -10,14 +12,14 @@
 import java.util.Optional;
 
 /** How this node stands with the state service, by itself and next to the other nodes. */
-final class StateStanding {
+public final class StateStoreHealth {
   private final EventLoop loop;
   private final ClusterRecords replica;
   private final Reachability reachability;
   private final Timings timings;
-  private Optional<RecoveryPart> recovery = Optional.empty();
+  private Optional<RecoveryModule> recovery = Optional.empty();
 
-  StateStanding(
+  public StateStoreHealth(
       EventLoop loop, ClusterRecords replica, Reachability reachability, Timings timings) {
     this.loop = loop;
     this.replica = replica;
@@ -26,21 +28,22 @@
   }
 
   /** From now on readings of a node that rebuilds its records count as well. */
-  void with(RecoveryPart part) {
+  public void with(RecoveryModule part) {
     recovery = Optional.of(part);
   }
 
   /** Whether the service answered this node within a state lease. */
-  boolean reached() {
+  public boolean isReachable() {
     Duration confirmed = replica.lastConfirmedAt();
-    if (recovery.isPresent() && !recovery.get().serving()) {
-      confirmed = recovery.get().lastAnswer();
+    if (recovery.isPresent() && !recovery.get().isServing()) {
+      confirmed = recovery.get().lastAnsweredRequestSentAt();
     }
-    return confirmed != null && loop.now().minus(confirmed).compareTo(timings.stateLease()) < 0;
+    return confirmed != null
+        && loop.now().minus(confirmed).compareTo(timings.stateStoreLease()) < 0;
   }
 
   /** How long ago the last reading that succeeded was sent, in ms. */
-  int silenceMillis() {
+  public int millisSinceLastRead() {
     Duration read = replica.lastConfirmedAt();
     return read == null ? Integer.MAX_VALUE : (int) loop.now().minus(read).toMillis();
   }
@@ -50,19 +53,19 @@
    * and users are better served there. In an outage all last read at about the same time, and none
    * of them must say so of itself.
    */
-  boolean behind() {
+  public boolean isBehindPeers() {
     Duration own = replica.lastConfirmedAt();
-    Duration others = reachability.matrix().latestStateRead(timings.stateLease(), loop.now());
-    return own == null || others != null && others.minus(own).compareTo(timings.behind()) > 0;
+    Duration others = reachability.matrix().latestStateRead(timings.stateStoreLease(), loop.now());
+    return own == null || others != null && others.minus(own).compareTo(timings.staleReadLag()) > 0;
   }
 
   /** Whether the service may not answer this node, so that another is the better one. */
-  boolean inDoubt() {
-    return replica.isReadOverdue() || link() != LinkState.UP;
+  boolean mayBeUnreachable() {
+    return replica.isReadOverdue() || linkState() != LinkState.UP;
   }
 
   /** The link to the service, by the last requests. */
-  LinkState link() {
+  LinkState linkState() {
     return reachability.stateLink().state(loop.now());
   }
 
@@ -73,17 +76,17 @@
    *
    * @param alone whether there is no other node
    */
-  boolean ready(boolean alone) {
+  boolean isReady(boolean alone) {
     List<Mesh.PeerHeartbeat> others =
-        reachability.matrix().freshHeartbeats(timings.stateLease(), loop.now());
+        reachability.matrix().freshHeartbeats(timings.stateStoreLease(), loop.now());
     boolean outage =
         others.stream().noneMatch(Mesh.PeerHeartbeat::isStateStoreReachable)
             && (!others.isEmpty() || alone);
-    return readable() && (reached() || outage) && !behind();
+    return readable() && (isReachable() || outage) && !isBehindPeers();
   }
 
   /** Whether the records can be read here, or can be read nowhere. */
   private boolean readable() {
-    return replica.isLoaded() || recovery.map(RecoveryPart::heldEverywhere).orElse(false);
+    return replica.isLoaded() || recovery.map(RecoveryModule::hasNoServingNode).orElse(false);
   }
 }
--- a/src/main/java/io/cherryspool/controller/UserApi.java
+++ b/src/main/java/io/cherryspool/controller/api/UserApi.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.cherryspool.http.Reply;
@@ -16,7 +16,7 @@
 import io.cherryspool.wire.MalformedMessageException;
 import io.cherryspool.wire.StateStoreProtocol;
 import io.cherryspool.wire.UserProtocol;
-import java.time.Instant;
+import java.time.InstantSource;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -27,7 +27,7 @@
  * What users ask. Any node answers, with or without a leader: a submission and a cancel are one
  * conditional write each, and everything but a final state is read after the request came in.
  */
-final class UserApi {
+public final class UserApi {
   /** What can't be taken now is refused at once; the users are asked to come back this soon. */
   private static final int COME_BACK_S = 1;
 
@@ -37,7 +37,7 @@
   private final GroupCommit commits;
   private final Map<String, Team> teams;
   private final Supplier<List<MachineType>> catalog;
-  private final Supplier<Instant> wall;
+  private final InstantSource clock;
   private final int valueBytes;
   private final int failureCap;
   private final BooleanSupplier behind;
@@ -45,12 +45,12 @@
   /**
    * @param behind whether other nodes read the state while this one does not
    */
-  UserApi(
+  public UserApi(
       ClusterRecords replica,
       GroupCommit commits,
       Map<String, Team> teams,
       Supplier<List<MachineType>> catalog,
-      Supplier<Instant> wall,
+      InstantSource clock,
       int valueBytes,
       int failureCap,
       BooleanSupplier behind) {
@@ -58,7 +58,7 @@
     this.commits = commits;
     this.teams = teams;
     this.catalog = catalog;
-    this.wall = wall;
+    this.clock = clock;
     this.valueBytes = valueBytes;
     this.failureCap = failureCap;
     this.behind = behind;
@@ -74,7 +74,7 @@
     Job job;
     JsonNode record;
     try {
-      job = UserProtocol.parseJob(node, wall.get());
+      job = UserProtocol.parseJob(node, clock.instant());
       record = Records.jobKey(job, Records.tasksPerShard(valueBytes));
       if (Json.toBytes(record).length > valueBytes) {
         throw new MalformedMessageException("the description is too long to be kept");
--- a/src/main/java/io/cherryspool/controller/Election.java
+++ b/src/main/java/io/cherryspool/controller/election/Election.java
@@ -1,5 +1,6 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.election;
 
+import io.cherryspool.controller.timing.Timings;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.lifecycle.Lifecycle;
 import io.cherryspool.model.Durations;
@@ -48,20 +49,20 @@
   private final Reachability reachability;
 
   /** What the node stands and leads by; null while it has none. */
-  private NodeLease lease;
+  private StateStoreLease lease;
 
   /**
    * A lease of another length, to which a leader attaches its record; null if it changes nothing.
    * Until the record is seen under it, both are renewed, and the leader leads by either.
    */
-  private NodeLease replacement;
+  private StateStoreLease replacement;
 
   private boolean taking;
   private boolean attaching;
   private boolean standing;
   private long heardTerm;
   private boolean yielding;
-  private Runnable onChange = () -> {};
+  private Runnable onLeadershipChange = () -> {};
   private Runnable leaseEndedEarly = () -> {};
   private Duration refreshed;
   private EventLoop.Timer timer;
@@ -90,13 +91,13 @@
   }
 
   /** Called when leadership may have changed. */
-  public void onChange(Runnable listener) {
-    onChange = listener;
+  public void onLeadershipChange(Runnable listener) {
+    onLeadershipChange = listener;
     replica.onChange(this::observe);
   }
 
   /** Called when the service has forgotten a lease that was renewed in time. */
-  void onLeaseEndedEarly(Runnable listener) {
+  public void onPrematureLeaseExpiry(Runnable listener) {
     leaseEndedEarly = listener;
   }
 
@@ -119,7 +120,7 @@
   }
 
   /** Ends a lease that nothing rests on any more. */
-  private void drop(NodeLease old) {
+  private void drop(StateStoreLease old) {
     if (old != null) {
       rateLimiter.forceAcquire(0);
       client.revokeLease(old.id()).exceptionally(failure -> null);
@@ -127,23 +128,23 @@
   }
 
   /** The highest term that this node has heard of. */
-  long knownTerm() {
+  public long knownTerm() {
     return Math.max(replica.term(), heardTerm);
   }
 
   /** Word of a term from a worker or another node: a leader of a lower one stops at once. */
-  public void hear(long term) {
+  public void observeTerm(long term) {
     if (term > heardTerm) {
       heardTerm = term;
       if (replica.term() < term) {
         replica.refresh().exceptionally(failure -> null);
-        onChange.run();
+        onLeadershipChange.run();
       }
     }
   }
 
   /** Whether the replica names this process as the leader, by a lease that it still holds. */
-  public boolean leading() {
+  public boolean isLeader() {
     Records.Leader leader = replica.leader();
     return leader != null
         && replica.isLoaded()
@@ -153,7 +154,7 @@
         && leader.term() >= heardTerm;
   }
 
-  private static boolean isUnder(Records.Leader leader, NodeLease held) {
+  private static boolean isUnder(Records.Leader leader, StateStoreLease held) {
     return held != null && leader.leaseId() == held.id();
   }
 
@@ -161,17 +162,19 @@
    * Whether a leader may act for the controllers now. Counted from the sending of the last renewal
    * that was confirmed, and of the last reading, so that it misses no cancel for longer than that.
    */
-  public boolean authorized() {
-    return leading()
-        && fresh(lease.renewed())
-        && (replacement == null || fresh(replacement.renewed()))
+  public boolean mayCommandWorkers() {
+    return isLeader()
+        && fresh(lease.lastRenewalSentAt())
+        && (replacement == null || fresh(replacement.lastRenewalSentAt()))
         && fresh(replica.lastConfirmedAt());
   }
 
   /** Whether the lease surely still holds, so that there can be no other leader. */
-  public boolean sole() {
+  public boolean mayChangeFleet() {
     Duration now = loop.now();
-    return leading() && lease.holds(now) && (replacement == null || replacement.holds(now));
+    return isLeader()
+        && lease.isValidAt(now)
+        && (replacement == null || replacement.isValidAt(now));
   }
 
   private boolean fresh(Duration since) {
@@ -182,12 +185,12 @@
    * Makes way for a node that workers reach better. The record only sets the order in which the
    * nodes stand, and whoever stands first is elected as ever. The lease ends whatever comes of it.
    */
-  public void yieldTo(String successor) {
-    if (!leading() || yielding) {
+  public void handOverTo(String successor) {
+    if (!isLeader() || yielding) {
       return;
     }
     yielding = true;
-    NodeLease held = lease;
+    StateStoreLease held = lease;
     Records.Successor record = new Records.Successor(replica.term(), successor, node);
     rateLimiter.forceAcquire(1);
     client
@@ -200,10 +203,10 @@
             (result, failure) -> {
               yielding = false;
               if (lease == held) {
-                NodeLease other = replacement;
+                StateStoreLease other = replacement;
                 lease = null;
                 replacement = null;
-                onChange.run();
+                onLeadershipChange.run();
                 drop(held);
                 drop(other);
               }
@@ -219,8 +222,8 @@
   }
 
   private void tick() {
-    int renewals = leading() ? LEADER_RENEWALS : RENEWALS;
-    timer = loop.schedule(Durations.divide(timings.stateLease(), renewals), this::tick);
+    int renewals = isLeader() ? LEADER_RENEWALS : RENEWALS;
+    timer = loop.schedule(Durations.divide(timings.stateStoreLease(), renewals), this::tick);
     keepLeases();
     refresh();
     observe();
@@ -228,7 +231,7 @@
 
   private void refresh() {
     Duration now = loop.now();
-    Duration period = Durations.divide(timings.stateLease(), RENEWALS);
+    Duration period = Durations.divide(timings.stateStoreLease(), RENEWALS);
     if (refreshed == null || now.minus(refreshed).compareTo(period) >= 0) {
       refreshed = now;
       replica.refresh().exceptionally(failure -> null);
@@ -258,7 +261,7 @@
     if (retry == null && rateLimiter.mayWrite(RateLimiter.WriteClass.CANCEL, 0, 0)) {
       retry =
           loop.schedule(
-              Durations.divide(timings.stateLease(), RETRY_PART),
+              Durations.divide(timings.stateStoreLease(), RETRY_PART),
               () -> {
                 retry = null;
                 keepLeases();
@@ -274,31 +277,31 @@
     taking = true;
     rateLimiter.forceAcquire(0);
     client
-        .grantLease(timings.stateLease())
+        .grantLease(timings.stateStoreLease())
         .whenComplete(
             (id, failure) -> {
               taking = false;
               if (failure == null) {
-                lease = new NodeLease(id, timings.stateLease(), sent);
+                lease = new StateStoreLease(id, timings.stateStoreLease(), sent);
                 observe();
               }
             });
   }
 
-  private void renew(NodeLease held) {
-    if (held.renewing()) {
+  private void renew(StateStoreLease held) {
+    if (held.isRenewing()) {
       return;
     }
     Duration sent = loop.now();
-    held.renewalSent();
+    held.beginRenewal();
     rateLimiter.forceAcquire(0);
     client
         .renewLease(held.id())
         .whenComplete(
             (nothing, failure) -> {
-              held.renewalEnded();
+              held.endRenewal();
               if (failure == null) {
-                held.confirmed(sent);
+                held.confirmRenewal(sent);
               } else if (StateStoreException.kindOf(failure) == StateStoreException.Kind.GONE) {
                 gone(held);
               } else if (held == lease || held == replacement) {
@@ -307,19 +310,19 @@
             });
   }
 
-  private void gone(NodeLease held) {
+  private void gone(StateStoreLease held) {
     if (held == replacement) {
       replacement = null;
-      onChange.run();
+      onLeadershipChange.run();
     } else if (held == lease) {
       LOG.info("lease {} ran out", held.id());
-      if (held.holds(loop.now())) {
+      if (held.isValidAt(loop.now())) {
         // Leases never end early, so that the service does not know of its renewal.
         leaseEndedEarly.run();
       }
       lease = replacement;
       replacement = null;
-      onChange.run();
+      onLeadershipChange.run();
       if (lease == null) {
         take();
       }
@@ -329,11 +332,11 @@
   /** A leader whose lease should be longer or shorter now takes another. */
   private void adjustLength() {
     Duration wanted = reachability.leaseLength(loop.now());
-    if (taking || yielding || !sole() || wanted.equals(lease.length())) {
+    if (taking || yielding || !mayChangeFleet() || wanted.equals(lease.length())) {
       return;
     }
     Duration sent = loop.now();
-    NodeLease held = lease;
+    StateStoreLease held = lease;
     taking = true;
     rateLimiter.forceAcquire(0);
     client
@@ -342,8 +345,8 @@
             (id, failure) -> {
               taking = false;
               if (failure == null) {
-                NodeLease taken = new NodeLease(id, wanted, sent);
-                if (lease == held && leading()) {
+                StateStoreLease taken = new StateStoreLease(id, wanted, sent);
+                if (lease == held && isLeader()) {
                   replacement = taken;
                   attach();
                 } else {
@@ -359,11 +362,11 @@
    * replacement, or the replacement is gone and no copy can be applied any more.
    */
   private void attach() {
-    if (attaching || yielding || !leading()) {
+    if (attaching || yielding || !isLeader()) {
       return;
     }
     attaching = true;
-    NodeLease next = replacement;
+    StateStoreLease next = replacement;
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put(Records.LEADER, replica.leaderVersion());
     conditions.put(Records.TERM, replica.termVersion());
@@ -391,7 +394,7 @@
   private void adopt(Records.Leader leader) {
     if (leader.processId().equals(instance) && isUnder(leader, replacement)) {
       LOG.info("the lease is {} ms long now", replacement.length().toMillis());
-      NodeLease old = lease;
+      StateStoreLease old = lease;
       lease = replacement;
       replacement = null;
       drop(old);
@@ -399,7 +402,7 @@
   }
 
   private void observe() {
-    onChange.run();
+    onLeadershipChange.run();
     Records.Leader leader = replica.leader();
     if (leader != null && replica.isLoaded()) {
       adopt(leader);
@@ -408,7 +411,7 @@
       return;
     }
     if (leader == null) {
-      long wait = random.nextLong(Math.max(1, timings.stateLease().toMillis() / 20));
+      long wait = random.nextLong(Math.max(1, timings.stateStoreLease().toMillis() / 20));
       candidacy = loop.schedule(candidacyDelay().plusMillis(wait), this::stand);
     } else if (leader.node().equals(node) && !leader.processId().equals(instance)) {
       // The process that held this lease has ended, since this one runs in its place.
@@ -425,7 +428,7 @@
       return;
     }
     standing = true;
-    NodeLease held = lease;
+    StateStoreLease held = lease;
     // After records were lost, workers and other nodes may know of higher terms than the records
     // do.
     long term = Math.max(replica.term(), heardTerm) + 1;
@@ -461,7 +464,7 @@
         .whenComplete(
             (nothing, failure) -> {
               standing = false;
-              onChange.run();
+              onLeadershipChange.run();
             });
   }
 }
--- a/src/main/java/io/cherryspool/controller/Fleet.java
+++ b/src/main/java/io/cherryspool/controller/fleet/Fleet.java
@@ -1,5 +1,6 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.fleet;
 
+import io.cherryspool.controller.ownership.Ownership;
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.model.WorkerHeartbeat;
 import java.time.Duration;
@@ -14,7 +15,7 @@
 import org.slf4j.LoggerFactory;
 
 /** The machines that a leader knows from their messages and from the cloud's list. */
-final class Fleet {
+public final class Fleet {
   private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
 
   private final Map<String, MachineState> machines = new LinkedHashMap<>();
@@ -24,25 +25,25 @@
    */
   private final Set<String> gone = new HashSet<>();
 
-  MachineState get(String name) {
+  public MachineState get(String name) {
     return machines.get(name);
   }
 
-  Collection<MachineState> all() {
+  public Collection<MachineState> all() {
     return Collections.unmodifiableCollection(machines.values());
   }
 
   /** Whether the machine has sent any message in this term. */
-  boolean hasHeard(String name) {
+  public boolean hasSentHeartbeat(String name) {
     MachineState machine = machines.get(name);
     return machine != null && machine.hasHeartbeat();
   }
 
-  boolean isGone(String name) {
+  public boolean isDeleted(String name) {
     return gone.contains(name);
   }
 
-  MachineState add(
+  public MachineState register(
       String name, String address, String type, String zone, boolean spot, Duration now) {
     MachineState machine =
         machines.computeIfAbsent(name, key -> new MachineState(name, type, zone, spot, now));
@@ -56,28 +57,29 @@
     return machine;
   }
 
-  void markGone(MachineState machine) {
+  public void markDeleted(MachineState machine) {
     machine.markDeleted();
     gone.add(machine.name());
   }
 
   /** Drops the states of machines that are gone and own nothing any more. */
-  void prune(Ownership ownership) {
+  public void removeDeleted(Ownership ownership) {
     for (Iterator<MachineState> all = machines.values().iterator(); all.hasNext(); ) {
       MachineState machine = all.next();
-      if (machine.isDeleted() && ownership.on(machine.name()).isEmpty()) {
+      if (machine.isDeleted() && ownership.attemptsOn(machine.name()).isEmpty()) {
         all.remove();
       }
     }
   }
 
   /** Takes a worker's message in; null if the machine is gone, so that the message is history. */
-  MachineState accept(WorkerHeartbeat report, Duration now) {
+  public MachineState accept(WorkerHeartbeat report, Duration now) {
     if (gone.contains(report.machine())) {
       return null;
     }
     MachineState machine =
-        add(report.machine(), report.address(), report.type(), report.zone(), report.isSpot(), now);
+        register(
+            report.machine(), report.address(), report.type(), report.zone(), report.isSpot(), now);
     WorkerHeartbeat before = machine.latestHeartbeat();
     if (machine.contact().accept(report, now) && report.hasChangedSince(before)) {
       machine.history().recordTasks(report, now);
--- a/src/main/java/io/cherryspool/controller/MachineContact.java
+++ b/src/main/java/io/cherryspool/controller/fleet/MachineContact.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.fleet;
 
 import io.cherryspool.model.TaskId;
 import io.cherryspool.model.WorkerHeartbeat;
--- a/src/main/java/io/cherryspool/controller/CommandSender.java
+++ b/src/main/java/io/cherryspool/controller/leader/CommandSender.java
@@ -1,5 +1,7 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.leader;
 
+import io.cherryspool.controller.fleet.MachineState;
+import io.cherryspool.controller.ownership.FencingTokenSource;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.model.WorkerCommand;
 import io.cherryspool.model.WorkerHeartbeat;
@@ -16,7 +18,7 @@
 final class CommandSender {
   private final EventLoop loop;
   private final WorkerClient workers;
-  private final Tokens tokens;
+  private final FencingTokenSource tokens;
   private final Duration pause;
   private final BiConsumer<MachineState, WorkerHeartbeat> sink;
 
@@ -26,7 +28,7 @@
   CommandSender(
       EventLoop loop,
       WorkerClient workers,
-      Tokens tokens,
+      FencingTokenSource tokens,
       Duration pause,
       BiConsumer<MachineState, WorkerHeartbeat> sink) {
     this.loop = loop;
@@ -54,7 +56,7 @@
                 machine.commands().callAnswered();
               } else {
                 machine.commands().callFailed(loop.now().plus(pause));
-                tokens.next();
+                tokens.advance();
               }
               sink.accept(machine, failure == null ? report : null);
             });
--- a/src/main/java/io/cherryspool/controller/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
@@ -1,6 +1,23 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.leader;
 
 import io.cherryspool.cloud.CloudClient;
+import io.cherryspool.controller.fleet.Fleet;
+import io.cherryspool.controller.fleet.MachineEligibility;
+import io.cherryspool.controller.fleet.MachineState;
+import io.cherryspool.controller.metrics.Meters;
+import io.cherryspool.controller.ownership.FencingTokenSource;
+import io.cherryspool.controller.ownership.Ownership;
+import io.cherryspool.controller.ownership.StopRequests;
+import io.cherryspool.controller.provisioning.Provisioner;
+import io.cherryspool.controller.release.CrashLoopBackoff;
+import io.cherryspool.controller.release.PendingReleases;
+import io.cherryspool.controller.release.TerminationEvidence;
+import io.cherryspool.controller.rounds.Adoption;
+import io.cherryspool.controller.rounds.DemandEstimator;
+import io.cherryspool.controller.rounds.RoundCommitter;
+import io.cherryspool.controller.rounds.SchedulingLoop;
+import io.cherryspool.controller.timing.EventLoopLag;
+import io.cherryspool.controller.timing.Timings;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.lifecycle.Lifecycle;
 import io.cherryspool.model.Durations;
@@ -17,7 +34,7 @@
 import io.cherryspool.wire.WorkerProtocol;
 import io.cherryspool.worker.WorkerClient;
 import java.time.Duration;
-import java.time.Instant;
+import java.time.InstantSource;
 import java.util.HashSet;
 import java.util.Iterator;
 import java.util.LinkedHashSet;
@@ -37,7 +54,7 @@
  * One term of this node as leader: rebuilds ownership, then runs rounds, until it is stopped. All
  * its memory goes with it; the next leader starts from the records and the workers' reports.
  */
-final class LeaderTerm implements Lifecycle {
+public final class LeaderTerm implements Lifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
 
   /** Calls that ask machines for their state at a time; each holds a socket. */
@@ -56,7 +73,7 @@
   private final ClusterRecords replica;
   private final WorkerClient workers;
   private final Timings timings;
-  private final Tokens tokens;
+  private final FencingTokenSource tokens;
   private final long term;
   private final Fleet fleet = new Fleet();
   private final Ownership ownership;
@@ -64,10 +81,10 @@
   private final StopRequests stopRequests = new StopRequests();
   private final CrashLoopBackoff backoff = new CrashLoopBackoff();
   private final Adoption adoption;
-  private final WorkerCommands workerCommands;
+  private final WorkerCommandPlanner workerCommands;
   private final CommandSender commandSender;
-  private final Workload workload;
-  private final Rounds rounds;
+  private final DemandEstimator workload;
+  private final SchedulingLoop rounds;
   private final Provisioner provisioner;
   private final LongConsumer higherTerm;
   private final Authority authority;
@@ -77,22 +94,22 @@
   private final Set<String> toInspect = new LinkedHashSet<>();
   private final Set<String> inspected = new HashSet<>();
   private final Set<String> ordered = new LinkedHashSet<>();
-  private final Backlog backlog = new Backlog();
+  private final EventLoopLag backlog = new EventLoopLag();
   private int inspecting;
   private Duration listed;
   private boolean placing;
   private boolean stopped;
   private EventLoop.Timer timer;
 
-  LeaderTerm(
+  public LeaderTerm(
       EventLoop loop,
       ClusterRecords replica,
       WorkerClient workers,
       CloudClient cloud,
-      RoundWriter writer,
-      Rounds.Limits limits,
+      RoundCommitter writer,
+      SchedulingLoop.Limits limits,
       ProvisioningLimits provisioningLimits,
-      Cluster cluster,
+      TermDependencies cluster,
       Timings timings,
       long term,
       LongConsumer higherTerm) {
@@ -103,36 +120,37 @@
     this.term = term;
     this.higherTerm = higherTerm;
     this.authority = cluster.authority();
-    this.startMissing = cluster.startMissing();
+    this.startMissing = cluster.unrecordedStart();
     this.started = loop.now();
     this.listLag = provisioningLimits.listLag();
-    this.tokens = new Tokens(term);
+    this.tokens = new FencingTokenSource(term);
     this.ownership = new Ownership(replica);
     this.adoption =
         replica.isPartialRebuild()
             ? new Adoption(replica, fleet, tokens, cluster.heldClasses())
             : Adoption.NONE;
-    this.workerCommands = new WorkerCommands(stopRequests, tokens, pendingReleases, adoption);
+    this.workerCommands = new WorkerCommandPlanner(stopRequests, tokens, pendingReleases, adoption);
     this.commandSender =
-        new CommandSender(loop, workers, tokens, timings.workerCall(), this::commandAnswered);
-    this.workload = new Workload(replica, pendingReleases, backoff, cluster.wall());
-    ReleaseEvidence evidence = new ReleaseEvidence(timings, tokens, stopRequests, started);
+        new CommandSender(loop, workers, tokens, timings.workerTimeout(), this::commandAnswered);
+    this.workload = new DemandEstimator(replica, pendingReleases, backoff, cluster.clock());
+    TerminationEvidence evidence = new TerminationEvidence(timings, tokens, stopRequests, started);
     this.rounds =
-        new Rounds(
+        new SchedulingLoop(
             loop,
             replica,
             writer,
             fleet,
             evidence,
-            new Rounds.Ledger(ownership, pendingReleases, stopRequests, backoff, adoption),
+            new SchedulingLoop.TaskTracking(
+                ownership, pendingReleases, stopRequests, backoff, adoption),
             tokens,
             cluster.teams(),
             cluster.catalog(),
             limits,
-            cluster.wall(),
+            cluster.clock(),
             workload,
             cluster.meters(),
-            cluster.links().places(),
+            cluster.permissions().mayPlace(),
             this::sendDueCommands);
     this.provisioner =
         new Provisioner(
@@ -148,23 +166,23 @@
             provisioningLimits.idleKeep(),
             adoption,
             replica.instanceRequestPrefix() + term + "-",
-            cluster.authority().sole(),
-            cluster.links(),
+            cluster.authority().mayChangeFleet(),
+            cluster.permissions(),
             this::inspectListed);
-    ownership.listen(new Changes());
+    ownership.setListener(new Changes());
   }
 
   /** What changes of the records set off. */
   private final class Changes implements Ownership.Listener {
     @Override
-    public void machineTouched(String machine) {
+    public void machineChanged(String machine) {
       touched(machine);
     }
 
     @Override
-    public void jobTouched(JobRecord entry) {
-      rounds.jobTouched(entry);
-      workload.accepted(entry);
+    public void jobChanged(JobRecord entry) {
+      rounds.jobChanged(entry);
+      workload.jobAccepted(entry);
     }
 
     @Override
@@ -173,9 +191,9 @@
     }
 
     @Override
-    public void released(Ownership.Owned owned) {
-      pendingReleases.drop(owned);
-      stopRequests.drop(owned);
+    public void released(Ownership.OwnedTask owned) {
+      pendingReleases.remove(owned);
+      stopRequests.remove(owned);
       MachineState machine = fleet.get(owned.attempt().machine());
       if (machine != null) {
         machine.commands().removeStart(WorkerCommand.start(owned.id(), owned.attempt().number()));
@@ -184,9 +202,9 @@
 
     @Override
     public void reloaded() {
-      ordered.addAll(ownership.machines());
-      workload.reloaded();
-      rounds.reloaded();
+      ordered.addAll(ownership.owningMachines());
+      workload.recordsReloaded();
+      rounds.recordsReloaded();
     }
   }
 
@@ -194,37 +212,38 @@
    * What does not change with the term.
    *
    * @param heldClasses see {@link Adoption}
-   * @param startMissing told of a task that a worker has and no record, where losses are looked for
+   * @param unrecordedStart told of a task that a worker has and no record, where losses are looked
+   *     for
    */
-  record Cluster(
+  public record TermDependencies(
       Authority authority,
       Map<String, Team> teams,
       Supplier<List<MachineType>> catalog,
-      Supplier<Instant> wall,
-      Links links,
+      InstantSource clock,
+      FleetPermissions permissions,
       Meters meters,
       Set<String> heldClasses,
-      Optional<Consumer<String>> startMissing) {}
+      Optional<Consumer<String>> unrecordedStart) {}
 
   /**
    * What the judgement of this node's links allows.
    *
-   * @param places whether anything may be planned and recorded, rented and deleted
-   * @param rents whether machines may be rented and idle ones returned
-   * @param holds whether the machines of a zone are unheard rather than dead
-   * @param machines when a single machine is given up
+   * @param mayPlace whether anything may be planned and recorded, rented and deleted
+   * @param mayScale whether machines may be rented and idle ones returned
+   * @param isZoneHeld whether the machines of a zone are unheard rather than dead
+   * @param machineRule when a single machine is given up
    */
-  record Links(
-      BooleanSupplier places,
-      BooleanSupplier rents,
-      Predicate<String> holds,
-      MachineEvictionRule machines) {}
+  public record FleetPermissions(
+      BooleanSupplier mayPlace,
+      BooleanSupplier mayScale,
+      Predicate<String> isZoneHeld,
+      MachineEvictionRule machineRule) {}
 
   /** What the leader may still do: {@code acts} for workers, {@code sole} for the cloud. */
-  record Authority(BooleanSupplier acts, BooleanSupplier sole) {}
+  public record Authority(BooleanSupplier mayCommandWorkers, BooleanSupplier mayChangeFleet) {}
 
   /** The cloud's limits and how long idle machines are kept. */
-  record ProvisioningLimits(double cloudRps, Duration listLag, Duration idleKeep) {}
+  public record ProvisioningLimits(double cloudRps, Duration listLag, Duration idleKeep) {}
 
   @Override
   public void start() {
@@ -245,50 +264,51 @@
     timer.cancel();
   }
 
-  long term() {
+  public long term() {
     return term;
   }
 
   /** How this leader hears its machines. */
-  FleetReachability fleetView() {
-    Duration lateSince = loop.now().minus(timings.late());
+  public FleetReachability fleetView() {
+    Duration lateSince = loop.now().minus(timings.lateAfter());
     FleetReachability.Builder view = new FleetReachability.Builder();
     for (MachineState machine : fleet.all()) {
       if (!machine.isDeleted()) {
-        boolean listedNow = provisioner.lists(machine.name());
+        boolean listedNow = provisioner.isListed(machine.name());
         view.addMachine(machine.zone(), listedNow, machine.contactStanding(lateSince, started));
       }
     }
     return view.build();
   }
 
-  Fleet fleet() {
+  public Fleet fleet() {
     return fleet;
   }
 
   /** The records changed: a new job, a cancel, this term's own commits. */
-  void recordsChanged() {
-    rounds.request();
+  public void recordsChanged() {
+    rounds.requestRound();
   }
 
   /** Answers a report with the current token and the committed commands. */
-  byte[] report(WorkerHeartbeat report) {
+  public byte[] handleHeartbeat(WorkerHeartbeat report) {
     ingest(report);
     MachineState machine = fleet.get(report.machine());
     long token = tokens.current();
     if (machine == null || machine.isDeleted() || !machine.hasHeartbeat()) {
       return WorkerProtocol.encodeHeartbeatReply(token, List.of());
     }
-    MachineStanding standing = rounds.standing(machine);
+    MachineEligibility standing = rounds.eligibility(machine);
     boolean waits = machine.contact().recordReply(report, token, loop.now());
-    if (standing.improvedTo(rounds.standing(machine))) {
+    if (standing.isImprovedBy(rounds.eligibility(machine))) {
       // Its lease is renewed, so that it may be given work again.
-      rounds.request();
+      rounds.requestRound();
     }
     if (!waits || report.agentEpoch() != machine.latestHeartbeat().agentEpoch()) {
       return WorkerProtocol.encodeHeartbeatReply(token, List.of());
     }
-    List<WorkerCommand> list = workerCommands.dueFor(machine, ownership.on(machine.name()));
+    List<WorkerCommand> list =
+        workerCommands.commandsFor(machine, ownership.attemptsOn(machine.name()));
     machine.commands().recordDelivered(list, token, loop.now());
     return WorkerProtocol.encodeHeartbeatReply(token, list);
   }
@@ -304,7 +324,7 @@
 
   /** Something of the machine has changed that may prove an end or ask for a command. */
   private void touched(String machine) {
-    rounds.machineTouched(machine);
+    rounds.machineChanged(machine);
     ordered.add(machine);
   }
 
@@ -326,17 +346,17 @@
         && lookForMissingStart(report)) {
       return;
     }
-    MachineStanding standing = rounds.standing(known);
+    MachineEligibility standing = rounds.eligibility(known);
     MachineState machine = fleet.accept(report, loop.now());
     if (machine == null || machine.latestHeartbeat() != report) {
       return;
     }
     // A newer token alone is no news: each round would touch every machine and ask for the next.
     if (report.hasChangedSince(before)
-        || standing.improvedTo(rounds.standing(machine))
-        || rounds.awaits(machine.name())) {
+        || standing.isImprovedBy(rounds.eligibility(machine))
+        || rounds.willExamine(machine.name())) {
       touched(machine.name());
-      rounds.request();
+      rounds.requestRound();
     }
     if (report.preemptionNotice() != null
         && (before == null || before.preemptionNotice() == null)) {
@@ -363,13 +383,13 @@
 
   /** Saves what can be saved on a machine that goes; the rest may still finish in time. */
   private void drain(MachineState machine) {
-    for (Ownership.Owned owned : ownership.on(machine.name())) {
+    for (Ownership.OwnedTask owned : ownership.attemptsOn(machine.name())) {
       Duration save = owned.entry().job().checkpointDuration();
       boolean saves = !owned.entry().job().checkpointInterval().isZero();
       if (saves && save.compareTo(machine.latestHeartbeat().preemptionNotice()) < 0) {
         stopRequests.add(
             owned.id(), owned.attempt().number(), machine.latestHeartbeat().preemptionNotice());
-        rounds.machineTouched(machine.name());
+        rounds.machineChanged(machine.name());
       }
     }
     sendDueCommands();
@@ -377,7 +397,7 @@
 
   /** Sends what is due to the machines that something has changed for. */
   private void sendDueCommands() {
-    if (stopped || !authority.acts().getAsBoolean()) {
+    if (stopped || !authority.mayCommandWorkers().getAsBoolean()) {
       return;
     }
     Duration now = loop.now();
@@ -386,7 +406,8 @@
       if (machine == null || machine.isDeleted()) {
         names.remove();
       } else if (machine.hasHeartbeat() && !machine.commands().isCallInFlight()) {
-        List<WorkerCommand> due = workerCommands.dueFor(machine, ownership.on(machine.name()));
+        List<WorkerCommand> due =
+            workerCommands.commandsFor(machine, ownership.attemptsOn(machine.name()));
         due.removeIf(order -> order.action() == WorkerCommand.Action.ACKNOWLEDGE);
         if (due.isEmpty()) {
           names.remove();
@@ -402,9 +423,9 @@
 
   private void tick() {
     Duration next = Duration.ofMillis(placing ? 250 : 100);
-    backlog.ran(loop.now(), next);
+    backlog.timerFired(loop.now(), next);
     timer = loop.schedule(next, this::tick);
-    if (adoption.open()) {
+    if (adoption.isOpen()) {
       checkAdopted();
     } else if (placing) {
       probeLate();
@@ -420,29 +441,30 @@
    */
   private void checkAdopted() {
     Duration now = loop.now();
-    Duration limit = started.plus(timings.authority()).plus(timings.lapse());
+    Duration limit = started.plus(timings.authority()).plus(timings.workerLeaseExpiry());
     Duration listsAll = started.plus(Durations.multiply(listLag, 2));
     boolean over = now.compareTo(limit) > 0;
-    if ((over || provisioner.listedSince(listsAll) && allFenced()) && adoption.allRecorded()) {
+    if ((over || provisioner.isListReadSince(listsAll) && allFenced())
+        && adoption.isAllRecorded()) {
       LOG.info(
           "what ran when the state was lost is taken in after {} ms, {}",
           now.minus(started).toMillis(),
           over ? "by time" : "all heard");
-      rounds.settle();
+      rounds.recordReconciled();
     } else {
-      rounds.request();
+      rounds.requestRound();
     }
     probeLate();
   }
 
   private boolean allFenced() {
-    Set<String> names = new HashSet<>(provisioner.listed());
-    names.addAll(ownership.machines());
+    Set<String> names = new HashSet<>(provisioner.listedMachines());
+    names.addAll(ownership.owningMachines());
     fleet.all().forEach(machine -> names.add(machine.name()));
     for (String name : names) {
       MachineState machine = fleet.get(name);
-      boolean fenced = machine != null && machine.contact().hasTokenAbove(tokens.base());
-      if (!fenced && !fleet.isGone(name)) {
+      boolean fenced = machine != null && machine.contact().hasTokenAbove(tokens.termBase());
+      if (!fenced && !fleet.isDeleted(name)) {
         return false;
       }
     }
@@ -460,12 +482,12 @@
     for (MachineState machine : fleet.all()) {
       all &= machine.isDeleted() || machine.hasHeartbeat();
     }
-    for (String name : ownership.machines()) {
-      all &= fleet.isGone(name) || fleet.hasHeard(name);
+    for (String name : ownership.owningMachines()) {
+      all &= fleet.isDeleted(name) || fleet.hasSentHeartbeat(name);
     }
     Duration limit =
         listed == null
-            ? started.plus(Durations.multiply(timings.report(), 2))
+            ? started.plus(Durations.multiply(timings.heartbeatInterval(), 2))
             : listed.plus(SILENCE);
     if (all || now.compareTo(limit) > 0) {
       placing = true;
@@ -495,8 +517,8 @@
    * not taken for dead.
    */
   private void probeLate() {
-    Duration lateSince = loop.now().minus(timings.late());
-    for (String name : ownership.machines()) {
+    Duration lateSince = loop.now().minus(timings.lateAfter());
+    for (String name : ownership.owningMachines()) {
       MachineState machine = fleet.get(name);
       if (machine != null
           && !machine.isDeleted()
@@ -515,7 +537,7 @@
    * thousand tasks lost their leases after a single controller had ended.
    */
   private void inspectNext() {
-    int most = backlog.behind() ? FEW_INSPECTING : MAX_INSPECTING;
+    int most = backlog.isBehind() ? FEW_INSPECTING : MAX_INSPECTING;
     while (inspecting < most && !toInspect.isEmpty() && !stopped) {
       Iterator<String> first = toInspect.iterator();
       MachineState machine = fleet.get(first.next());
@@ -535,7 +557,7 @@
                   ingest(report);
                   fence(machine);
                 } else if (!machine.contact().hasHeartbeatSinceProbe()
-                    && took.compareTo(Durations.divide(timings.workerCall(), 2)) > 0) {
+                    && took.compareTo(Durations.divide(timings.workerTimeout(), 2)) > 0) {
                   // A call that fails at once found no socket, which says nothing of the machine.
                   machine.contact().markUnresponsive();
                 }
@@ -547,7 +569,8 @@
   private void fence(MachineState machine) {
     if (machine.hasHeartbeat()
         && machine.latestHeartbeat().highestFencingToken() < tokens.current()) {
-      commandSender.send(machine, workerCommands.dueFor(machine, ownership.on(machine.name())));
+      commandSender.send(
+          machine, workerCommands.commandsFor(machine, ownership.attemptsOn(machine.name())));
     }
   }
 }
--- a/src/main/java/io/cherryspool/controller/WorkerCommands.java
+++ b/src/main/java/io/cherryspool/controller/leader/WorkerCommandPlanner.java
@@ -1,5 +1,11 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.leader;
 
+import io.cherryspool.controller.fleet.MachineState;
+import io.cherryspool.controller.ownership.FencingTokenSource;
+import io.cherryspool.controller.ownership.Ownership;
+import io.cherryspool.controller.ownership.StopRequests;
+import io.cherryspool.controller.release.PendingReleases;
+import io.cherryspool.controller.rounds.Adoption;
 import io.cherryspool.model.WorkerCommand;
 import io.cherryspool.model.WorkerHeartbeat;
 import java.time.Duration;
@@ -10,15 +16,15 @@
  * What a worker is to do, from the committed records and its newest message alone. The same
  * commands come again until a message shows them done, so none is lost with an answer.
  */
-final class WorkerCommands {
+final class WorkerCommandPlanner {
   private final StopRequests stopRequests;
-  private final Tokens tokens;
+  private final FencingTokenSource tokens;
   private final PendingReleases pendingReleases;
   private final Adoption adoption;
 
-  WorkerCommands(
+  WorkerCommandPlanner(
       StopRequests stopRequests,
-      Tokens tokens,
+      FencingTokenSource tokens,
       PendingReleases pendingReleases,
       Adoption adoption) {
     this.stopRequests = stopRequests;
@@ -27,11 +33,11 @@
     this.adoption = adoption;
   }
 
-  List<WorkerCommand> dueFor(MachineState machine, List<Ownership.Owned> owned) {
+  List<WorkerCommand> commandsFor(MachineState machine, List<Ownership.OwnedTask> owned) {
     WorkerHeartbeat latest = machine.latestHeartbeat();
     List<WorkerCommand> commands = new ArrayList<>();
     for (WorkerHeartbeat.TaskStatus item : latest.tasks()) {
-      Ownership.Owned owner = owner(item, owned, latest.agentEpoch());
+      Ownership.OwnedTask owner = owner(item, owned, latest.agentEpoch());
       if (owner != null) {
         Duration grace = stopRequests.graceFor(owner);
         boolean running =
@@ -44,28 +50,28 @@
         if (grace != null && (running || cutShort)) {
           commands.add(WorkerCommand.stop(item.task(), item.attempt(), grace));
         }
-      } else if (adoption.protects(machine, item)) {
+      } else if (adoption.mustLeaveUntouched(machine, item)) {
         // The records lack what happened last, and this may be part of it.
         continue;
       } else if (item.state() != WorkerHeartbeat.TaskState.EXITED) {
         // The records give this task to nobody, or to another attempt: nobody may run it here.
         commands.add(WorkerCommand.stop(item.task(), item.attempt(), Duration.ZERO));
-      } else if (latest.highestFencingToken() > tokens.base() && machine.areCommandsFenced()) {
+      } else if (latest.highestFencingToken() > tokens.termBase() && machine.areCommandsFenced()) {
         commands.add(WorkerCommand.acknowledge(item.task(), item.attempt()));
       }
     }
-    if (adoption.open()) {
+    if (adoption.isOpen()) {
       // What is owned and not here may run elsewhere as a later attempt.
       return commands;
     }
-    for (Ownership.Owned item : owned) {
+    for (Ownership.OwnedTask item : owned) {
       boolean here = item.attempt().agentEpoch() == latest.agentEpoch();
       if (here
           && item.entry().outcome() == null
-          && !adoption.holdsBack(item.entry())
+          && !adoption.isHeldBack(item.entry())
           && stopRequests.graceFor(item) == null
           // An attempt that has ended must not run once more while its end waits to be written.
-          && !pendingReleases.has(item)
+          && !pendingReleases.contains(item)
           && machine.contact().findTask(item.id(), item.attempt().number()).isEmpty()) {
         commands.add(WorkerCommand.start(item.id(), item.attempt().number()));
       }
@@ -73,9 +79,9 @@
     return commands;
   }
 
-  private static Ownership.Owned owner(
-      WorkerHeartbeat.TaskStatus item, List<Ownership.Owned> owned, long session) {
-    for (Ownership.Owned candidate : owned) {
+  private static Ownership.OwnedTask owner(
+      WorkerHeartbeat.TaskStatus item, List<Ownership.OwnedTask> owned, long session) {
+    for (Ownership.OwnedTask candidate : owned) {
       if (candidate.attempt().number() == item.attempt()
           && candidate.attempt().agentEpoch() == session
           && candidate.id().equals(item.task())) {
--- a/src/main/java/io/cherryspool/controller/EventCount.java
+++ b/src/main/java/io/cherryspool/controller/metrics/EventCounter.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.metrics;
 
 import io.micrometer.core.instrument.FunctionCounter;
 import io.micrometer.core.instrument.MeterRegistry;
@@ -7,14 +7,14 @@
  * Counts events on the event loop. The number is kept here and not by a registry, so that a
  * registry that is made when metrics are first asked for shows all events since the start.
  */
-final class EventCount {
+public final class EventCounter {
   private long total;
 
-  void increment() {
+  public void increment() {
     add(1);
   }
 
-  void add(long events) {
+  public void add(long events) {
     total += events;
   }
 
--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/metrics/Meters.java
@@ -0,0 +1,43 @@
+package io.cherryspool.controller.metrics;
+
+import io.micrometer.core.instrument.MeterRegistry;
+import io.micrometer.core.instrument.binder.MeterBinder;
+
+/** What a node counts while it runs, whoever leads; one counter for each guard of the rules. */
+public final class Meters implements MeterBinder {
+  /** Rounds that changed records. */
+  public final EventCounter committedRounds = new EventCounter();
+
+  /** Rounds for which a placement was computed, whatever came of it. */
+  public final EventCounter plannedRounds = new EventCounter();
+
+  /** Tasks taken back since their machine's lease ran out, or it is gone. */
+  public final EventCounter lostTasks = new EventCounter();
+
+  /** Tasks that failed by themselves. */
+  public final EventCounter taskFailures = new EventCounter();
+
+  /** Tasks stopped for other work. */
+  public final EventCounter preemptions = new EventCounter();
+
+  /** Reports that were not this node's to answer. */
+  public final EventCounter redirectedHeartbeats = new EventCounter();
+
+  /** Users' requests that were passed on to another node. */
+  public final EventCounter forwardedRequests = new EventCounter();
+
+  /** Users' requests that could not be served now. */
+  public final EventCounter refusedRequests = new EventCounter();
+
+  @Override
+  public void bindTo(MeterRegistry registry) {
+    committedRounds.bindTo(registry, "cherryspool.rounds");
+    plannedRounds.bindTo(registry, "cherryspool.rounds.planned");
+    lostTasks.bindTo(registry, "cherryspool.lapses");
+    taskFailures.bindTo(registry, "cherryspool.failures");
+    preemptions.bindTo(registry, "cherryspool.stops");
+    redirectedHeartbeats.bindTo(registry, "cherryspool.reports.redirected");
+    forwardedRequests.bindTo(registry, "cherryspool.requests.forwarded");
+    refusedRequests.bindTo(registry, "cherryspool.requests.refused");
+  }
+}
--- a/src/main/java/io/cherryspool/controller/ReachabilityMeters.java
+++ b/src/main/java/io/cherryspool/controller/metrics/ReachabilityMeters.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.metrics;
 
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.mesh.LinkState;
@@ -14,14 +14,14 @@
 /**
  * The meters of a node's links. A link is 0 if it is up, 1 if something failed, 2 if it is down.
  */
-final class ReachabilityMeters implements MeterBinder {
+public final class ReachabilityMeters implements MeterBinder {
   private static final List<String> VERDICTS =
       List.of("pass-on", "hold-placing", "hold-zones", "hold-fleet", "make-way");
 
   private final Reachability reachability;
   private final EventLoop loop;
 
-  ReachabilityMeters(Reachability reachability, EventLoop loop) {
+  public ReachabilityMeters(Reachability reachability, EventLoop loop) {
     this.reachability = reachability;
     this.loop = loop;
   }
--- a/src/main/java/io/cherryspool/controller/RecoveryMeters.java
+++ b/src/main/java/io/cherryspool/controller/metrics/RecoveryMeters.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.metrics;
 
 import io.cherryspool.recovery.Recovery;
 import io.cherryspool.recovery.SnapshotRepository;
@@ -10,7 +10,7 @@
 import java.util.function.ToDoubleFunction;
 
 /** The meters of a node that looks for losses of its state. */
-final class RecoveryMeters implements MeterBinder {
+public final class RecoveryMeters implements MeterBinder {
   private final Recovery recovery;
   private final ClusterRecords replica;
   private final SnapshotWriter snapshots;
@@ -18,7 +18,7 @@
   /**
    * @param snapshots null if none are taken
    */
-  RecoveryMeters(Recovery recovery, ClusterRecords replica, SnapshotWriter snapshots) {
+  public RecoveryMeters(Recovery recovery, ClusterRecords replica, SnapshotWriter snapshots) {
     this.recovery = recovery;
     this.replica = replica;
     this.snapshots = snapshots;
--- a/src/main/java/io/cherryspool/controller/Tokens.java
+++ b/src/main/java/io/cherryspool/controller/ownership/FencingTokenSource.java
@@ -1,27 +1,27 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.ownership;
 
 import io.cherryspool.model.FencingToken;
 
 /** The tokens of one term. Only the leader of the term makes them, and they only grow. */
-final class Tokens {
+public final class FencingTokenSource {
   private final long term;
   private long round = 1;
 
-  Tokens(long term) {
+  public FencingTokenSource(long term) {
     this.term = term;
   }
 
   /** Below every token of this term, and above every token of earlier ones. */
-  long base() {
+  public long termBase() {
     return FencingToken.of(term, 0);
   }
 
-  long current() {
+  public long current() {
     return FencingToken.of(term, round);
   }
 
   /** Starts the next round. Messages of earlier rounds then no longer count at the workers. */
-  void next() {
+  public void advance() {
     round++;
   }
 }
--- a/src/main/java/io/cherryspool/controller/Ownership.java
+++ b/src/main/java/io/cherryspool/controller/ownership/Ownership.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.ownership;
 
 import io.cherryspool.lifecycle.Lifecycle;
 import io.cherryspool.model.Attempt;
@@ -18,36 +18,36 @@
  * Who owns what, by machine, as the committed records say. It follows the records change by change,
  * so that a report costs the look-up of one machine however many tasks run.
  */
-final class Ownership implements ClusterRecords.RecordsListener, Lifecycle {
+public final class Ownership implements ClusterRecords.RecordsListener, Lifecycle {
 
   /** One owned task. */
-  record Owned(JobRecord entry, TaskId id, Attempt attempt) {}
+  public record OwnedTask(JobRecord entry, TaskId id, Attempt attempt) {}
 
   /** Who acts on the changes. */
-  interface Listener {
-    void machineTouched(String machine);
+  public interface Listener {
+    void machineChanged(String machine);
 
-    void jobTouched(JobRecord entry);
+    void jobChanged(JobRecord entry);
 
     /** The job has ended. */
     void jobEnded(JobRecord entry);
 
     /** The records no longer hold this attempt. */
-    void released(Owned owned);
+    void released(OwnedTask owned);
 
     /** Everything may have changed. */
     void reloaded();
   }
 
   private final ClusterRecords replica;
-  private final Map<String, List<Owned>> byMachine = new HashMap<>();
+  private final Map<String, List<OwnedTask>> byMachine = new HashMap<>();
   private Listener listener;
 
-  Ownership(ClusterRecords replica) {
+  public Ownership(ClusterRecords replica) {
     this.replica = replica;
   }
 
-  void listen(Listener to) {
+  public void setListener(Listener to) {
     listener = to;
   }
 
@@ -62,12 +62,12 @@
     replica.removeListener(this);
   }
 
-  List<Owned> on(String machine) {
+  public List<OwnedTask> attemptsOn(String machine) {
     return byMachine.getOrDefault(machine, List.of());
   }
 
   /** The machines that own anything. */
-  Set<String> machines() {
+  public Set<String> owningMachines() {
     return Collections.unmodifiableSet(byMachine.keySet());
   }
 
@@ -81,15 +81,15 @@
     for (Attempt attempt : after.ownedAttempts().values()) {
       if (!attempt.equals(before.ownedAttempt(attempt.taskIndex()))) {
         add(entry, attempt);
-        listener.machineTouched(attempt.machine());
+        listener.machineChanged(attempt.machine());
       }
     }
-    listener.jobTouched(entry);
+    listener.jobChanged(entry);
   }
 
   @Override
   public void onJobChanged(JobRecord entry) {
-    listener.jobTouched(entry);
+    listener.jobChanged(entry);
     if (entry.outcome() != null) {
       listener.jobEnded(entry);
     }
@@ -101,7 +101,7 @@
     } else if (entry.outcome() == Outcome.CANCELLED) {
       for (JobRecord.VersionedShard item : entry.shards().values()) {
         for (Attempt attempt : item.shard().ownedAttempts().values()) {
-          listener.machineTouched(attempt.machine());
+          listener.machineChanged(attempt.machine());
         }
       }
     }
@@ -126,19 +126,19 @@
   private void add(JobRecord entry, Attempt attempt) {
     byMachine
         .computeIfAbsent(attempt.machine(), key -> new ArrayList<>(4))
-        .add(new Owned(entry, new TaskId(entry.job().id(), attempt.taskIndex()), attempt));
+        .add(new OwnedTask(entry, new TaskId(entry.job().id(), attempt.taskIndex()), attempt));
   }
 
   private void remove(JobRecord entry, Attempt attempt) {
-    List<Owned> list = on(attempt.machine());
+    List<OwnedTask> list = attemptsOn(attempt.machine());
     for (int i = 0; i < list.size(); i++) {
-      Owned owned = list.get(i);
+      OwnedTask owned = list.get(i);
       if (owned.entry() == entry && owned.attempt().equals(attempt)) {
         list.remove(i);
         if (list.isEmpty()) {
           byMachine.remove(attempt.machine());
         }
-        listener.machineTouched(attempt.machine());
+        listener.machineChanged(attempt.machine());
         listener.released(owned);
         return;
       }
--- a/src/main/java/io/cherryspool/controller/StopRequests.java
+++ b/src/main/java/io/cherryspool/controller/ownership/StopRequests.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.ownership;
 
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.TaskId;
@@ -10,13 +10,13 @@
  * Which attempts are to stop: for other work, for a cancel, or since their machine will be taken
  * away. Kept in memory: a new leader decides anew.
  */
-final class StopRequests {
+public final class StopRequests {
   private final Map<TaskId, StopRequest> requests = new HashMap<>();
 
   private record StopRequest(int attempt, Duration grace) {}
 
   /** The first stop of an attempt counts; one of an earlier attempt means nothing for this one. */
-  void add(TaskId task, int attempt, Duration grace) {
+  public void add(TaskId task, int attempt, Duration grace) {
     requests.compute(
         task,
         (key, known) ->
@@ -24,7 +24,7 @@
   }
 
   /** The grace of the stop that the attempt is under, or null if it is to go on. */
-  Duration graceFor(Ownership.Owned owned) {
+  public Duration graceFor(Ownership.OwnedTask owned) {
     if (owned.entry().outcome() == Outcome.CANCELLED) {
       return Duration.ZERO;
     }
@@ -33,7 +33,7 @@
   }
 
   /** The records have released the attempt, so nothing is left to stop. */
-  void drop(Ownership.Owned owned) {
+  public void remove(Ownership.OwnedTask owned) {
     StopRequest request = requests.get(owned.id());
     if (request != null && request.attempt <= owned.attempt().number()) {
       requests.remove(owned.id());
--- a/src/main/java/io/cherryspool/controller/CatalogKeeper.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/MachineTypeCatalog.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.provisioning;
 
 import io.cherryspool.cloud.CloudClient;
 import io.cherryspool.lifecycle.EventLoop;
@@ -21,8 +21,8 @@
  * Knows the machine types: from the cloud, or while the cloud is silent as a leader last recorded
  * them, so that a restarted node can accept jobs during an outage of the cloud.
  */
-final class CatalogKeeper implements Lifecycle {
-  private static final Logger LOG = LoggerFactory.getLogger(CatalogKeeper.class);
+public final class MachineTypeCatalog implements Lifecycle {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
   private static final Duration RENEW = Duration.ofSeconds(30);
   private static final Duration RETRY = Duration.ofSeconds(2);
 
@@ -35,7 +35,7 @@
   private List<MachineType> known;
   private EventLoop.Timer timer;
 
-  CatalogKeeper(
+  public MachineTypeCatalog(
       EventLoop loop,
       CloudClient cloud,
       ClusterRecords replica,
@@ -63,7 +63,7 @@
   }
 
   /** The machine types, or null while nobody has told them. */
-  List<MachineType> types() {
+  public List<MachineType> types() {
     return known != null ? known : replica.catalog();
   }
 
--- a/src/main/java/io/cherryspool/controller/Provisioner.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/Provisioner.java
@@ -1,6 +1,13 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.provisioning;
 
 import io.cherryspool.cloud.CloudClient;
+import io.cherryspool.controller.fleet.Fleet;
+import io.cherryspool.controller.fleet.MachineState;
+import io.cherryspool.controller.leader.LeaderTerm;
+import io.cherryspool.controller.ownership.Ownership;
+import io.cherryspool.controller.rounds.Adoption;
+import io.cherryspool.controller.rounds.DemandEstimator;
+import io.cherryspool.controller.rounds.SchedulingLoop;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.lifecycle.Lifecycle;
 import io.cherryspool.model.Durations;
@@ -25,7 +32,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Provisions machines for the leader: lists, rents and returns them, one call at a time. */
-final class Provisioner implements Lifecycle {
+public final class Provisioner implements Lifecycle {
   /** Steps that find nothing to do take at most about one part in so many of the processor. */
   private static final int COST_SHARE = 40;
 
@@ -42,8 +49,8 @@
   private final CloudClient cloud;
   private final Fleet fleet;
   private final Ownership ownership;
-  private final Rounds rounds;
-  private final Workload workload;
+  private final SchedulingLoop rounds;
+  private final DemandEstimator workload;
   private final Supplier<List<MachineType>> catalog;
   private final Duration gap;
   private final Duration listLag;
@@ -51,9 +58,9 @@
   private final Adoption adoption;
   private final String prefix;
   private final BooleanSupplier sole;
-  private final LeaderTerm.Links links;
+  private final LeaderTerm.FleetPermissions links;
   private final LocalHealth health = new LocalHealth(STANDSTILL);
-  private final Runnable listed;
+  private final Runnable listedMachines;
   private final Map<String, Instance> list = new HashMap<>();
   private final Map<String, Incoming> incoming = new HashMap<>();
   private final Map<ScalingPlan.Offering, Duration> soldOut = new HashMap<>();
@@ -75,13 +82,13 @@
   /** A rental whose answer is not known; it goes again under the same name. */
   private record Request(String name, ScalingPlan.Offering offer, int count) {}
 
-  Provisioner(
+  public Provisioner(
       EventLoop loop,
       CloudClient cloud,
       Fleet fleet,
       Ownership ownership,
-      Rounds rounds,
-      Workload workload,
+      SchedulingLoop rounds,
+      DemandEstimator workload,
       Supplier<List<MachineType>> catalog,
       double cloudRps,
       Duration listLag,
@@ -89,7 +96,7 @@
       Adoption adoption,
       String prefix,
       BooleanSupplier sole,
-      LeaderTerm.Links links,
+      LeaderTerm.FleetPermissions links,
       Runnable listed) {
     this.loop = loop;
     this.cloud = cloud;
@@ -105,7 +112,7 @@
     this.prefix = prefix;
     this.sole = sole;
     this.links = links;
-    this.listed = listed;
+    this.listedMachines = listed;
   }
 
   @Override
@@ -142,7 +149,7 @@
   private void act() {
     // A leader that is cut off would take workers that went over to its successor for silent ones,
     // and delete their machines.
-    if (busy || !sole.getAsBoolean() || !links.places().getAsBoolean()) {
+    if (busy || !sole.getAsBoolean() || !links.mayPlace().getAsBoolean()) {
       return;
     }
     Duration now = loop.now();
@@ -159,19 +166,19 @@
       delete();
     } else if (repeat != null) {
       rent(repeat);
-    } else if (!adoption.open() && links.rents().getAsBoolean()) {
+    } else if (!adoption.isOpen() && links.mayScale().getAsBoolean()) {
       // Until it is known what runs, what is needed besides is not known either.
       plan(now);
     }
   }
 
   /** Whether the whole list was read at this moment or later. */
-  boolean listedSince(Duration moment) {
+  public boolean isListReadSince(Duration moment) {
     return listTaken != null && listTaken.compareTo(moment) >= 0;
   }
 
   /** The machines that the cloud last listed and that may run tasks. */
-  Set<String> listed() {
+  public Set<String> listedMachines() {
     Set<String> names = new HashSet<>();
     for (Instance item : list.values()) {
       if (item.status() != Instance.Status.FAILED) {
@@ -182,7 +189,7 @@
   }
 
   /** Whether the cloud lists the machine. */
-  boolean lists(String machine) {
+  public boolean isListed(String machine) {
     return list.containsKey(machine);
   }
 
@@ -213,23 +220,23 @@
     list.putAll(found);
     Duration now = loop.now();
     for (Instance item : found.values()) {
-      if (!fleet.isGone(item.name()) && item.status() == Instance.Status.RUNNING) {
-        fleet.add(item.name(), item.address(), item.type(), item.zone(), item.isSpot(), now);
+      if (!fleet.isDeleted(item.name()) && item.status() == Instance.Status.RUNNING) {
+        fleet.register(item.name(), item.address(), item.type(), item.zone(), item.isSpot(), now);
       }
     }
-    listed.run();
+    listedMachines.run();
   }
 
   /** Decides which machines to delete, and only for reasons that hold whatever a late list says. */
   private void condemn(Duration now) {
     for (Instance item : list.values()) {
-      if (fleet.isGone(item.name())) {
+      if (fleet.isDeleted(item.name())) {
         continue;
       }
       if (item.status() == Instance.Status.FAILED) {
         doom(item.name(), "it has failed");
       } else if (item.status() == Instance.Status.BOOTING
-          && !fleet.hasHeard(item.name())
+          && !fleet.hasSentHeartbeat(item.name())
           && item.age().compareTo(bootLimit(item.type())) > 0) {
         doom(item.name(), "it has been booting for " + item.age().toSeconds() + " s");
       }
@@ -239,11 +246,12 @@
       if (machine.isDeleted()) {
         continue;
       }
-      boolean idle = ownership.on(machine.name()).isEmpty() && !adoption.occupies(machine);
+      boolean idle =
+          ownership.attemptsOn(machine.name()).isEmpty() && !adoption.hasUnknownUsage(machine);
       machine.setIdle(idle, now);
       Duration silentFor = now.minus(machine.lastSeenAt());
       Optional<MachineEvictionRule.Fault> fault =
-          links.machines().judge(signs(machine, silentFor, !idle, now), listening);
+          links.machineRule().judge(signs(machine, silentFor, !idle, now), listening);
       if (fault.isPresent()) {
         doom(
             machine.name(),
@@ -263,7 +271,7 @@
         machine.contact().notReceivingFor(now),
         owns,
         machine.contact().isUnresponsive(),
-        list.containsKey(machine.name()) && links.holds().test(machine.zone()));
+        list.containsKey(machine.name()) && links.isZoneHeld().test(machine.zone()));
   }
 
   private Duration bootLimit(String type) {
@@ -305,9 +313,9 @@
               for (String name : batch) {
                 doomed.remove(name);
                 incoming.remove(name);
-                fleet.markGone(fleet.add(name, null, "", "", false, now));
+                fleet.markDeleted(fleet.register(name, null, "", "", false, now));
               }
-              rounds.request();
+              rounds.requestRound();
             });
   }
 
@@ -316,16 +324,16 @@
       return;
     }
     soldOut.values().removeIf(at -> now.minus(at).compareTo(SOLD_OUT) > 0);
-    fleet.prune(ownership);
+    fleet.removeDeleted(ownership);
     ScalingPlan.Decision decision =
         ScalingPlan.decide(
             new ScalingPlan.FleetView(
-                workload.time(),
-                rounds.plan().unschedulable(),
-                rounds.plan().relocatable(),
+                workload.now(),
+                rounds.lastPlan().unschedulable(),
+                rounds.lastPlan().relocatable(),
                 coming(),
                 up(now),
-                workload.loads(),
+                workload.estimateLoads(),
                 catalog.get(),
                 soldOut.keySet(),
                 idleKeep));
@@ -356,15 +364,17 @@
               boolean lost =
                   !list.containsKey(entry.getKey())
                       && now.minus(entry.getValue().since).compareTo(unlisted) > 0;
-              return fleet.hasHeard(entry.getKey()) || lost || fleet.isGone(entry.getKey());
+              return fleet.hasSentHeartbeat(entry.getKey())
+                  || lost
+                  || fleet.isDeleted(entry.getKey());
             });
     List<ScalingPlan.Offering> result = new ArrayList<>();
     incoming.values().forEach(item -> result.add(item.offer));
     for (Instance item : list.values()) {
       if (item.status() == Instance.Status.BOOTING
-          && !fleet.hasHeard(item.name())
+          && !fleet.hasSentHeartbeat(item.name())
           && !incoming.containsKey(item.name())
-          && !fleet.isGone(item.name())
+          && !fleet.isDeleted(item.name())
           && types.containsKey(item.type())) {
         result.add(new ScalingPlan.Offering(types.get(item.type()), item.zone(), item.isSpot()));
       }
@@ -390,7 +400,7 @@
         continue;
       }
       double used = 0;
-      for (Ownership.Owned owned : ownership.on(machine.name())) {
+      for (Ownership.OwnedTask owned : ownership.attemptsOn(machine.name())) {
         used += owned.entry().job().perTask().cpus();
       }
       result.add(
--- a/src/main/java/io/cherryspool/controller/RecoveryNode.java
+++ b/src/main/java/io/cherryspool/controller/recovery/ElectionClusterNode.java
@@ -1,5 +1,6 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.recovery;
 
+import io.cherryspool.controller.election.Election;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.reachability.ReachabilityMatrix;
@@ -11,7 +12,7 @@
 import java.util.function.Supplier;
 
 /** What the recovery learns of its node and the others. */
-final class RecoveryNode implements ClusterNode {
+public final class ElectionClusterNode implements ClusterNode {
   private final EventLoop loop;
   private final String name;
   private final int peerCount;
@@ -25,7 +26,7 @@
    * @param fresh how long a heartbeat tells how its node is
    * @param servingChanged called when the records can be relied on again, or no more
    */
-  RecoveryNode(
+  public ElectionClusterNode(
       EventLoop loop,
       String name,
       int peerCount,
@@ -43,7 +44,7 @@
   }
 
   /** A worker has shown a token. */
-  void noteWorkersToken() {
+  void observeWorkerToken() {
     workersRemember = true;
   }
 
@@ -60,7 +61,7 @@
           new Peer(
               heartbeat.node(),
               heartbeat.isStateStoreReachable(),
-              MemoryWire.decode(heartbeat.retainedRecords())));
+              RetainedRecordsCodec.decode(heartbeat.retainedRecords())));
     }
     return result;
   }
@@ -77,7 +78,7 @@
 
   @Override
   public boolean isSoleLeader() {
-    return election.sole();
+    return election.mayChangeFleet();
   }
 
   @Override
--- a/src/main/java/io/cherryspool/controller/RecoveryApi.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.recovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -30,9 +30,9 @@
  * What operators ask about lost state, and what they decide. Any node answers; a decision is one
  * conditional write, and is refused with a reason where it would be wrong.
  */
-final class RecoveryApi {
+public final class RecoveryApi {
   /** What the paths of all these requests begin with. */
-  static final String PATH = "/recovery/";
+  public static final String PATH = "/recovery/";
 
   private static final int COME_BACK_S = 1;
 
--- a/src/main/java/io/cherryspool/controller/RecoveryPart.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
@@ -1,5 +1,8 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.recovery;
 
+import io.cherryspool.controller.Controller;
+import io.cherryspool.controller.election.Election;
+import io.cherryspool.controller.metrics.RecoveryMeters;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
 import io.cherryspool.lifecycle.EventLoop;
@@ -21,18 +24,17 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.binder.MeterBinder;
 import java.time.Duration;
-import java.time.Instant;
+import java.time.InstantSource;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 
 /**
  * All that a node has for losses of its state, wired together. A node that does not look for losses
  * has none of it, and loads none of its classes.
  */
-final class RecoveryPart implements Lifecycle, MeterBinder {
-  private final RecoveryNode node;
+public final class RecoveryModule implements Lifecycle, MeterBinder {
+  private final ElectionClusterNode node;
   private final Election election;
   private final Recovery recovery;
   private final RecoveryApi api;
@@ -40,24 +42,24 @@
   private final Optional<SnapshotWriter> snapshots;
 
   /** What the controller works with, and the recovery as well. */
-  record Shared(
+  public record Dependencies(
       EventLoop loop,
       StateStoreClient client,
       RateLimiter rateLimiter,
       ClusterRecords replica,
       Election election,
       RandomGenerator random,
-      Supplier<Instant> wall) {}
+      InstantSource clock) {}
 
   /**
    * @param support where snapshots go, if they are taken
    * @param interval how often they are
    */
-  RecoveryPart(
-      Shared shared,
-      RecoveryNode node,
+  public RecoveryModule(
+      Dependencies shared,
+      ElectionClusterNode node,
       RecoveryTimings timings,
-      Optional<Controller.SnapshotSupport> support,
+      Optional<Controller.SnapshotTarget> support,
       Duration interval) {
     this.node = node;
     this.election = shared.election();
@@ -83,9 +85,9 @@
                     shared.loop(),
                     shared.replica(),
                     recovery::isServing,
-                    shared.wall(),
+                    shared.clock(),
                     kept.get(),
-                    given.background(),
+                    given.writerExecutor(),
                     interval));
     SnapshotWriter writer = snapshots.orElse(null);
     api =
@@ -97,7 +99,7 @@
   @Override
   public void start() {
     recovery.start();
-    election.onLeaseEndedEarly(
+    election.onPrematureLeaseExpiry(
         () -> recovery.reportLoss(RollbackDetector.Loss.LEASE_FORGOTTEN, "this node's lease"));
     snapshots.ifPresent(SnapshotWriter::start);
   }
@@ -114,16 +116,16 @@
   }
 
   /** What heartbeats tell of this node. */
-  Mesh.RetainedRecordsSummary memory() {
-    return MemoryWire.encode(recovery.retainedRecords());
+  public Mesh.RetainedRecordsSummary retainedRecordsSummary() {
+    return RetainedRecordsCodec.encode(recovery.retainedRecords());
   }
 
-  boolean serving() {
+  public boolean isServing() {
     return recovery.isServing();
   }
 
   /** Whether this node rebuilds lost records. */
-  boolean rebuilds() {
+  public boolean isRebuilding() {
     return recovery.retainedRecords().phase() == RetainedRecords.Phase.REBUILDING;
   }
 
@@ -131,37 +133,37 @@
    * Whether nobody can read the records, as far as is known: while they are rebuilt, being passed
    * over helps no user, and a node that was counts as unhealthy long after.
    */
-  boolean heldEverywhere() {
+  public boolean hasNoServingNode() {
     return recovery.retainedRecords().phase() != RetainedRecords.Phase.STARTING
         && node.peers().stream()
             .noneMatch(peer -> peer.retainedRecords().phase() == RetainedRecords.Phase.SERVING);
   }
 
   /** When the last request that succeeded while not serving was sent; null if none was. */
-  Duration lastAnswer() {
+  public Duration lastAnsweredRequestSentAt() {
     return recovery.lastAnsweredRequestSentAt();
   }
 
-  void termShown(long term) {
+  public void observeTerm(long term) {
     recovery.observeTerm(term);
   }
 
   /** A worker has a task of which the records know no such start. */
-  void startMissing(String task) {
+  public void reportUnrecordedStart(String task) {
     recovery.reportLoss(RollbackDetector.Loss.START_MISSING, task);
   }
 
   /** A report that comes while nobody leads tells at least what was once given out. */
-  void reportUnanswered(WorkerHeartbeat report) {
+  public void observeUnansweredHeartbeat(WorkerHeartbeat report) {
     if (!recovery.isServing()) {
       if (report.highestFencingToken() > 0) {
-        node.noteWorkersToken();
+        node.observeWorkerToken();
       }
-      election.hear(FencingToken.term(report.highestFencingToken()));
+      election.observeTerm(FencingToken.term(report.highestFencingToken()));
     }
   }
 
-  CompletableFuture<Reply> handle(Request request) {
+  public CompletableFuture<Reply> handle(Request request) {
     return api.handle(request);
   }
 }
--- a/src/main/java/io/cherryspool/controller/MemoryWire.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RetainedRecordsCodec.java
@@ -1,12 +1,12 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.recovery;
 
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.recovery.RetainedRecords;
 import io.cherryspool.store.Incarnation;
 
 /** A node's memory as heartbeats carry it. */
-final class MemoryWire {
-  private MemoryWire() {}
+final class RetainedRecordsCodec {
+  private RetainedRecordsCodec() {}
 
   static Mesh.RetainedRecordsSummary encode(RetainedRecords memory) {
     return new Mesh.RetainedRecordsSummary(
--- a/src/main/java/io/cherryspool/controller/CrashLoopBackoff.java
+++ b/src/main/java/io/cherryspool/controller/release/CrashLoopBackoff.java
@@ -1,5 +1,6 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.release;
 
+import io.cherryspool.controller.fleet.MachineState;
 import io.cherryspool.store.JobRecord;
 import java.time.Duration;
 import java.util.HashMap;
@@ -17,14 +18,14 @@
  * <p>A job of which some tasks fail now and then soon has one that succeeds, and one with a bad
  * machine fails on that machine only: neither is held back for longer than a run.
  */
-final class CrashLoopBackoff {
+public final class CrashLoopBackoff {
   private static final Logger LOG = LoggerFactory.getLogger(CrashLoopBackoff.class);
 
   /** Machines on which a job must have failed before it, not they, is to blame. */
   private static final int MACHINES = 3;
 
   /** Tries of a crash-looping job at a time. */
-  static final int TRIES = 2;
+  public static final int MAX_CONCURRENT_TRIES = 2;
 
   private static final Duration MAX_PAUSE = Duration.ofSeconds(30);
 
@@ -43,7 +44,8 @@
   }
 
   /** A task of the job failed by itself; true if the machine, not the job, is to blame. */
-  boolean failed(JobRecord entry, boolean succeeded, MachineState machine, Duration now) {
+  public boolean recordFailure(
+      JobRecord entry, boolean succeeded, MachineState machine, Duration now) {
     String id = entry.job().id();
     if (succeeded) {
       return true;
@@ -52,9 +54,9 @@
     // What has succeeded nowhere says no more of a machine by failing there again and again.
     boolean first = loop.machines.add(machine.name());
     // Those that were under way together count as one try.
-    loop.tries += crashLooping(loop) && now.compareTo(loop.ready(now)) >= 0 ? 1 : 0;
+    loop.tries += isCrashLooping(loop) && now.compareTo(loop.ready(now)) >= 0 ? 1 : 0;
     loop.last = now;
-    if (crashLooping(loop)) {
+    if (isCrashLooping(loop)) {
       if (!loop.told) {
         loop.told = true;
         LOG.warn(
@@ -63,14 +65,14 @@
             id,
             loop.machines.size(),
             machine.name(),
-            TRIES);
+            MAX_CONCURRENT_TRIES);
       }
     }
-    return first && !crashLooping(loop);
+    return first && !isCrashLooping(loop);
   }
 
   /** The job has ended, or a task of it has succeeded. */
-  void drop(String job) {
+  public void reset(String job) {
     loops.remove(job);
   }
 
@@ -78,18 +80,18 @@
    * Whether the job, of which no task has succeeded, is crash-looping. A new leader goes by the
    * records until it has seen for itself.
    */
-  boolean crashLooping(JobRecord entry) {
+  public boolean isCrashLooping(JobRecord entry) {
     CrashLoop loop = loops.get(entry.job().id());
-    return loop != null && crashLooping(loop) || recorded(entry);
+    return loop != null && isCrashLooping(loop) || recorded(entry);
   }
 
   /** When the job may be tried again. */
-  Duration ready(JobRecord entry, Duration now) {
+  public Duration nextTryAt(JobRecord entry, Duration now) {
     CrashLoop loop = loops.get(entry.job().id());
     return loop == null ? now : loop.ready(now);
   }
 
-  private static boolean crashLooping(CrashLoop loop) {
+  private static boolean isCrashLooping(CrashLoop loop) {
     return loop.machines.size() >= MACHINES;
   }
 
@@ -97,6 +99,6 @@
   private static boolean recorded(JobRecord entry) {
     JobRecord.FailureCounts failures = entry.failureCounts();
     return failures.totalFailures() >= MACHINES
-        && failures.failedTasks() >= failures.attemptedTasks() - TRIES;
+        && failures.failedTasks() >= failures.attemptedTasks() - MAX_CONCURRENT_TRIES;
   }
 }
--- a/src/main/java/io/cherryspool/controller/PendingReleases.java
+++ b/src/main/java/io/cherryspool/controller/release/PendingReleases.java
@@ -1,5 +1,6 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.release;
 
+import io.cherryspool.controller.ownership.Ownership;
 import java.time.Duration;
 import java.util.Collection;
 import java.util.Collections;
@@ -15,57 +16,59 @@
  * workers repeat an exited task until they are told to forget it, and a task started again after it
  * was done exits as done.
  */
-final class PendingReleases {
+public final class PendingReleases {
 
   /** That the attempt has ended, how, and when this leader learnt it. */
-  record Release(Ownership.Owned owned, ReleaseEvidence.Verdict verdict, Duration at) {
-    boolean done() {
-      return verdict == ReleaseEvidence.Verdict.DONE;
+  public record Release(
+      Ownership.OwnedTask owned, TerminationEvidence.Verdict verdict, Duration learnedAt) {
+    public boolean isDone() {
+      return verdict == TerminationEvidence.Verdict.DONE;
     }
 
-    boolean failed() {
-      return verdict == ReleaseEvidence.Verdict.FAILED || verdict == ReleaseEvidence.Verdict.LAPSED;
+    public boolean countsAsFailure() {
+      return verdict == TerminationEvidence.Verdict.FAILED
+          || verdict == TerminationEvidence.Verdict.LOST;
     }
   }
 
   private final Map<String, Map<Integer, Release>> byJob = new LinkedHashMap<>();
 
-  void add(Release release) {
+  public void add(Release release) {
     byJob
         .computeIfAbsent(release.owned().id().jobId(), key -> new TreeMap<>())
         .put(release.owned().id().index(), release);
   }
 
   /** The release of this attempt, or null if none is pending. */
-  Release of(Ownership.Owned owned) {
+  Release find(Ownership.OwnedTask owned) {
     Release release = ofJob(owned.id().jobId()).get(owned.id().index());
     return release != null && release.owned().attempt().equals(owned.attempt()) ? release : null;
   }
 
-  boolean has(Ownership.Owned owned) {
-    return of(owned) != null;
+  public boolean contains(Ownership.OwnedTask owned) {
+    return find(owned) != null;
   }
 
   /** By task number, in order. */
-  Map<Integer, Release> ofJob(String id) {
+  public Map<Integer, Release> ofJob(String id) {
     return byJob.getOrDefault(id, Map.of());
   }
 
-  Set<String> jobs() {
+  public Set<String> jobIds() {
     return Collections.unmodifiableSet(byJob.keySet());
   }
 
-  static int countDone(Collection<Release> releases) {
+  public static int countDone(Collection<Release> releases) {
     int count = 0;
     for (Release release : releases) {
-      count += release.done() ? 1 : 0;
+      count += release.isDone() ? 1 : 0;
     }
     return count;
   }
 
   /** The records have it now, or the task is another attempt's. */
-  void drop(Ownership.Owned owned) {
-    if (has(owned)) {
+  public void remove(Ownership.OwnedTask owned) {
+    if (contains(owned)) {
       Map<Integer, Release> releases = byJob.get(owned.id().jobId());
       releases.remove(owned.id().index());
       if (releases.isEmpty()) {
@@ -74,7 +77,7 @@
     }
   }
 
-  void clear() {
+  public void clear() {
     byJob.clear();
   }
 }
--- a/src/main/java/io/cherryspool/controller/ReleaseEvidence.java
+++ b/src/main/java/io/cherryspool/controller/release/TerminationEvidence.java
@@ -1,5 +1,10 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.release;
 
+import io.cherryspool.controller.fleet.MachineState;
+import io.cherryspool.controller.ownership.FencingTokenSource;
+import io.cherryspool.controller.ownership.Ownership;
+import io.cherryspool.controller.ownership.StopRequests;
+import io.cherryspool.controller.timing.Timings;
 import io.cherryspool.model.Attempt;
 import io.cherryspool.model.WorkerCommand;
 import io.cherryspool.model.WorkerHeartbeat;
@@ -12,13 +17,14 @@
  * the worker is in a later session; the cloud has confirmed the machine's deletion; or the lease
  * that could keep the worker's tasks alive has surely run out.
  */
-final class ReleaseEvidence {
+public final class TerminationEvidence {
   private final Timings timings;
-  private final Tokens tokens;
+  private final FencingTokenSource tokens;
   private final StopRequests stopRequests;
   private final Duration termStart;
 
-  ReleaseEvidence(Timings timings, Tokens tokens, StopRequests stopRequests, Duration termStart) {
+  public TerminationEvidence(
+      Timings timings, FencingTokenSource tokens, StopRequests stopRequests, Duration termStart) {
     this.timings = timings;
     this.tokens = tokens;
     this.stopRequests = stopRequests;
@@ -26,29 +32,29 @@
   }
 
   /** What is proved. */
-  enum Verdict {
+  public enum Verdict {
     OWNED,
     DONE,
     ENDED,
     REFUSED,
     FAILED,
-    LAPSED,
+    LOST,
     /** Owned, but a higher token at the worker would prove it free. */
-    NEEDS_FENCE
+    NEEDS_FENCING
   }
 
-  Verdict assess(Ownership.Owned owned, MachineState machine, Duration now) {
+  public Verdict assess(Ownership.OwnedTask owned, MachineState machine, Duration now) {
     if (machine == null) {
       return lapsed(termStart.plus(timings.authority()), now);
     }
     if (machine.isDeleted()) {
-      return Verdict.LAPSED;
+      return Verdict.LOST;
     }
     Attempt attempt = owned.attempt();
     WorkerHeartbeat latest = machine.latestHeartbeat();
     if (latest != null) {
       if (latest.agentEpoch() > attempt.agentEpoch()) {
-        return Verdict.LAPSED;
+        return Verdict.LOST;
       }
       Verdict reported = reported(owned, machine);
       if (reported != Verdict.OWNED) {
@@ -58,7 +64,7 @@
     return lapsed(keptAliveUntil(machine), now);
   }
 
-  private Verdict reported(Ownership.Owned owned, MachineState machine) {
+  private Verdict reported(Ownership.OwnedTask owned, MachineState machine) {
     Attempt attempt = owned.attempt();
     Optional<WorkerHeartbeat.TaskStatus> found =
         machine.contact().findTask(owned.id(), attempt.number());
@@ -73,8 +79,8 @@
       return Verdict.DONE;
     }
     // A start that has no answer yet could run once more after the attempt is forgotten.
-    if (!machine.contact().hasTokenAbove(tokens.base()) || !machine.areCommandsFenced()) {
-      return Verdict.NEEDS_FENCE;
+    if (!machine.contact().hasTokenAbove(tokens.termBase()) || !machine.areCommandsFenced()) {
+      return Verdict.NEEDS_FENCING;
     }
     return switch (item.cause()) {
       case STOPPED -> Verdict.ENDED;
@@ -84,15 +90,15 @@
   }
 
   /** Absence proves something only of a task that will not be started again. */
-  private Verdict absent(Ownership.Owned owned, MachineState machine) {
+  private Verdict absent(Ownership.OwnedTask owned, MachineState machine) {
     if (stopRequests.graceFor(owned) == null
         || machine.latestHeartbeat().agentEpoch() != owned.attempt().agentEpoch()) {
       return Verdict.OWNED;
     }
     WorkerCommand start = WorkerCommand.start(owned.id(), owned.attempt().number());
-    long sent = machine.commands().startTokenOr(start, tokens.base());
+    long sent = machine.commands().startTokenOr(start, tokens.termBase());
     if (!machine.contact().hasTokenAbove(sent) || !machine.areCommandsFenced()) {
-      return Verdict.NEEDS_FENCE;
+      return Verdict.NEEDS_FENCING;
     }
     return Verdict.ENDED;
   }
@@ -101,12 +107,14 @@
   private Duration keptAliveUntil(MachineState machine) {
     Duration keptAlive = machine.contact().lastKeptAliveAt();
     Duration own = keptAlive == null ? termStart : keptAlive;
-    boolean fenced = machine.contact().hasTokenAbove(tokens.base());
+    boolean fenced = machine.contact().hasTokenAbove(tokens.termBase());
     Duration earlier = fenced ? termStart : termStart.plus(timings.authority());
     return own.compareTo(earlier) > 0 ? own : earlier;
   }
 
   private Verdict lapsed(Duration keptAlive, Duration now) {
-    return now.minus(keptAlive).compareTo(timings.lapse()) > 0 ? Verdict.LAPSED : Verdict.OWNED;
+    return now.minus(keptAlive).compareTo(timings.workerLeaseExpiry()) > 0
+        ? Verdict.LOST
+        : Verdict.OWNED;
   }
 }
--- a/src/main/java/io/cherryspool/controller/Adoption.java
+++ b/src/main/java/io/cherryspool/controller/rounds/Adoption.java
@@ -1,5 +1,8 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.rounds;
 
+import io.cherryspool.controller.fleet.Fleet;
+import io.cherryspool.controller.fleet.MachineState;
+import io.cherryspool.controller.ownership.FencingTokenSource;
 import io.cherryspool.model.Attempt;
 import io.cherryspool.model.TaskId;
 import io.cherryspool.model.WorkerHeartbeat;
@@ -22,20 +25,21 @@
  * Afterwards it only looks after tasks whose jobs nobody has described, until their users submit
  * them again.
  */
-final class Adoption {
+public final class Adoption {
   /** Of records that hold every start: nothing to take in. */
-  static final Adoption NONE = new Adoption(null, null, null, Set.of());
+  public static final Adoption NONE = new Adoption(null, null, null, Set.of());
 
   private final ClusterRecords replica;
   private final Fleet fleet;
-  private final Tokens tokens;
+  private final FencingTokenSource tokens;
   private final Set<String> heldClasses;
 
   /**
    * @param heldClasses classes of which no task that may have ended unseen is run again before an
    *     operator says so
    */
-  Adoption(ClusterRecords replica, Fleet fleet, Tokens tokens, Set<String> heldClasses) {
+  public Adoption(
+      ClusterRecords replica, Fleet fleet, FencingTokenSource tokens, Set<String> heldClasses) {
     this.replica = replica;
     this.fleet = fleet;
     this.tokens = tokens;
@@ -48,12 +52,12 @@
   }
 
   /** Whether tasks may run that the records have as free. */
-  boolean open() {
+  public boolean isOpen() {
     return concerned() && !replica.isReconciled();
   }
 
   /** Whether the worker must not be told to stop or forget this task, which no record gives it. */
-  boolean protects(MachineState machine, WorkerHeartbeat.TaskStatus item) {
+  public boolean mustLeaveUntouched(MachineState machine, WorkerHeartbeat.TaskStatus item) {
     if (!concerned()) {
       return false;
     }
@@ -64,12 +68,12 @@
   }
 
   /** Whether the machine runs tasks of unknown size, so that its room is not known. */
-  boolean occupies(MachineState machine) {
+  public boolean hasUnknownUsage(MachineState machine) {
     if (!concerned() || !machine.hasHeartbeat()) {
       return false;
     }
     for (WorkerHeartbeat.TaskStatus item : machine.latestHeartbeat().tasks()) {
-      if (protects(machine, item)) {
+      if (mustLeaveUntouched(machine, item)) {
         return true;
       }
     }
@@ -77,7 +81,7 @@
   }
 
   /** Whether no task of the job may be placed or started now. */
-  boolean holdsBack(JobRecord entry) {
+  public boolean isHeldBack(JobRecord entry) {
     return concerned()
         && (concerns(entry.job().id()) || replica.heldJobs().contains(entry.job().id()));
   }
@@ -111,21 +115,21 @@
    *
    * @return changes beside those of progress records
    */
-  List<RoundWriter.Unit> collect(RoundEdits edits) {
+  List<RoundCommitter.ChangeSet> collectChanges(RoundTransaction edits) {
     if (!concerned()) {
       return List.of();
     }
     Set<String> unknown = new HashSet<>();
     Set<String> pending = new HashSet<>();
     for (MachineState machine : fleet.all()) {
-      if (machine.isDeleted() || !machine.contact().hasTokenAbove(tokens.base())) {
+      if (machine.isDeleted() || !machine.contact().hasTokenAbove(tokens.termBase())) {
         continue;
       }
       for (WorkerHeartbeat.TaskStatus item : machine.latestHeartbeat().tasks()) {
-        collect(machine, item, edits, unknown, pending);
+        collectChanges(machine, item, edits, unknown, pending);
       }
     }
-    List<RoundWriter.Unit> units = new ArrayList<>();
+    List<RoundCommitter.ChangeSet> units = new ArrayList<>();
     for (String id : unknown) {
       if (!replica.unknownJobs(id)) {
         units.add(unit(Map.of(Records.unknownJobKey(id), 0L), Records.unknownJobKey(id), true));
@@ -139,10 +143,10 @@
     return units;
   }
 
-  private void collect(
+  private void collectChanges(
       MachineState machine,
       WorkerHeartbeat.TaskStatus item,
-      RoundEdits edits,
+      RoundTransaction edits,
       Set<String> unknown,
       Set<String> pending) {
     String id = item.task().jobId();
@@ -168,7 +172,7 @@
   }
 
   /** Whether everything that the machines report is recorded. */
-  boolean allRecorded() {
+  public boolean isAllRecorded() {
     for (MachineState machine : fleet.all()) {
       if (machine.isDeleted() || !machine.hasHeartbeat()) {
         continue;
@@ -186,8 +190,9 @@
     return true;
   }
 
-  private static RoundWriter.Unit unit(Map<String, Long> conditions, String key, boolean present) {
-    return new RoundWriter.Unit(
+  private static RoundCommitter.ChangeSet unit(
+      Map<String, Long> conditions, String key, boolean present) {
+    return new RoundCommitter.ChangeSet(
         conditions,
         List.of(new StateStoreProtocol.Change(key, present ? Records.presenceMarker() : null, 0)),
         0,
@@ -198,8 +203,8 @@
    * The changes that end the taking in: first the jobs of which tasks may have ended unseen, where
    * an operator wants to be asked, and once those are there, that it is over.
    */
-  List<RoundWriter.Unit> settle() {
-    List<RoundWriter.Unit> units = new ArrayList<>();
+  List<RoundCommitter.ChangeSet> reconciledChanges() {
+    List<RoundCommitter.ChangeSet> units = new ArrayList<>();
     for (JobRecord entry : replica.activeJobs()) {
       String id = entry.job().id();
       if (uncertain(entry) && !replica.heldJobs().contains(id)) {
--- a/src/main/java/io/cherryspool/controller/RoundView.java
+++ b/src/main/java/io/cherryspool/controller/rounds/ClusterViewBuilder.java
@@ -1,5 +1,13 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.rounds;
 
+import io.cherryspool.controller.fleet.Fleet;
+import io.cherryspool.controller.fleet.MachineContact;
+import io.cherryspool.controller.fleet.MachineState;
+import io.cherryspool.controller.ownership.FencingTokenSource;
+import io.cherryspool.controller.ownership.Ownership;
+import io.cherryspool.controller.ownership.StopRequests;
+import io.cherryspool.controller.release.CrashLoopBackoff;
+import io.cherryspool.controller.release.PendingReleases;
 import io.cherryspool.model.Attempt;
 import io.cherryspool.model.Job;
 import io.cherryspool.model.MachineType;
@@ -22,7 +30,7 @@
  * What a round is planned from. What is seen of a machine or a job is kept until something about it
  * changes, so that a round's preparation costs what happened since the last one.
  */
-final class RoundView {
+final class ClusterViewBuilder {
   private static final int FREE_TASKS_PER_JOB = 512;
   private static final Duration SHUN = Duration.ofSeconds(120);
   private static final Duration MAX_BACKOFF = Duration.ofSeconds(30);
@@ -40,21 +48,21 @@
   private final StopRequests stopRequests;
   private final CrashLoopBackoff backoff;
   private final Adoption adoption;
-  private final Tokens tokens;
+  private final FencingTokenSource tokens;
   private final Duration silence;
   private final Duration halfLease;
   private final int failureCap;
-  private final Map<String, SeenJob> jobs = new HashMap<>();
+  private final Map<String, SeenJob> schedulableJobs = new HashMap<>();
   private final Map<TaskId, Duration> lapsed = new HashMap<>();
 
   /** A job as last looked at, and when some of its tasks will have waited long enough. */
   private record SeenJob(ClusterView.JobView view, Duration until) {}
 
-  RoundView(
+  ClusterViewBuilder(
       ClusterRecords replica,
       Fleet fleet,
-      Rounds.Ledger ledger,
-      Tokens tokens,
+      SchedulingLoop.TaskTracking ledger,
+      FencingTokenSource tokens,
       Duration silence,
       Duration halfLease,
       int failureCap) {
@@ -71,41 +79,41 @@
     this.failureCap = failureCap;
   }
 
-  void jobTouched(JobRecord entry) {
+  void jobChanged(JobRecord entry) {
     String id = entry.job().id();
-    jobs.remove(id);
+    schedulableJobs.remove(id);
     if (entry.outcome() != null && !lapsed.isEmpty()) {
       lapsed.keySet().removeIf(task -> task.jobId().equals(id));
     }
   }
 
-  void clear() {
-    jobs.clear();
+  void invalidateAll() {
+    schedulableJobs.clear();
     fleet.all().forEach(MachineState::invalidateView);
   }
 
   /** An attempt ended without success, or none of it is known any more. */
-  void ended(TaskId task, boolean done, Duration now) {
+  void attemptEnded(TaskId task, boolean done, Duration now) {
     if (done) {
       lapsed.remove(task);
     } else {
       lapsed.put(task, now);
     }
-    jobs.remove(task.jobId());
+    schedulableJobs.remove(task.jobId());
   }
 
   /** The jobs that have free tasks. */
-  List<ClusterView.JobView> jobs(Duration now) {
+  List<ClusterView.JobView> schedulableJobs(Duration now) {
     List<ClusterView.JobView> result = new ArrayList<>();
     for (JobRecord entry : replica.activeJobs()) {
-      if (entry.outcome() != null || adoption.holdsBack(entry)) {
+      if (entry.outcome() != null || adoption.isHeldBack(entry)) {
         continue;
       }
       String id = entry.job().id();
-      SeenJob seen = jobs.get(id);
+      SeenJob seen = schedulableJobs.get(id);
       if (seen == null || seen.until != null && now.compareTo(seen.until) >= 0) {
         seen = look(entry, now);
-        jobs.put(id, seen);
+        schedulableJobs.put(id, seen);
       }
       if (!seen.view.pendingTasks().isEmpty()) {
         result.add(seen.view);
@@ -115,7 +123,7 @@
   }
 
   /** What each team's tasks use, without those that are proved to have ended. */
-  Map<String, Resources> teamUse() {
+  Map<String, Resources> usageByTeam() {
     Map<String, Resources> use = new HashMap<>();
     for (JobRecord entry : replica.activeJobs()) {
       Map<Integer, PendingReleases.Release> known = pendingReleases.ofJob(entry.job().id());
@@ -128,7 +136,7 @@
   }
 
   /** The teams that need not wait for others: all their unfinished work fits their guarantee. */
-  Set<String> owed(Map<String, Team> teams) {
+  Set<String> teamsWithinGuarantee(Map<String, Team> teams) {
     Map<String, Resources> wanted = new HashMap<>();
     for (JobRecord entry : replica.activeJobs()) {
       if (entry.outcome() == null) {
@@ -148,13 +156,13 @@
     return result;
   }
 
-  List<ClusterView.MachineView> machines(List<MachineType> catalog, Duration now) {
+  List<ClusterView.MachineView> schedulableMachines(List<MachineType> catalog, Duration now) {
     Map<String, MachineType> types = new HashMap<>();
     catalog.forEach(type -> types.put(type.name(), type));
     List<ClusterView.MachineView> result = new ArrayList<>();
     for (MachineState machine : fleet.all()) {
       MachineType type = types.get(machine.type());
-      if (type == null || !usable(machine, now)) {
+      if (type == null || !isSchedulable(machine, now)) {
         continue;
       }
       machine.removeFailedJobs(SHUN, now);
@@ -175,7 +183,7 @@
    * lease, so that one which answers them while its reports go astray is about to lose what it
    * runs.
    */
-  boolean usable(MachineState machine, Duration now) {
+  boolean isSchedulable(MachineState machine, Duration now) {
     MachineContact contact = machine.contact();
     return contact.hasHeartbeat()
         && !machine.isDeleted()
@@ -186,15 +194,15 @@
         && !machine.history().isFaulty()
         && now.minus(contact.lastHeartbeatAt()).compareTo(silence) < 0
         && now.minus(contact.lastKeptAliveAt()).compareTo(halfLease) < 0
-        && contact.hasTokenAbove(tokens.base())
-        && !adoption.occupies(machine);
+        && contact.hasTokenAbove(tokens.termBase())
+        && !adoption.hasUnknownUsage(machine);
   }
 
   private ClusterView.MachineView look(MachineState machine, MachineType type) {
     Resources free = type.capacity();
     List<ClusterView.RunningTask> running = new ArrayList<>();
-    for (Ownership.Owned owned : ownership.on(machine.name())) {
-      if (!pendingReleases.has(owned)) {
+    for (Ownership.OwnedTask owned : ownership.attemptsOn(machine.name())) {
+      if (!pendingReleases.contains(owned)) {
         Job job = owned.entry().job();
         free = free.minus(job.perTask());
         running.add(
@@ -232,11 +240,11 @@
           task < end && free.size() < FREE_TASKS_PER_JOB;
           task = shard.nextNotDone(task + 1)) {
         PendingReleases.Release release = known.get(task);
-        if (shard.ownedAttempt(task) != null && (release == null || release.done())) {
+        if (shard.ownedAttempt(task) != null && (release == null || release.isDone())) {
           continue;
         }
         Shard.History history = shard.history(task);
-        int failures = history.failures() + (release != null && release.failed() ? 1 : 0);
+        int failures = history.failures() + (release != null && release.countsAsFailure() ? 1 : 0);
         if (history.attempts() == 0) {
           free.add(new ClusterView.PendingTask(task, 0, failures, null));
           continue;
@@ -258,13 +266,15 @@
         }
       }
     }
-    if (!succeeded(entry) && backoff.crashLooping(entry)) {
-      Duration ready = backoff.ready(entry, now);
+    if (!hasSucceeded(entry) && backoff.isCrashLooping(entry)) {
+      Duration ready = backoff.nextTryAt(entry, now);
       if (now.compareTo(ready) < 0) {
         free = List.of();
         until = until == null || ready.compareTo(until) < 0 ? ready : until;
       } else {
-        free = tries(free, CrashLoopBackoff.TRIES - (entry.ownedCount() - known.size()));
+        free =
+            tries(
+                free, CrashLoopBackoff.MAX_CONCURRENT_TRIES - (entry.ownedCount() - known.size()));
       }
     }
     Map<String, Integer> perZone = Map.of();
@@ -279,7 +289,7 @@
   }
 
   /** Whether any task of the job was ever done. */
-  boolean succeeded(JobRecord entry) {
+  boolean hasSucceeded(JobRecord entry) {
     return entry.doneCount() > 0
         || PendingReleases.countDone(pendingReleases.ofJob(entry.job().id()).values()) > 0;
   }
--- a/src/main/java/io/cherryspool/controller/Workload.java
+++ b/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
@@ -1,25 +1,27 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.rounds;
 
+import io.cherryspool.controller.release.CrashLoopBackoff;
+import io.cherryspool.controller.release.PendingReleases;
 import io.cherryspool.model.Job;
 import io.cherryspool.scheduler.ScalingPlan;
 import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.JobRecord;
 import java.time.Duration;
 import java.time.Instant;
+import java.time.InstantSource;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Supplier;
 
 /**
  * How much work there is: what has arrived in the last minutes, by the jobs' own times of
  * submission, so that a new leader knows it at once, and what waits. Run times are the owners'
  * estimates, corrected by how those of the class have turned out.
  */
-final class Workload {
+public final class DemandEstimator {
   /** Long enough that a few large jobs do not look like a change of the times. */
   private static final Duration WINDOW = Duration.ofSeconds(300);
 
@@ -40,7 +42,7 @@
   private final ClusterRecords replica;
   private final PendingReleases pendingReleases;
   private final CrashLoopBackoff backoff;
-  private final Supplier<Instant> wall;
+  private final InstantSource clock;
   private final Map<String, JobRecord> recent = new LinkedHashMap<>();
   private final Map<String, Runs> runs = new HashMap<>();
 
@@ -51,30 +53,30 @@
     private int count;
   }
 
-  Workload(
+  public DemandEstimator(
       ClusterRecords replica,
       PendingReleases pendingReleases,
       CrashLoopBackoff backoff,
-      Supplier<Instant> wall) {
+      InstantSource clock) {
     this.replica = replica;
     this.pendingReleases = pendingReleases;
     this.backoff = backoff;
-    this.wall = wall;
+    this.clock = clock;
   }
 
-  void reloaded() {
+  public void recordsReloaded() {
     recent.clear();
-    replica.jobs().forEach(this::accepted);
+    replica.jobs().forEach(this::jobAccepted);
   }
 
-  void accepted(JobRecord entry) {
+  public void jobAccepted(JobRecord entry) {
     if (age(entry.job()).compareTo(WINDOW) < 0) {
       recent.put(entry.job().id(), entry);
     }
   }
 
   /** A task ran for so long until it was done. */
-  void ran(Job job, Duration time) {
+  void recordRunTime(Job job, Duration time) {
     Runs known = runs.computeIfAbsent(job.jobClass(), key -> new Runs());
     known.actual = known.actual * FADE + seconds(time);
     known.expected = known.expected * FADE + seconds(job.estimatedRunTime());
@@ -82,7 +84,7 @@
   }
 
   /** How long the tasks of a class run for a second of their estimate. */
-  double pace(String jobClass) {
+  double runTimeFactor(String jobClass) {
     Runs known = runs.get(jobClass);
     if (known == null || known.count < ENOUGH || known.expected <= 0) {
       return 1;
@@ -90,11 +92,11 @@
     return Math.max(1 / MOST, Math.min(MOST, known.actual / known.expected));
   }
 
-  Instant time() {
-    return wall.get();
+  public Instant now() {
+    return clock.instant();
   }
 
-  List<ScalingPlan.JobDemand> loads() {
+  public List<ScalingPlan.JobDemand> estimateLoads() {
     // No machine is rented for what does not seem to run anywhere.
     recent
         .values()
@@ -135,15 +137,19 @@
 
   private boolean crashLooping(JobRecord entry) {
     Collection<PendingReleases.Release> known = pendingReleases.ofJob(entry.job().id()).values();
-    return entry.doneCount() + PendingReleases.countDone(known) == 0 && backoff.crashLooping(entry);
+    return entry.doneCount() + PendingReleases.countDone(known) == 0
+        && backoff.isCrashLooping(entry);
   }
 
   private double work(Job job, int tasks) {
-    return tasks * job.perTask().cpus() * seconds(job.estimatedRunTime()) * pace(job.jobClass());
+    return tasks
+        * job.perTask().cpus()
+        * seconds(job.estimatedRunTime())
+        * runTimeFactor(job.jobClass());
   }
 
   private Duration age(Job job) {
-    return Duration.between(job.submittedAt(), wall.get());
+    return Duration.between(job.submittedAt(), clock.instant());
   }
 
   private static double seconds(Duration time) {
--- a/src/main/java/io/cherryspool/controller/RoundWriter.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.rounds;
 
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.store.RateLimiter;
@@ -19,15 +19,15 @@
  * without an answer is sent again until there is one: with the same conditions it can be applied
  * only once, whichever copy comes first, so nothing of the round is left open behind it.
  */
-final class RoundWriter {
-  private static final Logger LOG = LoggerFactory.getLogger(RoundWriter.class);
+public final class RoundCommitter {
+  private static final Logger LOG = LoggerFactory.getLogger(RoundCommitter.class);
   private static final Duration AGAIN = Duration.ofMillis(300);
 
   /** On the term, and on the incarnation of the records. */
   static final int RESERVED_CONDITIONS = 2;
 
   /** A transaction may have so many times as many conditions as changes, all counted. */
-  static final int CONDITIONS = 4;
+  static final int MAX_CONDITIONS_PER_CHANGE = 4;
 
   private final EventLoop loop;
   private final StateStoreClient client;
@@ -37,13 +37,13 @@
   private boolean stopped;
 
   /** Changes that are committed together or not at all; {@code bytes} is what their values take. */
-  record Unit(
+  record ChangeSet(
       Map<String, Long> conditions,
       List<StateStoreProtocol.Change> changes,
       int bytes,
       RateLimiter.WriteClass use) {}
 
-  RoundWriter(
+  public RoundCommitter(
       EventLoop loop,
       StateStoreClient client,
       RateLimiter rateLimiter,
@@ -64,19 +64,19 @@
    * Sends as many units as the rate limit allows, in order. Returns how many; {@code done} runs
    * when all of their outcomes are certain, and not at all when none was sent.
    */
-  int write(List<Unit> units, Runnable done) {
-    List<List<Unit>> transactions = new ArrayList<>();
-    List<Unit> batch = new ArrayList<>();
+  int commit(List<ChangeSet> units, Runnable done) {
+    List<List<ChangeSet>> transactions = new ArrayList<>();
+    List<ChangeSet> batch = new ArrayList<>();
     int changes = 0;
     int conditions = RESERVED_CONDITIONS;
     int bytes = 0;
     int taken = 0;
-    for (Unit unit : units) {
+    for (ChangeSet unit : units) {
       int count = unit.changes.size();
       int size = unit.bytes + StateStoreProtocol.CHANGE_OVERHEAD_BYTES * count;
       boolean full =
           changes + count > maxChanges
-              || conditions + unit.conditions.size() > CONDITIONS * maxChanges
+              || conditions + unit.conditions.size() > MAX_CONDITIONS_PER_CHANGE * maxChanges
               || bytes + size > StateStoreProtocol.MAX_TRANSACTION_VALUE_BYTES;
       if (full && !batch.isEmpty()) {
         rateLimiter.forceAcquire(changes);
@@ -102,11 +102,11 @@
       rateLimiter.forceAcquire(changes);
     }
     int[] open = {transactions.size()};
-    for (List<Unit> transaction : transactions) {
+    for (List<ChangeSet> transaction : transactions) {
       Map<String, Long> named = new LinkedHashMap<>();
       List<StateStoreProtocol.Change> all = new ArrayList<>();
       named.put(Records.TERM, termVersion);
-      for (Unit unit : transaction) {
+      for (ChangeSet unit : transaction) {
         named.putAll(unit.conditions);
         all.addAll(unit.changes);
       }
--- a/src/main/java/io/cherryspool/controller/RoundEdits.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundTransaction.java
@@ -1,5 +1,6 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.rounds;
 
+import io.cherryspool.controller.release.PendingReleases;
 import io.cherryspool.model.Attempt;
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Priority;
@@ -23,7 +24,7 @@
  * first: ends of jobs, then starts, each taking the releases of its shard along, then releases that
  * have waited long enough, then records of ended jobs.
  */
-final class RoundEdits {
+final class RoundTransaction {
   private final PendingReleases pendingReleases;
   private final int maxChanges;
   private final Map<String, Edit> edits = new LinkedHashMap<>();
@@ -49,10 +50,10 @@
       for (PendingReleases.Release release : pendingReleases.ofJob(entry.job().id()).values()) {
         int task = release.owned().id().index();
         if (entry.shardIndexOf(task) == index) {
-          if (release.done()) {
+          if (release.isDone()) {
             editor.complete(task);
           } else {
-            editor.release(task, release.failed());
+            editor.release(task, release.countsAsFailure());
           }
         }
       }
@@ -61,7 +62,7 @@
     }
   }
 
-  RoundEdits(PendingReleases pendingReleases, int maxChanges) {
+  RoundTransaction(PendingReleases pendingReleases, int maxChanges) {
     this.pendingReleases = pendingReleases;
     this.maxChanges = maxChanges;
   }
@@ -94,14 +95,15 @@
    * @param due releases learnt until then are written even if nothing else needs their shard
    * @param overdue those learnt until then press as much as anything
    */
-  List<RoundWriter.Unit> units(Collection<JobRecord> active, Duration due, Duration overdue) {
+  List<RoundCommitter.ChangeSet> changeSets(
+      Collection<JobRecord> active, Duration due, Duration overdue) {
     // Idle work comes after all other, or its ends would go before the starts of those it waits
     // for.
     Ranks usual = new Ranks();
     Ranks idle = new Ranks();
-    List<RoundWriter.Unit> rest = new ArrayList<>();
+    List<RoundCommitter.ChangeSet> rest = new ArrayList<>();
     Set<String> ending = new HashSet<>();
-    for (String id : pendingReleases.jobs()) {
+    for (String id : pendingReleases.jobIds()) {
       Collection<PendingReleases.Release> known = pendingReleases.ofJob(id).values();
       JobRecord entry = known.iterator().next().owned().entry();
       boolean whole =
@@ -109,8 +111,8 @@
       boolean write = entry.outcome() == null && whole;
       boolean late = false;
       for (PendingReleases.Release release : known) {
-        write |= release.at().compareTo(due) <= 0;
-        late |= release.at().compareTo(overdue) <= 0;
+        write |= release.learnedAt().compareTo(due) <= 0;
+        late |= release.learnedAt().compareTo(overdue) <= 0;
       }
       if (write) {
         Edit edit = edits.computeIfAbsent(id, key -> new Edit(entry));
@@ -124,7 +126,7 @@
     edits.forEach(
         (id, edit) -> add(edit, ending.contains(id), idle(edit.entry) ? idle : usual, rest));
     clean(active, rest);
-    List<RoundWriter.Unit> all = new ArrayList<>(usual.ends);
+    List<RoundCommitter.ChangeSet> all = new ArrayList<>(usual.ends);
     all.addAll(usual.starts);
     all.addAll(idle.ends);
     all.addAll(idle.starts);
@@ -134,21 +136,21 @@
 
   /** Changes of like importance, ends of jobs before starts. */
   private static final class Ranks {
-    private final List<RoundWriter.Unit> ends = new ArrayList<>();
-    private final List<RoundWriter.Unit> starts = new ArrayList<>();
+    private final List<RoundCommitter.ChangeSet> ends = new ArrayList<>();
+    private final List<RoundCommitter.ChangeSet> starts = new ArrayList<>();
   }
 
   private static boolean idle(JobRecord entry) {
     return entry.job().priority() == Priority.LOW;
   }
 
-  private void add(Edit edit, boolean ending, Ranks ranks, List<RoundWriter.Unit> rest) {
+  private void add(Edit edit, boolean ending, Ranks ranks, List<RoundCommitter.ChangeSet> rest) {
     JobRecord entry = edit.entry;
     String id = entry.job().id();
     Map<Integer, Shard> built = new TreeMap<>();
     edit.shards.forEach((index, editor) -> built.put(index, editor.build()));
-    int needed = built.size() + 1 + RoundWriter.RESERVED_CONDITIONS;
-    if (ending && needed <= RoundWriter.CONDITIONS * maxChanges) {
+    int needed = built.size() + 1 + RoundCommitter.RESERVED_CONDITIONS;
+    if (ending && needed <= RoundCommitter.MAX_CONDITIONS_PER_CHANGE * maxChanges) {
       ranks.ends.add(ending(entry, built.keySet()));
       return;
     }
@@ -162,8 +164,8 @@
             conditions.put(Records.outcomeKey(id), 0L);
           }
           boolean over = entry.outcome() != null && shard.ownedAttempts().isEmpty();
-          RoundWriter.Unit unit =
-              new RoundWriter.Unit(
+          RoundCommitter.ChangeSet unit =
+              new RoundCommitter.ChangeSet(
                   conditions,
                   List.of(
                       new StateStoreProtocol.Change(
@@ -182,14 +184,14 @@
    * records go when there is room. With four changes for each single task, of 25 a second, idle
    * work alone took them all.
    */
-  private RoundWriter.Unit ending(JobRecord entry, Set<Integer> shards) {
+  private RoundCommitter.ChangeSet ending(JobRecord entry, Set<Integer> shards) {
     String id = entry.job().id();
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put(Records.outcomeKey(id), 0L);
     for (int index : shards) {
       conditions.put(Records.progressKey(id, index), entry.shard(index).version());
     }
-    return new RoundWriter.Unit(
+    return new RoundCommitter.ChangeSet(
         conditions,
         List.of(
             new StateStoreProtocol.Change(
@@ -203,7 +205,7 @@
   }
 
   /** Ends jobs whose last shards were committed apart, and removes records of ended jobs. */
-  private void clean(Collection<JobRecord> active, List<RoundWriter.Unit> units) {
+  private void clean(Collection<JobRecord> active, List<RoundCommitter.ChangeSet> units) {
     for (JobRecord entry : active) {
       String id = entry.job().id();
       if (edits.containsKey(id)) {
@@ -219,7 +221,7 @@
         JobRecord.VersionedShard item = entry.shard(index);
         if (entry.outcome() == Outcome.DONE || item.shard().ownedAttempts().isEmpty()) {
           units.add(
-              new RoundWriter.Unit(
+              new RoundCommitter.ChangeSet(
                   Map.of(Records.progressKey(id, index), item.version()),
                   List.of(new StateStoreProtocol.Change(Records.progressKey(id, index), null, 0)),
                   0,
--- a/src/main/java/io/cherryspool/controller/Rounds.java
+++ b/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
@@ -1,5 +1,15 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.rounds;
 
+import io.cherryspool.controller.fleet.Fleet;
+import io.cherryspool.controller.fleet.MachineEligibility;
+import io.cherryspool.controller.fleet.MachineState;
+import io.cherryspool.controller.metrics.Meters;
+import io.cherryspool.controller.ownership.FencingTokenSource;
+import io.cherryspool.controller.ownership.Ownership;
+import io.cherryspool.controller.ownership.StopRequests;
+import io.cherryspool.controller.release.CrashLoopBackoff;
+import io.cherryspool.controller.release.PendingReleases;
+import io.cherryspool.controller.release.TerminationEvidence;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.lifecycle.Lifecycle;
 import io.cherryspool.model.Attempt;
@@ -13,7 +23,7 @@
 import io.cherryspool.store.JobRecord;
 import io.cherryspool.store.RateLimiter;
 import java.time.Duration;
-import java.time.Instant;
+import java.time.InstantSource;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -31,8 +41,8 @@
  * of it. One round is under way at a time; an event starts the next after a short gathering, longer
  * where rounds cost more, and the round length is the longest that one waits.
  */
-final class Rounds implements Lifecycle {
-  private static final Logger LOG = LoggerFactory.getLogger(Rounds.class);
+public final class SchedulingLoop implements Lifecycle {
+  private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
   private static final Duration BATCHING_DELAY = Duration.ofMillis(40);
   private static final Duration RETRY_PAUSE = Duration.ofMillis(120);
 
@@ -47,17 +57,17 @@
 
   private final EventLoop loop;
   private final ClusterRecords replica;
-  private final RoundWriter writer;
+  private final RoundCommitter writer;
   private final Fleet fleet;
-  private final ReleaseEvidence evidence;
-  private final Ledger ledger;
-  private final Tokens tokens;
-  private final RoundView view;
+  private final TerminationEvidence evidence;
+  private final TaskTracking ledger;
+  private final FencingTokenSource tokens;
+  private final ClusterViewBuilder view;
   private final Map<String, Team> teams;
   private final Supplier<List<MachineType>> catalog;
   private final Limits limits;
-  private final Supplier<Instant> wall;
-  private final Workload workload;
+  private final InstantSource clock;
+  private final DemandEstimator workload;
   private final Meters meters;
   private final BooleanSupplier places;
   private final Runnable committed;
@@ -76,19 +86,19 @@
   /**
    * @param places whether anything may be planned and recorded now
    */
-  Rounds(
+  public SchedulingLoop(
       EventLoop loop,
       ClusterRecords replica,
-      RoundWriter writer,
+      RoundCommitter writer,
       Fleet fleet,
-      ReleaseEvidence evidence,
-      Ledger ledger,
-      Tokens tokens,
+      TerminationEvidence evidence,
+      TaskTracking ledger,
+      FencingTokenSource tokens,
       Map<String, Team> teams,
       Supplier<List<MachineType>> catalog,
       Limits limits,
-      Supplier<Instant> wall,
-      Workload workload,
+      InstantSource clock,
+      DemandEstimator workload,
       Meters meters,
       BooleanSupplier places,
       Runnable committed) {
@@ -102,13 +112,13 @@
     this.teams = teams;
     this.catalog = catalog;
     this.limits = limits;
-    this.wall = wall;
+    this.clock = clock;
     this.workload = workload;
     this.meters = meters;
     this.places = places;
     this.committed = committed;
     this.view =
-        new RoundView(
+        new ClusterViewBuilder(
             replica,
             fleet,
             ledger,
@@ -119,7 +129,7 @@
   }
 
   /** What the leader knows of owned tasks: by the records, by evidence, and by its own decision. */
-  record Ledger(
+  public record TaskTracking(
       Ownership ownership,
       PendingReleases pendingReleases,
       StopRequests stopRequests,
@@ -127,7 +137,7 @@
       Adoption adoption) {}
 
   /** A round's sizes and times, from the settings. */
-  record Limits(
+  public record Limits(
       Duration roundMax,
       Duration silence,
       Duration halfLease,
@@ -139,7 +149,7 @@
   @Override
   public void start() {
     longest = loop.schedule(limits.roundMax(), this::atLongest);
-    request();
+    requestRound();
   }
 
   @Override
@@ -156,19 +166,19 @@
   }
 
   /** Placing starts when ownership is rebuilt. */
-  void allowPlacing() {
+  public void allowPlacing() {
     placing = true;
-    request();
+    requestRound();
   }
 
   /** What ran when the state was lost is recorded; the next round says so. */
-  void settle() {
+  public void recordReconciled() {
     settling = true;
-    request();
+    requestRound();
   }
 
   /** Something happened that a round should take in. */
-  void request() {
+  public void requestRound() {
     wanted = true;
     if (timer == null && !underWay && !stopped) {
       Duration pause = lastRun.plus(Durations.multiply(lastCost, COST_SHARE)).minus(loop.now());
@@ -178,7 +188,7 @@
   }
 
   /** The machine's messages, or what it owns, may prove something new. */
-  void machineTouched(String name) {
+  public void machineChanged(String name) {
     dirty.add(name);
     MachineState machine = fleet.get(name);
     if (machine != null) {
@@ -189,33 +199,34 @@
   /**
    * Whether the next round looks at the machine's tasks anyway, as it does until they are proved.
    */
-  boolean awaits(String name) {
+  public boolean willExamine(String name) {
     return dirty.contains(name);
   }
 
   /** What rounds may do with the machine now; null is a machine that is not known. */
-  MachineStanding standing(MachineState machine) {
+  public MachineEligibility eligibility(MachineState machine) {
     return machine == null
-        ? MachineStanding.UNKNOWN
-        : new MachineStanding(view.usable(machine, loop.now()), machine.areCommandsFenced());
+        ? MachineEligibility.UNKNOWN
+        : new MachineEligibility(
+            view.isSchedulable(machine, loop.now()), machine.areCommandsFenced());
   }
 
-  void jobTouched(JobRecord entry) {
-    view.jobTouched(entry);
+  public void jobChanged(JobRecord entry) {
+    view.jobChanged(entry);
     if (entry.outcome() != null) {
-      ledger.backoff().drop(entry.job().id());
+      ledger.backoff().reset(entry.job().id());
     }
   }
 
   /** The records were read anew. */
-  void reloaded() {
+  public void recordsReloaded() {
     ledger.pendingReleases().clear();
-    view.clear();
-    dirty.addAll(ledger.ownership().machines());
+    view.invalidateAll();
+    dirty.addAll(ledger.ownership().owningMachines());
   }
 
   /** The last round that was planned. */
-  RoundPlan plan() {
+  public RoundPlan lastPlan() {
     return last;
   }
 
@@ -225,7 +236,7 @@
   private void atLongest() {
     longest = loop.schedule(limits.roundMax(), this::atLongest);
     Duration now = loop.now();
-    for (String name : ledger.ownership().machines()) {
+    for (String name : ledger.ownership().owningMachines()) {
       MachineState machine = fleet.get(name);
       if (machine == null
           || machine.isDeleted()
@@ -234,7 +245,7 @@
       }
     }
     if (!dirty.isEmpty() || now.minus(lastRun).compareTo(limits.roundMax()) >= 0) {
-      request();
+      requestRound();
     }
   }
 
@@ -250,25 +261,25 @@
     if (!places.getAsBoolean()) {
       return;
     }
-    RoundEdits edits = new RoundEdits(ledger.pendingReleases(), limits.maxChanges());
-    List<RoundWriter.Unit> units = new ArrayList<>(ledger.adoption().collect(edits));
+    RoundTransaction edits = new RoundTransaction(ledger.pendingReleases(), limits.maxChanges());
+    List<RoundCommitter.ChangeSet> units = new ArrayList<>(ledger.adoption().collectChanges(edits));
     if (placing && catalog.get() != null) {
       place(edits);
     }
     units.addAll(
-        edits.units(
+        edits.changeSets(
             replica.activeJobs(), lastRun.minus(RELEASE_DELAY), lastRun.minus(MAX_RELEASE_DELAY)));
-    if (settling && ledger.adoption().open()) {
-      units.addAll(ledger.adoption().settle());
+    if (settling && ledger.adoption().isOpen()) {
+      units.addAll(ledger.adoption().reconciledChanges());
     }
     lastCost = loop.now().minus(lastRun);
     if (units.isEmpty()) {
       return;
     }
     underWay = true;
-    meters.rounds.increment();
-    tokens.next();
-    int sent = writer.write(units, this::settled);
+    meters.committedRounds.increment();
+    tokens.advance();
+    int sent = writer.commit(units, this::settled);
     if (sent == 0) {
       underWay = false;
     }
@@ -300,7 +311,7 @@
               underWay = false;
               committed.run();
               if (wanted) {
-                request();
+                requestRound();
               }
             });
   }
@@ -314,21 +325,21 @@
     dirty.clear();
     for (String name : machines) {
       MachineState machine = fleet.get(name);
-      if (machine == null && fleet.isGone(name)) {
+      if (machine == null && fleet.isDeleted(name)) {
         machine = new MachineState(name, "", "", false, now);
         machine.markDeleted();
       }
-      for (Ownership.Owned owned : ledger.ownership().on(name)) {
-        if (ledger.pendingReleases().has(owned)) {
+      for (Ownership.OwnedTask owned : ledger.ownership().attemptsOn(name)) {
+        if (ledger.pendingReleases().contains(owned)) {
           continue;
         }
-        ReleaseEvidence.Verdict verdict = evidence.assess(owned, machine, now);
-        if (verdict == ReleaseEvidence.Verdict.NEEDS_FENCE) {
+        TerminationEvidence.Verdict verdict = evidence.assess(owned, machine, now);
+        if (verdict == TerminationEvidence.Verdict.NEEDS_FENCING) {
           fence = true;
           dirty.add(name);
-        } else if (verdict != ReleaseEvidence.Verdict.OWNED) {
+        } else if (verdict != TerminationEvidence.Verdict.OWNED) {
           take(owned, machine, verdict, now);
-          if (verdict == ReleaseEvidence.Verdict.LAPSED) {
+          if (verdict == TerminationEvidence.Verdict.LOST) {
             lapsed++;
             lapsedOn.add(name);
           }
@@ -340,76 +351,80 @@
       LOG.info("{} tasks lapsed with machines {}", lapsed, lapsedOn);
     }
     if (fence) {
-      tokens.next();
+      tokens.advance();
     }
   }
 
   private void take(
-      Ownership.Owned owned, MachineState machine, ReleaseEvidence.Verdict verdict, Duration now) {
+      Ownership.OwnedTask owned,
+      MachineState machine,
+      TerminationEvidence.Verdict verdict,
+      Duration now) {
     JobRecord entry = owned.entry();
     Attempt attempt = owned.attempt();
     ledger.pendingReleases().add(new PendingReleases.Release(owned, verdict, now));
-    boolean done = verdict == ReleaseEvidence.Verdict.DONE;
-    view.ended(owned.id(), done, now);
+    boolean done = verdict == TerminationEvidence.Verdict.DONE;
+    view.attemptEnded(owned.id(), done, now);
     if (machine != null) {
       machine.invalidateView();
     }
     if (done) {
-      ledger.backoff().drop(entry.job().id());
+      ledger.backoff().reset(entry.job().id());
       if (machine != null) {
         machine.history().recordSuccess();
         Optional<Duration> since = machine.history().runningSince(owned.id());
         if (since.isPresent()) {
-          workload.ran(entry.job(), now.minus(since.get()));
+          workload.recordRunTime(entry.job(), now.minus(since.get()));
         }
       }
       return;
     }
-    if (verdict == ReleaseEvidence.Verdict.LAPSED) {
-      meters.lapses.increment();
-    } else if (verdict == ReleaseEvidence.Verdict.FAILED) {
-      meters.failures.increment();
+    if (verdict == TerminationEvidence.Verdict.LOST) {
+      meters.lostTasks.increment();
+    } else if (verdict == TerminationEvidence.Verdict.FAILED) {
+      meters.taskFailures.increment();
     }
-    if (verdict == ReleaseEvidence.Verdict.FAILED || verdict == ReleaseEvidence.Verdict.REFUSED) {
+    if (verdict == TerminationEvidence.Verdict.FAILED
+        || verdict == TerminationEvidence.Verdict.REFUSED) {
       LOG.info(
           "task {} try {} on {}: {}", owned.id(), attempt.number(), attempt.machine(), verdict);
     }
     if (machine != null
-        && (verdict == ReleaseEvidence.Verdict.FAILED
-            || verdict == ReleaseEvidence.Verdict.REFUSED)) {
+        && (verdict == TerminationEvidence.Verdict.FAILED
+            || verdict == TerminationEvidence.Verdict.REFUSED)) {
       machine.history().recordJobFailure(entry.job().id(), now);
     }
     if (machine != null
-        && verdict == ReleaseEvidence.Verdict.FAILED
-        && ledger.backoff().failed(entry, view.succeeded(entry), machine, now)) {
+        && verdict == TerminationEvidence.Verdict.FAILED
+        && ledger.backoff().recordFailure(entry, view.hasSucceeded(entry), machine, now)) {
       machine.history().recordMachineFailure();
     }
   }
 
-  private void place(RoundEdits edits) {
+  private void place(RoundTransaction edits) {
     Duration now = loop.now();
-    List<ClusterView.JobView> jobs = view.jobs(now);
+    List<ClusterView.JobView> jobs = view.schedulableJobs(now);
     if (jobs.isEmpty()) {
       last = RoundPlan.EMPTY;
       return;
     }
-    meters.planned.increment();
+    meters.plannedRounds.increment();
     RoundPlan plan =
         Placement.plan(
             new ClusterView(
-                wall.get(),
+                clock.instant(),
                 now,
                 limits.beginWithin(),
                 jobs,
-                view.machines(catalog.get(), now),
+                view.schedulableMachines(catalog.get(), now),
                 teams,
-                view.teamUse(),
-                view.owed(teams),
+                view.usageByTeam(),
+                view.teamsWithinGuarantee(teams),
                 catalog.get(),
                 last.unschedulable().stream().map(RoundPlan.Unschedulable::job).toList(),
                 limits.deadlineTimes()));
     last = plan;
-    meters.stops.add(plan.victims().size());
+    meters.preemptions.add(plan.victims().size());
     for (RoundPlan.Assignment item : plan.assignments()) {
       JobRecord entry = replica.job(item.jobId());
       MachineState machine = fleet.get(item.machine());
@@ -429,7 +444,7 @@
       if (attempt != null) {
         stopped.merge(stop.task().jobId(), 1, Integer::sum);
         ledger.stopRequests().add(stop.task(), attempt.number(), stop.gracePeriod());
-        machineTouched(attempt.machine());
+        machineChanged(attempt.machine());
       }
     }
     // A line for each job: thousands of small tasks may make way in a round.
--- a/src/main/java/io/cherryspool/controller/Timings.java
+++ b/src/main/java/io/cherryspool/controller/timing/Timings.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.timing;
 
 import io.cherryspool.config.OperatorSettings;
 import io.cherryspool.config.Settings;
@@ -10,31 +10,31 @@
  *
  * @param authority how long after sending its last confirmed renewal and reading a leader may keep
  *     workers alive, see {@link Settings#authority()}
- * @param lapse how long after a worker was last kept alive its tasks are surely gone
+ * @param workerLeaseExpiry how long after a worker was last kept alive its tasks are surely gone
  */
 public record Timings(
-    Duration report,
+    Duration heartbeatInterval,
     Duration authority,
-    Duration lapse,
-    Duration stateLease,
-    Duration stateCall,
-    Duration workerCall,
-    Duration cloudCall) {
+    Duration workerLeaseExpiry,
+    Duration stateStoreLease,
+    Duration stateStoreTimeout,
+    Duration workerTimeout,
+    Duration cloudTimeout) {
 
   /** After so long without a report a worker is late, whatever the deviation of its reports. */
-  Duration late() {
-    return Durations.divide(Durations.multiply(report, 5), 4).plusMillis(250);
+  public Duration lateAfter() {
+    return Durations.divide(Durations.multiply(heartbeatInterval, 5), 4).plusMillis(250);
   }
 
   /**
    * How much later than this node another must have read the state for this one to be the one that
    * is cut off. Each reads at least four times in a state lease.
    */
-  Duration behind() {
-    return Durations.divide(stateLease, 2);
+  public Duration staleReadLag() {
+    return Durations.divide(stateStoreLease, 2);
   }
 
-  public static Timings of(Settings settings, OperatorSettings operators) {
+  public static Timings fromSettings(Settings settings, OperatorSettings operators) {
     Duration lease = settings.workerLease();
     Duration authority = settings.authority();
     // Where the cancel limit leaves little, leadership is renewed more often: stretching the
--- a/src/main/java/io/cherryspool/recovery/SnapshotWriter.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotWriter.java
@@ -7,9 +7,9 @@
 import io.cherryspool.store.RecordsSnapshot;
 import java.time.Duration;
 import java.time.Instant;
+import java.time.InstantSource;
 import java.util.concurrent.Executor;
 import java.util.function.BooleanSupplier;
-import java.util.function.Supplier;
 
 /**
  * Takes a snapshot of the records now and then, while they can be relied on and have changed. The
@@ -20,7 +20,7 @@
   private final EventLoop loop;
   private final ClusterRecords replica;
   private final BooleanSupplier serving;
-  private final Supplier<Instant> wall;
+  private final InstantSource clock;
   private final SnapshotRepository snapshots;
   private final Executor background;
   private final Duration interval;
@@ -34,14 +34,14 @@
       EventLoop loop,
       ClusterRecords replica,
       BooleanSupplier serving,
-      Supplier<Instant> wall,
+      InstantSource clock,
       SnapshotRepository snapshots,
       Executor background,
       Duration interval) {
     this.loop = loop;
     this.replica = replica;
     this.serving = serving;
-    this.wall = wall;
+    this.clock = clock;
     this.snapshots = snapshots;
     this.background = background;
     this.interval = interval;
@@ -58,7 +58,7 @@
       writtenAt = loop.now();
       return;
     }
-    Instant now = wall.get();
+    Instant now = clock.instant();
     writing = true;
     written = picture.position();
     writtenAt = loop.now();
--- a/src/test/java/io/cherryspool/PackageDependenciesTest.java
+++ b/src/test/java/io/cherryspool/PackageDependenciesTest.java
@@ -34,14 +34,14 @@
   private static final List<AllowedEdge> ALLOWED_EDGES =
       List.of(
           new AllowedEdge("controller.Controller", "config.Settings"),
-          new AllowedEdge("controller.Controller", "config.Settings$StateLimits"),
+          new AllowedEdge("controller.Controller", "config.Settings$StateStoreLimits"),
           new AllowedEdge("controller.Controller", "config.OperatorSettings"),
           new AllowedEdge("controller.Controller", "config.RecoverySettings"),
           new AllowedEdge("controller.Controller", "config.PartitionSettings"),
-          new AllowedEdge("controller.Timings", "config.Settings"),
-          new AllowedEdge("controller.Timings", "config.OperatorSettings"),
-          new AllowedEdge("wire.CloudWire", "http.Request"),
-          new AllowedEdge("wire.StateWire", "http.Request"));
+          new AllowedEdge("controller.timing.Timings", "config.Settings"),
+          new AllowedEdge("controller.timing.Timings", "config.OperatorSettings"),
+          new AllowedEdge("wire.CloudProtocol", "http.Request"),
+          new AllowedEdge("wire.StateStoreProtocol", "http.Request"));
 
   private final JavaClasses classes =
       new ClassFileImporter()
@@ -68,7 +68,7 @@
     List<String> above = new ArrayList<>();
     for (List<String> rank : ORDER) {
       for (String name : rank) {
-        layers = layers.layer(name).definedBy(ROOT + "." + name);
+        layers = layers.layer(name).definedBy(ROOT + "." + name + "..");
         layers =
             above.isEmpty()
                 ? layers.whereLayer(name).mayNotBeAccessedByAnyLayer()
@@ -84,7 +84,7 @@
 
   @Test
   void packagesFormNoCycle() {
-    slices().matching(ROOT + ".(*)").should().beFreeOfCycles().check(classes);
+    slices().matching(ROOT + ".(*)..").should().beFreeOfCycles().check(classes);
   }
 
   @Test
--- a/src/test/java/io/cherryspool/controller/RequestForwarderTest.java
+++ b/src/test/java/io/cherryspool/controller/api/RequestForwarderTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.api;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -38,15 +38,15 @@
 
   @Test
   void nodesThatReadTheStateTakeTurns() {
-    assertEquals(Optional.empty(), forwarder.target(), "nobody is heard");
+    assertEquals(Optional.empty(), forwarder.nextTarget(), "nobody is heard");
     hear("10.0.0.1:80", true, LinkState.UP);
     hear("10.0.0.2:80", false, LinkState.UP);
     hear("10.0.0.3:80", true, LinkState.SUSPECT);
     hear("", true, LinkState.UP);
     hear("10.0.0.5:80", true, LinkState.UP);
-    assertEquals(Optional.of(new Endpoint("10.0.0.1", 80)), forwarder.target());
-    assertEquals(Optional.of(new Endpoint("10.0.0.5", 80)), forwarder.target());
-    assertEquals(Optional.of(new Endpoint("10.0.0.1", 80)), forwarder.target());
+    assertEquals(Optional.of(new Endpoint("10.0.0.1", 80)), forwarder.nextTarget());
+    assertEquals(Optional.of(new Endpoint("10.0.0.5", 80)), forwarder.nextTarget());
+    assertEquals(Optional.of(new Endpoint("10.0.0.1", 80)), forwarder.nextTarget());
   }
 
   @Test
--- a/src/test/java/io/cherryspool/controller/UserApiTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.api;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/io/cherryspool/controller/ElectionTest.java
+++ b/src/test/java/io/cherryspool/controller/election/ElectionTest.java
@@ -1,9 +1,10 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.election;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.cherryspool.controller.timing.Timings;
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.reachability.Reachability;
 import io.cherryspool.reachability.ReachabilityFixture;
@@ -61,10 +62,10 @@
 
   private void begin() {
     replica.start();
-    election.onChange(() -> {});
+    election.onLeadershipChange(() -> {});
     election.start();
     run(3);
-    assertTrue(election.leading());
+    assertTrue(election.isLeader());
   }
 
   /**
@@ -74,13 +75,13 @@
   @Test
   void aCandidateStandsForATermAboveAllThatItHasHeardOf() {
     begin();
-    election.hear(40);
-    assertFalse(election.leading(), "a later leader is about");
+    election.observeTerm(40);
+    assertFalse(election.isLeader(), "a later leader is about");
     election.stop();
     run(1);
     election.start();
     run(3);
-    assertTrue(election.leading());
+    assertTrue(election.isLeader());
     assertEquals(41, state.peek(Records.TERM).path("term").intValue());
   }
 
@@ -88,7 +89,7 @@
   @Test
   void aLeaseThatIsForgottenEarlyIsToldAndOneThatRanOutIsNot() {
     int[] early = {0};
-    election.onLeaseEndedEarly(() -> early[0]++);
+    election.onPrematureLeaseExpiry(() -> early[0]++);
     begin();
     state.loseAll();
     run(1.5);
@@ -110,7 +111,7 @@
       run(3);
       line.refuse(false);
       run(1.5 + 0.05 * i);
-      assertTrue(election.sole(), "refusal " + i);
+      assertTrue(election.mayChangeFleet(), "refusal " + i);
     }
     assertEquals(1, state.peek(Records.TERM).path("term").intValue());
   }
@@ -136,18 +137,18 @@
     }
     run(2);
     assertTrue(underLease() != lease, "the record is under another lease");
-    assertTrue(election.sole());
+    assertTrue(election.mayChangeFleet());
     line.refuse(true);
     run(10);
-    assertTrue(election.sole(), "a lease of 12 s outlasts a refusal of 10 s");
+    assertTrue(election.mayChangeFleet(), "a lease of 12 s outlasts a refusal of 10 s");
     line.refuse(false);
     for (int i = 0; i < 400; i++) {
       run(1);
-      assertTrue(election.sole(), "while the penalty heals");
+      assertTrue(election.mayChangeFleet(), "while the penalty heals");
     }
     line.refuse(true);
     run(4.2);
-    assertFalse(election.sole(), "as short as at first");
+    assertFalse(election.mayChangeFleet(), "as short as at first");
     assertEquals(1, state.peek(Records.TERM).path("term").intValue());
   }
 
@@ -162,11 +163,11 @@
     line.next(StateServiceTransport.COMMIT, StateServiceTransport.Fate.HOLD_REQUEST);
     for (int i = 0; i < 80; i++) {
       run(0.1);
-      assertTrue(election.leading() && election.sole());
+      assertTrue(election.isLeader() && election.mayChangeFleet());
     }
     line.release(StateServiceTransport.COMMIT);
     run(5);
-    assertTrue(election.sole());
+    assertTrue(election.mayChangeFleet());
     assertEquals(1, state.peek(Records.TERM).path("term").intValue());
   }
 
@@ -191,9 +192,9 @@
     }
     assertTrue(underLease() != longest, "the lease becomes shorter again");
     line.refuse(true);
-    assertTrue(election.sole());
+    assertTrue(election.mayChangeFleet());
     run(8.2);
-    assertFalse(election.sole());
+    assertFalse(election.mayChangeFleet());
   }
 
   private long underLease() {
--- a/src/test/java/io/cherryspool/controller/DeafMachineTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/MachineContactTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a machine's reports show of the answers to them, and what a late copy shows: nothing. */
-class DeafMachineTest {
+class MachineContactTest {
   private final MachineContact contact = new MachineContact();
 
   private static WorkerHeartbeat report(long session, long sequence, long token) {
--- a/src/test/java/io/cherryspool/controller/CutZoneTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/ZonePartitionTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -17,7 +17,7 @@
 /**
  * A zone cut off for 20 s lost 208 machines, deleted one by one as they came to count as silent.
  */
-class CutZoneTest {
+class ZonePartitionTest {
   private static final Duration LATE = Duration.ofSeconds(11);
 
   private final List<MachineState> fleet = new ArrayList<>();
--- a/src/test/java/io/cherryspool/controller/LeaderCostTest.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderCostTest.java
@@ -1,8 +1,9 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.leader;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.cherryspool.controller.fleet.Fleet;
 import io.cherryspool.model.JobFixture;
 import io.cherryspool.model.Priority;
 import io.cherryspool.model.WorkerHeartbeat;
--- a/src/test/java/io/cherryspool/controller/LeaderTermFixture.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
@@ -1,8 +1,13 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.leader;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.cloud.CloudClient;
+import io.cherryspool.controller.metrics.Meters;
+import io.cherryspool.controller.ownership.FencingTokenSource;
+import io.cherryspool.controller.rounds.RoundCommitter;
+import io.cherryspool.controller.rounds.SchedulingLoop;
+import io.cherryspool.controller.timing.Timings;
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Transport;
@@ -52,7 +57,7 @@
 
   private final VirtualTime time = new VirtualTime();
   private final StandInState state = new StandInState(time, new SplittableRandom(1), 0);
-  private final Tokens tokens = new Tokens(TERM);
+  private final FencingTokenSource tokens = new FencingTokenSource(TERM);
   private final LeaderTerm term;
   private int scheduled;
   private int wallReadings;
@@ -76,8 +81,8 @@
             replica,
             new WorkerClient(silent, CALL),
             new CloudClient(silent, ANYWHERE, CALL),
-            new RoundWriter(loop, client, rateLimiter, 8, 0),
-            new Rounds.Limits(
+            new RoundCommitter(loop, client, rateLimiter, 8, 0),
+            new SchedulingLoop.Limits(
                 ROUND_MAX,
                 REPORT.multipliedBy(2),
                 Duration.ofSeconds(8),
@@ -86,12 +91,12 @@
                 8,
                 Map.of()),
             new LeaderTerm.ProvisioningLimits(6, Duration.ofSeconds(6), Duration.ofSeconds(40)),
-            new LeaderTerm.Cluster(
+            new LeaderTerm.TermDependencies(
                 new LeaderTerm.Authority(() -> true, () -> false),
                 Map.of("red", new Team("red", 0, 0, 0, 0)),
                 () -> TYPES,
-                this::wall,
-                new LeaderTerm.Links(
+                this::clock,
+                new LeaderTerm.FleetPermissions(
                     () -> true,
                     () -> true,
                     zone -> false,
@@ -132,7 +137,7 @@
     };
   }
 
-  private Instant wall() {
+  private Instant clock() {
     wallReadings++;
     return Instant.EPOCH.plus(time.now());
   }
@@ -187,7 +192,7 @@
   /** The leader takes a report in, as it came over the wire, and answers it. */
   byte[] report(byte[] written) {
     try {
-      return term.report(WorkerProtocol.parseHeartbeat(Json.parseObject(written)));
+      return term.handleHeartbeat(WorkerProtocol.parseHeartbeat(Json.parseObject(written)));
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
--- a/src/test/java/io/cherryspool/controller/FenceTest.java
+++ b/src/test/java/io/cherryspool/controller/leader/TerminationEvidenceTest.java
@@ -1,8 +1,16 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.leader;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.cherryspool.controller.fleet.MachineState;
+import io.cherryspool.controller.ownership.FencingTokenSource;
+import io.cherryspool.controller.ownership.Ownership;
+import io.cherryspool.controller.ownership.StopRequests;
+import io.cherryspool.controller.release.PendingReleases;
+import io.cherryspool.controller.release.TerminationEvidence;
+import io.cherryspool.controller.rounds.Adoption;
+import io.cherryspool.controller.timing.Timings;
 import io.cherryspool.model.Attempt;
 import io.cherryspool.model.Job;
 import io.cherryspool.model.JobFixture;
@@ -16,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What counts as proof that a task's attempt has ended, case by case. */
-class FenceTest {
+class TerminationEvidenceTest {
   private static final TaskId TASK = new TaskId("req-000001", 0);
   private static final Duration START = Duration.ofSeconds(100);
   private static final Duration LEASE = Duration.ofSeconds(16);
@@ -31,17 +39,19 @@
           Duration.ofSeconds(1),
           Duration.ofSeconds(2),
           Duration.ofSeconds(5));
-  private final Tokens tokens = new Tokens(5);
+  private final FencingTokenSource tokens = new FencingTokenSource(5);
   private final StopRequests stopRequests = new StopRequests();
-  private final ReleaseEvidence evidence =
-      new ReleaseEvidence(timings, tokens, stopRequests, START);
-  private final WorkerCommands workerCommands =
-      new WorkerCommands(stopRequests, tokens, new PendingReleases(), Adoption.NONE);
+  private final TerminationEvidence evidence =
+      new TerminationEvidence(timings, tokens, stopRequests, START);
+  private final WorkerCommandPlanner workerCommands =
+      new WorkerCommandPlanner(stopRequests, tokens, new PendingReleases(), Adoption.NONE);
   private final MachineState machine = new MachineState("host-1", "box", "a", false, START);
   private final Job job = JobFixture.job("req-000001", Priority.NORMAL, 1, 1);
-  private final Ownership.Owned owned =
-      new Ownership.Owned(
-          JobRecordFixture.accepted(job), TASK, new Attempt(0, "host-1", 3, 1, tokens.base() - 7));
+  private final Ownership.OwnedTask owned =
+      new Ownership.OwnedTask(
+          JobRecordFixture.accepted(job),
+          TASK,
+          new Attempt(0, "host-1", 3, 1, tokens.termBase() - 7));
   private long sequence;
 
   private void hears(
@@ -54,34 +64,38 @@
     assertTrue(machine.contact().accept(report, START.plusSeconds(1)));
   }
 
-  private ReleaseEvidence.Verdict at(double seconds) {
+  private TerminationEvidence.Verdict at(double seconds) {
     return evidence.assess(owned, machine, START.plusMillis((long) (seconds * 1000)));
   }
 
   @Test
   void absenceProvesNothingWhileAStartMayStillRun() {
     stopRequests.add(TASK, 1, Duration.ZERO);
-    hears(3, tokens.base() - 1, null, null);
+    hears(3, tokens.termBase() - 1, null, null);
     assertEquals(
-        ReleaseEvidence.Verdict.NEEDS_FENCE, at(2), "an earlier leader's start is not fenced yet");
+        TerminationEvidence.Verdict.NEEDS_FENCING,
+        at(2),
+        "an earlier leader's start is not fenced yet");
     hears(3, tokens.current(), null, null);
-    assertEquals(ReleaseEvidence.Verdict.ENDED, at(2));
+    assertEquals(TerminationEvidence.Verdict.ENDED, at(2));
     machine
         .commands()
         .recordDelivered(List.of(WorkerCommand.start(TASK, 1)), tokens.current(), START);
     assertEquals(
-        ReleaseEvidence.Verdict.NEEDS_FENCE, at(2), "this leader's own start may be on its way");
-    tokens.next();
+        TerminationEvidence.Verdict.NEEDS_FENCING,
+        at(2),
+        "this leader's own start may be on its way");
+    tokens.advance();
     hears(3, tokens.current(), null, null);
-    assertEquals(ReleaseEvidence.Verdict.ENDED, at(2));
+    assertEquals(TerminationEvidence.Verdict.ENDED, at(2));
   }
 
   @Test
   void absenceProvesNothingOfATaskThatIsStillWanted() {
     hears(3, tokens.current(), null, null);
-    assertEquals(ReleaseEvidence.Verdict.OWNED, at(2));
+    assertEquals(TerminationEvidence.Verdict.OWNED, at(2));
     assertEquals(
-        List.of(WorkerCommand.start(TASK, 1)), workerCommands.dueFor(machine, List.of(owned)));
+        List.of(WorkerCommand.start(TASK, 1)), workerCommands.commandsFor(machine, List.of(owned)));
   }
 
   /** After it is forgotten, a start that is still under way would run the attempt once more. */
@@ -90,43 +104,46 @@
     machine.commands().beginCall(List.of(), tokens.current());
     machine.commands().callFailed(START);
     hears(3, tokens.current(), WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR);
-    assertEquals(ReleaseEvidence.Verdict.NEEDS_FENCE, at(2));
-    assertEquals(List.of(), workerCommands.dueFor(machine, List.of()), "not forgotten either");
-    tokens.next();
+    assertEquals(TerminationEvidence.Verdict.NEEDS_FENCING, at(2));
+    assertEquals(List.of(), workerCommands.commandsFor(machine, List.of()), "not forgotten either");
+    tokens.advance();
     hears(3, tokens.current(), WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR);
-    assertEquals(ReleaseEvidence.Verdict.FAILED, at(2));
+    assertEquals(TerminationEvidence.Verdict.FAILED, at(2));
     assertEquals(
-        List.of(WorkerCommand.acknowledge(TASK, 1)), workerCommands.dueFor(machine, List.of()));
+        List.of(WorkerCommand.acknowledge(TASK, 1)),
+        workerCommands.commandsFor(machine, List.of()));
   }
 
   @Test
   void aLaterSessionOrADeletionIsProofAndAnOlderMessageIsNot() {
-    hears(4, tokens.base() - 1, null, null);
-    assertEquals(ReleaseEvidence.Verdict.LAPSED, at(2));
+    hears(4, tokens.termBase() - 1, null, null);
+    assertEquals(TerminationEvidence.Verdict.LOST, at(2));
     WorkerHeartbeat old =
         new WorkerHeartbeat("host-1", "127.0.0.1:1", "box", "a", false, 3, 99, 0, null, List.of());
     assertEquals(false, machine.contact().accept(old, START));
     MachineState deleted = new MachineState("host-1", "box", "a", false, START);
     deleted.markDeleted();
-    assertEquals(ReleaseEvidence.Verdict.LAPSED, evidence.assess(owned, deleted, START));
+    assertEquals(TerminationEvidence.Verdict.LOST, evidence.assess(owned, deleted, START));
   }
 
   @Test
   void aSilentMachineLapsesOnlyWhenNoLeaderCanHaveKeptItAlive() {
     double earlier = AUTHORITY.toSeconds() + LEASE.toSeconds();
     assertEquals(
-        ReleaseEvidence.Verdict.OWNED, at(earlier - 0.1), "a cut-off leader may still answer it");
-    assertEquals(ReleaseEvidence.Verdict.LAPSED, at(earlier + 0.1));
+        TerminationEvidence.Verdict.OWNED,
+        at(earlier - 0.1),
+        "a cut-off leader may still answer it");
+    assertEquals(TerminationEvidence.Verdict.LOST, at(earlier + 0.1));
     assertEquals(
-        ReleaseEvidence.Verdict.OWNED,
+        TerminationEvidence.Verdict.OWNED,
         evidence.assess(owned, null, START.plusMillis((long) (earlier * 1000) - 100)),
         "nor is a machine never heard of any sooner free");
     hears(3, tokens.current(), WorkerHeartbeat.TaskState.RUNNING, null);
     machine
         .contact()
         .recordReply(machine.latestHeartbeat(), tokens.current(), START.plusSeconds(4));
-    assertEquals(ReleaseEvidence.Verdict.OWNED, at(4 + LEASE.toSeconds() - 0.1));
-    assertEquals(ReleaseEvidence.Verdict.LAPSED, at(4 + LEASE.toSeconds() + 0.1));
+    assertEquals(TerminationEvidence.Verdict.OWNED, at(4 + LEASE.toSeconds() - 0.1));
+    assertEquals(TerminationEvidence.Verdict.LOST, at(4 + LEASE.toSeconds() + 0.1));
   }
 
   /**
@@ -154,9 +171,9 @@
             List.of(
                 new WorkerHeartbeat.TaskStatus(TASK, 1, WorkerHeartbeat.TaskState.RUNNING, null)));
     assertTrue(machine.contact().accept(next, START.plusSeconds(30)));
-    assertEquals(ReleaseEvidence.Verdict.OWNED, at(31));
-    assertEquals(ReleaseEvidence.Verdict.OWNED, at(30 + LEASE.toSeconds() - 0.1));
-    assertEquals(ReleaseEvidence.Verdict.LAPSED, at(30 + LEASE.toSeconds() + 0.1));
+    assertEquals(TerminationEvidence.Verdict.OWNED, at(31));
+    assertEquals(TerminationEvidence.Verdict.OWNED, at(30 + LEASE.toSeconds() - 0.1));
+    assertEquals(TerminationEvidence.Verdict.LOST, at(30 + LEASE.toSeconds() + 0.1));
   }
 
   @Test
@@ -164,6 +181,6 @@
     hears(3, tokens.current(), WorkerHeartbeat.TaskState.RUNNING, null);
     assertEquals(
         List.of(WorkerCommand.stop(TASK, 1, Duration.ZERO)),
-        workerCommands.dueFor(machine, List.of()));
+        workerCommands.commandsFor(machine, List.of()));
   }
 }
--- a/src/test/java/io/cherryspool/controller/OwnershipTest.java
+++ b/src/test/java/io/cherryspool/controller/ownership/OwnershipTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.ownership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -20,19 +20,19 @@
       JobRecordFixture.running(JobFixture.job("req-000001", Priority.LOW, 2, 1), 2, "host-1");
 
   private void listen() {
-    ownership.listen(
+    ownership.setListener(
         new Ownership.Listener() {
           @Override
-          public void machineTouched(String machine) {}
+          public void machineChanged(String machine) {}
 
           @Override
-          public void jobTouched(JobRecord touched) {}
+          public void jobChanged(JobRecord touched) {}
 
           @Override
           public void jobEnded(JobRecord ended) {}
 
           @Override
-          public void released(Ownership.Owned owned) {
+          public void released(Ownership.OwnedTask owned) {
             released.add(owned.id().index());
           }
 
@@ -46,10 +46,10 @@
   @Test
   void aJobThatIsDoneOwnsNothingWhateverItsRecordsHold() {
     listen();
-    assertEquals(2, ownership.on("host-1").size());
+    assertEquals(2, ownership.attemptsOn("host-1").size());
     JobRecordFixture.end(entry, Outcome.DONE);
     ownership.onJobChanged(entry);
-    assertEquals(List.of(), ownership.on("host-1"));
+    assertEquals(List.of(), ownership.attemptsOn("host-1"));
     assertEquals(0, entry.ownedCount());
     released.sort(null);
     assertEquals(List.of(0, 1), released);
@@ -60,7 +60,7 @@
     listen();
     JobRecordFixture.end(entry, Outcome.CANCELLED);
     ownership.onJobChanged(entry);
-    assertEquals(2, ownership.on("host-1").size());
+    assertEquals(2, ownership.attemptsOn("host-1").size());
     assertEquals(2, entry.ownedCount());
   }
 }
--- a/src/test/java/io/cherryspool/controller/MemoryWireTest.java
+++ b/src/test/java/io/cherryspool/controller/recovery/RetainedRecordsCodecTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.recovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -10,7 +10,7 @@
 /**
  * That heartbeats carry a node's memory as version 0.1.0 did; HeartbeatFormatTest has the bytes.
  */
-class MemoryWireTest {
+class RetainedRecordsCodecTest {
   private static final RetainedRecords MEMORY =
       new RetainedRecords(
           RetainedRecords.Phase.REBUILDING,
@@ -23,13 +23,13 @@
 
   @Test
   void eachFieldHasItsPlace() {
-    assertEquals(CARRIED, MemoryWire.encode(MEMORY));
-    assertEquals(MEMORY, MemoryWire.decode(CARRIED));
+    assertEquals(CARRIED, RetainedRecordsCodec.encode(MEMORY));
+    assertEquals(MEMORY, RetainedRecordsCodec.decode(CARRIED));
   }
 
   @Test
   void aPhaseOfALaterVersionIsOneInWhichTheNodeHolds() {
     Mesh.RetainedRecordsSummary later = new Mesh.RetainedRecordsSummary(4, 3, "9f3a", 1, false, 0);
-    assertEquals(RetainedRecords.Phase.HOLDING, MemoryWire.decode(later).phase());
+    assertEquals(RetainedRecords.Phase.HOLDING, RetainedRecordsCodec.decode(later).phase());
   }
 }
--- a/src/test/java/io/cherryspool/controller/CrashLoopBackoffTest.java
+++ b/src/test/java/io/cherryspool/controller/release/CrashLoopBackoffTest.java
@@ -1,9 +1,10 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.release;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.cherryspool.controller.fleet.MachineState;
 import io.cherryspool.model.JobFixture;
 import io.cherryspool.model.Priority;
 import io.cherryspool.store.JobRecord;
@@ -24,7 +25,7 @@
   }
 
   private boolean fails(boolean succeeded, int machine, double at) {
-    return backoff.failed(
+    return backoff.recordFailure(
         entry, succeeded, machine(machine), Duration.ofMillis((long) (at * 1000)));
   }
 
@@ -38,9 +39,9 @@
     assertFalse(fails(false, 1, 0), "which is not three times as bad for three tasks of one job");
     assertFalse(fails(false, 1, 0));
     assertTrue(fails(false, 2, 0));
-    assertFalse(backoff.crashLooping(entry));
+    assertFalse(backoff.isCrashLooping(entry));
     assertFalse(fails(false, 3, 0));
-    assertTrue(backoff.crashLooping(entry));
+    assertTrue(backoff.isCrashLooping(entry));
   }
 
   @Test
@@ -48,7 +49,7 @@
     for (int i = 0; i < 5; i++) {
       assertTrue(fails(true, 1, i));
     }
-    assertFalse(backoff.crashLooping(entry));
+    assertFalse(backoff.isCrashLooping(entry));
   }
 
   @Test
@@ -60,7 +61,7 @@
     double pause = 0;
     for (int i = 0; i < 12; i++) {
       Duration now = Duration.ofMillis((long) (at * 1000));
-      double next = backoff.ready(entry, now).minus(now).toMillis() / 1000.0;
+      double next = backoff.nextTryAt(entry, now).minus(now).toMillis() / 1000.0;
       assertTrue(next >= pause, next + " after " + pause);
       pause = next;
       at += pause;
@@ -69,17 +70,17 @@
       at += 0.01;
     }
     assertEquals(30, pause);
-    backoff.drop("req-000001");
-    assertFalse(backoff.crashLooping(entry));
+    backoff.reset("req-000001");
+    assertFalse(backoff.isCrashLooping(entry));
   }
 
   /** A new leader has only the records, in which lapses count as failures as well. */
   @Test
   void aNewLeaderHoldsBackWhatHasFailedInAllItsTries() {
-    assertTrue(backoff.crashLooping(recorded(1, 1, 1)));
-    assertTrue(backoff.crashLooping(recorded(4, 0, 3)), "two of its tasks may be under way");
-    assertFalse(backoff.crashLooping(recorded(1, 1)));
-    assertFalse(backoff.crashLooping(recorded(3, 0, 0, 0, 0)), "some fail, most are not known");
+    assertTrue(backoff.isCrashLooping(recorded(1, 1, 1)));
+    assertTrue(backoff.isCrashLooping(recorded(4, 0, 3)), "two of its tasks may be under way");
+    assertFalse(backoff.isCrashLooping(recorded(1, 1)));
+    assertFalse(backoff.isCrashLooping(recorded(3, 0, 0, 0, 0)), "some fail, most are not known");
   }
 
   @Test
--- a/src/test/java/io/cherryspool/controller/RoundViewTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/ClusterViewBuilderTest.java
@@ -1,8 +1,14 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.rounds;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
 
+import io.cherryspool.controller.fleet.Fleet;
+import io.cherryspool.controller.ownership.FencingTokenSource;
+import io.cherryspool.controller.ownership.Ownership;
+import io.cherryspool.controller.ownership.StopRequests;
+import io.cherryspool.controller.release.CrashLoopBackoff;
+import io.cherryspool.controller.release.PendingReleases;
 import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Resources;
 import io.cherryspool.model.WorkerHeartbeat;
@@ -11,18 +17,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class RoundViewTest {
+class ClusterViewBuilderTest {
   private static final Duration NOW = Duration.ofSeconds(100);
   private static final Duration SILENCE = Duration.ofSeconds(5);
   private static final Duration HALF_LEASE = Duration.ofSeconds(8);
 
-  private final Tokens tokens = new Tokens(5);
+  private final FencingTokenSource tokens = new FencingTokenSource(5);
   private final Fleet fleet = new Fleet();
-  private final RoundView view =
-      new RoundView(
+  private final ClusterViewBuilder view =
+      new ClusterViewBuilder(
           null,
           fleet,
-          new Rounds.Ledger(
+          new SchedulingLoop.TaskTracking(
               new Ownership(null),
               new PendingReleases(),
               new StopRequests(),
@@ -46,7 +52,7 @@
   }
 
   private ClusterView.MachineView only(MachineType type) {
-    List<ClusterView.MachineView> machines = view.machines(List.of(type), NOW);
+    List<ClusterView.MachineView> machines = view.schedulableMachines(List.of(type), NOW);
     assertEquals(1, machines.size());
     return machines.get(0);
   }
--- a/src/test/java/io/cherryspool/controller/RoundWriterTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/RoundCommitterTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.rounds;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** When a round's outcome is certain: only then may the next one count on the room it sees. */
-class RoundWriterTest {
+class RoundCommitterTest {
   private static final String SHARD = "c/progress/req-000001/0";
 
   private final VirtualTime time = new VirtualTime();
@@ -32,7 +32,7 @@
   private final StateStoreClient client =
       new StateStoreClient(
           time, rateLimiter, line, new Endpoint("127.0.0.1", 1), Duration.ofSeconds(1));
-  private final RoundWriter writer = new RoundWriter(time, client, rateLimiter, 8, 0);
+  private final RoundCommitter writer = new RoundCommitter(time, client, rateLimiter, 8, 0);
   private int certain;
 
   private void run(double seconds) {
@@ -45,9 +45,10 @@
   private void write() {
     StateStoreProtocol.Change change =
         new StateStoreProtocol.Change(SHARD, Json.object().put("x", 1), 0);
-    RoundWriter.Unit unit =
-        new RoundWriter.Unit(Map.of(SHARD, 0L), List.of(change), 20, RateLimiter.WriteClass.ROUND);
-    writer.write(List.of(unit), () -> certain++);
+    RoundCommitter.ChangeSet unit =
+        new RoundCommitter.ChangeSet(
+            Map.of(SHARD, 0L), List.of(change), 20, RateLimiter.WriteClass.ROUND);
+    writer.commit(List.of(unit), () -> certain++);
   }
 
   /** The second copy meets what the first has written. */
