--- a/src/test/java/io/cherryspool/controller/RoundEditsTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/RoundTransactionTest.java
@@ -1,8 +1,11 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.rounds;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.cherryspool.controller.ownership.Ownership;
+import io.cherryspool.controller.release.PendingReleases;
+import io.cherryspool.controller.release.TerminationEvidence;
 import io.cherryspool.model.Attempt;
 import io.cherryspool.model.Job;
 import io.cherryspool.model.JobFixture;
@@ -18,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a round writes of what it knows: a write for each task's end left none for starts. */
-class RoundEditsTest {
+class RoundTransactionTest {
   private static final String ID = "req-000001";
   private static final Duration DUE = Duration.ofSeconds(100);
   private static final Duration OVERDUE = Duration.ofSeconds(80);
@@ -27,30 +30,30 @@
   private final JobRecord entry = JobRecordFixture.running(job, 3, "host-1");
   private final PendingReleases pendingReleases = new PendingReleases();
 
-  private void ended(int task, ReleaseEvidence.Verdict verdict, int at) {
+  private void ended(int task, TerminationEvidence.Verdict verdict, int at) {
     Attempt attempt = entry.shard(0).shard().ownedAttempt(task);
     pendingReleases.add(
         new PendingReleases.Release(
-            new Ownership.Owned(entry, new TaskId(ID, task), attempt),
+            new Ownership.OwnedTask(entry, new TaskId(ID, task), attempt),
             verdict,
             Duration.ofSeconds(at)));
   }
 
-  private List<RoundWriter.Unit> units(RoundEdits edits) {
-    return edits.units(List.of(entry), DUE, OVERDUE);
+  private List<RoundCommitter.ChangeSet> units(RoundTransaction edits) {
+    return edits.changeSets(List.of(entry), DUE, OVERDUE);
   }
 
-  private RoundEdits edits() {
-    return new RoundEdits(pendingReleases, 8);
+  private RoundTransaction edits() {
+    return new RoundTransaction(pendingReleases, 8);
   }
 
   @Test
   void aFreshEndWaitsForAnotherChangeOfItsShard() {
-    ended(0, ReleaseEvidence.Verdict.DONE, 101);
+    ended(0, TerminationEvidence.Verdict.DONE, 101);
     assertEquals(List.of(), units(edits()));
-    RoundEdits edits = edits();
+    RoundTransaction edits = edits();
     edits.assign(entry, 3, "host-2", 1, 9);
-    List<RoundWriter.Unit> units = units(edits);
+    List<RoundCommitter.ChangeSet> units = units(edits);
     assertEquals(1, units.size());
     String value = units.get(0).changes().get(0).value().toString();
     assertTrue(value.contains("\"done\":[0,0]"), value);
@@ -61,17 +64,17 @@
 
   @Test
   void itWaitsAsLongAsWritesAreLimitedButNotForGood() {
-    ended(0, ReleaseEvidence.Verdict.DONE, 99);
+    ended(0, TerminationEvidence.Verdict.DONE, 99);
     assertEquals(RateLimiter.WriteClass.DEFERRABLE, units(edits()).get(0).use());
-    ended(1, ReleaseEvidence.Verdict.FAILED, 79);
+    ended(1, TerminationEvidence.Verdict.FAILED, 79);
     assertEquals(RateLimiter.WriteClass.ROUND, units(edits()).get(0).use());
   }
 
   /** The freed task is planned again before its release is written. */
   @Test
   void aReleaseAndTheNextStartOfATaskAreOneWrite() {
-    ended(2, ReleaseEvidence.Verdict.LAPSED, 101);
-    RoundEdits edits = edits();
+    ended(2, TerminationEvidence.Verdict.LOST, 101);
+    RoundTransaction edits = edits();
     edits.assign(entry, 2, "host-2", 4, 9);
     String value = units(edits).get(0).changes().get(0).value().toString();
     assertTrue(value.contains("[2,\"host-2\",4,2,9]"), value);
@@ -86,11 +89,11 @@
       Attempt attempt = all.shard(0).shard().ownedAttempt(task);
       pendingReleases.add(
           new PendingReleases.Release(
-              new Ownership.Owned(all, new TaskId(ID, task), attempt),
-              ReleaseEvidence.Verdict.DONE,
+              new Ownership.OwnedTask(all, new TaskId(ID, task), attempt),
+              TerminationEvidence.Verdict.DONE,
               Duration.ofSeconds(101)));
     }
-    List<RoundWriter.Unit> units = edits().units(List.of(all), DUE, OVERDUE);
+    List<RoundCommitter.ChangeSet> units = edits().changeSets(List.of(all), DUE, OVERDUE);
     assertEquals(1, units.size());
     assertEquals(
         List.of(Records.outcomeKey(ID)),
--- a/src/test/java/io/cherryspool/controller/TimingsTest.java
+++ b/src/test/java/io/cherryspool/controller/timing/TimingsTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller;
+package io.cherryspool.controller.timing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -48,7 +48,7 @@
     OperatorSettings defaults = OperatorSettings.DEFAULTS;
     Settings settings = settings(lease, cancel);
     Timings timings =
-        Timings.of(
+        Timings.fromSettings(
             settings,
             new OperatorSettings(
                 defaults.roundMax(),
@@ -59,8 +59,8 @@
                 Optional.empty(),
                 defaults.partitions()));
     assertEquals(settings.authority(), timings.authority());
-    assertTrue(timings.stateLease().compareTo(timings.authority()) <= 0);
-    assertTrue(timings.stateLease().compareTo(seconds(stateLease)) <= 0);
+    assertTrue(timings.stateStoreLease().compareTo(timings.authority()) <= 0);
+    assertTrue(timings.stateStoreLease().compareTo(seconds(stateLease)) <= 0);
     assertTrue(
         timings.authority().plus(settings.workerLease()).compareTo(seconds(cancel)) < 0,
         "a task kept alive to the last is gone within the limit");
--- a/src/test/java/io/cherryspool/sim/ControllerNode.java
+++ b/src/test/java/io/cherryspool/sim/ControllerNode.java
@@ -41,7 +41,7 @@
         new Controller(
             cluster.settings(index),
             cluster.operators(),
-            new Controller.Surroundings(
+            new Controller.Dependencies(
                 cluster.time().of(own),
                 cluster.net().from(address.host(), own),
                 heartbeat -> broadcast(own, heartbeat),
@@ -53,7 +53,7 @@
                     .operators()
                     .recovery()
                     .flatMap(RecoverySettings::snapshotDirectory)
-                    .map(directory -> new Controller.SnapshotSupport(disk, Runnable::run)),
+                    .map(directory -> new Controller.SnapshotTarget(disk, Runnable::run)),
                 cluster.verdicts()));
     cluster.net().listen(address, controller, own);
     controller.start();
@@ -106,7 +106,7 @@
 
   /** Whether its process leads now and may act for the controllers. */
   boolean leads() {
-    return controller != null && controller.leads();
+    return controller != null && controller.isLeading();
   }
 
   /** What its disk holds, whichever process wrote it. */
@@ -116,7 +116,7 @@
 
   /** Whether its process rebuilds lost records. */
   boolean rebuilds() {
-    return controller != null && controller.rebuilds();
+    return controller != null && controller.isRebuilding();
   }
 
   /** Loses the state service and the other controllers, but not its workers. */
--- a/src/test/java/io/cherryspool/sim/SimulationTest.java
+++ b/src/test/java/io/cherryspool/sim/SimulationTest.java
@@ -12,9 +12,9 @@
  * reports' time instead of the worker lease gave ran_twice and quota, and answering polls from the
  * copy without bringing it up to date gave went_back, each within the first seeds. Dropping the
  * term condition of a round alone changed nothing here, since the records' own versions stop the
- * same writes; {@code FenceTest} covers the fences that random days reach too rarely. Since the
- * days also have standstills, cut zones, refused connections and rolling restarts, 120 more seeds
- * were played once.
+ * same writes; {@code TerminationEvidenceTest} covers the fences that random days reach too rarely.
+ * Since the days also have standstills, cut zones, refused connections and rolling restarts, 120
+ * more seeds were played once.
  */
 class SimulationTest {
   @ParameterizedTest
