--- a/src/test/java/io/cherryspool/controller/api/UserApiTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiTest.java
@@ -15,10 +15,10 @@
 import io.cherryspool.model.Priority;
 import io.cherryspool.model.Resources;
 import io.cherryspool.model.Team;
-import io.cherryspool.sim.StandInState;
-import io.cherryspool.sim.StateServiceTransport;
-import io.cherryspool.sim.StateServiceTransport.Fate;
-import io.cherryspool.sim.VirtualTime;
+import io.cherryspool.sim.fakes.ControlledTransport;
+import io.cherryspool.sim.fakes.ControlledTransport.Fate;
+import io.cherryspool.sim.fakes.FakeStateStore;
+import io.cherryspool.sim.time.VirtualTime;
 import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.GroupCommit;
 import io.cherryspool.store.RateLimiter;
@@ -50,13 +50,13 @@
               "box", new Resources(16, 0, 64), 50, 0.5, 1, 0.4, Duration.ZERO, List.of("a")));
 
   private final VirtualTime time = new VirtualTime();
-  private final StandInState state = new StandInState(time, new SplittableRandom(1), 0);
+  private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
   private final Node one = new Node();
   private final Node other = new Node();
 
   /** One node as far as users see it. */
   private final class Node {
-    private final StateServiceTransport line = new StateServiceTransport(time, state);
+    private final ControlledTransport line = new ControlledTransport(time, state);
     private final ClusterRecords replica;
     private final UserApi users;
     private List<MachineType> types = TYPES;
@@ -83,11 +83,11 @@
 
     /** All keys are read again, and stay so until the line lets them go. */
     void reload() {
-      line.next("/keys", Fate.HOLD_REQUEST);
-      line.answerNext(StateServiceTransport.READING, 410, "{}");
+      line.interceptNext("/keys", Fate.HOLD_REQUEST);
+      line.replyNext(ControlledTransport.READ, 410, "{}");
       replica.refresh();
       run(0.01);
-      line.release(StateServiceTransport.READING);
+      line.release(ControlledTransport.READ);
       assertFalse(replica.isLoaded());
     }
   }
@@ -101,7 +101,7 @@
 
   private void run(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
-    while (time.step(end)) {
+    while (time.runNextEvent(end)) {
       // Each step may schedule more.
     }
   }
@@ -144,7 +144,7 @@
   /** What the user is told, and no moment later, so that the next may ask before news spreads. */
   private String soon(CompletableFuture<Reply> answer) {
     Duration end = time.now().plusMillis(50);
-    while (!answer.isDone() && time.step(end)) {
+    while (!answer.isDone() && time.runNextEvent(end)) {
       // Each step may schedule more.
     }
     return told(answer);
@@ -174,9 +174,9 @@
   /** The watch, which usually brings the news before anybody asks, is of no help here. */
   @Test
   void aNodeThatHasNotHeardOfAnAnswerReadsBeforeItsOwn() {
-    other.line.next(StateServiceTransport.WATCH, Fate.LOSE_ANSWER);
+    other.line.interceptNext(ControlledTransport.WATCH, Fate.LOSE_ANSWER);
     run(10.5);
-    other.line.next(StateServiceTransport.WATCH, Fate.LOSE_ANSWER);
+    other.line.interceptNext(ControlledTransport.WATCH, Fate.LOSE_ANSWER);
     soon(one.users.submit(job()));
     assertEquals("200 pending", soon(other.users.poll(JOB)));
     assertEquals("200 withdrawn", soon(one.users.cancel(JOB)));
@@ -198,14 +198,14 @@
   void nobodyCancelsWhatNobodySubmitted() {
     assertEquals("404", soon(one.users.cancel(JOB)));
     assertEquals("404", soon(one.users.cancel(JOB)));
-    assertNull(state.peek(Records.outcomeKey(JOB)));
+    assertNull(state.value(Records.outcomeKey(JOB)));
     assertEquals("201 pending", soon(other.users.submit(job())));
     assertEquals("200 pending", soon(one.users.poll(JOB)));
   }
 
   @Test
   void aSubmissionOfWhichOnlyTheAnswerIsLostIsAcceptedForAll() {
-    one.line.next(StateServiceTransport.COMMIT, Fate.LOSE_ANSWER);
+    one.line.interceptNext(ControlledTransport.COMMIT, Fate.LOSE_ANSWER);
     CompletableFuture<Reply> first = one.users.submit(job());
     assertEquals("200 pending", soon(other.users.poll(JOB)));
     assertEquals("200 pending", soon(other.users.submit(job())));
@@ -219,7 +219,7 @@
   @Test
   void aCancelOfWhichOnlyTheAnswerIsLostIsConfirmedByAll() {
     soon(one.users.submit(job()));
-    one.line.next(StateServiceTransport.COMMIT, Fate.LOSE_ANSWER);
+    one.line.interceptNext(ControlledTransport.COMMIT, Fate.LOSE_ANSWER);
     CompletableFuture<Reply> first = one.users.cancel(JOB);
     run(0.02);
     assertEquals("200 withdrawn", soon(other.users.poll(JOB)));
@@ -231,11 +231,11 @@
   @Test
   void aCancelThatMeetsTheEndOfTheJobTellsTheEnd() {
     soon(one.users.submit(job()));
-    one.line.next(StateServiceTransport.COMMIT, Fate.HOLD_REQUEST);
+    one.line.interceptNext(ControlledTransport.COMMIT, Fate.HOLD_REQUEST);
     CompletableFuture<Reply> cancel = one.users.cancel(JOB);
     run(0.05);
     end(Outcome.DONE);
-    one.line.release(StateServiceTransport.COMMIT);
+    one.line.release(ControlledTransport.COMMIT);
     assertEquals("200 done", soon(cancel));
   }
 
@@ -244,10 +244,10 @@
   void aCancelThatMetAConflictIsNotConfirmedWithoutAnOutcome() {
     soon(one.users.submit(job()));
     String failed = "{\"failed\":[\"" + Records.outcomeKey(JOB) + "\"],\"epoch\":1}";
-    one.line.answerNext(StateServiceTransport.COMMIT, 409, failed);
+    one.line.replyNext(ControlledTransport.COMMIT, 409, failed);
     CompletableFuture<Reply> cancel = one.users.cancel(JOB);
     run(0.05);
-    one.line.release(StateServiceTransport.COMMIT);
+    one.line.release(ControlledTransport.COMMIT);
     assertEquals("503", soon(cancel));
     assertEquals("200 pending", soon(other.users.poll(JOB)));
     assertEquals("200 withdrawn", soon(one.users.cancel(JOB)));
@@ -256,16 +256,16 @@
   @Test
   void aSubmissionThatMetAConflictIsNotCalledUnknown() {
     String failed = "{\"failed\":[\"" + Records.jobKey(JOB) + "\"],\"epoch\":1}";
-    one.line.answerNext(StateServiceTransport.COMMIT, 409, failed);
+    one.line.replyNext(ControlledTransport.COMMIT, 409, failed);
     CompletableFuture<Reply> submission = one.users.submit(job());
     run(0.05);
-    one.line.release(StateServiceTransport.COMMIT);
+    one.line.release(ControlledTransport.COMMIT);
     assertEquals("503", soon(submission));
   }
 
   @Test
   void requestsRepeatedWithinOneGroupAreAllAnswered() {
-    one.line.next(StateServiceTransport.COMMIT, Fate.HOLD_ANSWER);
+    one.line.interceptNext(ControlledTransport.COMMIT, Fate.HOLD_ANSWER);
     List<CompletableFuture<Reply>> submissions =
         List.of(
             one.users.submit(job()),
@@ -273,7 +273,7 @@
             other.users.submit(job()),
             one.users.submit(job()));
     run(0.05);
-    one.line.release(StateServiceTransport.COMMIT);
+    one.line.release(ControlledTransport.COMMIT);
     run(0.1);
     assertEquals(
         1, submissions.stream().filter(each -> each.join().status() == 201).count(), "one made it");
@@ -308,22 +308,22 @@
   /** Its commit goes on, and the copy that it then reads is the one before or the one after. */
   @Test
   void aSubmissionAndACancelUnderWayWhenAReloadBeginsAreNotAnsweredOlder() {
-    one.line.next(StateServiceTransport.COMMIT, Fate.HOLD_ANSWER);
+    one.line.interceptNext(ControlledTransport.COMMIT, Fate.HOLD_ANSWER);
     CompletableFuture<Reply> submission = one.users.submit(job());
     run(0.05);
     one.reload();
-    one.line.release(StateServiceTransport.COMMIT);
+    one.line.release(ControlledTransport.COMMIT);
     assertEquals("201 pending", told(submission));
     assertEquals("503", told(one.users.poll(JOB)));
     one.line.release("/keys");
     run(0.05);
     assertEquals("200 pending", soon(one.users.poll(JOB)));
-    one.line.next(StateServiceTransport.COMMIT, Fate.HOLD_REQUEST);
+    one.line.interceptNext(ControlledTransport.COMMIT, Fate.HOLD_REQUEST);
     CompletableFuture<Reply> cancel = one.users.cancel(JOB);
     run(0.05);
     one.reload();
     end(Outcome.DONE);
-    one.line.release(StateServiceTransport.COMMIT);
+    one.line.release(ControlledTransport.COMMIT);
     assertEquals("503", soon(cancel), "a conflict, and nothing can be read now");
     one.line.release("/keys");
     run(0.05);
@@ -349,10 +349,10 @@
       Node late = new Node();
       late.replica.start();
       run(0.05);
-      late.line.next(StateServiceTransport.READING, Fate.HOLD_REQUEST);
+      late.line.interceptNext(ControlledTransport.READ, Fate.HOLD_REQUEST);
       CompletableFuture<Reply> answer = late.users.submit(body);
       soon(one.users.submit(job()));
-      late.line.release(StateServiceTransport.READING);
+      late.line.release(ControlledTransport.READ);
       assertEquals("200 pending", soon(answer));
     }
   }
@@ -403,11 +403,11 @@
   /** The copy lacks all that happened since the history that is gone. */
   @Test
   void aNodeThatLearnsThatItsCopyIsOldCantTell() {
-    one.line.next("/keys", Fate.HOLD_REQUEST);
-    one.line.answerNext(StateServiceTransport.READING, 410, "{}");
+    one.line.interceptNext("/keys", Fate.HOLD_REQUEST);
+    one.line.replyNext(ControlledTransport.READ, 410, "{}");
     CompletableFuture<Reply> answer = one.users.submit(without("lane"));
     run(0.01);
-    one.line.release(StateServiceTransport.READING);
+    one.line.release(ControlledTransport.READ);
     assertEquals("503", soon(answer));
   }
 
@@ -433,6 +433,6 @@
     state.setDown(false);
     assertEquals("200 pending", soon(one.users.poll(JOB)));
     assertEquals("404", soon(one.users.poll("req-000002")));
-    assertNotNull(state.peek(Records.jobKey(JOB)));
+    assertNotNull(state.value(Records.jobKey(JOB)));
   }
 }
--- a/src/test/java/io/cherryspool/controller/election/ElectionTest.java
+++ b/src/test/java/io/cherryspool/controller/election/ElectionTest.java
@@ -8,9 +8,9 @@
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.reachability.Reachability;
 import io.cherryspool.reachability.ReachabilityFixture;
-import io.cherryspool.sim.StandInState;
-import io.cherryspool.sim.StateServiceTransport;
-import io.cherryspool.sim.VirtualTime;
+import io.cherryspool.sim.fakes.ControlledTransport;
+import io.cherryspool.sim.fakes.FakeStateStore;
+import io.cherryspool.sim.time.VirtualTime;
 import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
@@ -25,8 +25,8 @@
   private static final Duration CALL = Duration.ofSeconds(1);
 
   private final VirtualTime time = new VirtualTime();
-  private final StandInState state = new StandInState(time, new SplittableRandom(1), 0);
-  private final StateServiceTransport line = new StateServiceTransport(time, state);
+  private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
+  private final ControlledTransport line = new ControlledTransport(time, state);
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
   private final StateStoreClient client =
       new StateStoreClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
@@ -55,7 +55,7 @@
 
   private void run(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
-    while (time.step(end)) {
+    while (time.runNextEvent(end)) {
       // Each step may schedule more.
     }
   }
@@ -82,7 +82,7 @@
     election.start();
     run(3);
     assertTrue(election.isLeader());
-    assertEquals(41, state.peek(Records.TERM).path("term").intValue());
+    assertEquals(41, state.value(Records.TERM).path("term").intValue());
   }
 
   /** A lease ends early only where the service has forgotten that it was renewed. */
@@ -91,7 +91,7 @@
     int[] early = {0};
     election.onPrematureLeaseExpiry(() -> early[0]++);
     begin();
-    state.loseAll();
+    state.loseAllData();
     run(1.5);
     assertEquals(1, early[0]);
     run(3);
@@ -107,23 +107,23 @@
   void aLeaderThatIsRefusedForLessThanItsLeaseKeepsIt() {
     begin();
     for (int i = 0; i < 10; i++) {
-      line.refuse(true);
+      line.setRefusing(true);
       run(3);
-      line.refuse(false);
+      line.setRefusing(false);
       run(1.5 + 0.05 * i);
       assertTrue(election.mayChangeFleet(), "refusal " + i);
     }
-    assertEquals(1, state.peek(Records.TERM).path("term").intValue());
+    assertEquals(1, state.value(Records.TERM).path("term").intValue());
   }
 
   /** Four times in the second of a call, instead of twice; and no more often than that. */
   @Test
   void aRefusedRenewalIsTriedAgainSoonAtABoundedRate() {
     begin();
-    line.refuse(true);
-    long before = line.count("/extend");
+    line.setRefusing(true);
+    long before = line.sentCount("/extend");
     run(3);
-    long tries = line.count("/extend") - before;
+    long tries = line.sentCount("/extend") - before;
     assertTrue(tries >= 10 && tries <= 14, tries + " renewals in 3 s");
   }
 
@@ -138,18 +138,18 @@
     run(2);
     assertTrue(underLease() != lease, "the record is under another lease");
     assertTrue(election.mayChangeFleet());
-    line.refuse(true);
+    line.setRefusing(true);
     run(10);
     assertTrue(election.mayChangeFleet(), "a lease of 12 s outlasts a refusal of 10 s");
-    line.refuse(false);
+    line.setRefusing(false);
     for (int i = 0; i < 400; i++) {
       run(1);
       assertTrue(election.mayChangeFleet(), "while the penalty heals");
     }
-    line.refuse(true);
+    line.setRefusing(true);
     run(4.2);
     assertFalse(election.mayChangeFleet(), "as short as at first");
-    assertEquals(1, state.peek(Records.TERM).path("term").intValue());
+    assertEquals(1, state.value(Records.TERM).path("term").intValue());
   }
 
   /** The transaction that moves the record is carried out, and its answer is lost. */
@@ -159,16 +159,16 @@
     for (int i = 0; i < 3; i++) {
       reachability.recordLeadershipLoss(time.now());
     }
-    line.next(StateServiceTransport.COMMIT, StateServiceTransport.Fate.LOSE_ANSWER);
-    line.next(StateServiceTransport.COMMIT, StateServiceTransport.Fate.HOLD_REQUEST);
+    line.interceptNext(ControlledTransport.COMMIT, ControlledTransport.Fate.LOSE_ANSWER);
+    line.interceptNext(ControlledTransport.COMMIT, ControlledTransport.Fate.HOLD_REQUEST);
     for (int i = 0; i < 80; i++) {
       run(0.1);
       assertTrue(election.isLeader() && election.mayChangeFleet());
     }
-    line.release(StateServiceTransport.COMMIT);
+    line.release(ControlledTransport.COMMIT);
     run(5);
     assertTrue(election.mayChangeFleet());
-    assertEquals(1, state.peek(Records.TERM).path("term").intValue());
+    assertEquals(1, state.value(Records.TERM).path("term").intValue());
   }
 
   /**
@@ -178,7 +178,7 @@
   @Test
   void whileTheRecordMayBeUnderEitherLeaseBothAreNeeded() {
     for (int i = 0; i < 40; i++) {
-      line.next(StateServiceTransport.WATCH, StateServiceTransport.Fate.HOLD_ANSWER);
+      line.interceptNext(ControlledTransport.WATCH, ControlledTransport.Fate.HOLD_ANSWER);
     }
     begin();
     for (int i = 0; i < 3; i++) {
@@ -187,17 +187,17 @@
     run(2);
     long longest = underLease();
     Duration end = time.now().plusSeconds(120);
-    while (underLease() == longest && time.step(end)) {
+    while (underLease() == longest && time.runNextEvent(end)) {
       // One message at a time, so that this node does not read of the move.
     }
     assertTrue(underLease() != longest, "the lease becomes shorter again");
-    line.refuse(true);
+    line.setRefusing(true);
     assertTrue(election.mayChangeFleet());
     run(8.2);
     assertFalse(election.mayChangeFleet());
   }
 
   private long underLease() {
-    return state.peek(Records.LEADER).path("lease").longValue();
+    return state.value(Records.LEADER).path("lease").longValue();
   }
 }
--- a/src/test/java/io/cherryspool/controller/leader/LeaderCostTest.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderCostTest.java
@@ -7,7 +7,7 @@
 import io.cherryspool.model.JobFixture;
 import io.cherryspool.model.Priority;
 import io.cherryspool.model.WorkerHeartbeat;
-import io.cherryspool.sim.HeapMeter;
+import io.cherryspool.sim.driver.HeapMeter;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.MalformedMessageException;
 import io.cherryspool.wire.WorkerProtocol;
@@ -45,7 +45,7 @@
   void anUnchangedReportAllocatesLittle() {
     reports(WARM_UP).forEach(leader::report);
     List<byte[]> unchanged = reports(REPORTS);
-    long bytes = HeapMeter.allocated(() -> unchanged.forEach(leader::report)) / REPORTS;
+    long bytes = HeapMeter.allocatedBytes(() -> unchanged.forEach(leader::report)) / REPORTS;
     assertTrue(bytes <= MOST_ALLOCATED_PER_REPORT, bytes + " bytes a report");
   }
 
@@ -90,7 +90,7 @@
 
   @Test
   void aMachineKeepsLittle() {
-    long bytes = HeapMeter.kept(this::fleet) / MACHINES;
+    long bytes = HeapMeter.retainedBytes(this::fleet) / MACHINES;
     assertTrue(bytes <= MOST_KEPT_PER_MACHINE, bytes + " bytes a machine");
   }
 
--- a/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
@@ -17,9 +17,9 @@
 import io.cherryspool.model.Resources;
 import io.cherryspool.model.Team;
 import io.cherryspool.reachability.ReachabilityFixture;
-import io.cherryspool.sim.StandInState;
-import io.cherryspool.sim.StateServiceTransport;
-import io.cherryspool.sim.VirtualTime;
+import io.cherryspool.sim.fakes.ControlledTransport;
+import io.cherryspool.sim.fakes.FakeStateStore;
+import io.cherryspool.sim.time.VirtualTime;
 import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
@@ -56,7 +56,7 @@
               "box", new Resources(16, 0, 64), 50, 0.5, 1, 0.4, Duration.ZERO, List.of("a")));
 
   private final VirtualTime time = new VirtualTime();
-  private final StandInState state = new StandInState(time, new SplittableRandom(1), 0);
+  private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
   private final FencingTokenSource tokens = new FencingTokenSource(TERM);
   private final LeaderTerm term;
   private int scheduled;
@@ -68,7 +68,7 @@
     RateLimiter rateLimiter = new RateLimiter(loop, 1, 1000, 1000);
     StateStoreClient client =
         new StateStoreClient(
-            loop, rateLimiter, new StateServiceTransport(time, state), ANYWHERE, CALL);
+            loop, rateLimiter, new ControlledTransport(time, state), ANYWHERE, CALL);
     ClusterRecords replica =
         new ClusterRecords(loop, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
     replica.start();
@@ -158,7 +158,7 @@
 
   void run(Duration length) {
     Duration end = time.now().plus(length);
-    while (time.step(end)) {
+    while (time.runNextEvent(end)) {
       // Each step may schedule more.
     }
   }
--- a/src/test/java/io/cherryspool/controller/rounds/RoundCommitterTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/RoundCommitterTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.sim.StandInState;
-import io.cherryspool.sim.StateServiceTransport;
-import io.cherryspool.sim.StateServiceTransport.Fate;
-import io.cherryspool.sim.VirtualTime;
+import io.cherryspool.sim.fakes.ControlledTransport;
+import io.cherryspool.sim.fakes.ControlledTransport.Fate;
+import io.cherryspool.sim.fakes.FakeStateStore;
+import io.cherryspool.sim.time.VirtualTime;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.StateStoreClient;
 import io.cherryspool.wire.Json;
@@ -26,8 +26,8 @@
   private static final String SHARD = "c/progress/req-000001/0";
 
   private final VirtualTime time = new VirtualTime();
-  private final StandInState state = new StandInState(time, new SplittableRandom(1), 0);
-  private final StateServiceTransport line = new StateServiceTransport(time, state);
+  private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
+  private final ControlledTransport line = new ControlledTransport(time, state);
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
   private final StateStoreClient client =
       new StateStoreClient(
@@ -37,7 +37,7 @@
 
   private void run(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
-    while (time.step(end)) {
+    while (time.runNextEvent(end)) {
       // Each step may schedule more.
     }
   }
@@ -54,10 +54,10 @@
   /** The second copy meets what the first has written. */
   @Test
   void aConflictWithOnesOwnCopyIsCertain() {
-    line.next(StateServiceTransport.COMMIT, Fate.LOSE_ANSWER);
+    line.interceptNext(ControlledTransport.COMMIT, Fate.LOSE_ANSWER);
     write();
     run(0.2);
-    assertNotNull(state.peek(SHARD));
+    assertNotNull(state.value(SHARD));
     assertEquals(0, certain);
     run(0.2);
     assertEquals(1, certain);
@@ -66,12 +66,12 @@
   @ParameterizedTest
   @ValueSource(ints = {429, 503})
   void whatWasSurelyNotCarriedOutIsCertain(int status) {
-    line.answerNext(StateServiceTransport.COMMIT, status, "{}");
+    line.replyNext(ControlledTransport.COMMIT, status, "{}");
     write();
     run(0.01);
-    line.release(StateServiceTransport.COMMIT);
+    line.release(ControlledTransport.COMMIT);
     assertEquals(1, certain);
-    assertNull(state.peek(SHARD));
+    assertNull(state.value(SHARD));
   }
 
   /**
@@ -81,28 +81,28 @@
   @ParameterizedTest
   @ValueSource(ints = {429, 503})
   void aCopyThatIsRefusedLeavesTheOnesOfBeforeOpen(int status) {
-    line.next(StateServiceTransport.COMMIT, Fate.HOLD_REQUEST);
-    line.next(StateServiceTransport.COMMIT, Fate.HOLD_REQUEST);
-    line.answerNext(StateServiceTransport.COMMIT, status, "{}");
+    line.interceptNext(ControlledTransport.COMMIT, Fate.HOLD_REQUEST);
+    line.interceptNext(ControlledTransport.COMMIT, Fate.HOLD_REQUEST);
+    line.replyNext(ControlledTransport.COMMIT, status, "{}");
     write();
     run(1.7);
     assertEquals(
-        3, line.count(StateServiceTransport.COMMIT), "two copies without an answer, and another");
-    line.releaseLast(StateServiceTransport.COMMIT);
+        3, line.sentCount(ControlledTransport.COMMIT), "two copies without an answer, and another");
+    line.releaseLast(ControlledTransport.COMMIT);
     assertEquals(0, certain);
-    line.release(StateServiceTransport.COMMIT);
-    assertNotNull(state.peek(SHARD), "carried out late");
+    line.release(ControlledTransport.COMMIT);
+    assertNotNull(state.value(SHARD), "carried out late");
     run(1);
     assertEquals(1, certain);
   }
 
   @Test
   void aWriterThatIsStoppedTellsNothing() {
-    line.next(StateServiceTransport.COMMIT, Fate.HOLD_ANSWER);
+    line.interceptNext(ControlledTransport.COMMIT, Fate.HOLD_ANSWER);
     write();
     run(0.01);
     writer.stop();
-    line.release(StateServiceTransport.COMMIT);
+    line.release(ControlledTransport.COMMIT);
     run(5);
     assertEquals(0, certain);
   }
--- a/src/test/java/io/cherryspool/recovery/RecoveryTest.java
+++ b/src/test/java/io/cherryspool/recovery/RecoveryTest.java
@@ -11,10 +11,10 @@
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Priority;
 import io.cherryspool.model.Shard;
-import io.cherryspool.sim.StandInState;
-import io.cherryspool.sim.StateServiceTransport;
-import io.cherryspool.sim.StateServiceTransport.Fate;
-import io.cherryspool.sim.VirtualTime;
+import io.cherryspool.sim.fakes.ControlledTransport;
+import io.cherryspool.sim.fakes.ControlledTransport.Fate;
+import io.cherryspool.sim.fakes.FakeStateStore;
+import io.cherryspool.sim.time.VirtualTime;
 import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.Incarnation;
 import io.cherryspool.store.RateLimiter;
@@ -37,11 +37,11 @@
   private static final String JOB = "req-000001";
 
   private final VirtualTime time = new VirtualTime();
-  private final StandInState state = new StandInState(time, new SplittableRandom(1), 0);
+  private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
 
   /** A node with nothing but its copy of the records. */
   private final class Node implements ClusterNode {
-    private final StateServiceTransport line = new StateServiceTransport(time, state);
+    private final ControlledTransport line = new ControlledTransport(time, state);
     private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
     private final StateStoreClient client =
         new StateStoreClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
@@ -124,7 +124,7 @@
 
   private void run(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
-    while (time.step(end)) {
+    while (time.runNextEvent(end)) {
       // Each step may schedule more.
     }
   }
@@ -179,9 +179,9 @@
     run(20);
     state.setDown(false);
     run(3);
-    node.line.answerNext(StateServiceTransport.WATCH, 410, "{}");
+    node.line.replyNext(ControlledTransport.WATCH, 410, "{}");
     run(12);
-    node.line.release(StateServiceTransport.WATCH);
+    node.line.release(ControlledTransport.WATCH);
     run(20);
     assertTrue(node.recovery.isServing());
     assertEquals(0, node.recovery.statistics().losses());
@@ -198,7 +198,7 @@
     run(1);
     node.leadsSurely = true;
     node.knownTerm = 17;
-    state.loseAll();
+    state.loseAllData();
     node.replica.refresh();
     run(0.1);
     assertEquals(Loss.REVISION_WENT_BACK, node.recovery.statistics().lastLoss());
@@ -222,7 +222,7 @@
     }
     run(1);
     long before = node.replica.revision();
-    state.loseAll();
+    state.loseAllData();
     // Others have installed anew, with the same identity, by chance at the same version.
     Incarnation same = node.client.keySpace().incarnation();
     state.handle(
@@ -239,11 +239,11 @@
   @Test
   void aRevisionThatHasCaughtUpIsSeenByTheLastChange() {
     Node node = serving();
-    StandInState.Saved saved = state.save();
+    FakeStateStore.Backup saved = state.backup();
     node.submit("req-000002");
     run(0.5);
     assertNotNull(node.replica.job("req-000002"));
-    state.loseTo(saved);
+    state.restore(saved);
     for (int i = 0; i < 3; i++) {
       writeByOthers("c/x" + i, Map.of());
     }
@@ -259,22 +259,22 @@
   @Test
   void recordsThatAreGoneAreSeenWhenAllKeysAreReadAgain() {
     Node node = serving();
-    StandInState.Saved saved = state.save();
+    FakeStateStore.Backup saved = state.backup();
     node.submit("req-000002");
     run(0.5);
-    state.loseTo(saved);
+    state.restore(saved);
     for (int i = 0; i < 3; i++) {
       writeByOthers("c/x" + i, Map.of());
     }
-    node.line.answerNext(StateServiceTransport.READING, 410, "{}");
+    node.line.replyNext(ControlledTransport.READ, 410, "{}");
     node.replica.refresh();
     run(0.01);
-    node.line.release(StateServiceTransport.READING);
+    node.line.release(ControlledTransport.READ);
     // The first says that the last change is out of reach, the second that all changes are.
-    node.line.answerNext(StateServiceTransport.READING, 410, "{}");
+    node.line.replyNext(ControlledTransport.READ, 410, "{}");
     node.replica.refresh();
     run(0.01);
-    node.line.release(StateServiceTransport.READING);
+    node.line.release(ControlledTransport.READ);
     run(0.5);
     assertEquals(Loss.RECORDS_GONE, node.recovery.statistics().lastLoss());
     run(15);
@@ -333,24 +333,24 @@
   @Test
   void theFenceStopsTransactionsOfTheOldIncarnation() {
     Node node = serving();
-    node.line.next(StateServiceTransport.COMMIT, Fate.HOLD_REQUEST);
+    node.line.interceptNext(ControlledTransport.COMMIT, Fate.HOLD_REQUEST);
     CompletableFuture<Boolean> late = node.submit("req-000002");
     Incarnation next =
         Incarnation.newRebuild("other", 1, "n", "node-1", Incarnation.HistoryPosition.NONE, false);
     state.handle(
         StateStoreProtocol.transactionRequest(
             Map.of(), List.of(new StateStoreProtocol.Change(Incarnation.KEY, next.encode(), 0))));
-    node.line.release(StateServiceTransport.COMMIT);
+    node.line.release(ControlledTransport.COMMIT);
     run(0.3);
     assertTrue(late.isCompletedExceptionally());
-    assertNull(state.peek(Records.jobKey("req-000002")), "nothing is added behind the fence");
+    assertNull(state.value(Records.jobKey("req-000002")), "nothing is added behind the fence");
     assertFalse(node.recovery.isServing());
   }
 
   @Test
   void anotherClustersRecordsAreNeverUsed() {
     Node node = serving();
-    state.loseAll();
+    state.loseAllData();
     state.handle(
         StateStoreProtocol.transactionRequest(
             Map.of(),
@@ -360,7 +360,7 @@
     run(20);
     assertFalse(node.recovery.isServing());
     assertTrue(node.recovery.statistics().hasFoundOtherCluster());
-    assertEquals("x", state.peek(Incarnation.KEY).path("cluster").asText(), "nor overwritten");
+    assertEquals("x", state.value(Incarnation.KEY).path("cluster").asText(), "nor overwritten");
   }
 
   /** A rebuild that names bundles which are not there is not served, but built again. */
@@ -390,7 +390,7 @@
     RecordsSnapshot snapshot = first.replica.snapshot();
     first.recovery.stop();
     first.replica.stop();
-    state.loseAll();
+    state.loseAllData();
     Incarnation same = first.client.keySpace().incarnation();
     state.handle(
         StateStoreProtocol.transactionRequest(
@@ -409,7 +409,7 @@
   @Test
   void aNodeWithoutRecoveryDoesNotServeRebuiltRecords() {
     Node node = serving();
-    StateServiceTransport line = new StateServiceTransport(time, state);
+    ControlledTransport line = new ControlledTransport(time, state);
     RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
     Endpoint anywhere = new Endpoint("127.0.0.1", 1);
     StateStoreClient client = new StateStoreClient(time, rateLimiter, line, anywhere, CALL);
@@ -419,7 +419,7 @@
     run(1);
     assertTrue(plain.isLoaded(), "before any loss both read the same records");
     assertNotNull(plain.job(JOB));
-    state.loseAll();
+    state.loseAllData();
     run(25);
     assertTrue(node.recovery.isServing());
     assertFalse(plain.isLoaded());
@@ -447,7 +447,7 @@
                   Records.progressKey(id, 0), Records.encodeShard(owned), 0)));
     }
     run(0.5);
-    state.loseAll();
+    state.loseAllData();
     run(15);
     assertTrue(node.recovery.isServing());
     assertEquals(0, node.replica.job(JOB).shard(0).version(), "it is in a bundle only");
@@ -477,10 +477,10 @@
   void namesOfRentalRequestsDifferAfterARebuild() {
     Node node = serving();
     String before = node.replica.instanceRequestPrefix();
-    state.loseAll();
+    state.loseAllData();
     run(15);
     String first = node.replica.instanceRequestPrefix();
-    state.loseAll();
+    state.loseAllData();
     run(15);
     String second = node.replica.instanceRequestPrefix();
     assertTrue(node.recovery.isServing());
--- a/src/test/java/io/cherryspool/sim/RuleChecker.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleChecker.java
@@ -1,10 +1,12 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.check;
 
 import io.cherryspool.model.Job;
 import io.cherryspool.model.Resources;
 import io.cherryspool.model.TaskId;
 import io.cherryspool.model.Team;
 import io.cherryspool.scheduler.PlacementConstraints;
+import io.cherryspool.sim.fakes.FakeWorker;
+import io.cherryspool.sim.time.VirtualTime;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -18,7 +20,7 @@
 /**
  * The users' rules, checked against what the stand-ins really run and what users were really told.
  */
-final class RuleChecker {
+public final class RuleChecker {
   /** A job about which no question was answered for so long is forgotten. */
   private static final Duration FORGOTTEN = Duration.ofSeconds(75);
 
@@ -50,27 +52,27 @@
   private int startsAfterCancel;
   private String breach;
 
-  RuleChecker(VirtualTime time, Collection<Team> teams, Duration cancelWithin) {
+  public RuleChecker(VirtualTime time, Collection<Team> teams, Duration cancelWithin) {
     this.time = time;
     this.cancelWithin = cancelWithin;
     this.teams = new HashMap<>();
     teams.forEach(team -> this.teams.put(team.name(), team));
   }
 
-  void submitted(Job job) {
+  public void submitted(Job job) {
     submitted.put(job.id(), job);
     submittedAt.put(job.id(), time.now());
   }
 
-  Job job(String id) {
+  public Job job(String id) {
     return submitted.get(id);
   }
 
-  void cancelAsked(String id) {
+  public void cancelAsked(String id) {
     cancelAsked.putIfAbsent(id, time.now());
   }
 
-  int starts() {
+  public int starts() {
     return starts;
   }
 
@@ -82,20 +84,20 @@
   }
 
   /** When a user was first told that the job is cancelled, or null. */
-  Duration cancelTold(String id) {
+  public Duration cancelTold(String id) {
     return cancelTold.get(id);
   }
 
-  boolean ended(String id) {
+  public boolean ended(String id) {
     return ended.containsKey(id);
   }
 
-  boolean cancelWanted(String id) {
+  public boolean isCancelRequested(String id) {
     return cancelAsked.containsKey(id);
   }
 
   /** A task got its image and runs; {@code all} are the live workers, this one among them. */
-  void started(StandInWorker on, String task, Collection<StandInWorker> all) {
+  public void started(FakeWorker on, String task, Collection<FakeWorker> all) {
     starts++;
     String id = TaskId.parse(task).jobId();
     begun.putIfAbsent(id, time.now());
@@ -104,8 +106,8 @@
     int twins = 0;
     int inZone = 0;
     Set<String> zones = new HashSet<>();
-    for (StandInWorker worker : all) {
-      for (String other : worker.onMachine()) {
+    for (FakeWorker worker : all) {
+      for (String other : worker.runningTasks()) {
         twins += other.equals(task) ? 1 : 0;
         if (other.startsWith(id + "/")) {
           zones.add(worker.machine().zone);
@@ -123,10 +125,10 @@
   }
 
   /** The rules that concern the state of all machines. */
-  void check(Collection<StandInWorker> all) {
+  public void check(Collection<FakeWorker> all) {
     Map<String, Resources> use = new HashMap<>();
-    for (StandInWorker worker : all) {
-      for (String task : worker.onMachine()) {
+    for (FakeWorker worker : all) {
+      for (String task : worker.runningTasks()) {
         Job job = submitted.get(TaskId.parse(task).jobId());
         use.merge(job.team(), job.perTask(), Resources::plus);
         Duration told = cancelTold.get(job.id());
@@ -142,27 +144,27 @@
     }
   }
 
-  void finished(String task) {
+  public void finished(String task) {
     TaskId id = TaskId.parse(task);
     finished.computeIfAbsent(id.jobId(), key -> new HashSet<>()).add(id.index());
   }
 
   /** How many tasks of the job have completed. */
-  int doneTasks(String id) {
+  public int doneTasks(String id) {
     return finished.getOrDefault(id, Set.of()).size();
   }
 
   /** Whether this is the first time that the job is said to be accepted. */
-  boolean accepted(String id) {
+  public boolean accepted(String id) {
     answered.putIfAbsent(id, time.now());
     return accepted.putIfAbsent(id, time.now()) == null;
   }
 
-  boolean isAccepted(String id) {
+  public boolean isAccepted(String id) {
     return accepted.containsKey(id);
   }
 
-  void refused(String id, int status) {
+  public void refused(String id, int status) {
     broken(accepted.containsKey(id) && (status == 400 || status == 422), "forgotten", id);
   }
 
@@ -170,7 +172,7 @@
    * A user was told a job's state, having asked at {@code sent}; 404 stands for none. What was
    * asked before an end was told may be answered from before it.
    */
-  void told(String id, String status, Duration sent) {
+  public void told(String id, String status, Duration sent) {
     answered.put(id, time.now());
     if (status.equals("404")) {
       Duration since = accepted.get(id);
@@ -199,18 +201,18 @@
   }
 
   /** From now on there are no troubles any more. */
-  void quietFrom(Duration since) {
+  public void quietFrom(Duration since) {
     quiet = since;
   }
 
   /** What must not be so for long once all troubles are over; called once a second. */
-  void checkQuiet(Collection<StandInWorker> all) {
+  public void checkQuiet(Collection<FakeWorker> all) {
     Map<String, Resources> use = new HashMap<>();
-    Map<StandInWorker, Resources> free = new HashMap<>();
+    Map<FakeWorker, Resources> free = new HashMap<>();
     Set<String> onMachines = new HashSet<>();
-    for (StandInWorker worker : all) {
+    for (FakeWorker worker : all) {
       Resources room = worker.machine().type.capacity();
-      for (String task : worker.taken()) {
+      for (String task : worker.assignedTasks()) {
         Job job = submitted.get(TaskId.parse(task).jobId());
         room = room.minus(job.perTask());
         use.merge(job.team(), job.perTask(), Resources::plus);
@@ -225,7 +227,7 @@
       boolean waits =
           !ended.containsKey(id)
               && !cancelAsked.containsKey(id)
-              && !job.jobClass().equals(StandInWorker.BROKEN)
+              && !job.jobClass().equals(FakeWorker.FAILING_JOB_CLASS)
               // Where its other tasks are decides where the next may go; served is checked below.
               && !job.requiresSingleZone()
               && !job.requiresZoneSpread()
@@ -265,7 +267,7 @@
   }
 
   /** At the end of a day: all is served, and the largest of each class began in time. */
-  void checkServed() {
+  public void checkServed() {
     broken(starts == 0, "nothing_ran", "");
     Map<String, List<Job>> classes = new HashMap<>();
     for (String id : accepted.keySet()) {
@@ -296,7 +298,7 @@
    * Keeps the first breach for {@link #check}: an error thrown inside a future's callback would
    * only fail that future.
    */
-  void broken(boolean really, String rule, String what) {
+  public void broken(boolean really, String rule, String what) {
     if (really && breach == null) {
       breach = String.format("%s: %s at %.3f s", rule, what, time.seconds());
     }
--- a/src/test/java/io/cherryspool/sim/RuleCheckerTest.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleCheckerTest.java
@@ -1,10 +1,12 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.check;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.model.Job;
+import io.cherryspool.sim.cluster.SimulatedCluster;
+import io.cherryspool.sim.fakes.FakeWorker;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,7 +14,7 @@
 
 /** That the checks of the simulation can fail: each is told of what it must not let pass. */
 class RuleCheckerTest {
-  private final Cluster cluster = Cluster.of(1, 3);
+  private final SimulatedCluster cluster = SimulatedCluster.of(1, 3);
   private final RuleChecker rules = cluster.rules();
 
   private Job accepted(int tasks) {
@@ -115,7 +117,7 @@
       jobs.add(accepted(i < 2 ? 50 : 1));
     }
     cluster.run(30);
-    StandInWorker machine = anyMachine();
+    FakeWorker machine = anyMachine();
     for (Job job : jobs.subList(2, 11)) {
       rules.started(machine, job.id() + "/0", List.of());
     }
@@ -141,7 +143,7 @@
     assertEquals(1, rules.startsAfterCancel());
   }
 
-  private StandInWorker anyMachine() {
+  private FakeWorker anyMachine() {
     return cluster.workers().iterator().next();
   }
 }
--- a/src/test/java/io/cherryspool/sim/FaultInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
@@ -1,6 +1,8 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.cluster;
 
 import io.cherryspool.http.Endpoint;
+import io.cherryspool.sim.fakes.FakeCloud;
+import io.cherryspool.sim.fakes.FakeWorker;
 import java.time.Duration;
 import java.util.Comparator;
 import java.util.List;
@@ -10,7 +12,7 @@
 
 /** Injects faults of every kind, drawn by chance: alone, in pairs and in threes. */
 final class FaultInjector {
-  private final Cluster cluster;
+  private final SimulatedCluster cluster;
   private final SplittableRandom random;
   private final double end;
   private final Runnable guests;
@@ -19,7 +21,7 @@
    * @param end when the last may begin, in seconds
    * @param guests brings work of a team without a guarantee
    */
-  FaultInjector(Cluster cluster, double end, Runnable guests) {
+  FaultInjector(SimulatedCluster cluster, double end, Runnable guests) {
     this.cluster = cluster;
     this.random = cluster.random().split();
     this.end = end;
@@ -27,18 +29,18 @@
   }
 
   void begin() {
-    cluster.after(20, this::next);
-    cluster.state().listen(this::put);
+    cluster.schedule(20, this::next);
+    cluster.state().onPut(this::put);
   }
 
   private void next() {
     if (cluster.time().seconds() > end) {
       return;
     }
-    cluster.after(3 + random.nextDouble() * 20, this::next);
+    cluster.schedule(3 + random.nextDouble() * 20, this::next);
     // Two or three at once, or in the middle of one another: most rules break where they meet.
     for (int more = random.nextInt(6); more > 3; more--) {
-      cluster.after(random.nextDouble() * 6, this::strike);
+      cluster.schedule(random.nextDouble() * 6, this::strike);
     }
     strike();
   }
@@ -46,87 +48,89 @@
   /** What was kept for the next leader reaches every controller just as that one begins. */
   private void put(String key) {
     if (key.equals("c/leader")) {
-      List<Endpoint> all = cluster.nodes().stream().map(ControllerNode::address).toList();
+      List<Endpoint> all = cluster.nodes().stream().map(SimulatedController::address).toList();
       List.of(0, 4, 12, 40)
-          .forEach(wait -> cluster.after(wait / 1e3, () -> cluster.net().copiesTo(all)));
-      cluster.after(0.05, cluster.net()::dropReports);
+          .forEach(
+              wait -> cluster.schedule(wait / 1e3, () -> cluster.network().replayHeartbeats(all)));
+      cluster.schedule(0.05, cluster.network()::discardRecordedHeartbeats);
     }
   }
 
   private void strike() {
     Duration length = Duration.ofMillis(2000 + random.nextLong(25_000));
-    ControllerNode node = cluster.nodes().get(random.nextInt(cluster.nodes().size()));
-    ControllerNode leader = cluster.leading().orElse(node);
+    SimulatedController node = cluster.nodes().get(random.nextInt(cluster.nodes().size()));
+    SimulatedController leader = cluster.currentLeader().orElse(node);
     switch (random.nextInt(37)) {
       case 0 -> node.crash(Duration.ofMillis(200 + random.nextLong(8000)));
       case 1 ->
           cluster
               .nodes()
               .forEach(item -> item.crash(Duration.ofMillis(500 + random.nextLong(8000))));
-      case 2 -> cluster.outage(length);
+      case 2 -> cluster.stateStoreOutage(length);
       case 3 -> {
         cluster.cloud().setDown(true);
         later(length, () -> cluster.cloud().setDown(false));
       }
-      case 4 -> node.cutFromState(length);
+      case 4 -> node.cutFromStateStore(length);
       case 5 -> {
-        for (StandInCloud.Machine machine : cluster.cloud().up()) {
+        for (FakeCloud.Machine machine : cluster.cloud().up()) {
           if (random.nextInt(3) > 0) {
-            cluster.net().cut(node.address().host(), machine.host, length);
+            cluster.network().cut(node.address().host(), machine.host, length);
           }
         }
       }
       case 6 -> anyWorker().ifPresent(worker -> worker.hang(length));
-      case 7 -> anyWorker().ifPresent(StandInWorker::die);
+      case 7 -> anyWorker().ifPresent(FakeWorker::kill);
       case 8 ->
           anyWorker()
               .ifPresent(
                   worker -> {
-                    worker.warn(6);
-                    cluster.after(6, () -> cluster.cloud().take(worker.machine().name));
+                    worker.setPreemptionNotice(6);
+                    cluster.schedule(6, () -> cluster.cloud().reclaim(worker.machine().name));
                   });
-      case 9 -> anyWorker().ifPresent(worker -> cluster.net().deafen(host(worker), length));
+      case 9 ->
+          anyWorker().ifPresent(worker -> cluster.network().dropInbound(host(worker), length));
       case 10 -> node.isolate(length);
       case 11 -> {
         // Back at once, and maybe gone again in the middle of the election that follows.
         node.crash(Duration.ofMillis(50 + random.nextLong(400)));
-        cluster.after(0.5 + random.nextDouble(), () -> node.crash(Duration.ofMillis(100)));
+        cluster.schedule(0.5 + random.nextDouble(), () -> node.crash(Duration.ofMillis(100)));
       }
       case 12 -> leader.isolate(length);
       case 13 -> node.freeze(length);
       case 14 -> leader.freeze(Duration.ofMillis(500 + random.nextLong(40_000)));
       case 15 ->
-          cluster.net().cutZone(anyZone(), Duration.ofMillis(5000 + random.nextLong(45_000)));
+          cluster.network().cutZone(anyZone(), Duration.ofMillis(5000 + random.nextLong(45_000)));
       case 16 -> {
-        cluster.refuseMesh(true);
-        later(length, () -> cluster.refuseMesh(false));
+        cluster.setMeshDown(true);
+        later(length, () -> cluster.setMeshDown(false));
       }
       case 17 -> {
         for (int i = 0; i < cluster.nodes().size(); i++) {
-          ControllerNode each = cluster.nodes().get(i);
-          cluster.after(6 * i, () -> each.crash(Duration.ofMillis(200 + random.nextLong(6000))));
+          SimulatedController each = cluster.nodes().get(i);
+          cluster.schedule(6 * i, () -> each.crash(Duration.ofMillis(200 + random.nextLong(6000))));
         }
       }
       case 18 -> {
-        cluster.state().holdBack(0.1 + random.nextDouble() / 2);
-        later(length, () -> cluster.state().holdBack(0));
+        cluster.state().delayCommits(0.1 + random.nextDouble() / 2);
+        later(length, () -> cluster.state().delayCommits(0));
       }
-      case 19 -> node.refuse(length);
-      case 20 -> leader.refuse(length);
+      case 19 -> node.refuseByStateStore(length);
+      case 20 -> leader.refuseByStateStore(length);
       case 21 -> {
         cluster.users().storm(8);
         later(length, () -> cluster.users().storm(1));
       }
       case 22 -> guests.run();
       case 23 -> node.crash(Duration.ofMillis(12_000 + random.nextLong(78_000)));
-      case 24 -> anyWorker().ifPresent(worker -> worker.sicken(length.multipliedBy(3)));
+      case 24 -> anyWorker().ifPresent(worker -> worker.failTasksFor(length.multipliedBy(3)));
       case 25 -> {
-        cluster.state().loseAnswers(0.1 + random.nextDouble() / 2);
-        later(length, () -> cluster.state().loseAnswers(0));
+        cluster.state().loseReplies(0.1 + random.nextDouble() / 2);
+        later(length, () -> cluster.state().loseReplies(0));
       }
-      case 26 -> cluster.net().keepReports();
-      case 27 -> someWorkers(worker -> cluster.net().mute(host(worker), length));
-      case 28 -> someWorkers(worker -> cluster.net().deafen(host(worker), length));
+      case 26 -> cluster.network().recordHeartbeats();
+      case 27 -> someWorkers(worker -> cluster.network().mute(host(worker), length));
+      case 28 -> someWorkers(worker -> cluster.network().dropInbound(host(worker), length));
       case 29 -> cancelRunning();
       case 30 -> {
         cluster.users().cancelAtEnd(0.5);
@@ -138,23 +142,23 @@
       }
       case 32 -> gap(leader);
       case 34 -> {
-        cluster.state().slow(1500);
-        later(length, () -> cluster.state().slow(0));
+        cluster.state().delayReplies(1500);
+        later(length, () -> cluster.state().delayReplies(0));
       }
       case 35 -> {
-        cluster.net().slow(600);
-        later(length, () -> cluster.net().slow(0));
+        cluster.network().setMaxExtraDelay(600);
+        later(length, () -> cluster.network().setMaxExtraDelay(0));
       }
       case 33 -> {
-        cluster.cloud().bootFast(true);
-        later(length.multipliedBy(2), () -> cluster.cloud().bootFast(false));
+        cluster.cloud().setFastBoot(true);
+        later(length.multipliedBy(2), () -> cluster.cloud().setFastBoot(false));
       }
       default -> {
         String zone = anyZone();
-        for (ControllerNode item : cluster.nodes()) {
-          for (StandInCloud.Machine machine : cluster.cloud().up()) {
+        for (SimulatedController item : cluster.nodes()) {
+          for (FakeCloud.Machine machine : cluster.cloud().up()) {
             if (machine.zone.equals(zone) != item.zone().equals(zone)) {
-              cluster.net().cut(item.address().host(), machine.host, length);
+              cluster.network().cut(item.address().host(), machine.host, length);
             }
           }
         }
@@ -163,58 +167,60 @@
   }
 
   /** The leader alone loses the state service, jobs are cancelled, then all lose it for long. */
-  private void gap(ControllerNode leader) {
-    leader.refuse(Duration.ofSeconds(14));
+  private void gap(SimulatedController leader) {
+    leader.refuseByStateStore(Duration.ofSeconds(14));
     double pause = 0.2 + random.nextDouble() * 6;
-    cluster.after(random.nextDouble() * pause, this::cancelRunning);
-    cluster.after(
+    cluster.schedule(random.nextDouble() * pause, this::cancelRunning);
+    cluster.schedule(
         pause,
-        () -> cluster.outage(Cluster.CANCEL.plus(Duration.ofMillis(random.nextLong(15_000)))));
+        () ->
+            cluster.stateStoreOutage(
+                SimulatedCluster.CANCEL_LIMIT.plus(Duration.ofMillis(random.nextLong(15_000)))));
   }
 
   /** Some jobs that run are called off at once; some of their machines hang meanwhile. */
   private void cancelRunning() {
     List<String> ids =
         cluster.workers().stream()
-            .flatMap(worker -> worker.onMachine().stream())
+            .flatMap(worker -> worker.runningTasks().stream())
             .map(task -> task.substring(0, task.lastIndexOf('/')))
             .distinct()
-            .filter(id -> !cluster.rules().cancelWanted(id))
+            .filter(id -> !cluster.rules().isCancelRequested(id))
             .sorted(Comparator.reverseOrder())
             .limit(1 + random.nextInt(4))
             .toList();
     boolean hang = random.nextBoolean();
     for (String id : ids) {
-      cluster.after(random.nextDouble() / 5, () -> cluster.users().cancel(id));
+      cluster.schedule(random.nextDouble() / 5, () -> cluster.users().cancel(id));
       if (hang) {
         Duration length = Duration.ofMillis(1000 + random.nextLong(30_000));
         cluster.workers().stream()
-            .filter(worker -> worker.onMachine().stream().anyMatch(task -> task.startsWith(id)))
+            .filter(worker -> worker.runningTasks().stream().anyMatch(task -> task.startsWith(id)))
             .limit(2)
             .forEach(worker -> worker.hang(length));
       }
     }
   }
 
-  private void someWorkers(Consumer<StandInWorker> what) {
-    for (StandInWorker worker : List.copyOf(cluster.workers())) {
+  private void someWorkers(Consumer<FakeWorker> what) {
+    for (FakeWorker worker : List.copyOf(cluster.workers())) {
       if (random.nextInt(3) == 0) {
         what.accept(worker);
       }
     }
   }
 
-  private Optional<StandInWorker> anyWorker() {
+  private Optional<FakeWorker> anyWorker() {
     return cluster.workers().isEmpty()
         ? Optional.empty()
         : cluster.workers().stream().skip(random.nextInt(cluster.workers().size())).findFirst();
   }
 
   private String anyZone() {
-    return Cluster.ZONES.get(random.nextInt(Cluster.ZONES.size()));
+    return SimulatedCluster.ZONES.get(random.nextInt(SimulatedCluster.ZONES.size()));
   }
 
-  private static String host(StandInWorker worker) {
+  private static String host(FakeWorker worker) {
     return worker.machine().host;
   }
 
--- a/src/test/java/io/cherryspool/sim/Simulation.java
+++ b/src/test/java/io/cherryspool/sim/cluster/RandomizedRun.java
@@ -1,8 +1,9 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.cluster;
 
 import io.cherryspool.model.Job;
 import io.cherryspool.model.Priority;
 import io.cherryspool.model.Resources;
+import io.cherryspool.sim.fakes.FakeWorker;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.SplittableRandom;
@@ -11,76 +12,76 @@
  * A random day: work of every kind arrives at a cluster that has random troubles. The rules are
  * checked after each step, and at the end every job that nobody cancelled must be done.
  */
-final class Simulation {
-  private final Cluster cluster;
+public final class RandomizedRun {
+  private final SimulatedCluster cluster;
   private final SplittableRandom random;
   private double arrivalEnd;
 
-  Simulation(long seed) {
-    this(Cluster.random(seed));
+  public RandomizedRun(long seed) {
+    this(SimulatedCluster.random(seed));
   }
 
-  Simulation(Cluster cluster) {
+  public RandomizedRun(SimulatedCluster cluster) {
     this.cluster = cluster;
     random = cluster.random().split();
   }
 
-  Cluster cluster() {
+  public SimulatedCluster cluster() {
     return cluster;
   }
 
   /** Plays a day: troubles for a while, then quiet until everything has to be over. */
-  void play(double troubles, double quiet) {
+  public void play(double troubles, double quiet) {
     play(troubles, quiet, new FaultInjector(cluster, troubles - 30, this::visit)::begin);
   }
 
   /** Plays a day on which the state service loses its data again and again. */
-  void playWithLosses(double troubles, double quiet) {
-    play(troubles, quiet, new LossInjector(cluster, troubles - 30)::begin);
+  public void playWithLosses(double troubles, double quiet) {
+    play(troubles, quiet, new StateLossInjector(cluster, troubles - 30)::begin);
   }
 
   private void play(double troubles, double quiet, Runnable faults) {
     arrivalEnd = troubles;
-    cluster.net().copyReports(true);
-    cluster.after(troubles, () -> cluster.net().copyReports(false));
-    cluster.after(1, this::arrive);
+    cluster.network().setDuplicatingHeartbeats(true);
+    cluster.schedule(troubles, () -> cluster.network().setDuplicatingHeartbeats(false));
+    cluster.schedule(1, this::arrive);
     faults.run();
-    cluster.run(troubles + Cluster.CANCEL.toSeconds());
+    cluster.run(troubles + SimulatedCluster.CANCEL_LIMIT.toSeconds());
     // The last of the troubles is over; from here on nothing excuses silence or idle room.
     cluster.rules().quietFrom(cluster.time().now());
     watch();
-    cluster.run(quiet - Cluster.CANCEL.toSeconds());
+    cluster.run(quiet - SimulatedCluster.CANCEL_LIMIT.toSeconds());
     cluster.rules().checkServed();
     cluster.rules().check(cluster.workers());
   }
 
   /** Plays on with arriving work and no troubles but those that the caller makes. */
-  void playQuietly(double seconds) {
+  public void playQuietly(double seconds) {
     if (arrivalEnd == 0) {
       arrivalEnd = Double.MAX_VALUE;
-      cluster.after(1, this::arrive);
+      cluster.schedule(1, this::arrive);
     }
     cluster.run(seconds);
   }
 
   private void watch() {
     cluster.rules().checkQuiet(cluster.workers());
-    cluster.after(1, this::watch);
+    cluster.schedule(1, this::watch);
   }
 
   private void arrive() {
     if (cluster.time().seconds() > arrivalEnd) {
       return;
     }
-    cluster.after(0.5 + random.nextDouble() * 6, this::arrive);
+    cluster.schedule(0.5 + random.nextDouble() * 6, this::arrive);
     if (random.nextInt(10) == 0) {
-      cluster.users().submitNonsense(job("lane", "red", Priority.NORMAL, 1, 1));
-      cluster.users().askForNothing();
+      cluster.users().submitInvalid(job("lane", "red", Priority.NORMAL, 1, 1));
+      cluster.users().askForUnknownJob();
     }
     boolean broken = random.nextInt(12) == 0;
     int size = 1 + random.nextInt(random.nextInt(10) == 0 ? 80 : 8);
     arrive(
-        broken ? StandInWorker.BROKEN : "lane",
+        broken ? FakeWorker.FAILING_JOB_CLASS : "lane",
         random.nextBoolean() ? "red" : "blue",
         random.nextInt(3) == 0 ? Priority.HIGH : Priority.NORMAL,
         size,
@@ -101,15 +102,15 @@
     Job job = job(jobClass, team, priority, size, cpus);
     cluster.users().submit(job);
     if (cancelled) {
-      cluster.after(random.nextDouble() * 25, () -> cluster.users().cancel(job.id()));
+      cluster.schedule(random.nextDouble() * 25, () -> cluster.users().cancel(job.id()));
     }
     if (random.nextInt(4) == 0) {
       // A repeated submission, maybe through another node, maybe after the end.
-      cluster.after(random.nextDouble() * 60, () -> cluster.users().repeat(job));
+      cluster.schedule(random.nextDouble() * 60, () -> cluster.users().resubmit(job));
     }
     if (random.nextInt(12) == 0) {
       // A cancel that mostly finds the job done; where it does not, the job counts as cancelled.
-      cluster.after(60 + random.nextDouble() * 60, () -> cluster.users().cancel(job.id()));
+      cluster.schedule(60 + random.nextDouble() * 60, () -> cluster.users().cancel(job.id()));
     }
   }
 
@@ -125,7 +126,7 @@
         "img-" + random.nextInt(3),
         1,
         null,
-        random.nextInt(8) == 0 ? Cluster.ZONES.get(random.nextInt(3)) : null,
+        random.nextInt(8) == 0 ? SimulatedCluster.ZONES.get(random.nextInt(3)) : null,
         random.nextInt(8) == 0,
         random.nextInt(8) == 0,
         random.nextInt(4) != 0,
--- a/src/test/java/io/cherryspool/sim/Cluster.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.cluster;
 
 import io.cherryspool.config.OperatorSettings;
 import io.cherryspool.config.RecoverySettings;
@@ -11,6 +11,13 @@
 import io.cherryspool.model.Resources;
 import io.cherryspool.model.Team;
 import io.cherryspool.reachability.VerdictRule;
+import io.cherryspool.sim.check.RuleChecker;
+import io.cherryspool.sim.fakes.FakeCloud;
+import io.cherryspool.sim.fakes.FakeStateStore;
+import io.cherryspool.sim.fakes.FakeWorker;
+import io.cherryspool.sim.network.SimulatedNetwork;
+import io.cherryspool.sim.time.ProcessInbox;
+import io.cherryspool.sim.time.VirtualTime;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.time.Instant;
@@ -31,12 +38,12 @@
  * makes no trouble by itself: a directed test brings its own, random days let {@link FaultInjector}
  * do.
  */
-final class Cluster {
-  static final List<String> ZONES = List.of("a", "b", "c");
+public final class SimulatedCluster {
+  public static final List<String> ZONES = List.of("a", "b", "c");
   static final Endpoint STATE = new Endpoint("10.2.0.1", 2379);
-  static final Duration REPORT = Duration.ofMillis(2500);
-  static final Duration LEASE = Duration.ofSeconds(16);
-  static final Duration CANCEL = Duration.ofSeconds(36);
+  static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(2500);
+  public static final Duration LEASE = Duration.ofSeconds(16);
+  public static final Duration CANCEL_LIMIT = Duration.ofSeconds(36);
   private static final double WRITES = 60;
   private static final Endpoint CLOUD = new Endpoint("10.2.0.2", 8443);
 
@@ -66,35 +73,35 @@
   private final SplittableRandom random;
   private final double writeRate;
   private final double faults;
-  private final SimNet net;
-  private final StandInState state;
-  private final StandInCloud cloud;
+  private final SimulatedNetwork network;
+  private final FakeStateStore state;
+  private final FakeCloud cloud;
   private final RuleChecker rules;
-  private final Users users;
-  private final List<ControllerNode> nodes = new ArrayList<>();
+  private final SimulatedUsers users;
+  private final List<SimulatedController> nodes = new ArrayList<>();
   private final Map<String, Endpoint> nodeAddresses = new LinkedHashMap<>();
-  private final Map<String, StandInWorker> workers = new TreeMap<>();
+  private final Map<String, FakeWorker> workers = new TreeMap<>();
   private final Map<String, String> zoneByHost = new HashMap<>();
-  private final OperatorSettings operators;
-  private final Optional<VerdictRule> verdicts;
-  private boolean meshRefused;
+  private final OperatorSettings operatorSettings;
+  private final Optional<VerdictRule> verdictRule;
+  private boolean isMeshDown;
   private int jobCount;
 
   /** Three to five controllers, and a state service that loses an answer now and then. */
-  static Cluster random(long seed) {
+  static SimulatedCluster random(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    return new Cluster(
+    return new SimulatedCluster(
         random, 3 + random.nextInt(3), 0.01, WRITES, 0.03, Optional.empty(), Optional.empty());
   }
 
   /** So many controllers, and nothing lost that the test does not lose itself. */
-  static Cluster of(long seed, int controllers) {
+  public static SimulatedCluster of(long seed, int controllers) {
     return of(seed, controllers, WRITES);
   }
 
   /** As above, with a state service that takes so many changes a second. */
-  static Cluster of(long seed, int controllers, double writeRate) {
-    return new Cluster(
+  public static SimulatedCluster of(long seed, int controllers, double writeRate) {
+    return new SimulatedCluster(
         new SplittableRandom(seed),
         controllers,
         0,
@@ -105,13 +112,13 @@
   }
 
   /** So many controllers that look for losses of their state, and rebuild it. */
-  static Cluster recovering(long seed, int controllers) {
+  public static SimulatedCluster recovering(long seed, int controllers) {
     return recovering(seed, controllers, RecoverySettings.DEFAULTS);
   }
 
   /** As above; with a directory for snapshots each node has a disk that outlives its processes. */
-  static Cluster recovering(long seed, int controllers, RecoverySettings recovery) {
-    return new Cluster(
+  public static SimulatedCluster recovering(long seed, int controllers, RecoverySettings recovery) {
+    return new SimulatedCluster(
         new SplittableRandom(seed),
         controllers,
         0,
@@ -122,22 +129,22 @@
   }
 
   /** A random cluster whose nodes obey these verdicts on their links. */
-  static Cluster judgedBy(long seed, VerdictRule verdicts) {
+  public static SimulatedCluster withVerdicts(long seed, VerdictRule verdicts) {
     SplittableRandom random = new SplittableRandom(seed);
-    return new Cluster(
+    return new SimulatedCluster(
         random, 3 + random.nextInt(3), 0.01, WRITES, 0.03, Optional.empty(), Optional.of(verdicts));
   }
 
   /** Who judges the nodes' links, if it is not to be done as usual. */
-  Optional<VerdictRule> verdicts() {
-    return verdicts;
+  Optional<VerdictRule> verdictRule() {
+    return verdictRule;
   }
 
-  OperatorSettings operators() {
-    return operators;
+  OperatorSettings operatorSettings() {
+    return operatorSettings;
   }
 
-  private Cluster(
+  private SimulatedCluster(
       SplittableRandom random,
       int controllers,
       double unanswered,
@@ -145,9 +152,9 @@
       double faults,
       Optional<RecoverySettings> recovery,
       Optional<VerdictRule> verdicts) {
-    this.verdicts = verdicts;
+    this.verdictRule = verdicts;
     OperatorSettings defaults = OperatorSettings.DEFAULTS;
-    this.operators =
+    this.operatorSettings =
         new OperatorSettings(
             defaults.roundMax(),
             defaults.stateLease(),
@@ -159,84 +166,87 @@
     this.random = random;
     this.writeRate = writeRate;
     this.faults = faults;
-    net = new SimNet(time, random.split(), host -> zoneByHost.getOrDefault(host, ""));
-    rules = new RuleChecker(time, TEAMS, CANCEL);
-    state = new StandInState(time, random.split(), unanswered);
+    network = new SimulatedNetwork(time, random.split(), host -> zoneByHost.getOrDefault(host, ""));
+    rules = new RuleChecker(time, TEAMS, CANCEL_LIMIT);
+    state = new FakeStateStore(time, random.split(), unanswered);
     cloud =
-        new StandInCloud(
+        new FakeCloud(
             time,
             random.split(),
             List.of(BOX, CRATE),
             12,
-            StandInCloud.NETWORK,
+            FakeCloud.NETWORK,
             this::boot,
             this::end);
-    state.limitWrites(writeRate);
-    net.listen(STATE, state);
-    net.listen(CLOUD, cloud);
+    state.limitWriteRate(writeRate);
+    network.listen(STATE, state);
+    network.listen(CLOUD, cloud);
     for (int i = 0; i < controllers; i++) {
       Endpoint address = new Endpoint("10.0.0." + (i + 1), 8080);
       nodeAddresses.put("node-" + i, address);
       zoneByHost.put(address.host(), ZONES.get(i % 3));
-      nodes.add(new ControllerNode(this, random.split(), i, address));
+      nodes.add(new SimulatedController(this, random.split(), i, address));
     }
-    users = new Users(time, net, random.split(), rules, List.copyOf(nodeAddresses.values()));
-    nodes.forEach(ControllerNode::begin);
+    users =
+        new SimulatedUsers(
+            time, network, random.split(), rules, List.copyOf(nodeAddresses.values()));
+    nodes.forEach(SimulatedController::start);
     for (int i = 0; i < 5; i++) {
-      cloud.add("box", ZONES.get(i % 3), i % 2 == 0, Duration.ofSeconds(1));
+      cloud.addMachine("box", ZONES.get(i % 3), i % 2 == 0, Duration.ofSeconds(1));
     }
   }
 
-  VirtualTime time() {
+  public VirtualTime time() {
     return time;
   }
 
-  SimNet net() {
-    return net;
+  public SimulatedNetwork network() {
+    return network;
   }
 
-  StandInState state() {
+  public FakeStateStore state() {
     return state;
   }
 
-  StandInCloud cloud() {
+  public FakeCloud cloud() {
     return cloud;
   }
 
-  RuleChecker rules() {
+  public RuleChecker rules() {
     return rules;
   }
 
-  Users users() {
+  public SimulatedUsers users() {
     return users;
   }
 
-  SplittableRandom random() {
+  public SplittableRandom random() {
     return random;
   }
 
-  List<ControllerNode> nodes() {
+  public List<SimulatedController> nodes() {
     return Collections.unmodifiableList(nodes);
   }
 
   /** The machines that are up, by name. */
-  Collection<StandInWorker> workers() {
+  public Collection<FakeWorker> workers() {
     return Collections.unmodifiableCollection(workers.values());
   }
 
   /** Those of the machines that run tasks of the job. */
-  List<StandInWorker> running(Job job) {
+  public List<FakeWorker> workersRunning(Job job) {
     return workers.values().stream()
         .filter(
-            worker -> worker.onMachine().stream().anyMatch(task -> task.startsWith(job.id() + "/")))
+            worker ->
+                worker.runningTasks().stream().anyMatch(task -> task.startsWith(job.id() + "/")))
         .toList();
   }
 
   /** How many tasks of the job run. */
-  int runningTasks(Job job) {
+  public int runningTaskCount(Job job) {
     return (int)
         workers.values().stream()
-            .flatMap(worker -> worker.onMachine().stream())
+            .flatMap(worker -> worker.runningTasks().stream())
             .filter(task -> task.startsWith(job.id() + "/"))
             .count();
   }
@@ -258,9 +268,9 @@
         STATE,
         TEAMS,
         Map.of(),
-        REPORT,
+        HEARTBEAT_INTERVAL,
         LEASE,
-        CANCEL,
+        CANCEL_LIMIT,
         new Settings.StateStoreLimits(150, writeRate, 2048, 12),
         6,
         Duration.ofSeconds(6),
@@ -271,50 +281,51 @@
     return new Endpoint(nodeAddresses.get("node-" + index).host(), 8081);
   }
 
-  private void boot(StandInCloud.Machine machine) {
+  private void boot(FakeCloud.Machine machine) {
     zoneByHost.put(machine.host, machine.zone);
-    StandInWorker worker =
-        new StandInWorker(
+    FakeWorker worker =
+        new FakeWorker(
             time,
             random.split(),
-            net.from(machine.host, Gate.open()),
+            network.from(machine.host, ProcessInbox.alwaysOpen()),
             machine,
             nodeAddresses,
             rules::job,
-            REPORT,
+            HEARTBEAT_INTERVAL,
             LEASE,
             faults,
             (on, task) -> rules.started(on, task, workers.values()),
             this::finished);
     workers.put(machine.name, worker);
-    net.listen(Endpoint.parse(machine.address()), worker);
+    network.listen(Endpoint.parse(machine.address()), worker);
   }
 
   private void finished(String task) {
     rules.finished(task);
-    users.finished(task);
+    users.taskFinished(task);
   }
 
-  private void end(StandInCloud.Machine machine) {
-    StandInWorker worker = workers.remove(machine.name);
+  private void end(FakeCloud.Machine machine) {
+    FakeWorker worker = workers.remove(machine.name);
     if (worker != null) {
-      worker.die();
-      net.close(Endpoint.parse(machine.address()));
+      worker.kill();
+      network.close(Endpoint.parse(machine.address()));
     }
   }
 
   /** A job of its own number; any machine and zone will do, and it never saves. */
-  Job job(String team, int tasks, double cpus, Duration run) {
+  public Job job(String team, int tasks, double cpus, Duration run) {
     return job(team, Priority.NORMAL, tasks, cpus, run, null, false);
   }
 
   /** One that goes before others. */
-  Job urgentJob(String team, int tasks, double cpus, Duration run) {
+  public Job urgentJob(String team, int tasks, double cpus, Duration run) {
     return job(team, Priority.HIGH, tasks, cpus, run, null, false);
   }
 
   /** One that may run in a named zone only, or in any, but all of it in the same. */
-  Job boundJob(String team, int tasks, double cpus, Duration run, String zone, boolean oneZone) {
+  public Job zoneBoundJob(
+      String team, int tasks, double cpus, Duration run, String zone, boolean oneZone) {
     return job(team, Priority.NORMAL, tasks, cpus, run, zone, oneZone);
   }
 
@@ -353,80 +364,82 @@
   }
 
   /** Goes on for so long; a broken rule fails the test at that step. */
-  void run(Duration length) {
+  public void run(Duration length) {
     Duration until = time.now().plus(length);
-    while (time.step(until)) {
+    while (time.runNextEvent(until)) {
       rules.check(workers.values());
     }
   }
 
-  void run(double seconds) {
+  public void run(double seconds) {
     run(Duration.ofNanos((long) (seconds * 1e9)));
   }
 
-  void after(double seconds, Runnable task) {
+  public void schedule(double seconds, Runnable task) {
     time.schedule(Duration.ofNanos((long) (seconds * 1e9)), task);
   }
 
-  Optional<ControllerNode> leading() {
-    return nodes.stream().filter(ControllerNode::leads).findFirst();
+  public Optional<SimulatedController> currentLeader() {
+    return nodes.stream().filter(SimulatedController::isLeader).findFirst();
   }
 
   /** Another than this one that leads. */
-  Optional<ControllerNode> leadingBeside(ControllerNode old) {
-    return nodes.stream().filter(node -> node != old && node.leads()).findFirst();
+  public Optional<SimulatedController> leaderOtherThan(SimulatedController old) {
+    return nodes.stream().filter(node -> node != old && node.isLeader()).findFirst();
   }
 
   /** Who leads; a test that calls this rests on there being one. */
-  ControllerNode leader() {
-    return leading().orElseThrow(() -> new AssertionError("nobody leads at " + time.seconds()));
+  public SimulatedController leader() {
+    return currentLeader()
+        .orElseThrow(() -> new AssertionError("nobody leads at " + time.seconds()));
   }
 
   /** The controller next to this one. */
-  ControllerNode other(ControllerNode node) {
+  public SimulatedController nodeAfter(SimulatedController node) {
     return nodes.get((nodes.indexOf(node) + 1) % nodes.size());
   }
 
-  boolean meshRefused() {
-    return meshRefused;
+  boolean isMeshDown() {
+    return isMeshDown;
   }
 
-  void refuseMesh(boolean value) {
-    meshRefused = value;
+  public void setMeshDown(boolean value) {
+    isMeshDown = value;
   }
 
-  void outage(Duration length) {
+  public void stateStoreOutage(Duration length) {
     state.setDown(true);
     time.schedule(length, () -> state.setDown(false));
   }
 
   /** Cuts the leader off from all machines, and from nothing else; returns its name. */
-  String cutLeaderFromWorkers(Duration length) {
-    ControllerNode node = leader();
+  public String cutLeaderFromWorkers(Duration length) {
+    SimulatedController node = leader();
     workers
         .values()
-        .forEach(worker -> net.cut(node.address().host(), worker.machine().host, length));
+        .forEach(worker -> network.cut(node.address().host(), worker.machine().host, length));
     return node.name();
   }
 
   /** Stops the machine with most tasks, which the cloud does not say for a while. */
-  String killBusiestMachine() {
-    StandInWorker victim =
+  public String killBusiestMachine() {
+    FakeWorker victim =
         workers.values().stream()
-            .max(Comparator.comparingInt(worker -> worker.onMachine().size()))
+            .max(Comparator.comparingInt(worker -> worker.runningTasks().size()))
             .orElseThrow();
-    victim.die();
+    victim.kill();
     return victim.machine().name;
   }
 
-  boolean rented(String machine) {
+  public boolean isRented(String machine) {
     return cloud.up().stream().anyMatch(item -> item.name.equals(machine));
   }
 
   /** An operator asks any node; returns the status of the answer, 0 without one. */
-  int operator(String what, String body) {
+  public int postRecoveryCommand(String what, String body) {
     int[] status = {0};
-    net.from("operator", Gate.open())
+    network
+        .from("operator", ProcessInbox.alwaysOpen())
         .send(
             nodes.get(0).address(),
             Request.post("/recovery/" + what, body.getBytes(StandardCharsets.UTF_8)),
@@ -437,7 +450,7 @@
   }
 
   /** How often a worker's lease ran out, over all machines that live. */
-  long leasesLost() {
-    return workers.values().stream().mapToLong(worker -> worker.session() - 1).sum();
+  public long expiredLeases() {
+    return workers.values().stream().mapToLong(worker -> worker.agentEpoch() - 1).sum();
   }
 }
--- a/src/test/java/io/cherryspool/sim/ControllerNode.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
@@ -1,10 +1,12 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.cluster;
 
 import io.cherryspool.config.RecoverySettings;
 import io.cherryspool.controller.Controller;
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.reachability.Verdict;
+import io.cherryspool.sim.fakes.InMemorySnapshotStore;
+import io.cherryspool.sim.time.ProcessInbox;
 import io.micrometer.core.instrument.MeterRegistry;
 import java.time.Duration;
 import java.time.Instant;
@@ -13,66 +15,67 @@
 import java.util.random.RandomGenerator;
 
 /** A controller's place, in which processes come and go. */
-final class ControllerNode {
-  private final Cluster cluster;
+public final class SimulatedController {
+  private final SimulatedCluster cluster;
   private final RandomGenerator random;
   private final int index;
   private final Endpoint address;
-  private final MemorySnapshots disk = new MemorySnapshots();
-  private Gate gate;
+  private final InMemorySnapshotStore snapshotStore = new InMemorySnapshotStore();
+  private ProcessInbox gate;
   private boolean still;
   private boolean alone;
   private int life;
   private Controller controller;
 
-  ControllerNode(Cluster cluster, RandomGenerator random, int index, Endpoint address) {
+  SimulatedController(
+      SimulatedCluster cluster, RandomGenerator random, int index, Endpoint address) {
     this.cluster = cluster;
     this.random = random;
     this.index = index;
     this.address = address;
   }
 
-  void begin() {
+  void start() {
     life++;
-    Gate own = new Gate();
+    ProcessInbox own = new ProcessInbox();
     gate = own;
     still = false;
     controller =
         new Controller(
             cluster.settings(index),
-            cluster.operators(),
+            cluster.operatorSettings(),
             new Controller.Dependencies(
-                cluster.time().of(own),
-                cluster.net().from(address.host(), own),
+                cluster.time().eventLoopOf(own),
+                cluster.network().from(address.host(), own),
                 heartbeat -> broadcast(own, heartbeat),
                 new SplittableRandom(random.nextLong()),
                 () -> Instant.EPOCH.plus(cluster.time().now()),
                 name() + "-life-" + life,
                 () -> "",
                 cluster
-                    .operators()
+                    .operatorSettings()
                     .recovery()
                     .flatMap(RecoverySettings::snapshotDirectory)
-                    .map(directory -> new Controller.SnapshotTarget(disk, Runnable::run)),
-                cluster.verdicts()));
-    cluster.net().listen(address, controller, own);
+                    .map(directory -> new Controller.SnapshotTarget(snapshotStore, Runnable::run)),
+                cluster.verdictRule()));
+    cluster.network().listen(address, controller, own);
     controller.start();
   }
 
   /** Adds the node's meters to the registry. */
-  void bindTo(MeterRegistry registry) {
+  public void bindTo(MeterRegistry registry) {
     controller.bindTo(registry);
   }
 
-  private void broadcast(Gate own, Mesh.PeerHeartbeat heartbeat) {
-    if (own.closed() || alone || cluster.meshRefused()) {
+  private void broadcast(ProcessInbox own, Mesh.PeerHeartbeat heartbeat) {
+    if (own.isClosed() || alone || cluster.isMeshDown()) {
       return;
     }
-    for (ControllerNode other : cluster.nodes()) {
+    for (SimulatedController other : cluster.nodes()) {
       if (other != this) {
         cluster
-            .net()
-            .passes(address.host(), other.address.host())
+            .network()
+            .datagramDelay(address.host(), other.address.host())
             .ifPresent(
                 delay ->
                     cluster.time().schedule(delay.plusMillis(2), () -> other.receive(heartbeat)));
@@ -87,80 +90,80 @@
     }
   }
 
-  String name() {
+  public String name() {
     return "node-" + index;
   }
 
-  Endpoint address() {
+  public Endpoint address() {
     return address;
   }
 
-  String zone() {
-    return Cluster.ZONES.get(index % Cluster.ZONES.size());
+  public String zone() {
+    return SimulatedCluster.ZONES.get(index % SimulatedCluster.ZONES.size());
   }
 
   /** What its process does about its links now; empty while it is away. */
-  Optional<Verdict> verdict() {
+  public Optional<Verdict> verdict() {
     return Optional.ofNullable(controller).map(Controller::verdict);
   }
 
   /** Whether its process leads now and may act for the controllers. */
-  boolean leads() {
+  public boolean isLeader() {
     return controller != null && controller.isLeading();
   }
 
   /** What its disk holds, whichever process wrote it. */
-  MemorySnapshots disk() {
-    return disk;
+  public InMemorySnapshotStore snapshotStore() {
+    return snapshotStore;
   }
 
   /** Whether its process rebuilds lost records. */
-  boolean rebuilds() {
+  public boolean isRebuilding() {
     return controller != null && controller.isRebuilding();
   }
 
   /** Loses the state service and the other controllers, but not its workers. */
-  void isolate(Duration length) {
+  public void isolate(Duration length) {
     alone = true;
-    cutFromState(length);
+    cutFromStateStore(length);
     cluster.time().schedule(length, () -> alone = false);
   }
 
-  void cutFromState(Duration length) {
-    cluster.net().cut(address.host(), Cluster.STATE.host(), length);
+  public void cutFromStateStore(Duration length) {
+    cluster.network().cut(address.host(), SimulatedCluster.STATE.host(), length);
   }
 
   /** The state service refuses this node alone. */
-  void refuse(Duration length) {
-    cluster.net().refuse(address.host(), Cluster.STATE.host(), length);
+  public void refuseByStateStore(Duration length) {
+    cluster.network().refuseRequests(address.host(), SimulatedCluster.STATE.host(), length);
   }
 
   /** Does nothing for so long, while its clocks run on. */
-  void freeze(Duration length) {
+  public void freeze(Duration length) {
     if (controller != null && !still) {
       still = true;
-      Gate own = gate;
-      own.standStill();
+      ProcessInbox own = gate;
+      own.freeze();
       long seed = random.nextLong();
       cluster
           .time()
           .schedule(
               length,
               () -> {
-                if (!own.closed()) {
+                if (!own.isClosed()) {
                   still = false;
-                  own.goOn(seed);
+                  own.resume(seed);
                 }
               });
     }
   }
 
-  void crash(Duration down) {
+  public void crash(Duration down) {
     if (controller != null) {
       gate.close();
       controller = null;
-      cluster.net().close(address);
-      cluster.time().schedule(down, this::begin);
+      cluster.network().close(address);
+      cluster.time().schedule(down, this::start);
     }
   }
 }
--- a/src/test/java/io/cherryspool/sim/Users.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -6,6 +6,10 @@
 import io.cherryspool.http.Request;
 import io.cherryspool.model.Job;
 import io.cherryspool.model.TaskId;
+import io.cherryspool.sim.check.RuleChecker;
+import io.cherryspool.sim.network.SimulatedNetwork;
+import io.cherryspool.sim.time.ProcessInbox;
+import io.cherryspool.sim.time.VirtualTime;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.MalformedMessageException;
 import io.cherryspool.wire.UserProtocol;
@@ -19,11 +23,11 @@
  * The users: they submit, ask and cancel through any node, come again where they are told to, and
  * hold what they are told against the rules.
  */
-final class Users {
+public final class SimulatedUsers {
   private static final int MOST_TRIES = 40;
 
   private final VirtualTime time;
-  private final SimNet net;
+  private final SimulatedNetwork net;
   private final RandomGenerator random;
   private final RuleChecker rules;
   private final List<Endpoint> nodes;
@@ -31,11 +35,11 @@
   private boolean lookClosely;
   private double cancelAtEnd;
   private final Set<String> forgotten = new HashSet<>();
-  private int unserved;
+  private int unservedRequests;
 
-  Users(
+  SimulatedUsers(
       VirtualTime time,
-      SimNet net,
+      SimulatedNetwork net,
       RandomGenerator random,
       RuleChecker rules,
       List<Endpoint> nodes) {
@@ -48,11 +52,11 @@
 
   /** Questions come so many times as often. */
   /** How many requests were answered 503, or not at all. */
-  int unserved() {
-    return unserved;
+  public int unservedRequests() {
+    return unservedRequests;
   }
 
-  void storm(int factor) {
+  public void storm(int factor) {
     storm = factor;
   }
 
@@ -60,28 +64,28 @@
    * Whether they ask at all nodes, within milliseconds and several times, right after a job was
    * accepted, ended or confirmed as cancelled, and submit it again.
    */
-  void lookClosely(boolean value) {
+  public void lookClosely(boolean value) {
     lookClosely = value;
   }
 
   /** This share of the jobs that end is cancelled at the moment of the end. */
-  void cancelAtEnd(double share) {
+  public void cancelAtEnd(double share) {
     cancelAtEnd = share;
   }
 
-  void submit(Job job) {
+  public void submit(Job job) {
     rules.submitted(job);
     submit(job, anyNode(), 0);
   }
 
   /** Submits through one node. */
-  void submit(Job job, Endpoint node) {
+  public void submit(Job job, Endpoint node) {
     rules.submitted(job);
     submit(job, node, 0);
   }
 
   /** Submits a known job once more. */
-  void repeat(Job job) {
+  public void resubmit(Job job) {
     submit(job, anyNode(), 0);
   }
 
@@ -108,7 +112,7 @@
   }
 
   /** Submits something that lacks a field, or that no machine and no team can run. */
-  void submitNonsense(Job job) {
+  void submitInvalid(Job job) {
     ObjectNode body = UserProtocol.encodeJob(job);
     List<String> fields = List.of("lane", "owner", "shape", "urgency", "pieces", "vcpus", "bundle");
     switch (random.nextInt(3)) {
@@ -116,10 +120,10 @@
       case 1 -> body.put("owner", "nobody");
       default -> body.put("vcpus", 1000.0);
     }
-    submitNonsense(body, 0);
+    submitInvalid(body, 0);
   }
 
-  private void submitNonsense(ObjectNode body, int tries) {
+  private void submitInvalid(ObjectNode body, int tries) {
     ask(
         anyNode(),
         Request.post("/api/jobs", Json.toBytes(body)),
@@ -127,13 +131,13 @@
         (status, answer, sent) -> {
           rules.broken(status == 200 || status == 201, "accepted what can't run", body.toString());
           if (status != 400 && status != 422 && tries < MOST_TRIES) {
-            after(1, () -> submitNonsense(body, tries + 1));
+            after(1, () -> submitInvalid(body, tries + 1));
           }
         });
   }
 
   /** Asks no more about a job, as its operator has told the user to. */
-  void forget(String id) {
+  public void stopAsking(String id) {
     forgotten.add(id);
   }
 
@@ -160,7 +164,7 @@
   }
 
   /** Asks about a job that nobody submitted, and cancels it. */
-  void askForNothing() {
+  void askForUnknownJob() {
     String id = "req-999999";
     ask(id, anyNode());
     ask(
@@ -170,11 +174,11 @@
         (status, body, sent) -> rules.broken(status == 200, "invented", id));
   }
 
-  void cancel(String id) {
+  public void cancel(String id) {
     cancel(id, anyNode());
   }
 
-  void cancel(String id, Endpoint node) {
+  public void cancel(String id, Endpoint node) {
     rules.cancelAsked(id);
     ask(
         node,
@@ -193,7 +197,7 @@
   }
 
   /** A task is done; some users cancel just as the last one of a job is. */
-  void finished(String task) {
+  void taskFinished(String task) {
     String id = TaskId.parse(task).jobId();
     if (cancelAtEnd > 0
         && rules.doneTasks(id) == rules.job(id).taskCount()
@@ -249,7 +253,7 @@
 
   private void ask(Endpoint node, Request request, int limit, Answer answer) {
     Duration sent = time.now();
-    net.from("user", Gate.open())
+    net.from("user", ProcessInbox.alwaysOpen())
         .send(node, request, Duration.ofSeconds(limit))
         .whenComplete(
             (reply, failure) -> {
@@ -267,7 +271,7 @@
   }
 
   private int counted(int status) {
-    unserved += status == 0 || status == 503 ? 1 : 0;
+    unservedRequests += status == 0 || status == 503 ? 1 : 0;
     return status;
   }
 }
--- a/src/test/java/io/cherryspool/sim/LossInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/StateLossInjector.java
@@ -1,5 +1,6 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.cluster;
 
+import io.cherryspool.sim.fakes.FakeStateStore;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -12,58 +13,58 @@
  * around the same moment. No process ends within the last moments before a loss, since it alone may
  * know what it told its users in them; docs/recovery.md says so.
  */
-final class LossInjector {
+final class StateLossInjector {
   /** How far back the service may be set. */
   private static final int SAVED = 120;
 
-  private final Cluster cluster;
+  private final SimulatedCluster cluster;
   private final SplittableRandom random;
   private final double end;
-  private final Deque<StandInState.Saved> saved = new ArrayDeque<>();
+  private final Deque<FakeStateStore.Backup> saved = new ArrayDeque<>();
 
   /**
    * @param end when the last may begin, in seconds
    */
-  LossInjector(Cluster cluster, double end) {
+  StateLossInjector(SimulatedCluster cluster, double end) {
     this.cluster = cluster;
     this.random = cluster.random().split();
     this.end = end;
   }
 
   void begin() {
-    cluster.after(20, this::save);
-    cluster.after(28, this::strike);
+    cluster.schedule(20, this::save);
+    cluster.schedule(28, this::strike);
   }
 
   private void save() {
-    saved.addFirst(cluster.state().save());
+    saved.addFirst(cluster.state().backup());
     if (saved.size() > SAVED) {
       saved.removeLast();
     }
-    cluster.after(1, this::save);
+    cluster.schedule(1, this::save);
   }
 
   private void strike() {
     if (cluster.time().seconds() > end) {
       return;
     }
-    cluster.after(25 + random.nextDouble() * 35, this::strike);
+    cluster.schedule(25 + random.nextDouble() * 35, this::strike);
     for (int i = random.nextInt(3); i > 0; i--) {
-      cluster.after(random.nextDouble() * 4, this::companion);
+      cluster.schedule(random.nextDouble() * 4, this::companion);
     }
-    cluster.after(random.nextDouble() * 5, this::lose);
+    cluster.schedule(random.nextDouble() * 5, this::lose);
     if (random.nextInt(4) == 0) {
-      cluster.after(5 + random.nextDouble() * 4, this::lose);
+      cluster.schedule(5 + random.nextDouble() * 4, this::lose);
     }
   }
 
   private void lose() {
-    List<StandInState.Saved> all = new ArrayList<>(saved);
+    List<FakeStateStore.Backup> all = new ArrayList<>(saved);
     if (random.nextBoolean() || all.isEmpty()) {
-      cluster.state().loseAll();
+      cluster.state().loseAllData();
     } else {
       int back = random.nextBoolean() ? random.nextInt(Math.min(4, all.size())) : 0;
-      cluster.state().loseTo(all.get(back == 0 ? random.nextInt(all.size()) : back));
+      cluster.state().restore(all.get(back == 0 ? random.nextInt(all.size()) : back));
     }
     // What was saved is of a history that is over.
     saved.clear();
@@ -71,31 +72,31 @@
 
   private void companion() {
     Duration length = Duration.ofMillis(500 + random.nextLong(9000));
-    ControllerNode node = cluster.nodes().get(random.nextInt(cluster.nodes().size()));
-    ControllerNode leader = cluster.leading().orElse(node);
+    SimulatedController node = cluster.nodes().get(random.nextInt(cluster.nodes().size()));
+    SimulatedController leader = cluster.currentLeader().orElse(node);
     switch (random.nextInt(14)) {
-      case 0 -> cluster.outage(length);
-      case 1 -> node.cutFromState(length);
-      case 2 -> leader.refuse(length);
+      case 0 -> cluster.stateStoreOutage(length);
+      case 1 -> node.cutFromStateStore(length);
+      case 2 -> leader.refuseByStateStore(length);
       case 3 -> node.isolate(length);
       case 4 -> node.freeze(length);
       case 5 -> leader.freeze(Duration.ofMillis(300 + random.nextLong(5000)));
       case 6 -> {
-        cluster.refuseMesh(true);
-        cluster.time().schedule(length, () -> cluster.refuseMesh(false));
+        cluster.setMeshDown(true);
+        cluster.time().schedule(length, () -> cluster.setMeshDown(false));
       }
-      case 7 -> cluster.net().cutZone(node.zone(), length);
+      case 7 -> cluster.network().cutZone(node.zone(), length);
       case 8 -> {
-        cluster.state().holdBack(0.3 + random.nextDouble() / 2);
-        cluster.time().schedule(length, () -> cluster.state().holdBack(0));
+        cluster.state().delayCommits(0.3 + random.nextDouble() / 2);
+        cluster.time().schedule(length, () -> cluster.state().delayCommits(0));
       }
       case 9 -> {
-        cluster.state().loseAnswers(0.3 + random.nextDouble() / 2);
-        cluster.time().schedule(length, () -> cluster.state().loseAnswers(0));
+        cluster.state().loseReplies(0.3 + random.nextDouble() / 2);
+        cluster.time().schedule(length, () -> cluster.state().loseReplies(0));
       }
       case 10 -> {
-        cluster.state().slow(900);
-        cluster.time().schedule(length, () -> cluster.state().slow(0));
+        cluster.state().delayReplies(900);
+        cluster.time().schedule(length, () -> cluster.state().delayReplies(0));
       }
       case 11 ->
           cluster.workers().stream()
@@ -106,7 +107,7 @@
           cluster.workers().stream()
               .skip(random.nextInt(Math.max(1, cluster.workers().size())))
               .findFirst()
-              .ifPresent(worker -> cluster.net().deafen(worker.machine().host, length));
+              .ifPresent(worker -> cluster.network().dropInbound(worker.machine().host, length));
       default -> {
         cluster.users().lookClosely(true);
         cluster.time().schedule(length, () -> cluster.users().lookClosely(false));
--- a/src/test/java/io/cherryspool/sim/CostDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostDriver.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.driver;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.cherryspool.http.Reply;
@@ -8,7 +8,11 @@
 import io.cherryspool.model.Priority;
 import io.cherryspool.model.Resources;
 import io.cherryspool.model.Shard;
-import io.cherryspool.sim.CostReport.Kind;
+import io.cherryspool.sim.driver.CostReport.Kind;
+import io.cherryspool.sim.loopback.ControllerProcess;
+import io.cherryspool.sim.loopback.LoopbackCluster;
+import io.cherryspool.sim.loopback.LoopbackNodes;
+import io.cherryspool.sim.loopback.ThreadCpuTimes;
 import io.cherryspool.store.Records;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.StateStoreProtocol;
@@ -42,7 +46,7 @@
   private static final Duration IDLE = Duration.ofSeconds(8);
 
   /** A new token reaches all workers within a report's time, and each then reports once more. */
-  private static final Duration SETTLE = CostCluster.REPORT.plusMillis(500);
+  private static final Duration SETTLE = LoopbackCluster.HEARTBEAT_INTERVAL.plusMillis(500);
 
   /** A leader puts off writes that nothing waits for by 4 s. */
   private static final Duration LATE_WRITES = Duration.ofSeconds(5);
@@ -65,7 +69,7 @@
   private static final int[] ARRAYS = {10, 100, 1000};
 
   private final boolean memory;
-  private final CostCluster cluster;
+  private final LoopbackCluster cluster;
   private final int machines;
   private final List<ControllerProcess> controllers = new ArrayList<>();
   private final CostReport report = new CostReport();
@@ -80,7 +84,7 @@
   private CostDriver(int machines, boolean memory) {
     this.machines = machines;
     this.memory = memory;
-    this.cluster = new CostCluster(77, CONTROLLERS, machines, LIMITS);
+    this.cluster = new LoopbackCluster(77, CONTROLLERS, machines, LIMITS);
   }
 
   /** Takes the number of machines, and {@code memory} to measure that instead of time. */
@@ -125,7 +129,7 @@
       phase("idle, all machines report, at the end", Kind.IDLE, 0, () -> pause(IDLE));
       System.out.println(report);
     }
-    System.out.println("\nLeases lost by workers meanwhile: " + cluster.leasesLost());
+    System.out.println("\nLeases lost by workers meanwhile: " + cluster.expiredLeases());
     if (controllers.get(0).leadershipLost()) {
       System.out.println("The leader changed meanwhile, so that no figure above counts.");
     }
@@ -162,19 +166,20 @@
 
   private void phase(String name, Kind kind, int events, Step step) throws InterruptedException {
     System.err.println("measuring: " + name);
-    List<ThreadTimes> before = used();
-    long reports = cluster.reports();
+    List<ThreadCpuTimes> before = used();
+    long reports = cluster.heartbeatCount();
     long start = System.nanoTime();
     step.run();
     double seconds = (System.nanoTime() - start) / 1e9;
-    List<ThreadTimes> after = used();
-    List<ThreadTimes> used =
+    List<ThreadCpuTimes> after = used();
+    List<ThreadCpuTimes> used =
         IntStream.range(0, after.size()).mapToObj(i -> after.get(i).minus(before.get(i))).toList();
     report.add(
-        new CostReport.Window(name, kind, events, seconds, cluster.reports() - reports, used));
+        new CostReport.Window(
+            name, kind, events, seconds, cluster.heartbeatCount() - reports, used));
   }
 
-  private List<ThreadTimes> used() {
+  private List<ThreadCpuTimes> used() {
     return controllers.stream().map(ControllerProcess::used).toList();
   }
 
@@ -202,7 +207,7 @@
                 UNCHANGED_REPORTS,
                 REPORTS_PER_S,
                 i -> {
-                  cluster.worker(i).reportNow();
+                  cluster.worker(i).sendHeartbeatNow();
                   return null;
                 }));
     phase(
@@ -214,8 +219,8 @@
                 CHANGED_REPORTS,
                 CHANGED_PER_S,
                 i -> {
-                  cluster.worker(i).pretendSaving(i / machines % 2 == 0);
-                  cluster.worker(i).reportNow();
+                  cluster.worker(i).setCheckpointing(i / machines % 2 == 0);
+                  cluster.worker(i).sendHeartbeatNow();
                   return null;
                 }));
     phase(
@@ -260,7 +265,7 @@
   }
 
   private void put(String key, JsonNode value) {
-    CostCluster.await(cluster.commit(new StateStoreProtocol.Change(key, value, 0)));
+    LoopbackCluster.await(cluster.commit(new StateStoreProtocol.Change(key, value, 0)));
   }
 
   private void measureJobs() throws InterruptedException {
@@ -313,7 +318,7 @@
 
   private CompletableFuture<Reply> submit(int number, int tasks) {
     Job job = job(id(number), tasks, null);
-    cluster.describe(job);
+    cluster.addJobDescription(job);
     return cluster.ask(ASKED, Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(job))));
   }
 
@@ -372,9 +377,9 @@
               });
     }
     pause(Duration.ofNanos((long) (1e9 * count / perSecond)));
-    CostCluster.await(sent);
+    LoopbackCluster.await(sent);
     long failed =
-        answers.stream().filter(answer -> CostCluster.await(answer).status() >= 500).count();
+        answers.stream().filter(answer -> LoopbackCluster.await(answer).status() >= 500).count();
     if (failed > 0) {
       System.out.println(failed + " of " + count + " requests were refused");
     }
--- a/src/test/java/io/cherryspool/sim/CostReport.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostReport.java
@@ -1,5 +1,7 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.driver;
 
+import io.cherryspool.sim.loopback.ControllerProcess;
+import io.cherryspool.sim.loopback.ThreadCpuTimes;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.ToDoubleFunction;
@@ -11,8 +13,8 @@
   private static final int OTHER = 2;
 
   private final List<Window> windows = new ArrayList<>();
-  private final CostTable starts =
-      new CostTable(
+  private final MarkdownTable starts =
+      new MarkdownTable(
           "start, processor ms", "event loop", "compiler", "main", "VM and others", "all", "wall");
 
   /** How the figures of a window are read. */
@@ -31,7 +33,12 @@
 
   /** What happened in a window of time, and what each node used meanwhile. */
   record Window(
-      String name, Kind kind, int events, double seconds, long reports, List<ThreadTimes> used) {}
+      String name,
+      Kind kind,
+      int events,
+      double seconds,
+      long reports,
+      List<ThreadCpuTimes> used) {}
 
   void add(Window window) {
     windows.add(window);
@@ -39,13 +46,13 @@
 
   /** A controller that starts has got so far. */
   void started(String name, ControllerProcess.Reached reached) {
-    ThreadTimes used = reached.used();
+    ThreadCpuTimes used = reached.used();
     starts.row(
         name,
-        used.millis(ThreadTimes.Group.LOOP),
-        used.millis(ThreadTimes.Group.COMPILER),
-        used.millis(ThreadTimes.Group.MAIN),
-        used.millis(ThreadTimes.Group.OTHER),
+        used.millis(ThreadCpuTimes.Group.LOOP),
+        used.millis(ThreadCpuTimes.Group.COMPILER),
+        used.millis(ThreadCpuTimes.Group.MAIN),
+        used.millis(ThreadCpuTimes.Group.OTHER),
         used.millis(),
         reached.wallMillis());
   }
@@ -55,9 +62,9 @@
     return starts + "\n\n" + bySecond() + "\n\n" + byEvent();
   }
 
-  private CostTable bySecond() {
-    CostTable table =
-        new CostTable(
+  private MarkdownTable bySecond() {
+    MarkdownTable table =
+        new MarkdownTable(
             "processor ms a second",
             "s",
             "reports a second",
@@ -69,14 +76,14 @@
             "other follower");
     for (Window window : windows) {
       if (window.kind == Kind.IDLE || window.kind == Kind.WHOLE) {
-        ThreadTimes leader = window.used.get(LEADER);
+        ThreadCpuTimes leader = window.used.get(LEADER);
         table.row(
             window.name,
             window.seconds,
             window.reports / window.seconds,
-            leader.millis(ThreadTimes.Group.LOOP) / window.seconds,
-            leader.millis(ThreadTimes.Group.COMPILER) / window.seconds,
-            leader.millis(ThreadTimes.Group.OTHER) / window.seconds,
+            leader.millis(ThreadCpuTimes.Group.LOOP) / window.seconds,
+            leader.millis(ThreadCpuTimes.Group.COMPILER) / window.seconds,
+            leader.millis(ThreadCpuTimes.Group.OTHER) / window.seconds,
             leader.millis() / window.seconds,
             window.used.get(ASKED).millis() / window.seconds,
             window.used.get(OTHER).millis() / window.seconds);
@@ -85,9 +92,9 @@
     return table;
   }
 
-  private CostTable byEvent() {
-    CostTable table =
-        new CostTable(
+  private MarkdownTable byEvent() {
+    MarkdownTable table =
+        new MarkdownTable(
             "processor ms each, beyond idling",
             "events",
             "reports",
@@ -103,12 +110,12 @@
             window.name,
             events(window),
             reportsBeyondIdle(window) / events(window),
-            each(window, LEADER, used -> used.millis(ThreadTimes.Group.LOOP)),
-            each(window, LEADER, used -> used.millis(ThreadTimes.Group.COMPILER)),
-            each(window, LEADER, used -> used.millis(ThreadTimes.Group.OTHER)),
-            each(window, LEADER, ThreadTimes::millis),
-            each(window, ASKED, ThreadTimes::millis),
-            each(window, OTHER, ThreadTimes::millis));
+            each(window, LEADER, used -> used.millis(ThreadCpuTimes.Group.LOOP)),
+            each(window, LEADER, used -> used.millis(ThreadCpuTimes.Group.COMPILER)),
+            each(window, LEADER, used -> used.millis(ThreadCpuTimes.Group.OTHER)),
+            each(window, LEADER, ThreadCpuTimes::millis),
+            each(window, ASKED, ThreadCpuTimes::millis),
+            each(window, OTHER, ThreadCpuTimes::millis));
       }
     }
     return table;
@@ -119,7 +126,7 @@
     return window.kind == Kind.UNCHANGED_REPORTS ? reportsBeyondIdle(window) : window.events;
   }
 
-  private double each(Window window, int node, ToDoubleFunction<ThreadTimes> part) {
+  private double each(Window window, int node, ToDoubleFunction<ThreadCpuTimes> part) {
     double cost = beyondIdle(window, node, part);
     if (window.kind == Kind.CHANGED_REPORTS) {
       cost -= reportsBeyondIdle(window) * unchangedReport(node, part);
@@ -127,7 +134,7 @@
     return cost / events(window);
   }
 
-  private double unchangedReport(int node, ToDoubleFunction<ThreadTimes> part) {
+  private double unchangedReport(int node, ToDoubleFunction<ThreadCpuTimes> part) {
     return windows.stream()
         .filter(window -> window.kind == Kind.UNCHANGED_REPORTS)
         .mapToDouble(window -> each(window, node, part))
@@ -139,7 +146,7 @@
     return window.reports - whenIdle(Window::reports) * window.seconds;
   }
 
-  private double beyondIdle(Window window, int node, ToDoubleFunction<ThreadTimes> part) {
+  private double beyondIdle(Window window, int node, ToDoubleFunction<ThreadCpuTimes> part) {
     double usual = whenIdle(item -> part.applyAsDouble(item.used.get(node)));
     return part.applyAsDouble(window.used.get(node)) - usual * window.seconds;
   }
--- a/src/test/java/io/cherryspool/sim/HeapMeter.java
+++ b/src/test/java/io/cherryspool/sim/driver/HeapMeter.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.driver;
 
 import com.sun.management.ThreadMXBean;
 import java.lang.management.ManagementFactory;
@@ -16,7 +16,7 @@
   private HeapMeter() {}
 
   /** The bytes that the task allocates, all of it on this thread. */
-  public static long allocated(Runnable task) {
+  public static long allocatedBytes(Runnable task) {
     long thread = Thread.currentThread().getId();
     long before = THREADS.getThreadAllocatedBytes(thread);
     task.run();
@@ -24,7 +24,7 @@
   }
 
   /** The bytes by which the heap grows as long as what is made stays reachable. */
-  public static long kept(Supplier<Object> maker) {
+  public static long retainedBytes(Supplier<Object> maker) {
     long before = live();
     Object made = maker.get();
     long after = live();
--- a/src/test/java/io/cherryspool/sim/FlapDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/LinkFlapDriver.java
@@ -1,33 +1,35 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.driver;
 
+import io.cherryspool.sim.partition.LinkFlapRun;
 import java.time.Duration;
 
 /** Prints what flapping links cost in simulated time, as the table in docs/partitions.md has it. */
-public final class FlapDriver {
+public final class LinkFlapDriver {
   private static final double[] SECONDS = {0.5, 1, 2, 3, 5, 10};
   private static final int SEEDS = 4;
 
-  private FlapDriver() {}
+  private LinkFlapDriver() {}
 
   public static void main(String[] args) {
     System.out.println("| link | flap, s | leader | started again | 503s | rented | deleted |");
     System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
-    print(FlapDay.Link.STATE_REFUSED, 0);
-    for (FlapDay.Link link : FlapDay.Link.values()) {
+    print(LinkFlapRun.Link.STATE_REFUSED, 0);
+    for (LinkFlapRun.Link link : LinkFlapRun.Link.values()) {
       for (double seconds : SECONDS) {
         print(link, seconds);
       }
     }
   }
 
-  private static void print(FlapDay.Link link, double seconds) {
+  private static void print(LinkFlapRun.Link link, double seconds) {
     int changes = 0;
     int repeated = 0;
     int unserved = 0;
     int added = 0;
     int deleted = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      FlapDay.Cost cost = FlapDay.play(seed, link, Duration.ofMillis((long) (seconds * 1000)));
+      LinkFlapRun.Cost cost =
+          LinkFlapRun.play(seed, link, Duration.ofMillis((long) (seconds * 1000)));
       changes += cost.changes();
       repeated += cost.repeated();
       unserved += cost.unserved();
--- a/src/test/java/io/cherryspool/sim/CostTable.java
+++ b/src/test/java/io/cherryspool/sim/driver/MarkdownTable.java
@@ -1,14 +1,14 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.driver;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 
 /** A table of figures in Markdown. */
-final class CostTable {
+final class MarkdownTable {
   private final List<String> lines = new ArrayList<>();
 
-  CostTable(String... headings) {
+  MarkdownTable(String... headings) {
     lines.add("| " + String.join(" | ", headings) + " |");
     lines.add("| ---" + " | ---:".repeat(headings.length - 1) + " |");
   }
--- a/src/test/java/io/cherryspool/sim/MemoryReport.java
+++ b/src/test/java/io/cherryspool/sim/driver/MemoryReport.java
@@ -1,5 +1,6 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.driver;
 
+import io.cherryspool.sim.loopback.ControllerProcess;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -30,7 +31,8 @@
           "Native Memory Tracking");
 
   private final List<ControllerProcess> controllers;
-  private final CostTable table = new CostTable("memory", "leader", "follower asked", "follower");
+  private final MarkdownTable table =
+      new MarkdownTable("memory", "leader", "follower asked", "follower");
 
   MemoryReport(List<ControllerProcess> controllers) throws IOException, InterruptedException {
     this.controllers = controllers;
--- a/src/test/java/io/cherryspool/sim/RecoveryDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/RecoveryDriver.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.driver;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.cherryspool.http.Reply;
@@ -6,6 +6,9 @@
 import io.cherryspool.model.Job;
 import io.cherryspool.model.Outcome;
 import io.cherryspool.recovery.DirectorySnapshotStore;
+import io.cherryspool.sim.loopback.ControllerProcess;
+import io.cherryspool.sim.loopback.LoopbackCluster;
+import io.cherryspool.sim.loopback.LoopbackNodes;
 import io.cherryspool.store.Records;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.MalformedMessageException;
@@ -40,7 +43,7 @@
   private static final String LEADING = "; rebuilding ownership";
   private static final int WINDOW = (int) (1000 / SAMPLE.toMillis());
 
-  private final CostCluster cluster;
+  private final LoopbackCluster cluster;
   private final int tasks;
   private final int ended;
   private final boolean leaderEnds;
@@ -50,7 +53,7 @@
     this.tasks = tasks;
     this.ended = ended;
     this.leaderEnds = leaderEnds;
-    this.cluster = new CostCluster(SERVICES, CONTROLLERS, machines, LIMITS);
+    this.cluster = new LoopbackCluster(SERVICES, CONTROLLERS, machines, LIMITS);
   }
 
   /**
@@ -140,13 +143,13 @@
   /** Whose log tells of leading; valid while nobody has led but one. */
   private ControllerProcess leader() {
     return controllers.stream()
-        .filter(controller -> controller.toldAt(LEADING, 0) >= 0)
+        .filter(controller -> controller.firstLogLineAt(LEADING, 0) >= 0)
         .findFirst()
         .orElseThrow();
   }
 
   private static Job job(String id, int tasks) {
-    return CostCluster.job(id, tasks, 2, Duration.ofHours(1));
+    return LoopbackCluster.job(id, tasks, 2, Duration.ofHours(1));
   }
 
   private void putEnded(String id) {
@@ -154,8 +157,8 @@
         cluster.commit(
             new StateStoreProtocol.Change(
                 Records.jobKey(id), Records.jobKey(job(id, 1), TASKS_PER_SHARD), 0));
-    CostCluster.await(put);
-    CostCluster.await(
+    LoopbackCluster.await(put);
+    LoopbackCluster.await(
         cluster.commit(
             new StateStoreProtocol.Change(
                 Records.outcomeKey(id), Records.outcomeKey(Outcome.DONE), 0)));
@@ -168,7 +171,7 @@
         ask(
             LoopbackNodes.name(1),
             () -> {
-              cluster.describe(array);
+              cluster.addJobDescription(array);
               return request;
             });
     if (reply.status() != 201) {
@@ -179,7 +182,7 @@
   private Reply ask(String node, Supplier<Request> request) {
     CompletableFuture<Reply> answer = new CompletableFuture<>();
     cluster.loop().execute(() -> cluster.ask(node, request.get()).thenAccept(answer::complete));
-    return CostCluster.await(answer);
+    return LoopbackCluster.await(answer);
   }
 
   /** Until no task has been started for a while. */
@@ -192,18 +195,18 @@
   }
 
   private void measure() throws IOException, InterruptedException {
-    int running = cluster.onMachines();
+    int running = cluster.runningTaskCount();
     JsonNode snapshot = status().path("snapshot");
     double before = peakMemory();
-    long leasesBefore = cluster.leasesLost();
-    int twiceBefore = cluster.startedTwice().size();
-    int lateBefore = cluster.endedLate().size();
+    long leasesBefore = cluster.expiredLeases();
+    int twiceBefore = cluster.tasksStartedTwice().size();
+    int lateBefore = cluster.tasksEndedLate().size();
     long[] load = cluster.stateLoad();
     List<long[]> samples = new ArrayList<>();
     int started = cluster.startedTasks();
     ControllerProcess leader = leader();
     long lost = System.nanoTime();
-    cluster.loseState();
+    cluster.loseStateStoreData();
     if (leaderEnds) {
       leader.kill();
       controllers.remove(leader);
@@ -222,7 +225,7 @@
       }
     }
     long[] after = cluster.stateLoad();
-    row("machines, running tasks, ended jobs", cluster.machines(), running, ended);
+    row("machines, running tasks, ended jobs", cluster.machineCount(), running, ended);
     row(
         "noticed by the first and the last node, ms",
         ms(firstTold(NOTICED, lost), lost),
@@ -245,9 +248,9 @@
         lateBefore);
     row(
         "since the loss, the same",
-        cluster.leasesLost() - leasesBefore,
-        cluster.startedTwice().size() - twiceBefore,
-        cluster.endedLate().size() - lateBefore);
+        cluster.expiredLeases() - leasesBefore,
+        cluster.tasksStartedTwice().size() - twiceBefore,
+        cluster.tasksEndedLate().size() - lateBefore);
   }
 
   private JsonNode status() {
@@ -262,7 +265,7 @@
   private long firstTold(String text, long since) {
     long first = -1;
     for (ControllerProcess controller : controllers) {
-      long at = controller.toldAt(text, since);
+      long at = controller.firstLogLineAt(text, since);
       first = first < 0 || at >= 0 && at < first ? at : first;
     }
     return first;
@@ -271,7 +274,7 @@
   private long lastTold(String text, long since) {
     long last = -1;
     for (ControllerProcess controller : controllers) {
-      last = Math.max(last, controller.toldAt(text, since));
+      last = Math.max(last, controller.firstLogLineAt(text, since));
     }
     return last;
   }
--- a/src/test/java/io/cherryspool/sim/ServiceCommand.java
+++ b/src/test/java/io/cherryspool/sim/driver/ServiceCommand.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.driver;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/test/java/io/cherryspool/sim/StateServiceTransport.java
+++ b/src/test/java/io/cherryspool/sim/fakes/ControlledTransport.java
@@ -1,10 +1,11 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.fakes;
 
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
 import io.cherryspool.http.RequestHandler;
 import io.cherryspool.http.Transport;
+import io.cherryspool.sim.time.VirtualTime;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -17,9 +18,9 @@
  * One node's connection to the state service, on which a test decides what becomes of single
  * messages. All others take a millisecond each way.
  */
-public final class StateServiceTransport implements Transport {
+public final class ControlledTransport implements Transport {
   /** What readings, watches and transactions have in their targets. */
-  public static final String READING = "block_ms=0";
+  public static final String READ = "block_ms=0";
 
   public static final String WATCH = "block_ms=10000";
   public static final String COMMIT = "/commit";
@@ -45,24 +46,24 @@
 
   private record Held(String target, Runnable message) {}
 
-  public StateServiceTransport(VirtualTime time, RequestHandler state) {
+  public ControlledTransport(VirtualTime time, RequestHandler state) {
     this.time = time;
     this.state = state;
   }
 
   /** Decides on the next request with this in its target; several are taken in order. */
-  public void next(String target, Fate fate) {
+  public void interceptNext(String target, Fate fate) {
     plans.add(new Plan(target, fate, null));
   }
 
   /** The next such request gets this answer once released, and does not reach the service. */
-  public void answerNext(String target, int status, String body) {
+  public void replyNext(String target, int status, String body) {
     Reply instead = Reply.json(status, body.getBytes(StandardCharsets.UTF_8));
     plans.add(new Plan(target, Fate.REPLACE, instead));
   }
 
   /** Whether all requests from now on are answered 503, and carried out never. */
-  public void refuse(boolean value) {
+  public void setRefusing(boolean value) {
     refusing = value;
   }
 
@@ -87,7 +88,7 @@
   }
 
   /** How many such requests were sent. */
-  public long count(String target) {
+  public long sentCount(String target) {
     return sent.stream().filter(request -> request.target().contains(target)).count();
   }
 
--- a/src/test/java/io/cherryspool/sim/StandInCloud.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.fakes;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -21,11 +21,11 @@
 import java.util.random.RandomGenerator;
 
 /** A stand-in for the cloud: rents machines, boots workers on them, and tells of them late. */
-public final class StandInCloud implements RequestHandler {
+public final class FakeCloud implements RequestHandler {
   private static final int PORT = 9000;
 
   /** Each machine is given the next address in this network. */
-  static final String NETWORK = "10.1.";
+  public static final String NETWORK = "10.1.";
 
   /** So many machines have addresses that differ in their last part only. */
   private static final int SUBNET = 250;
@@ -43,17 +43,17 @@
   private final Map<String, ArrayNode> rentals = new HashMap<>();
   private ObjectNode listed = Json.object();
   private int count;
-  private int deletions;
+  private int machinesDeleted;
   private boolean down;
   private boolean fast;
 
   /** A rented machine. */
   public static final class Machine {
-    final String name;
-    final String host;
-    final MachineType type;
-    final String zone;
-    final boolean spot;
+    public final String name;
+    public final String host;
+    public final MachineType type;
+    public final String zone;
+    public final boolean spot;
     final Duration since;
     boolean up;
 
@@ -66,12 +66,12 @@
       this.since = now;
     }
 
-    String address() {
+    public String address() {
       return host + ":" + PORT;
     }
   }
 
-  public StandInCloud(
+  public FakeCloud(
       EventLoop loop,
       RandomGenerator random,
       List<MachineType> types,
@@ -89,22 +89,22 @@
     snapshot();
   }
 
-  void setDown(boolean value) {
+  public void setDown(boolean value) {
     down = value;
   }
 
   /** Whether new machines are up within two seconds. */
-  void bootFast(boolean value) {
+  public void setFastBoot(boolean value) {
     fast = value;
   }
 
   /** The machines that the cloud has up. */
-  List<Machine> up() {
+  public List<Machine> up() {
     return machines.values().stream().filter(machine -> machine.up).toList();
   }
 
   /** The cloud takes a machine away. */
-  void take(String name) {
+  public void reclaim(String name) {
     Machine machine = machines.remove(name);
     if (machine != null) {
       end.accept(machine);
@@ -112,24 +112,24 @@
   }
 
   private void delete(String name) {
-    deletions += machines.containsKey(name) ? 1 : 0;
-    take(name);
+    machinesDeleted += machines.containsKey(name) ? 1 : 0;
+    reclaim(name);
   }
 
   /** How many machines the controllers have deleted. */
-  int deletions() {
-    return deletions;
+  public int machinesDeleted() {
+    return machinesDeleted;
   }
 
   /** How many machines they have rented, or the test has added. */
-  int added() {
+  public int machinesAdded() {
     return count;
   }
 
   @Override
   public CompletableFuture<Reply> handle(Request request) {
     if (down) {
-      return StandInState.done(503, Json.object().put("error", "trouble"));
+      return FakeStateStore.completedReply(503, Json.object().put("error", "trouble"));
     }
     CompletableFuture<Reply> result = new CompletableFuture<>();
     loop.schedule(Duration.ofMillis(50 + random.nextLong(200)), () -> answer(request, result));
@@ -166,7 +166,7 @@
       int wanted = body.path("how_many").intValue();
       for (int i = 0; i < wanted && machines.size() < capacity; i++) {
         names.add(
-            add(
+            addMachine(
                 body.path("build").asText(),
                 body.path("yard").asText(),
                 body.path("loaners").booleanValue(),
@@ -184,7 +184,7 @@
   }
 
   /** Adds a machine that boots in the given time. */
-  String add(String typeName, String zone, boolean spot, Duration bootTime) {
+  public String addMachine(String typeName, String zone, boolean spot, Duration bootTime) {
     MachineType type =
         types.stream().filter(item -> item.name().equals(typeName)).findFirst().orElseThrow();
     String name = String.format("host-%06d", ++count);
--- a/src/test/java/io/cherryspool/sim/StandInState.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeStateStore.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.fakes;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -25,7 +25,7 @@
  * A stand-in for the state service: keys, leases, watches, conditional transactions. It can be
  * down, and now and then it applies a transaction without answering it, at once or much later.
  */
-public final class StandInState implements RequestHandler {
+public final class FakeStateStore implements RequestHandler {
   private final EventLoop loop;
   private final RandomGenerator random;
   private final double late;
@@ -57,7 +57,7 @@
   private record Watch(long after, String prefix, CompletableFuture<Reply> result) {}
 
   /** {@code late} is the share of transactions that get no answer. */
-  public StandInState(EventLoop loop, RandomGenerator random, double late) {
+  public FakeStateStore(EventLoop loop, RandomGenerator random, double late) {
     this.loop = loop;
     this.random = random;
     this.late = late;
@@ -75,26 +75,26 @@
   }
 
   /** Loses everything: keys, leases, and the count of changes; what was under way arrives later. */
-  public void loseAll() {
-    loseTo(new Saved(new TreeMap<>(), Map.of(), List.of(), 0));
+  public void loseAllData() {
+    restore(new Backup(new TreeMap<>(), Map.of(), List.of(), 0));
   }
 
   /** All that the service holds now, to be set back to later. */
-  public Saved save() {
+  public Backup backup() {
     Map<Long, Long> ttls = new HashMap<>();
     leases.forEach((id, lease) -> ttls.put(id, lease.ttlMs));
-    return new Saved(new TreeMap<>(keys), ttls, List.copyOf(history), revision);
+    return new Backup(new TreeMap<>(keys), ttls, List.copyOf(history), revision);
   }
 
   /** What the service held at a moment. */
-  public record Saved(
+  public record Backup(
       TreeMap<String, Item> keys,
       Map<Long, Long> leases,
       List<ObjectNode> history,
       long revision) {}
 
   /** Is again as it was, with the leases of then, which have their full time. */
-  public void loseTo(Saved saved) {
+  public void restore(Backup saved) {
     keys.clear();
     keys.putAll(saved.keys);
     history.clear();
@@ -113,17 +113,17 @@
   }
 
   /** So many of the transactions get no answer and are carried out 2 to 12 s later. */
-  void holdBack(double share) {
+  public void delayCommits(double share) {
     heldBack = share;
   }
 
   /** So many of the transactions are carried out at once, and only their answer is lost. */
-  void loseAnswers(double share) {
+  public void loseReplies(double share) {
     unanswered = share;
   }
 
   /** Above so many puts and deletes a second it answers 429; bursts of one second's worth pass. */
-  void limitWrites(double rate) {
+  public void limitWriteRate(double rate) {
     writeRate = rate;
     writes = rate;
     filled = loop.now();
@@ -141,23 +141,23 @@
   }
 
   /** Each answer comes up to so much later; 0 ends it. */
-  void slow(int millis) {
+  public void delayReplies(int millis) {
     slowMs = millis;
   }
 
   /** Told of each key as it is put. */
-  void listen(Consumer<String> listener) {
+  public void onPut(Consumer<String> listener) {
     onPut = listener;
   }
 
   /** The value of a key, or null, for checks. */
-  public JsonNode peek(String key) {
+  public JsonNode value(String key) {
     Item item = keys.get(key);
     return item == null ? null : item.value;
   }
 
   /** Whether any key ends so. */
-  boolean holds(String end) {
+  public boolean hasKeyEndingWith(String end) {
     return keys.keySet().stream().anyMatch(key -> key.endsWith(end));
   }
 
@@ -174,19 +174,19 @@
   }
 
   /** How many requests were made. */
-  long requests() {
+  public long requests() {
     return requests;
   }
 
   /** How many puts and deletes were carried out. */
-  long changes() {
+  public long changes() {
     return changes;
   }
 
   private CompletableFuture<Reply> carryOut(Request request) {
     requests++;
     if (down) {
-      return done(503, Json.object().put("error", "trouble"));
+      return completedReply(503, Json.object().put("error", "trouble"));
     }
     String path = request.path();
     try {
@@ -201,14 +201,14 @@
         lease.ttlMs = Json.parseObject(request.body()).path("ttl_ms").longValue();
         renew(lease);
         leases.put(++leaseCount, lease);
-        return done(200, Json.object().put("tenancy", leaseCount));
+        return completedReply(200, Json.object().put("tenancy", leaseCount));
       } else if (path.startsWith("/leases/")) {
         return lease(request, path.substring("/leases/".length()));
       }
     } catch (MalformedMessageException e) {
-      return done(400, Json.object().put("error", e.getMessage()));
+      return completedReply(400, Json.object().put("error", e.getMessage()));
     }
-    return done(404, Json.object());
+    return completedReply(404, Json.object());
   }
 
   private CompletableFuture<Reply> lease(Request request, String rest) {
@@ -216,19 +216,19 @@
     long id = Long.parseLong(extend ? rest.substring(0, rest.indexOf('/')) : rest);
     Lease lease = leases.get(id);
     if (lease == null) {
-      return done(404, Json.object());
+      return completedReply(404, Json.object());
     }
     if (extend) {
       renew(lease);
     } else {
       end(id);
     }
-    return done(200, Json.object());
+    return completedReply(200, Json.object());
   }
 
   private CompletableFuture<Reply> commit(JsonNode body) {
     if (writeRate < Double.POSITIVE_INFINITY && !mayWrite(body.path("apply").size())) {
-      return done(429, Json.object().put("error", "too many writes"));
+      return completedReply(429, Json.object().put("error", "too many writes"));
     }
     if (heldBack > 0 && random.nextDouble() < heldBack) {
       loop.schedule(Duration.ofMillis(2000 + random.nextLong(10_000)), () -> apply(body));
@@ -260,13 +260,13 @@
     for (JsonNode change : body.path("apply")) {
       long lease = change.path("tenancy").longValue();
       if (lease != 0 && !leases.containsKey(lease)) {
-        return done(400, Json.object().put("error", "no such lease"));
+        return completedReply(400, Json.object().put("error", "no such lease"));
       }
     }
     if (!failed.isEmpty()) {
       ObjectNode answer = Json.object().put("epoch", revision);
       answer.set("failed", failed);
-      return done(409, answer);
+      return completedReply(409, answer);
     }
     revision++;
     changes += body.path("apply").size();
@@ -283,7 +283,7 @@
       }
     }
     wake();
-    return done(200, Json.object().put("epoch", revision));
+    return completedReply(200, Json.object().put("epoch", revision));
   }
 
   private void remove(String key) {
@@ -325,9 +325,9 @@
   }
 
   private CompletableFuture<Reply> list(Request request) {
-    String prefix = query(request, "starts", "");
-    String after = query(request, "from", "");
-    int limit = Integer.parseInt(query(request, "limit", "1000"));
+    String prefix = queryParameter(request, "starts", "");
+    String after = queryParameter(request, "from", "");
+    int limit = Integer.parseInt(queryParameter(request, "limit", "1000"));
     ObjectNode answer = Json.object();
     ArrayNode items = answer.putArray("entries");
     boolean more = false;
@@ -342,13 +342,14 @@
         item.put("stamp", entry.getValue().version);
       }
     }
-    return done(200, answer.put("has_next", more).put("epoch", revision));
+    return completedReply(200, answer.put("has_next", more).put("epoch", revision));
   }
 
   private CompletableFuture<Reply> follow(Request request) {
-    long after = Long.parseLong(query(request, "from", "0"));
-    long waitMs = Long.parseLong(query(request, "block_ms", "0"));
-    Watch watch = new Watch(after, query(request, "starts", ""), new CompletableFuture<>());
+    long after = Long.parseLong(queryParameter(request, "from", "0"));
+    long waitMs = Long.parseLong(queryParameter(request, "block_ms", "0"));
+    Watch watch =
+        new Watch(after, queryParameter(request, "starts", ""), new CompletableFuture<>());
     if (waitMs == 0 || since(watch).size() > 0) {
       answer(watch);
     } else {
@@ -397,7 +398,7 @@
     watch.result.complete(Reply.json(200, Json.toBytes(answer)));
   }
 
-  static String query(Request request, String name, String absent) {
+  static String queryParameter(Request request, String name, String absent) {
     int mark = request.target().indexOf('?');
     if (mark >= 0) {
       for (String pair : request.target().substring(mark + 1).split("&")) {
@@ -409,7 +410,7 @@
     return absent;
   }
 
-  static CompletableFuture<Reply> done(int status, JsonNode body) {
+  static CompletableFuture<Reply> completedReply(int status, JsonNode body) {
     return CompletableFuture.completedFuture(Reply.json(status, Json.toBytes(body)));
   }
 }
--- a/src/test/java/io/cherryspool/sim/StandInWorker.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeWorker.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.fakes;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -27,32 +27,32 @@
 import java.util.random.RandomGenerator;
 
 /** A stand-in for a worker: reports, obeys, keeps its lease; it can hang, and go on later. */
-public final class StandInWorker implements RequestHandler {
+public final class FakeWorker implements RequestHandler {
   /** The class of jobs that were submitted with a mistake. */
-  static final String BROKEN = "broken";
+  public static final String FAILING_JOB_CLASS = "broken";
 
   private static final Duration ANSWER_LIMIT = Duration.ofSeconds(4);
 
   private final EventLoop loop;
   private final RandomGenerator random;
   private final Transport transport;
-  private final StandInCloud.Machine machine;
+  private final FakeCloud.Machine machine;
   private final Map<String, Endpoint> nodes;
   private final List<String> names;
   private final Function<String, Job> jobs;
   private final Duration report;
   private final Duration lease;
   private final double faults;
-  private final BiConsumer<StandInWorker, String> onStart;
+  private final BiConsumer<FakeWorker, String> onStart;
   private final Consumer<String> onDone;
   private final Map<String, Piece> pieces = new LinkedHashMap<>();
   private final Set<String> images = new HashSet<>();
   private final List<Runnable> missed = new ArrayList<>();
   private int at;
-  private long session = 1;
+  private long agentEpoch = 1;
   private long sequence;
   private long token;
-  private Duration keptSince;
+  private Duration leaseRenewedAt;
   private boolean reporting;
   private boolean hung;
   private boolean dead;
@@ -77,17 +77,17 @@
   /**
    * @param faults the share of tasks that fail for no reason of the job's or the machine's
    */
-  public StandInWorker(
+  public FakeWorker(
       EventLoop loop,
       RandomGenerator random,
       Transport transport,
-      StandInCloud.Machine machine,
+      FakeCloud.Machine machine,
       Map<String, Endpoint> nodes,
       Function<String, Job> jobs,
       Duration report,
       Duration lease,
       double faults,
-      BiConsumer<StandInWorker, String> onStart,
+      BiConsumer<FakeWorker, String> onStart,
       Consumer<String> onDone) {
     this.loop = loop;
     this.random = random;
@@ -101,17 +101,17 @@
     this.faults = faults;
     this.onStart = onStart;
     this.onDone = onDone;
-    this.keptSince = loop.now();
+    this.leaseRenewedAt = loop.now();
     this.at = random.nextInt(names.size());
     later(Duration.ZERO, this::cycle);
     later(Duration.ZERO, this::checkLease);
   }
 
-  long session() {
-    return session;
+  public long agentEpoch() {
+    return agentEpoch;
   }
 
-  StandInCloud.Machine machine() {
+  public FakeCloud.Machine machine() {
     return machine;
   }
 
@@ -119,9 +119,9 @@
    * The tasks on the machine in the users' sense: with their image, and not exited. A machine that
    * hangs past its lease has none, since killing them is the first thing it does when it goes on.
    */
-  List<String> onMachine() {
+  public List<String> runningTasks() {
     List<String> result = new ArrayList<>();
-    if (hung && loop.now().minus(keptSince).compareTo(lease) > 0) {
+    if (hung && loop.now().minus(leaseRenewedAt).compareTo(lease) > 0) {
       return result;
     }
     for (Piece piece : pieces.values()) {
@@ -133,12 +133,12 @@
   }
 
   /** When the last report that was answered was sent, or the session began. */
-  Duration keptSince() {
-    return keptSince;
+  public Duration leaseRenewedAt() {
+    return leaseRenewedAt;
   }
 
   /** What the machine has for its tasks, those that fetch their image among them, by task. */
-  List<String> taken() {
+  public List<String> assignedTasks() {
     List<String> result = new ArrayList<>();
     for (Piece piece : pieces.values()) {
       if (piece.cause == null) {
@@ -148,12 +148,12 @@
     return result;
   }
 
-  void die() {
+  public void kill() {
     dead = true;
     pieces.clear();
   }
 
-  void hang(Duration duration) {
+  public void hang(Duration duration) {
     if (!hung) {
       hung = true;
       loop.schedule(
@@ -171,35 +171,35 @@
   }
 
   /** Every task fails here for so long. */
-  void sicken(Duration length) {
+  public void failTasksFor(Duration length) {
     sick = true;
     loop.schedule(length, () -> sick = false);
   }
 
-  void warn(double seconds) {
+  public void setPreemptionNotice(double seconds) {
     notice = seconds;
     changed = true;
   }
 
   /** Sends a report at once unless one is under way. */
-  void reportNow() {
+  public void sendHeartbeatNow() {
     if (!reporting && !hung && !dead) {
       send();
     }
   }
 
   /** What the worker would report now. */
-  byte[] report() {
+  public byte[] report() {
     return Json.toBytes(describe());
   }
 
   /** How often the worker has described itself, in reports and in answers. */
-  long descriptions() {
+  public long heartbeatCount() {
     return sequence;
   }
 
   /** Tells that what runs is being saved, or that it runs, and does neither. */
-  void pretendSaving(boolean saving) {
+  public void setCheckpointing(boolean saving) {
     for (Piece piece : pieces.values()) {
       if (piece.cause == null && !piece.status.equals("pulling")) {
         piece.status = saving ? "saving" : "running";
@@ -225,10 +225,10 @@
   }
 
   private void expire() {
-    if (loop.now().minus(keptSince).compareTo(lease) > 0) {
+    if (loop.now().minus(leaseRenewedAt).compareTo(lease) > 0) {
       pieces.clear();
-      session++;
-      keptSince = loop.now();
+      agentEpoch++;
+      leaseRenewedAt = loop.now();
       changed = true;
     }
   }
@@ -247,7 +247,7 @@
     changed = false;
     lastReport = loop.now();
     Duration sent = loop.now();
-    long sentSession = session;
+    long sentSession = agentEpoch;
     transport
         .send(
             nodes.get(names.get(at)),
@@ -262,8 +262,8 @@
       JsonNode body = failure == null ? Json.parseObject(reply.body()) : null;
       if (failure == null && reply.status() == 200) {
         reporting = false;
-        if (sentSession == session && raise(body)) {
-          keptSince = keptSince.compareTo(sent) > 0 ? keptSince : sent;
+        if (sentSession == agentEpoch && raise(body)) {
+          leaseRenewedAt = leaseRenewedAt.compareTo(sent) > 0 ? leaseRenewedAt : sent;
           obey(body.path("orders"));
         }
         return;
@@ -341,7 +341,8 @@
               changed = true;
               onStart.accept(this, piece.task);
               Duration run = job.estimatedRunTime().dividedBy(2).plusMillis(random.nextLong(4000));
-              boolean fails = sick || job.jobClass().equals(BROKEN) || random.nextDouble() < faults;
+              boolean fails =
+                  sick || job.jobClass().equals(FAILING_JOB_CLASS) || random.nextDouble() < faults;
               later(fails ? run.dividedBy(3) : run, () -> finish(key, piece, fails));
             }
           });
@@ -359,7 +360,7 @@
   }
 
   /** One of its running tasks completes now. */
-  void finishOne() {
+  public void completeOneTask() {
     for (Map.Entry<String, Piece> entry : pieces.entrySet()) {
       if (entry.getValue().status.equals("running")) {
         finish(entry.getKey(), entry.getValue(), false);
@@ -403,7 +404,7 @@
     ObjectNode node = Json.object().put("spindle", machine.name);
     node.put("endpoint", machine.address()).put("build", machine.type.name());
     node.put("yard", machine.zone).put("loaners", machine.spot);
-    node.put("shift", session).put("tick", sequence).put("baton", token);
+    node.put("shift", agentEpoch).put("tick", sequence).put("baton", token);
     node.put("warning_s", notice);
     ArrayNode list = node.putArray("pieces");
     for (Piece piece : pieces.values()) {
@@ -433,7 +434,7 @@
       if (!body.has("baton") || !body.has("shift")) {
         return Reply.json(400, new byte[0]);
       }
-      if (body.path("baton").longValue() < token || body.path("shift").longValue() != session) {
+      if (body.path("baton").longValue() < token || body.path("shift").longValue() != agentEpoch) {
         return Reply.json(409, Json.toBytes(describe()));
       }
       raise(body);
--- a/src/test/java/io/cherryspool/sim/MemorySnapshots.java
+++ b/src/test/java/io/cherryspool/sim/fakes/InMemorySnapshotStore.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.fakes;
 
 import io.cherryspool.recovery.SnapshotStore;
 import java.io.IOException;
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 
 /** A disk that outlives the processes of its node; it can be broken. */
-final class MemorySnapshots implements SnapshotStore {
+public final class InMemorySnapshotStore implements SnapshotStore {
   private boolean frozen;
   private final TreeMap<String, byte[]> files = new TreeMap<>();
 
@@ -39,17 +39,17 @@
   }
 
   /** What is written from now on is lost. */
-  void freeze() {
+  public void dropWrites() {
     frozen = true;
   }
 
   /** Loses all files. */
-  void wipe() {
+  public void deleteAll() {
     files.clear();
   }
 
   /** The newest file loses its second half. */
-  void tearNewest() {
+  public void truncateNewest() {
     byte[] whole = files.lastEntry().getValue();
     files.put(files.lastKey(), Arrays.copyOf(whole, whole.length / 2));
   }
--- a/src/test/java/io/cherryspool/sim/GapTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,6 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.model.Job;
+import io.cherryspool.sim.cluster.DirectedFaultsFixture;
+import io.cherryspool.sim.cluster.SimulatedCluster;
+import io.cherryspool.sim.cluster.SimulatedController;
+import io.cherryspool.sim.fakes.FakeWorker;
 import java.time.Duration;
 import java.util.List;
 import java.util.function.BiConsumer;
@@ -23,17 +27,17 @@
  * <p>Each day asserts that the meeting came about: tasks of the jobs ran when another node
  * confirmed, the old leader refused and not yet replaced, and their leases were renewed after that.
  */
-class GapTest extends CombinedFaultsFixture {
-  private static final Duration OUTAGE = Cluster.CANCEL.plusSeconds(30);
+class CancelDuringStateOutageTest extends DirectedFaultsFixture {
+  private static final Duration OUTAGE = SimulatedCluster.CANCEL_LIMIT.plusSeconds(30);
 
   private Job job;
-  private ControllerNode old;
+  private SimulatedController old;
 
   /** Tasks run long, under a leader that is well settled. */
   private void runTasks(long seed) {
     begin(seed, 12);
     cluster.run(20 + seed % 5);
-    assertFalse(cluster.running(job).isEmpty(), "tasks run");
+    assertFalse(cluster.workersRunning(job).isEmpty(), "tasks run");
   }
 
   private void begin(long seed, int tasks) {
@@ -44,37 +48,37 @@
 
   /** Another node confirms the cancel while the leader alone is refused. */
   private void cancelPastTheLeader() {
-    cancelThrough(cluster.other(old));
+    cancelThrough(cluster.nodeAfter(old));
   }
 
-  private void cancelThrough(ControllerNode node) {
+  private void cancelThrough(SimulatedController node) {
     cluster.users().cancel(job.id(), node.address());
     for (int i = 0; i < 150 && cluster.rules().cancelTold(job.id()) == null; i++) {
       cluster.run(0.001);
     }
     assertNotNull(cluster.rules().cancelTold(job.id()), "another node confirmed the cancel");
-    assertFalse(cluster.running(job).isEmpty(), "its tasks run on");
+    assertFalse(cluster.workersRunning(job).isEmpty(), "its tasks run on");
   }
 
   /** The service is silent for all until well after the limit. */
   private void outage() {
     Duration start = cluster.time().now();
-    cluster.outage(OUTAGE);
+    cluster.stateStoreOutage(OUTAGE);
     cluster.run(10);
-    List<StandInWorker> still = cluster.running(job);
+    List<FakeWorker> still = cluster.workersRunning(job);
     assertFalse(still.isEmpty(), "its tasks run on");
     assertTrue(
-        still.stream().anyMatch(worker -> worker.keptSince().compareTo(start) > 0),
+        still.stream().anyMatch(worker -> worker.leaseRenewedAt().compareTo(start) > 0),
         "the old leader keeps them alive in the outage");
   }
 
   /** What the rule checker watched to the end, said once more. */
   private void allGoneInTime() {
-    Duration limit = cluster.rules().cancelTold(job.id()).plus(Cluster.CANCEL);
+    Duration limit = cluster.rules().cancelTold(job.id()).plus(SimulatedCluster.CANCEL_LIMIT);
     cluster.run(limit.minus(cluster.time().now()).plusMillis(100));
-    assertEquals(List.of(), cluster.running(job), "gone within the limit");
+    assertEquals(List.of(), cluster.workersRunning(job), "gone within the limit");
     cluster.run(OUTAGE.plusSeconds(20));
-    assertEquals(List.of(), cluster.running(job), "and not back after the outage");
+    assertEquals(List.of(), cluster.workersRunning(job), "and not back after the outage");
   }
 
   /** Moments from the refusal to the outage, in seconds; a new leader is elected after about 4. */
@@ -84,10 +88,10 @@
   })
   void cancelledTasksAreGoneInTimeThoughTheirLeaderCannotKnow(long seed, double apart) {
     runTasks(seed);
-    old.refuse(Duration.ofSeconds(14));
+    old.refuseByStateStore(Duration.ofSeconds(14));
     cluster.run(apart / 2);
     cancelPastTheLeader();
-    assertTrue(old.leads(), "nobody has replaced the leader");
+    assertTrue(old.isLeader(), "nobody has replaced the leader");
     cluster.run(apart / 2);
     outage();
     allGoneInTime();
@@ -101,16 +105,16 @@
   @CsvSource({"1,3.1", "2,3.5", "3,3.9", "4,4.2", "5,4.5", "6,5", "7,6", "8,9", "9,12", "10,20"})
   void soTheyAreWhenANewLeaderIsElectedFirst(long seed, double apart) {
     runTasks(seed);
-    old.refuse(Duration.ofSeconds(14));
+    old.refuseByStateStore(Duration.ofSeconds(14));
     cluster.run(apart);
-    ControllerNode next = cluster.leadingBeside(old).orElse(cluster.other(old));
-    next.refuse(Duration.ofSeconds(14));
+    SimulatedController next = cluster.leaderOtherThan(old).orElse(cluster.nodeAfter(old));
+    next.refuseByStateStore(Duration.ofSeconds(14));
     cancelThrough(
         cluster.nodes().stream()
             .filter(node -> node != old && node != next)
             .findFirst()
             .orElseThrow());
-    cluster.outage(OUTAGE);
+    cluster.stateStoreOutage(OUTAGE);
     allGoneInTime();
   }
 
@@ -118,26 +122,27 @@
   enum Middle {
     HANG((test, worker) -> worker.hang(Duration.ofSeconds(12))),
     HANG_PAST_THE_LEASE((test, worker) -> worker.hang(Duration.ofSeconds(30))),
-    DEAF((test, worker) -> test.cluster.net().deafen(host(worker), Duration.ofSeconds(20))),
-    MUTE((test, worker) -> test.cluster.net().mute(host(worker), Duration.ofSeconds(20))),
+    DEAF(
+        (test, worker) -> test.cluster.network().dropInbound(host(worker), Duration.ofSeconds(20))),
+    MUTE((test, worker) -> test.cluster.network().mute(host(worker), Duration.ofSeconds(20))),
     /** Reports, commands and answers between the two wait, and then arrive all the same. */
-    HELD_UP((test, worker) -> test.cluster.net().cut(test.oldHost(), host(worker), HOLD)),
+    HELD_UP((test, worker) -> test.cluster.network().cut(test.oldHost(), host(worker), HOLD)),
     HELD_UP_AND_HUNG(
         (test, worker) -> {
-          test.cluster.net().cut(test.oldHost(), host(worker), HOLD);
+          test.cluster.network().cut(test.oldHost(), host(worker), HOLD);
           worker.hang(HOLD.plusSeconds(4));
         }),
     BACK_AT_ONCE((test, worker) -> test.old.crash(Duration.ofMillis(200))),
     OTHER_BACK_AT_ONCE(
         (test, worker) ->
-            test.cluster.other(test.cluster.other(test.old)).crash(Duration.ofMillis(200))),
+            test.cluster.nodeAfter(test.cluster.nodeAfter(test.old)).crash(Duration.ofMillis(200))),
     LEADER_STANDS_STILL((test, worker) -> test.old.freeze(Duration.ofSeconds(9))),
-    ZONE_CUT((test, worker) -> test.cluster.net().cutZone(test.old.zone(), OUTAGE)),
-    PEERS_LOST((test, worker) -> test.cluster.refuseMesh(true));
+    ZONE_CUT((test, worker) -> test.cluster.network().cutZone(test.old.zone(), OUTAGE)),
+    PEERS_LOST((test, worker) -> test.cluster.setMeshDown(true));
 
-    private final BiConsumer<GapTest, StandInWorker> strike;
+    private final BiConsumer<CancelDuringStateOutageTest, FakeWorker> strike;
 
-    Middle(BiConsumer<GapTest, StandInWorker> strike) {
+    Middle(BiConsumer<CancelDuringStateOutageTest, FakeWorker> strike) {
       this.strike = strike;
     }
   }
@@ -154,17 +159,17 @@
   void soTheyAreWhateverElseHappensInTheMiddle(Middle middle) {
     for (long seed = 1; seed <= 6; seed++) {
       runTasks(seed);
-      cluster.after(
+      cluster.schedule(
           0.1 + 0.4 * seed,
           () ->
-              cluster.running(job).stream()
+              cluster.workersRunning(job).stream()
                   .limit(2)
                   .forEach(worker -> middle.strike.accept(this, worker)));
-      old.refuse(Duration.ofSeconds(14));
+      old.refuseByStateStore(Duration.ofSeconds(14));
       cluster.run(0.5);
       cancelPastTheLeader();
       cluster.run(0.5);
-      cluster.outage(OUTAGE);
+      cluster.stateStoreOutage(OUTAGE);
       allGoneInTime();
     }
   }
@@ -174,17 +179,17 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void soAreThoseThatHadNotBegunYet(long seed) {
     begin(seed, 40);
-    cluster.cloud().bootFast(true);
+    cluster.cloud().setFastBoot(true);
     // Within two seconds some tasks run, some fetch, and most wait for machines that boot.
     cluster.run(0.2 + 0.3 * seed);
-    old.refuse(Duration.ofSeconds(14));
+    old.refuseByStateStore(Duration.ofSeconds(14));
     cluster.run(0.1);
-    cluster.users().cancel(job.id(), cluster.other(old).address());
+    cluster.users().cancel(job.id(), cluster.nodeAfter(old).address());
     cluster.run(0.15);
     assertNotNull(cluster.rules().cancelTold(job.id()), "another node confirmed the cancel");
-    cluster.outage(OUTAGE);
+    cluster.stateStoreOutage(OUTAGE);
     cluster.run(4);
-    assertFalse(cluster.running(job).isEmpty(), "tasks began, or went on, in the gap");
+    assertFalse(cluster.workersRunning(job).isEmpty(), "tasks began, or went on, in the gap");
     allGoneInTime();
   }
 }
--- a/src/test/java/io/cherryspool/sim/CombinedFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,6 +8,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.model.Job;
+import io.cherryspool.sim.cluster.DirectedFaultsFixture;
+import io.cherryspool.sim.cluster.SimulatedCluster;
+import io.cherryspool.sim.cluster.SimulatedController;
+import io.cherryspool.sim.fakes.FakeWorker;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,7 +22,7 @@
  * Where two troubles meet, each brought about on purpose. The rules are checked after every step;
  * each test says besides that the meeting came about, and what users may expect of it.
  */
-class CombinedFaultsTest extends CombinedFaultsFixture {
+class CombinedFaultsTest extends DirectedFaultsFixture {
 
   /** Submissions, cancels, ends, rounds and elections are carried out; nobody is told so. */
   @ParameterizedTest
@@ -31,18 +35,18 @@
     Job cancelled = submit("blue", 6, 4, LONG);
     jobs.add(cancelled);
     cluster.run(8);
-    cluster.state().loseAnswers(1);
+    cluster.state().loseReplies(1);
     jobs.add(submit("red", 3, 2, Duration.ofSeconds(3)));
     cluster.users().cancel(cancelled.id());
     cluster.run(2);
-    ControllerNode old = cluster.leader();
+    SimulatedController old = cluster.leader();
     old.crash(Duration.ofSeconds(20));
     cluster.run(9);
     assertNotEquals(old.name(), cluster.leader().name(), "elected though nobody heard so");
     assertNotNull(
-        cluster.state().peek("c/outcomes/" + cancelled.id()), "the cancel was carried out");
+        cluster.state().value("c/outcomes/" + cancelled.id()), "the cancel was carried out");
     cluster.run(6);
-    cluster.state().loseAnswers(0);
+    cluster.state().loseReplies(0);
     cluster.run(60);
     allEnd(jobs);
     assertNotNull(cluster.rules().cancelTold(cancelled.id()));
@@ -59,26 +63,28 @@
     settle(seed, 3);
     // The limit of red is 64 processors.
     Job first = submit("red", 16, 4, LONG);
-    for (int i = 0; i < 60 && cluster.runningTasks(first) < 16; i++) {
+    for (int i = 0; i < 60 && cluster.runningTaskCount(first) < 16; i++) {
       cluster.run(1);
     }
-    assertEquals(16, cluster.runningTasks(first), "the team is at its limit");
+    assertEquals(16, cluster.runningTaskCount(first), "the team is at its limit");
     Job second = submit("red", 8, 4, Duration.ofSeconds(10));
     cluster.run(2);
-    List<StandInWorker> lost = cluster.running(first).stream().limit(2).toList();
-    ControllerNode old = cluster.leader();
-    for (ControllerNode node : cluster.nodes()) {
-      cluster.net().cut(node.address().host(), lost.get(0).machine().host, Duration.ofSeconds(40));
+    List<FakeWorker> lost = cluster.workersRunning(first).stream().limit(2).toList();
+    SimulatedController old = cluster.leader();
+    for (SimulatedController node : cluster.nodes()) {
+      cluster
+          .network()
+          .cut(node.address().host(), lost.get(0).machine().host, Duration.ofSeconds(40));
     }
     lost.get(1).hang(Duration.ofSeconds(seed % 2 == 0 ? 10 : 30));
     cluster.run(0.2);
-    cluster.users().cancel(first.id(), cluster.other(old).address());
+    cluster.users().cancel(first.id(), cluster.nodeAfter(old).address());
     cluster.run(0.1 * seed);
     old.crash(Duration.ofMillis(300 + 500 * seed));
     cluster.run(16);
     assertNotNull(cluster.rules().cancelTold(first.id()));
     assertTrue(
-        cluster.runningTasks(second) + cluster.rules().doneTasks(second.id()) == 8,
+        cluster.runningTaskCount(second) + cluster.rules().doneTasks(second.id()) == 8,
         "what is proved free is used");
     cluster.run(75);
     allEnd(List.of(first, second));
@@ -94,7 +100,7 @@
       jobs.add(submit(i % 2 == 0 ? "red" : "blue", 2, 3, LONG));
     }
     cluster.run(25);
-    ControllerNode old = cluster.leader();
+    SimulatedController old = cluster.leader();
     if (seed % 2 == 0) {
       old.crash(Duration.ofMillis(200));
     } else {
@@ -104,8 +110,8 @@
     double from = seed % 2 == 0 ? 0 : 7;
     for (int i = 0; i < jobs.size(); i++) {
       Job job = jobs.get(i);
-      ControllerNode through = cluster.nodes().get(i % cluster.nodes().size());
-      cluster.after(from + 0.5 * i, () -> cluster.users().cancel(job.id(), through.address()));
+      SimulatedController through = cluster.nodes().get(i % cluster.nodes().size());
+      cluster.schedule(from + 0.5 * i, () -> cluster.users().cancel(job.id(), through.address()));
     }
     cluster.run(16);
     assertNotEquals(
@@ -113,7 +119,7 @@
     cluster.run(40);
     for (Job job : jobs) {
       assertNotNull(cluster.rules().cancelTold(job.id()), "the cancel was confirmed");
-      assertEquals(List.of(), cluster.running(job));
+      assertEquals(List.of(), cluster.workersRunning(job));
     }
   }
 
@@ -122,20 +128,20 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void machinesThatAreNotListedYetRunWorkThatLagsAsTheLeaderEnds(long seed) {
     settle(seed, 3);
-    cluster.cloud().bootFast(true);
+    cluster.cloud().setFastBoot(true);
     int before = cluster.workers().size();
     List<Job> jobs =
         List.of(
             submit("blue", 24, 4, Duration.ofSeconds(8)),
             submit("red", 16, 4, Duration.ofSeconds(8)));
     cluster.run(0.3);
-    cluster.state().holdBack(0.4);
+    cluster.state().delayCommits(0.4);
     double wait = 1 + 0.4 * seed;
     cluster.run(wait);
     assertTrue(cluster.workers().size() > before, "new machines are up");
     cluster.leader().crash(Duration.ofMillis(150 * seed));
     cluster.run(15);
-    cluster.state().holdBack(0);
+    cluster.state().delayCommits(0);
     cluster.run(75);
     allEnd(jobs);
   }
@@ -148,21 +154,22 @@
     List<Job> jobs = new ArrayList<>();
     jobs.add(submit("red", 8, 4, Duration.ofSeconds(4)));
     cluster.run(2 + 0.3 * seed);
-    cluster.net().keepReports();
+    cluster.network().recordHeartbeats();
     cluster.run(6);
     jobs.add(submit("blue", 12, 4, Duration.ofSeconds(20)));
     cluster.run(8);
     int[] copies = {0};
     cluster
         .state()
-        .listen(
+        .onPut(
             key -> {
               if (key.equals("c/leader")) {
                 copies[0]++;
                 List.of(1, 3, 8)
                     .forEach(
                         wait ->
-                            cluster.after(wait / 1e3, () -> cluster.net().copiesTo(addresses())));
+                            cluster.schedule(
+                                wait / 1e3, () -> cluster.network().replayHeartbeats(addresses())));
               }
             });
     cluster.leader().crash(Duration.ofMillis(300));
@@ -179,19 +186,19 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void oneTaskJobsComeFourASecondForMinutes(long seed) {
-    cluster = Cluster.of(seed, 5, 25);
+    cluster = SimulatedCluster.of(seed, 5, 25);
     cluster.run(25);
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 480; i++) {
       int number = i;
-      cluster.after(
+      cluster.schedule(
           i / 4.0,
           () -> {
             Job job = cluster.job(number % 2 == 0 ? "red" : "blue", 1, 1, Duration.ofSeconds(3));
             jobs.add(job);
             cluster.users().submit(job);
             if (number % 4 == 0) {
-              cluster.after(1 + number % 7, () -> cluster.users().cancel(job.id()));
+              cluster.schedule(1 + number % 7, () -> cluster.users().cancel(job.id()));
             }
           });
     }
@@ -214,16 +221,16 @@
     Job job = cluster.job("blue", 3, 8, Duration.ofSeconds(20));
     cluster.users().submit(job);
     cluster.run(16);
-    StandInWorker slow = cluster.running(job).get(0);
+    FakeWorker slow = cluster.workersRunning(job).get(0);
     slow.hang(Duration.ofSeconds(14));
-    cluster.net().keepReports();
+    cluster.network().recordHeartbeats();
     while (cluster.rules().doneTasks(job.id()) == 0) {
       cluster.run(0.05);
     }
     cluster.run(0.1 * seed);
     cluster.leader().crash(Duration.ofMillis(200));
     cluster.run(6);
-    cluster.net().copiesTo(addresses());
+    cluster.network().replayHeartbeats(addresses());
     assertFalse(cluster.rules().doneTasks(job.id()) == 3, "one is still to end");
     cluster.leader().crash(Duration.ofMillis(200));
     cluster.run(60);
--- a/src/test/java/io/cherryspool/sim/DeadMachineTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/DeadMachineTest.java
@@ -1,8 +1,9 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.faults;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.cherryspool.sim.cluster.RandomizedRun;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -15,12 +16,12 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void aMachineThatDoesNotAnswerWhenAskedIsGivenUpSoon(long seed) {
-    Simulation simulation = new Simulation(seed);
+    RandomizedRun simulation = new RandomizedRun(seed);
     simulation.playQuietly(60);
     String machine = simulation.cluster().killBusiestMachine();
     simulation.playQuietly(1);
-    assertTrue(simulation.cluster().rented(machine));
+    assertTrue(simulation.cluster().isRented(machine));
     simulation.playQuietly(5.8);
-    assertFalse(simulation.cluster().rented(machine));
+    assertFalse(simulation.cluster().isRented(machine));
   }
 }
--- a/src/test/java/io/cherryspool/sim/LeaderFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,13 +7,17 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.model.Job;
+import io.cherryspool.sim.cluster.DirectedFaultsFixture;
+import io.cherryspool.sim.cluster.SimulatedCluster;
+import io.cherryspool.sim.cluster.SimulatedController;
+import io.cherryspool.sim.fakes.FakeWorker;
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Combined faults in which leaders come and go; the rules are checked after every step. */
-class LeaderFaultsTest extends CombinedFaultsFixture {
+class LeaderFaultsTest extends DirectedFaultsFixture {
 
   /** Workers and users still reach the leader that reaches nobody; another is elected. */
   @ParameterizedTest
@@ -22,20 +26,20 @@
     settle(seed, 3 + (int) seed % 3);
     Job job = submit("blue", 12, 4, LONG);
     awaitRunning(job, 12);
-    ControllerNode old = cluster.leader();
+    SimulatedController old = cluster.leader();
     old.isolate(Duration.ofSeconds(45));
-    ControllerNode next = null;
+    SimulatedController next = null;
     for (int i = 0; i < 10_000 && next == null; i++) {
       cluster.run(0.001);
-      next = cluster.leadingBeside(old).orElse(null);
+      next = cluster.leaderOtherThan(old).orElse(null);
     }
     assertNotNull(next, "another is elected");
-    assertTrue(old.leads(), "the old one still answers its workers");
+    assertTrue(old.isLeader(), "the old one still answers its workers");
     cluster.users().cancel(job.id(), next.address());
     cluster.run(0.2);
     assertNotNull(cluster.rules().cancelTold(job.id()));
-    cluster.run(Cluster.CANCEL.plusMillis(100));
-    assertEquals(0, cluster.runningTasks(job));
+    cluster.run(SimulatedCluster.CANCEL_LIMIT.plusMillis(100));
+    assertEquals(0, cluster.runningTaskCount(job));
     cluster.run(40);
   }
 
@@ -46,15 +50,15 @@
     settle(seed, 3);
     Job job = submit("blue", 16, 4, Duration.ofSeconds(40));
     awaitRunning(job, 16);
-    List<StandInWorker> lost = cluster.running(job).stream().limit(3).toList();
+    List<FakeWorker> lost = cluster.workersRunning(job).stream().limit(3).toList();
     Duration length = Duration.ofSeconds(8 + 4 * seed);
-    cluster.net().deafen(host(lost.get(0)), length);
-    cluster.net().mute(host(lost.get(1)), length);
-    for (ControllerNode node : cluster.nodes()) {
-      cluster.net().cut(node.address().host(), host(lost.get(2)), length);
+    cluster.network().dropInbound(host(lost.get(0)), length);
+    cluster.network().mute(host(lost.get(1)), length);
+    for (SimulatedController node : cluster.nodes()) {
+      cluster.network().cut(node.address().host(), host(lost.get(2)), length);
     }
     cluster.run(0.5);
-    ControllerNode old = cluster.leader();
+    SimulatedController old = cluster.leader();
     old.crash(Duration.ofSeconds(30));
     cluster.run(8);
     assertNotEquals(old.name(), cluster.leader().name());
@@ -71,14 +75,14 @@
     Job cancelled = submit("red", 8, 4, LONG);
     awaitRunning(job, 16);
     cluster.run(10);
-    ControllerNode first = cluster.leader();
+    SimulatedController first = cluster.leader();
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(14));
     cluster.run(15);
     assertNotEquals(first.name(), cluster.leader().name(), "handed over");
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(9));
     cluster.users().cancel(cancelled.id());
     cluster.run(0.1 * seed);
-    for (ControllerNode node : cluster.nodes()) {
+    for (SimulatedController node : cluster.nodes()) {
       node.crash(node == first ? Duration.ofMillis(100 + 130 * seed) : Duration.ofSeconds(20));
     }
     cluster.run(12);
@@ -95,14 +99,14 @@
     Job job = submit("blue", 24, 4, Duration.ofSeconds(35));
     Job cancelled = submit("red", 8, 4, LONG);
     awaitRunning(job, 8);
-    cluster.after(40 + seed, () -> cluster.outage(Duration.ofSeconds(15)));
-    cluster.after(45, () -> cluster.users().cancel(cancelled.id()));
+    cluster.schedule(40 + seed, () -> cluster.stateStoreOutage(Duration.ofSeconds(15)));
+    cluster.schedule(45, () -> cluster.users().cancel(cancelled.id()));
     for (int i = 0; i < 10; i++) {
-      cluster.after(
+      cluster.schedule(
           12 * i,
           () ->
               cluster
-                  .leading()
+                  .currentLeader()
                   .orElse(cluster.nodes().get(0))
                   .crash(Duration.ofMillis(100 + 400 * seed)));
     }
@@ -118,12 +122,12 @@
     settle(seed, 3);
     Job job = submit("blue", 16, 4, Duration.ofSeconds(30));
     awaitRunning(job, 16);
-    long before = cluster.leasesLost();
+    long before = cluster.expiredLeases();
     cluster
         .nodes()
-        .forEach(node -> node.crash(Cluster.LEASE.plusSeconds(4).plusMillis(300 * seed)));
-    cluster.run(Cluster.LEASE.plusSeconds(3));
-    assertTrue(cluster.leasesLost() > before, "their tasks are gone");
+        .forEach(node -> node.crash(SimulatedCluster.LEASE.plusSeconds(4).plusMillis(300 * seed)));
+    cluster.run(SimulatedCluster.LEASE.plusSeconds(3));
+    assertTrue(cluster.expiredLeases() > before, "their tasks are gone");
     assertFalse(cluster.rules().ended(job.id()));
     cluster.run(100);
     allEnd(List.of(job));
@@ -138,10 +142,11 @@
     Job cancelled = submit("red", 8, 4, LONG);
     awaitRunning(job, 8);
     awaitRunning(cancelled, 4);
-    String zone = seed % 2 == 0 ? cluster.leader().zone() : Cluster.ZONES.get((int) seed % 3);
-    cluster.net().cutZone(zone, Cluster.LEASE.plusSeconds(5 + 5 * seed));
+    String zone =
+        seed % 2 == 0 ? cluster.leader().zone() : SimulatedCluster.ZONES.get((int) seed % 3);
+    cluster.network().cutZone(zone, SimulatedCluster.LEASE.plusSeconds(5 + 5 * seed));
     cluster.run(2);
-    ControllerNode outside =
+    SimulatedController outside =
         cluster.nodes().stream()
             .filter(node -> !node.zone().equals(zone))
             .findFirst()
@@ -156,15 +161,15 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void jobsBoundToOneZoneLoseMachines(long seed) {
     settle(seed, 3);
-    String zone = Cluster.ZONES.get((int) seed % 3);
-    Job bound = cluster.boundJob("blue", 6, 4, Duration.ofSeconds(15), zone, false);
-    Job together = cluster.boundJob("red", 6, 4, Duration.ofSeconds(15), null, true);
+    String zone = SimulatedCluster.ZONES.get((int) seed % 3);
+    Job bound = cluster.zoneBoundJob("blue", 6, 4, Duration.ofSeconds(15), zone, false);
+    Job together = cluster.zoneBoundJob("red", 6, 4, Duration.ofSeconds(15), null, true);
     cluster.users().submit(bound);
     cluster.users().submit(together);
     awaitRunning(bound, 2);
     awaitRunning(together, 2);
-    cluster.running(bound).forEach(StandInWorker::die);
-    cluster.running(together).stream().limit(1).forEach(StandInWorker::die);
+    cluster.workersRunning(bound).forEach(FakeWorker::kill);
+    cluster.workersRunning(together).stream().limit(1).forEach(FakeWorker::kill);
     cluster.leader().crash(Duration.ofMillis(200 * seed));
     cluster.run(150);
     allEnd(List.of(bound, together));
@@ -181,18 +186,18 @@
     settle(seed, 3);
     Job job = submit("blue", 20, 4, LONG);
     awaitRunning(job, 18);
-    ControllerNode old = cluster.leader();
-    cluster.net().cutZone(old.zone(), Duration.ofSeconds(60));
-    for (int i = 0; i < 1000 && cluster.leadingBeside(old).isEmpty(); i++) {
+    SimulatedController old = cluster.leader();
+    cluster.network().cutZone(old.zone(), Duration.ofSeconds(60));
+    for (int i = 0; i < 1000 && cluster.leaderOtherThan(old).isEmpty(); i++) {
       cluster.run(0.01);
     }
-    assertTrue(cluster.leadingBeside(old).isPresent(), "another is elected");
+    assertTrue(cluster.leaderOtherThan(old).isPresent(), "another is elected");
     // It reads the list of machines, and then can delete none.
     cluster.run(0.8 + 0.2 * seed);
     cluster.cloud().setDown(true);
     cluster.run(4);
-    List<StandInWorker> kept =
-        cluster.running(job).stream()
+    List<FakeWorker> kept =
+        cluster.workersRunning(job).stream()
             .filter(worker -> worker.machine().zone.equals(old.zone()))
             .toList();
     assertFalse(kept.isEmpty(), "the zone works on");
--- a/src/test/java/io/cherryspool/sim/LostWorkersTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LostWorkersTest.java
@@ -1,9 +1,10 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
+import io.cherryspool.sim.cluster.RandomizedRun;
 import java.time.Duration;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -17,19 +18,19 @@
   @ParameterizedTest
   @CsvSource({"1,true", "2,true", "3,true", "4,true", "5,true", "6,true", "7,false", "8,false"})
   void aLeaderThatWorkersDoNotReachMakesWayBeforeTheirLeasesRunOut(long seed, boolean mesh) {
-    Simulation simulation = new Simulation(seed);
+    RandomizedRun simulation = new RandomizedRun(seed);
     simulation.playQuietly(60);
     if (!mesh) {
-      simulation.cluster().refuseMesh(true);
+      simulation.cluster().setMeshDown(true);
     }
-    long before = simulation.cluster().leasesLost();
+    long before = simulation.cluster().expiredLeases();
     String cut = simulation.cluster().cutLeaderFromWorkers(Duration.ofSeconds(60));
     simulation.playQuietly(14);
     String next = simulation.cluster().leader().name();
     assertNotNull(next);
     assertNotEquals(cut, next);
     simulation.playQuietly(60);
-    assertEquals(before, simulation.cluster().leasesLost());
+    assertEquals(before, simulation.cluster().expiredLeases());
     assertEquals(next, simulation.cluster().leader().name(), "once is enough");
   }
 }
--- a/src/test/java/io/cherryspool/sim/MessageFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
@@ -1,10 +1,14 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.model.Job;
+import io.cherryspool.sim.cluster.DirectedFaultsFixture;
+import io.cherryspool.sim.cluster.SimulatedCluster;
+import io.cherryspool.sim.cluster.SimulatedController;
+import io.cherryspool.sim.fakes.FakeWorker;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Combined faults of late, held up, lost or repeated messages; the rules are always checked. */
-class MessageFaultsTest extends CombinedFaultsFixture {
+class MessageFaultsTest extends DirectedFaultsFixture {
 
   /** A cancel, questions and a repeated submission meet the end of each job's last task. */
   @ParameterizedTest
@@ -35,19 +39,19 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void transactionsAreCarriedOutAfterNewerOnes(long seed) {
     settle(seed, 3);
-    cluster.state().holdBack(0.6);
+    cluster.state().delayCommits(0.6);
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       Job job = submit(i % 2 == 0 ? "red" : "blue", 4, 2, Duration.ofSeconds(4));
       jobs.add(job);
       if (i % 3 == 0) {
-        cluster.after(3, () -> cluster.users().cancel(job.id()));
+        cluster.schedule(3, () -> cluster.users().cancel(job.id()));
       }
       cluster.run(2);
     }
     cluster.leader().crash(Duration.ofMillis(300));
     cluster.run(12);
-    cluster.state().holdBack(0);
+    cluster.state().delayCommits(0);
     cluster.run(75);
     allEnd(jobs);
   }
@@ -59,18 +63,19 @@
     settle(seed, 3);
     Job job = submit("blue", 16, 4, Duration.ofSeconds(25));
     awaitRunning(job, 12);
-    cluster.net().keepReports();
+    cluster.network().recordHeartbeats();
     cluster.run(3);
-    long before = cluster.leasesLost();
-    cluster.running(job).stream()
+    long before = cluster.expiredLeases();
+    cluster.workersRunning(job).stream()
         .limit(2)
-        .forEach(worker -> cluster.net().mute(host(worker), Cluster.LEASE.plusSeconds(3)));
+        .forEach(
+            worker -> cluster.network().mute(host(worker), SimulatedCluster.LEASE.plusSeconds(3)));
     cluster.leader().crash(Duration.ofMillis(200 * seed));
     for (int i = 0; i < 60; i++) {
-      cluster.net().copiesTo(addresses());
+      cluster.network().replayHeartbeats(addresses());
       cluster.run(0.5);
     }
-    assertTrue(cluster.leasesLost() >= before);
+    assertTrue(cluster.expiredLeases() >= before);
     cluster.run(90);
     allEnd(List.of(job));
   }
@@ -84,9 +89,9 @@
     Job cancelled = submit("red", 8, 4, LONG);
     awaitRunning(job, 12);
     awaitRunning(cancelled, 4);
-    for (StandInWorker worker : List.copyOf(cluster.workers())) {
+    for (FakeWorker worker : List.copyOf(cluster.workers())) {
       if (worker.machine().name.hashCode() % 2 == 0) {
-        cluster.net().mute(host(worker), Duration.ofSeconds(6 + 5 * seed));
+        cluster.network().mute(host(worker), Duration.ofSeconds(6 + 5 * seed));
       }
     }
     cluster.run(3);
@@ -108,21 +113,22 @@
     jobs.add(usual);
     for (int i = 0; i < 8; i++) {
       jobs.add(submit(i % 2 == 0 ? "red" : "blue", 4, 2, Duration.ofSeconds(12)));
-      ControllerNode leader = cluster.leader();
+      SimulatedController leader = cluster.leader();
       Duration length = Duration.ofMillis(2000 + 900 * seed);
       if (cluster.workers().isEmpty()) {
         // All were given up as mute, and the next ones boot.
         cluster.run(10);
       }
-      List<StandInWorker> all = List.copyOf(cluster.workers());
-      StandInWorker one = all.get(i % all.size());
-      cluster.after(0.04 * i, () -> cluster.net().cut(leader.address().host(), host(one), length));
+      List<FakeWorker> all = List.copyOf(cluster.workers());
+      FakeWorker one = all.get(i % all.size());
+      cluster.schedule(
+          0.04 * i, () -> cluster.network().cut(leader.address().host(), host(one), length));
       if (i % 2 == 0) {
-        cluster.after(0.3, () -> one.hang(length.plusMillis(1500)));
+        cluster.schedule(0.3, () -> one.hang(length.plusMillis(1500)));
       }
       if (i % 3 == 0) {
         Job job = jobs.get(i + 1);
-        cluster.after(1.5, () -> cluster.users().cancel(job.id()));
+        cluster.schedule(1.5, () -> cluster.users().cancel(job.id()));
       }
       cluster.run(2.5);
     }
@@ -139,20 +145,20 @@
     awaitRunning(job, 12);
     cluster.users().storm(8);
     cluster.users().lookClosely(true);
-    cluster.state().slow(1600);
+    cluster.state().delayReplies(1600);
     cluster.run(3);
-    ControllerNode leader = cluster.leader();
-    leader.refuse(Duration.ofSeconds(14));
+    SimulatedController leader = cluster.leader();
+    leader.refuseByStateStore(Duration.ofSeconds(14));
     cluster.run(0.1);
-    cluster.users().cancel(job.id(), cluster.other(leader).address());
+    cluster.users().cancel(job.id(), cluster.nodeAfter(leader).address());
     for (int i = 0; i < 400 && cluster.rules().cancelTold(job.id()) == null; i++) {
       cluster.run(0.1);
     }
     assertNotNull(cluster.rules().cancelTold(job.id()), "confirmed though it is slow");
-    cluster.outage(Cluster.CANCEL.plusSeconds(10));
-    cluster.run(Cluster.CANCEL.plusMillis(100));
-    assertEquals(0, cluster.runningTasks(job));
-    cluster.state().slow(0);
+    cluster.stateStoreOutage(SimulatedCluster.CANCEL_LIMIT.plusSeconds(10));
+    cluster.run(SimulatedCluster.CANCEL_LIMIT.plusMillis(100));
+    assertEquals(0, cluster.runningTaskCount(job));
+    cluster.state().delayReplies(0);
     cluster.run(60);
   }
 
@@ -161,7 +167,7 @@
   @ValueSource(longs = {1, 2, 3})
   void thereIsMoreWorkThanRoomOverSlowLinks(long seed) {
     settle(seed, 3);
-    cluster.net().slow(500);
+    cluster.network().setMaxExtraDelay(500);
     List<Job> jobs = new ArrayList<>();
     jobs.add(submit("blue", 60, 4, Duration.ofSeconds(10)));
     jobs.add(submit("red", 40, 4, Duration.ofSeconds(10)));
@@ -170,10 +176,10 @@
     cluster.users().submit(urgent);
     cluster.run(25);
     assertTrue(
-        cluster.runningTasks(urgent) + cluster.rules().doneTasks(urgent.id()) > 0,
+        cluster.runningTaskCount(urgent) + cluster.rules().doneTasks(urgent.id()) > 0,
         "urgent work does not wait for the rest");
     cluster.run(60);
-    cluster.net().slow(0);
+    cluster.network().setMaxExtraDelay(0);
     cluster.run(100);
     jobs.add(urgent);
     allEnd(jobs);
--- a/src/test/java/io/cherryspool/sim/SimulationTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/RandomFaultsTest.java
@@ -1,7 +1,8 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.faults;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.cherryspool.sim.cluster.RandomizedRun;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -16,14 +17,14 @@
  * Since the days also have standstills, cut zones, refused connections and rolling restarts, 120
  * more seeds were played once.
  */
-class SimulationTest {
+class RandomFaultsTest {
   @ParameterizedTest
   @ValueSource(
       longs = {
         1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24
       })
   void rulesHoldAndWorkIsFinished(long seed) {
-    Simulation simulation = new Simulation(seed);
+    RandomizedRun simulation = new RandomizedRun(seed);
     simulation.play(300, 200);
     assertTrue(
         simulation.cluster().rules().starts() > 100,
--- a/src/test/java/io/cherryspool/sim/UnchangedReportTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/UnchangedHeartbeatTest.java
@@ -1,8 +1,9 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.faults;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.model.Job;
+import io.cherryspool.sim.cluster.DirectedFaultsFixture;
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -13,7 +14,7 @@
  * Each round gives out a newer token, which every machine shows in its next report. That was taken
  * for news: one small job made the leader plan for all machines again and again while work waited.
  */
-class UnchangedReportTest extends CombinedFaultsFixture {
+class UnchangedHeartbeatTest extends DirectedFaultsFixture {
   private static final int SMALL_JOBS = 12;
   private static final double APART_S = 8;
 
@@ -38,7 +39,7 @@
     // Users ask every 5 s, so that they hear of an end so much later.
     cluster.run(5);
     allEnd(small);
-    assertTrue(cluster.runningTasks(waiting) < 80, "some of the large job still waits");
+    assertTrue(cluster.runningTaskCount(waiting) < 80, "some of the large job still waits");
     // A round each second takes in what time alone changes.
     assertTrue(each <= PLANS_PER_JOB + APART_S, each + " plans for each small job");
   }
--- a/src/test/java/io/cherryspool/sim/ControllerProcess.java
+++ b/src/test/java/io/cherryspool/sim/loopback/ControllerProcess.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.loopback;
 
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeoutException;
 
 /** A controller as a process of its own, and what the kernel tells of it. */
-final class ControllerProcess {
+public final class ControllerProcess {
   private static final String LISTENING = " listens on ";
   private static final String LEADING = " leading in term ";
   private static final String NO_LONGER = " no longer leading ";
@@ -38,13 +38,13 @@
   private record Line(long nanos, String text) {}
 
   /** The processor time of a thread, also of one that has ended, as it was last seen. */
-  private record Used(ThreadTimes.Group group, long nanos) {}
+  private record Used(ThreadCpuTimes.Group group, long nanos) {}
 
   /** What had been used, and how long it had taken, when the log told of an event. */
-  record Reached(ThreadTimes used, double wallMillis) {}
+  public record Reached(ThreadCpuTimes used, double wallMillis) {}
 
   /** Starts the command in the directory; its log goes to the file. */
-  ControllerProcess(List<String> command, Path directory, Path log) throws IOException {
+  public ControllerProcess(List<String> command, Path directory, Path log) throws IOException {
     process =
         new ProcessBuilder(command).directory(directory.toFile()).redirectErrorStream(true).start();
     folder = Path.of("/proc", String.valueOf(process.pid()));
@@ -81,7 +81,7 @@
   }
 
   /** When the log first told of this at or after the moment, by the steady clock; -1 if never. */
-  long toldAt(String text, long since) {
+  public long firstLogLineAt(String text, long since) {
     synchronized (lines) {
       for (Line line : lines) {
         if (line.nanos >= since && line.text.contains(text)) {
@@ -93,19 +93,19 @@
   }
 
   /** Ends the process without a signal that it could take notice of. */
-  void kill() throws InterruptedException {
+  public void kill() throws InterruptedException {
     process.destroyForcibly().waitFor();
   }
 
-  Reached awaitListening() throws InterruptedException {
+  public Reached awaitListening() throws InterruptedException {
     return await(listening, "listen");
   }
 
-  Reached awaitLeading() throws InterruptedException {
+  public Reached awaitLeading() throws InterruptedException {
     return await(leading, "lead");
   }
 
-  boolean leadershipLost() {
+  public boolean leadershipLost() {
     return leadershipLost;
   }
 
@@ -118,12 +118,12 @@
     }
   }
 
-  long pid() {
+  public long pid() {
     return process.pid();
   }
 
   /** The processor time that the process has used until now. */
-  synchronized ThreadTimes used() {
+  public synchronized ThreadCpuTimes used() {
     try (DirectoryStream<Path> tasks = Files.newDirectoryStream(folder.resolve("task"))) {
       for (Path task : tasks) {
         readThread(task);
@@ -131,7 +131,7 @@
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    ThreadTimes sum = ThreadTimes.NONE;
+    ThreadCpuTimes sum = ThreadCpuTimes.NONE;
     for (Used thread : threads.values()) {
       sum = sum.plus(thread.group, thread.nanos);
     }
@@ -142,7 +142,7 @@
     try {
       String name = Files.readString(task.resolve("comm")).strip();
       String nanos = Files.readString(task.resolve("schedstat")).split(" ")[0];
-      Used used = new Used(ThreadTimes.Group.of(name), Long.parseLong(nanos));
+      Used used = new Used(ThreadCpuTimes.Group.of(name), Long.parseLong(nanos));
       threads.put(task.getFileName().toString(), used);
     } catch (NoSuchFileException e) {
       // The thread has ended since its folder was listed.
@@ -150,7 +150,7 @@
   }
 
   /** A field of the process's status in MiB, such as VmRSS. */
-  double statusMib(String field) throws IOException {
+  public double statusMib(String field) throws IOException {
     for (String line : Files.readAllLines(folder.resolve("status"))) {
       if (line.startsWith(field + ":")) {
         return Long.parseLong(line.replaceAll("\\D", "")) / 1024.0;
@@ -159,7 +159,7 @@
     throw new IllegalArgumentException("no field " + field);
   }
 
-  void stop() throws InterruptedException {
+  public void stop() throws InterruptedException {
     // By its handle, since Process.destroy would close the log as well.
     process.toHandle().destroy();
     if (!process.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
--- a/src/test/java/io/cherryspool/sim/Playground.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LocalCluster.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.loopback;
 
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.http.NettyEventLoop;
@@ -7,6 +7,9 @@
 import io.cherryspool.model.Job;
 import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Resources;
+import io.cherryspool.sim.fakes.FakeCloud;
+import io.cherryspool.sim.fakes.FakeStateStore;
+import io.cherryspool.sim.fakes.FakeWorker;
 import io.cherryspool.wire.MalformedMessageException;
 import io.cherryspool.wire.UserProtocol;
 import java.io.BufferedReader;
@@ -27,7 +30,7 @@
  * state service, a cloud, and a worker for each machine it rents. Writes the settings of three
  * nodes into a folder; see README.
  */
-public final class Playground {
+public final class LocalCluster {
   private static final List<String> ZONES = LoopbackNodes.ZONES;
   private static final Endpoint STATE = new Endpoint("127.0.0.1", 2379);
   private static final Endpoint CLOUD = new Endpoint("127.0.0.1", 8443);
@@ -41,10 +44,9 @@
 
   private final NettyEventLoop loop = new NettyEventLoop();
   private final SplittableRandom random = new SplittableRandom();
-  private final StandInState state = new StandInState(loop, random.split(), 0);
-  private final StandInCloud cloud =
-      new StandInCloud(
-          loop, random.split(), List.of(BOX), MACHINES, "127.1.", this::boot, this::end);
+  private final FakeStateStore state = new FakeStateStore(loop, random.split(), 0);
+  private final FakeCloud cloud =
+      new FakeCloud(loop, random.split(), List.of(BOX), MACHINES, "127.1.", this::boot, this::end);
   private final NettyHttpClient client = new NettyHttpClient(loop, SOCKETS);
   private final LoopbackNodes nodes =
       new LoopbackNodes(
@@ -57,7 +59,7 @@
           LEASE,
           new LoopbackNodes.Limits(150, 60, 1000, 128),
           LoopbackRoutes.DIRECT);
-  private final Map<String, StandInWorker> workers = new HashMap<>();
+  private final Map<String, FakeWorker> workers = new HashMap<>();
   private final Map<String, Job> descriptions = new HashMap<>();
 
   /** Takes the folder for the settings, and runs until it is stopped. */
@@ -66,14 +68,14 @@
       System.err.println("usage: Playground FOLDER");
       System.exit(2);
     }
-    new Playground().run(Path.of(args[0]));
+    new LocalCluster().run(Path.of(args[0]));
   }
 
   private void run(Path folder) throws IOException, InterruptedException {
-    state.listen(this::describe);
+    state.onPut(this::describe);
     new NettyHttpServer(loop, state, SOCKETS).bind(STATE);
     new NettyHttpServer(loop, cloud, SOCKETS).bind(CLOUD);
-    loop.execute(() -> ZONES.forEach(zone -> cloud.add("box", zone, false, REPORT)));
+    loop.execute(() -> ZONES.forEach(zone -> cloud.addMachine("box", zone, false, REPORT)));
     Files.createDirectories(folder);
     for (int i = 0; i < ZONES.size(); i++) {
       Path file = nodes.write(folder, i);
@@ -89,15 +91,15 @@
         new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
     for (String line = in.readLine(); line != null; line = in.readLine()) {
       if (line.strip().equals("lose")) {
-        loop.execute(state::loseAll);
+        loop.execute(state::loseAllData);
         System.out.println("the state service has lost its data");
       }
     }
   }
 
-  private void boot(StandInCloud.Machine machine) {
-    StandInWorker worker =
-        new StandInWorker(
+  private void boot(FakeCloud.Machine machine) {
+    FakeWorker worker =
+        new FakeWorker(
             loop,
             random.split(),
             client,
@@ -114,7 +116,7 @@
     new Thread(() -> listen(machine, worker), machine.name).start();
   }
 
-  private void listen(StandInCloud.Machine machine, StandInWorker worker) {
+  private void listen(FakeCloud.Machine machine, FakeWorker worker) {
     try {
       new NettyHttpServer(loop, worker, SOCKETS).bind(Endpoint.parse(machine.address()));
     } catch (InterruptedException e) {
@@ -122,10 +124,10 @@
     }
   }
 
-  private void end(StandInCloud.Machine machine) {
-    StandInWorker worker = workers.remove(machine.name);
+  private void end(FakeCloud.Machine machine) {
+    FakeWorker worker = workers.remove(machine.name);
     if (worker != null) {
-      worker.die();
+      worker.kill();
     }
   }
 
@@ -136,7 +138,7 @@
   private void describe(String key) {
     if (key.contains("/jobs/")) {
       try {
-        Job job = UserProtocol.parseJob(state.peek(key).path("job"), Instant.now());
+        Job job = UserProtocol.parseJob(state.value(key).path("job"), Instant.now());
         descriptions.put(job.id(), job);
       } catch (MalformedMessageException e) {
         System.err.println("the job of " + key + " can't be read: " + e.getMessage());
--- a/src/test/java/io/cherryspool/sim/CostCluster.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackCluster.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.loopback;
 
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.http.NettyEventLoop;
@@ -10,6 +10,9 @@
 import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Priority;
 import io.cherryspool.model.Resources;
+import io.cherryspool.sim.fakes.FakeCloud;
+import io.cherryspool.sim.fakes.FakeStateStore;
+import io.cherryspool.sim.fakes.FakeWorker;
 import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.time.Instant;
@@ -33,8 +36,8 @@
  * of workers, the last two on one event loop of this process, and all on addresses of the loopback
  * network.
  */
-final class CostCluster {
-  static final Duration REPORT = Duration.ofMillis(2500);
+public final class LoopbackCluster {
+  public static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(2500);
 
   private static final Duration LEASE = Duration.ofSeconds(16);
   private static final int STATE_PORT = 12379;
@@ -64,17 +67,17 @@
   /** Of its own, so that a fleet that begins to report does not make the state service silent. */
   private final NettyEventLoop stateLoop = new NettyEventLoop();
 
-  private final StandInState state = new StandInState(stateLoop, random.split(), 0);
-  private final StandInCloud cloud;
+  private final FakeStateStore state = new FakeStateStore(stateLoop, random.split(), 0);
+  private final FakeCloud cloud;
   private final NettyHttpClient client = new NettyHttpClient(loop, SOCKETS);
   private final LoopbackNodes nodes;
   private final Map<String, Endpoint> workerAddresses;
   private final ExecutorService binding = Executors.newSingleThreadExecutor();
-  private final List<StandInWorker> workers = new ArrayList<>();
+  private final List<FakeWorker> workers = new ArrayList<>();
   private final Map<String, Job> jobs = new HashMap<>();
-  private final Map<String, Integer> completed = new HashMap<>();
-  private final Set<String> startedTwice = new HashSet<>();
-  private final Set<String> endedLate = new HashSet<>();
+  private final Map<String, Integer> completions = new HashMap<>();
+  private final Set<String> tasksStartedTwice = new HashSet<>();
+  private final Set<String> tasksEndedLate = new HashSet<>();
   private int startedTasks;
   private volatile long lastStart;
 
@@ -82,12 +85,12 @@
    * @param services the second part of the loopback addresses of services and controllers; the
    *     workers have the one after it
    */
-  CostCluster(int services, int controllers, int size, LoopbackNodes.Limits limits) {
+  public LoopbackCluster(int services, int controllers, int size, LoopbackNodes.Limits limits) {
     this(services, controllers, size, limits, LoopbackRoutes.DIRECT);
   }
 
   /** As above, with links that the routes lead over. */
-  CostCluster(
+  LoopbackCluster(
       int services, int controllers, int size, LoopbackNodes.Limits limits, LoopbackRoutes routes) {
     this.size = size;
     String network = "127." + services + ".";
@@ -100,13 +103,13 @@
             NODE_PORT,
             stateAddress,
             cloudAddress,
-            REPORT,
+            HEARTBEAT_INTERVAL,
             LEASE,
             limits,
             routes);
     workerAddresses = nodes.workerAddresses();
     cloud =
-        new StandInCloud(
+        new FakeCloud(
             loop,
             random.split(),
             List.of(BOX),
@@ -117,7 +120,7 @@
   }
 
   /** A job of the one team, whose tasks are equal. */
-  static Job job(String id, int tasks, double cpus, Duration estimate) {
+  public static Job job(String id, int tasks, double cpus, Duration estimate) {
     return new Job(
         id,
         "lane",
@@ -140,47 +143,48 @@
   }
 
   /** The services listen; there is no machine yet. */
-  void listen() throws InterruptedException {
+  public void listen() throws InterruptedException {
     new NettyHttpServer(stateLoop, state, SOCKETS).bind(stateAddress);
     new NettyHttpServer(loop, cloud, SOCKETS).bind(cloudAddress);
   }
 
-  LoopbackNodes nodes() {
+  public LoopbackNodes nodes() {
     return nodes;
   }
 
   /** All machines boot and begin to report, spread over one report's time. */
-  void bootWorkers() {
+  public void bootWorkers() {
     onLoop(
         () -> {
           for (int i = 0; i < size; i++) {
             String zone = LoopbackNodes.ZONES.get(i % LoopbackNodes.ZONES.size());
-            cloud.add(BOX.name(), zone, true, REPORT.multipliedBy(i).dividedBy(size));
+            cloud.addMachine(
+                BOX.name(), zone, true, HEARTBEAT_INTERVAL.multipliedBy(i).dividedBy(size));
           }
           return null;
         });
   }
 
-  private void boot(StandInCloud.Machine machine) {
-    StandInWorker worker =
-        new StandInWorker(
+  private void boot(FakeCloud.Machine machine) {
+    FakeWorker worker =
+        new FakeWorker(
             loop,
             random.split(),
             new NettyHttpClient(loop, SOCKETS_PER_WORKER),
             machine,
             workerAddresses,
             jobs::get,
-            REPORT,
+            HEARTBEAT_INTERVAL,
             LEASE,
             0,
             this::started,
-            task -> completed.merge(task, 1, Integer::sum));
+            task -> completions.merge(task, 1, Integer::sum));
     workers.add(worker);
     // Binding waits for the loop, on which this runs.
     binding.execute(() -> listen(machine, worker));
   }
 
-  private void listen(StandInCloud.Machine machine, StandInWorker worker) {
+  private void listen(FakeCloud.Machine machine, FakeWorker worker) {
     try {
       new NettyHttpServer(loop, worker, SOCKETS).bind(Endpoint.parse(machine.address()));
     } catch (InterruptedException e) {
@@ -188,31 +192,31 @@
     }
   }
 
-  private void started(StandInWorker on, String task) {
+  private void started(FakeWorker on, String task) {
     startedTasks++;
     lastStart = System.nanoTime();
-    for (StandInWorker other : workers) {
-      if (other != on && other.onMachine().contains(task)) {
+    for (FakeWorker other : workers) {
+      if (other != on && other.runningTasks().contains(task)) {
         // A loop that is behind ends the tasks of a lease that is over too late.
-        boolean over = loop.now().minus(other.keptSince()).compareTo(LEASE) > 0;
-        (over ? endedLate : startedTwice).add(task);
+        boolean over = loop.now().minus(other.leaseRenewedAt()).compareTo(LEASE) > 0;
+        (over ? tasksEndedLate : tasksStartedTwice).add(task);
       }
     }
   }
 
   /** The state service loses its data. */
-  void loseState() {
+  public void loseStateStoreData() {
     CompletableFuture<Void> done = new CompletableFuture<>();
     stateLoop.execute(
         () -> {
-          state.loseAll();
+          state.loseAllData();
           done.complete(null);
         });
     await(done);
   }
 
   /** Requests and changes that the state service has taken. */
-  long[] stateLoad() {
+  public long[] stateLoad() {
     CompletableFuture<long[]> load = new CompletableFuture<>();
     stateLoop.execute(() -> load.complete(new long[] {state.requests(), state.changes()}));
     return await(load);
@@ -222,44 +226,44 @@
    * Tasks that were started while another machine, whose lease was over, had not ended them yet:
    * the stand-ins' loop was behind, and a run with such tasks tells little.
    */
-  Set<String> endedLate() {
-    return onLoop(() -> Set.copyOf(endedLate));
+  public Set<String> tasksEndedLate() {
+    return onLoop(() -> Set.copyOf(tasksEndedLate));
   }
 
   /** Tasks that were started on one machine while they were on another. */
-  Set<String> startedTwice() {
-    return onLoop(() -> Set.copyOf(startedTwice));
+  public Set<String> tasksStartedTwice() {
+    return onLoop(() -> Set.copyOf(tasksStartedTwice));
   }
 
   /** How often each task has completed. */
-  Map<String, Integer> completed() {
-    return onLoop(() -> Map.copyOf(completed));
+  Map<String, Integer> completions() {
+    return onLoop(() -> Map.copyOf(completions));
   }
 
   /** How many machines there are. */
-  int machines() {
+  public int machineCount() {
     return size;
   }
 
   /** So many running tasks complete now, whatever they were to take. */
-  void finishTasks(int count) {
+  public void finishTasks(int count) {
     onLoop(
         () -> {
           workers.stream()
-              .filter(worker -> !worker.onMachine().isEmpty())
+              .filter(worker -> !worker.runningTasks().isEmpty())
               .limit(count)
-              .forEach(StandInWorker::finishOne);
+              .forEach(FakeWorker::completeOneTask);
           return null;
         });
   }
 
   /** How many tasks are on machines now. */
-  int onMachines() {
-    return onLoop(() -> workers.stream().mapToInt(worker -> worker.onMachine().size()).sum());
+  public int runningTaskCount() {
+    return onLoop(() -> workers.stream().mapToInt(worker -> worker.runningTasks().size()).sum());
   }
 
   /** The workers may be given the tasks of this job. Call it on the loop. */
-  void describe(Job job) {
+  public void addJobDescription(Job job) {
     jobs.put(job.id(), job);
   }
 
@@ -269,39 +273,39 @@
   }
 
   /** How many tasks were ever started. */
-  int startedTasks() {
+  public int startedTasks() {
     return onLoop(() -> startedTasks);
   }
 
   /** How many reports the workers have made. */
-  long reports() {
-    return onLoop(() -> workers.stream().mapToLong(StandInWorker::descriptions).sum());
+  public long heartbeatCount() {
+    return onLoop(() -> workers.stream().mapToLong(FakeWorker::heartbeatCount).sum());
   }
 
   /** How many leases have run out, which a measurement should not meet. */
-  long leasesLost() {
-    return onLoop(() -> workers.stream().mapToLong(worker -> worker.session() - 1).sum());
+  public long expiredLeases() {
+    return onLoop(() -> workers.stream().mapToLong(worker -> worker.agentEpoch() - 1).sum());
   }
 
   /** The worker of the given number; numbers beyond the last begin again. Call it on the loop. */
-  StandInWorker worker(int number) {
+  public FakeWorker worker(int number) {
     return workers.get(number % workers.size());
   }
 
   /** Asks a node something. Call it on the loop. */
-  CompletableFuture<Reply> ask(String node, Request request) {
+  public CompletableFuture<Reply> ask(String node, Request request) {
     return client.send(nodes.addresses().get(node), request, CALL_LIMIT);
   }
 
   /** Commits a change as some other node might. */
-  CompletableFuture<Reply> commit(StateStoreProtocol.Change change) {
+  public CompletableFuture<Reply> commit(StateStoreProtocol.Change change) {
     CompletableFuture<Reply> result = new CompletableFuture<>();
     Request request = StateStoreProtocol.transactionRequest(Map.of(), List.of(change));
     stateLoop.execute(() -> state.handle(request).thenAccept(result::complete));
     return result;
   }
 
-  NettyEventLoop loop() {
+  public NettyEventLoop loop() {
     return loop;
   }
 
@@ -312,7 +316,7 @@
   }
 
   /** Waits for something that is told on the loop. */
-  static <T> T await(CompletableFuture<T> answer) {
+  public static <T> T await(CompletableFuture<T> answer) {
     try {
       return answer.get(ANSWER_S, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
