--- a/src/test/java/io/cherryspool/sim/LoopbackFixture.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackFixture.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.loopback;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -32,7 +32,7 @@
 
   @TempDir Path folder;
 
-  final CostCluster cluster;
+  final LoopbackCluster cluster;
   private final ControllerProcess[] controllers;
   private final Map<String, Job> jobs = new HashMap<>();
   private final Map<String, String> ends = new HashMap<>();
@@ -40,7 +40,7 @@
   private int lives;
   private int asked;
 
-  LoopbackFixture(int controllers, CostCluster cluster) {
+  LoopbackFixture(int controllers, LoopbackCluster cluster) {
     this.cluster = cluster;
     this.controllers = new ControllerProcess[controllers];
   }
@@ -105,7 +105,7 @@
                 cluster
                     .ask(LoopbackNodes.name(number), request)
                     .whenComplete((reply, failure) -> answer.complete(reply)));
-    return CostCluster.await(answer);
+    return LoopbackCluster.await(answer);
   }
 
   String submit(int tasks, double seconds) throws InterruptedException {
@@ -127,9 +127,9 @@
   private Job newJob(int tasks, double seconds) {
     String id = String.format("req-%06d", jobs.size() + 1);
     // The stand-in workers run a task for half of the estimate and up to 4 s more.
-    Job job = CostCluster.job(id, tasks, 2, Duration.ofMillis((long) (seconds * 2000)));
+    Job job = LoopbackCluster.job(id, tasks, 2, Duration.ofMillis((long) (seconds * 2000)));
     jobs.put(id, job);
-    cluster.loop().execute(() -> cluster.describe(job));
+    cluster.loop().execute(() -> cluster.addJobDescription(job));
     return job;
   }
 
@@ -200,9 +200,9 @@
 
   /** No task was on two machines, no answer is lost, and each has the end that it must have. */
   void checkAnswers() {
-    assertEquals(Set.of(), cluster.startedTwice());
-    Map<String, Integer> completed = cluster.completed();
-    boolean leasesHeld = cluster.leasesLost() == 0;
+    assertEquals(Set.of(), cluster.tasksStartedTwice());
+    Map<String, Integer> completed = cluster.completions();
+    boolean leasesHeld = cluster.expiredLeases() == 0;
     jobs.forEach(
         (id, job) -> {
           assertEquals(cancelled.contains(id) ? "withdrawn" : "done", ends.get(id), id);
--- a/src/test/java/io/cherryspool/sim/LoopbackNodes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackNodes.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.loopback;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /** Nodes on addresses of the loopback network, and their settings files. */
-final class LoopbackNodes {
-  static final List<String> ZONES = List.of("a", "b", "c");
+public final class LoopbackNodes {
+  public static final List<String> ZONES = List.of("a", "b", "c");
 
   private final int count;
   private final String network;
@@ -31,7 +31,7 @@
    * What the state service takes a second, how many sockets a node may hold, and how many
    * processors the one team may use, 0 for as many as there are.
    */
-  record Limits(double stateRequests, double stateWrites, int sockets, double teamCpus) {}
+  public record Limits(double stateRequests, double stateWrites, int sockets, double teamCpus) {}
 
   /** The nodes have the first addresses of the network; {@code port + 1} is for their own words. */
   LoopbackNodes(
@@ -76,7 +76,7 @@
     return result;
   }
 
-  static String name(int index) {
+  public static String name(int index) {
     return "node-" + index;
   }
 
@@ -89,7 +89,7 @@
   }
 
   /** Writes the settings of one node into the folder. */
-  Path write(Path folder, int index) throws IOException {
+  public Path write(Path folder, int index) throws IOException {
     Path file = folder.resolve(name(index) + ".json");
     return Files.write(file, Json.toBytes(settings(index)));
   }
--- a/src/test/java/io/cherryspool/sim/LostStateLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LostStateLoopbackTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.loopback;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -22,7 +22,7 @@
   LostStateLoopbackTest() {
     super(
         CONTROLLERS,
-        new CostCluster(
+        new LoopbackCluster(
             SERVICES, CONTROLLERS, MACHINES, new LoopbackNodes.Limits(300, 120, 1024, 0)));
   }
 
@@ -45,11 +45,11 @@
     submit(4, 0.5);
     submit(40, 14);
     String first = submit(8, 60);
-    until("tasks run", () -> cluster.onMachines() >= 20);
+    until("tasks run", () -> cluster.runningTaskCount() >= 20);
     cancel(first);
     submit(6, 9);
     pollFor(3);
-    cluster.loseState();
+    cluster.loseStateStoreData();
     submit(5, 2);
     pollFor(4);
     String second = submit(3, 60);
@@ -59,12 +59,12 @@
     // What snapshots of one second's age have seen survives all controllers as well.
     submit(20, 12);
     pollFor(4);
-    cluster.loseState();
+    cluster.loseStateStoreData();
     killControllers();
     startControllers(operators);
     submit(4, 1);
     until("all jobs have ended", this::allEnded);
-    assertEquals(0, cluster.leasesLost(), "no worker lost its tasks");
+    assertEquals(0, cluster.expiredLeases(), "no worker lost its tasks");
     checkAnswers();
   }
 }
--- a/src/test/java/io/cherryspool/sim/PartitionLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/loopback/PartitionLoopbackTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.loopback;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -28,7 +28,7 @@
   PartitionLoopbackTest() {
     super(
         CONTROLLERS,
-        new CostCluster(
+        new LoopbackCluster(
             SERVICES, CONTROLLERS, MACHINES, new LoopbackNodes.Limits(300, 120, 1024, 0), ROUTES));
   }
 
@@ -80,36 +80,36 @@
     cluster.bootWorkers();
     submit(30, 12);
     String cancelled = submit(6, 60);
-    until("tasks run", () -> cluster.onMachines() >= 20);
+    until("tasks run", () -> cluster.runningTaskCount() >= 20);
 
     // The state service alone is lost to the leader, which passes its users on; a follower ends.
     int leader = awaitLeader();
     int follower = (leader + 1) % CONTROLLERS;
-    ROUTES.state(leader).become(TcpRelay.Mode.RESET);
+    ROUTES.state(leader).setMode(TcpRelay.Mode.RESET);
     until("the leader holds placing", () -> verdict(leader).startsWith("hold-placing"));
     assertTrue(submitAt(leader, 3, 2), "accepted through another node");
     kill(follower);
     pollFor(3);
-    ROUTES.state(leader).become(TcpRelay.Mode.PASS);
+    ROUTES.state(leader).setMode(TcpRelay.Mode.PASS);
     start(follower, Optional.empty());
 
     // No report reaches the leader, and the others' heartbeats are held on the way to it.
     int second = awaitLeader();
     cancel(cancelled);
-    ROUTES.workers(second).become(TcpRelay.Mode.HOLD_REQUESTS);
+    ROUTES.workers(second).setMode(TcpRelay.Mode.HOLD_REQUESTS);
     for (int i = 0; i < CONTROLLERS; i++) {
       if (i != second) {
-        ROUTES.peer(i, second).become(TcpRelay.Mode.HOLD_REQUESTS);
+        ROUTES.peer(i, second).setMode(TcpRelay.Mode.HOLD_REQUESTS);
       }
     }
     submit(8, 6);
     pollFor(5);
     kill(second);
     pollFor(2);
-    ROUTES.workers(second).become(TcpRelay.Mode.PASS);
+    ROUTES.workers(second).setMode(TcpRelay.Mode.PASS);
     for (int i = 0; i < CONTROLLERS; i++) {
       if (i != second) {
-        ROUTES.peer(i, second).become(TcpRelay.Mode.PASS);
+        ROUTES.peer(i, second).setMode(TcpRelay.Mode.PASS);
       }
     }
     start(second, Optional.empty());
@@ -118,9 +118,9 @@
     submit(10, 5);
     for (int i = 0; i < 4; i++) {
       int now = Math.max(0, leader());
-      ROUTES.state(now).become(TcpRelay.Mode.HOLD_ANSWERS);
+      ROUTES.state(now).setMode(TcpRelay.Mode.HOLD_ANSWERS);
       pollFor(1);
-      ROUTES.state(now).become(TcpRelay.Mode.PASS);
+      ROUTES.state(now).setMode(TcpRelay.Mode.PASS);
       pollFor(1);
     }
     until("all jobs have ended", this::allEnded);
--- a/src/test/java/io/cherryspool/sim/RelayedRoutes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/RelayedRoutes.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.loopback;
 
 import io.cherryspool.http.Endpoint;
 import java.io.IOException;
--- a/src/test/java/io/cherryspool/sim/TcpRelay.java
+++ b/src/test/java/io/cherryspool/sim/loopback/TcpRelay.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.loopback;
 
 import io.cherryspool.http.Endpoint;
 import java.io.IOException;
@@ -48,7 +48,7 @@
   }
 
   /** From now on. */
-  synchronized void become(Mode next) {
+  synchronized void setMode(Mode next) {
     mode = next;
     notifyAll();
     if (next == Mode.RESET) {
@@ -124,6 +124,6 @@
   @Override
   public void close() throws IOException {
     listener.close();
-    become(Mode.RESET);
+    setMode(Mode.RESET);
   }
 }
--- a/src/test/java/io/cherryspool/sim/ThreadTimes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/ThreadCpuTimes.java
@@ -1,14 +1,14 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.loopback;
 
 import java.util.EnumMap;
 import java.util.Map;
 
 /** Processor time by what the threads of a controller do. Immutable. */
-final class ThreadTimes {
-  static final ThreadTimes NONE = new ThreadTimes(new EnumMap<>(Group.class));
+public final class ThreadCpuTimes {
+  static final ThreadCpuTimes NONE = new ThreadCpuTimes(new EnumMap<>(Group.class));
 
   /** What a thread is for. The kernel cuts the names after 15 characters. */
-  enum Group {
+  public enum Group {
     LOOP("multiThreadIoEv"),
     COMPILER("C1 CompilerThre"),
     MAIN("java"),
@@ -33,30 +33,30 @@
 
   private final Map<Group, Long> nanos;
 
-  private ThreadTimes(Map<Group, Long> nanos) {
+  private ThreadCpuTimes(Map<Group, Long> nanos) {
     this.nanos = nanos;
   }
 
-  ThreadTimes plus(Group group, long more) {
+  ThreadCpuTimes plus(Group group, long more) {
     Map<Group, Long> sum = new EnumMap<>(Group.class);
     sum.putAll(nanos);
     sum.merge(group, more, Long::sum);
-    return new ThreadTimes(sum);
+    return new ThreadCpuTimes(sum);
   }
 
-  ThreadTimes minus(ThreadTimes other) {
-    ThreadTimes result = this;
+  public ThreadCpuTimes minus(ThreadCpuTimes other) {
+    ThreadCpuTimes result = this;
     for (Group group : Group.values()) {
       result = result.plus(group, -other.nanos.getOrDefault(group, 0L));
     }
     return result;
   }
 
-  double millis(Group group) {
+  public double millis(Group group) {
     return nanos.getOrDefault(group, 0L) / 1e6;
   }
 
-  double millis() {
+  public double millis() {
     return nanos.values().stream().mapToLong(Long::longValue).sum() / 1e6;
   }
 }
--- a/src/test/java/io/cherryspool/sim/LostStateTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
@@ -1,10 +1,14 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.loststate;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.model.Job;
+import io.cherryspool.sim.cluster.DirectedFaultsFixture;
+import io.cherryspool.sim.cluster.SimulatedCluster;
+import io.cherryspool.sim.cluster.SimulatedController;
+import io.cherryspool.sim.fakes.FakeStateStore;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,11 +21,11 @@
  * of what they submitted and were told is kept on the side, and the rules are checked against it
  * after each step.
  */
-class LostStateTest extends CombinedFaultsFixture {
+class LostStateTest extends DirectedFaultsFixture {
 
   /** A cluster with work of every state: done, cancelled, running, waiting, just submitted. */
   private List<Job> busyCluster(long seed, int controllers) {
-    cluster = Cluster.recovering(seed, controllers);
+    cluster = SimulatedCluster.recovering(seed, controllers);
     cluster.run(25);
     return busyWork(seed);
   }
@@ -46,7 +50,7 @@
     allEnd(jobs);
     for (Job job : jobs) {
       int done = cluster.rules().doneTasks(job.id());
-      assertTrue(cluster.rules().cancelWanted(job.id()) || done == job.taskCount(), job.id());
+      assertTrue(cluster.rules().isCancelRequested(job.id()) || done == job.taskCount(), job.id());
     }
   }
 
@@ -54,14 +58,14 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void allDataIsLost(long seed) {
     List<Job> jobs = busyCluster(seed, 3 + (int) seed % 3);
-    cluster.state().loseAll();
+    cluster.state().loseAllData();
     cluster.run(12);
-    assertNotNull(cluster.state().peek("c/incarnation"));
-    assertEquals(1, cluster.state().peek("c/incarnation").path("number").intValue());
-    assertTrue(cluster.leading().isPresent(), "somebody leads again");
-    assertEquals(0, cluster.leasesLost(), "no worker lost its tasks meanwhile");
+    assertNotNull(cluster.state().value("c/incarnation"));
+    assertEquals(1, cluster.state().value("c/incarnation").path("number").intValue());
+    assertTrue(cluster.currentLeader().isPresent(), "somebody leads again");
+    assertEquals(0, cluster.expiredLeases(), "no worker lost its tasks meanwhile");
     assertTrue(
-        cluster.state().peek("c/incarnation").path("complete").asBoolean(),
+        cluster.state().value("c/incarnation").path("complete").asBoolean(),
         "the one that led rebuilds, so that nothing has to be waited for");
     allIsWell(jobs);
   }
@@ -71,13 +75,13 @@
   @ValueSource(doubles = {0.1, 0.5, 1, 3, 8, 14, 30})
   void theServiceIsSetBack(double seconds) {
     for (long seed = 1; seed <= 4; seed++) {
-      cluster = Cluster.recovering(seed, 3 + (int) seed % 3);
+      cluster = SimulatedCluster.recovering(seed, 3 + (int) seed % 3);
       cluster.run(25);
-      List<StandInState.Saved> saved = new ArrayList<>();
-      cluster.after(20 - Math.min(20, seconds), () -> saved.add(cluster.state().save()));
+      List<FakeStateStore.Backup> saved = new ArrayList<>();
+      cluster.schedule(20 - Math.min(20, seconds), () -> saved.add(cluster.state().backup()));
       List<Job> jobs = busyWork(seed);
       cluster.run(45 - cluster.time().seconds());
-      cluster.state().loseTo(saved.get(0));
+      cluster.state().restore(saved.get(0));
       allIsWell(jobs);
     }
   }
@@ -87,7 +91,7 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void theLeaderIsLostWithTheData(long seed) {
     List<Job> jobs = busyCluster(seed, 3 + (int) seed % 3);
-    cluster.state().loseAll();
+    cluster.state().loseAllData();
     cluster.leader().crash(Duration.ofSeconds(seed % 3 == 0 ? 0 : 30).plusMillis(200));
     allIsWell(jobs);
   }
@@ -103,29 +107,29 @@
     // With seed 8 the tasks come to a machine that has to fetch their image first.
     for (long seed : new long[] {1, 2, 3, 4, 5, 6, 7, 12}) {
       List<Job> jobs = busyCluster(seed, 3 + (int) seed % 3);
-      ControllerNode leader = cluster.leader();
+      SimulatedController leader = cluster.leader();
       cluster.nodes().stream()
           .filter(node -> node != leader)
-          .forEach(node -> node.cutFromState(Duration.ofMillis(2500)));
+          .forEach(node -> node.cutFromStateStore(Duration.ofMillis(2500)));
       Job lost = cluster.job("guest", 6, 0.25, Duration.ofSeconds(70));
       cluster.users().submit(lost, leader.address());
       cluster.run(2.2);
-      int running = cluster.runningTasks(lost);
+      int running = cluster.runningTaskCount(lost);
       assertTrue(running > 0, "its tasks run");
-      cluster.state().loseAll();
+      cluster.state().loseAllData();
       leader.crash(Duration.ofSeconds(30));
       if (seed % 2 == 0) {
         // Once more, while the next leader takes in what runs, or while the job waits for its user.
         cluster.run(seed % 4 == 0 ? 7 : 22);
-        assertTrue(cluster.leading().isPresent(), "somebody leads in between");
-        cluster.state().loseAll();
+        assertTrue(cluster.currentLeader().isPresent(), "somebody leads in between");
+        cluster.state().loseAllData();
       }
       cluster.run(15);
-      assertTrue(cluster.runningTasks(lost) >= running, "its tasks run on");
-      unknown += cluster.state().holds("/unknown/" + lost.id()) ? 1 : 0;
+      assertTrue(cluster.runningTaskCount(lost) >= running, "its tasks run on");
+      unknown += cluster.state().hasKeyEndingWith("/unknown/" + lost.id()) ? 1 : 0;
       jobs.add(lost);
       // Another job may have been accepted through the leader alone: a cut-off node passes it on.
-      cluster.after(5 + seed, () -> jobs.forEach(cluster.users()::repeat));
+      cluster.schedule(5 + seed, () -> jobs.forEach(cluster.users()::resubmit));
       allIsWell(jobs);
     }
     assertTrue(unknown >= 4, "it was unknown in " + unknown + " of 8");
@@ -137,9 +141,9 @@
   void dataIsLostOnceMore(double seconds) {
     for (long seed = 1; seed <= 3; seed++) {
       List<Job> jobs = busyCluster(seed, 3);
-      cluster.state().loseAll();
+      cluster.state().loseAllData();
       cluster.run(seconds);
-      cluster.state().loseAll();
+      cluster.state().loseAllData();
       allIsWell(jobs);
     }
   }
@@ -150,10 +154,10 @@
   void theRebuilderEnds(double seconds) {
     for (long seed = 1; seed <= 3; seed++) {
       List<Job> jobs = busyCluster(seed, 3);
-      cluster.state().loseAll();
+      cluster.state().loseAllData();
       cluster.run(seconds);
-      for (ControllerNode node : cluster.nodes()) {
-        if (node.rebuilds()) {
+      for (SimulatedController node : cluster.nodes()) {
+        if (node.isRebuilding()) {
           node.crash(Duration.ofSeconds(seed));
         }
       }
@@ -166,10 +170,10 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void dataIsLostInAnOutage(long seed) {
     List<Job> jobs = busyCluster(seed, 3 + (int) seed % 3);
-    cluster.outage(Duration.ofSeconds(3 + 2 * seed));
+    cluster.stateStoreOutage(Duration.ofSeconds(3 + 2 * seed));
     cluster.run(1);
     jobs.add(submit("red", 2, 2, Duration.ofSeconds(3)));
-    cluster.state().loseAll();
+    cluster.state().loseAllData();
     cluster.run(3 + 2 * seed);
     jobs.add(submit("blue", 2, 2, Duration.ofSeconds(3)));
     allIsWell(jobs);
@@ -180,14 +184,14 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void transactionsOfTheLostHistoryComeLate(long seed) {
     List<Job> jobs = busyCluster(seed, 3);
-    cluster.state().holdBack(0.7);
+    cluster.state().delayCommits(0.7);
     jobs.add(submit("red", 6, 2, Duration.ofSeconds(4)));
     jobs.add(submit("blue", 6, 2, Duration.ofSeconds(4)));
     cluster.run(1.5);
-    cluster.state().loseAll();
-    cluster.state().holdBack(seed % 2 == 0 ? 0 : 0.3);
+    cluster.state().loseAllData();
+    cluster.state().delayCommits(seed % 2 == 0 ? 0 : 0.3);
     cluster.run(8);
-    cluster.state().holdBack(0);
+    cluster.state().delayCommits(0);
     allIsWell(jobs);
   }
 
@@ -202,7 +206,7 @@
     List<Job> last = new ArrayList<>();
     // Asked at all nodes all the time: none may answer before it knows all that was told.
     cluster.users().storm(60);
-    for (ControllerNode node : cluster.nodes()) {
+    for (SimulatedController node : cluster.nodes()) {
       Job job = cluster.job("guest", 1, 0.5, Duration.ofSeconds(3));
       cluster.users().submit(job, node.address());
       last.add(job);
@@ -213,7 +217,7 @@
       all = last.stream().allMatch(job -> cluster.rules().isAccepted(job.id()));
     }
     assertTrue(all, "all of them are accepted");
-    cluster.state().loseAll();
+    cluster.state().loseAllData();
     jobs.addAll(last);
     allIsWell(jobs);
   }
@@ -225,16 +229,16 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void onlyWorkersKnowThatTheServiceWasSetBack(long seed) {
-    cluster = Cluster.recovering(seed, 3 + (int) seed % 3);
+    cluster = SimulatedCluster.recovering(seed, 3 + (int) seed % 3);
     cluster.run(25);
     Job job = submit("blue", 60, 4, Duration.ofSeconds(6 + seed % 5));
     cluster.run(6);
-    StandInState.Saved saved = cluster.state().save();
+    FakeStateStore.Backup saved = cluster.state().backup();
     int started = cluster.rules().starts();
     cluster.run(4 + seed % 6);
     assertTrue(cluster.rules().starts() > started, "tasks were started meanwhile");
-    cluster.state().loseTo(saved);
-    for (ControllerNode node : cluster.nodes()) {
+    cluster.state().restore(saved);
+    for (SimulatedController node : cluster.nodes()) {
       node.crash(Duration.ofMillis(200 + 300 * (seed % 4)));
     }
     cluster.run(150);
--- a/src/test/java/io/cherryspool/sim/LostStateDaysTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/RepeatedStateLossTest.java
@@ -1,24 +1,27 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.loststate;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.cherryspool.sim.cluster.RandomizedRun;
+import io.cherryspool.sim.cluster.SimulatedCluster;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Random days on which the state service loses its data again and again, among other faults. */
-class LostStateDaysTest {
+class RepeatedStateLossTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void theRulesHoldAndEverythingEnds(long seed) {
-    new Simulation(Cluster.recovering(seed, 3 + (int) seed % 3)).playWithLosses(240, 240);
+    new RandomizedRun(SimulatedCluster.recovering(seed, 3 + (int) seed % 3))
+        .playWithLosses(240, 240);
   }
 
   /** On days of every other fault nothing is taken for a loss. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void noOtherFaultIsTakenForALoss(long seed) {
-    Cluster cluster = Cluster.recovering(seed, 3 + (int) seed % 3);
-    new Simulation(cluster).play(240, 240);
-    assertEquals(0, cluster.state().peek("c/incarnation").path("number").intValue());
+    SimulatedCluster cluster = SimulatedCluster.recovering(seed, 3 + (int) seed % 3);
+    new RandomizedRun(cluster).play(240, 240);
+    assertEquals(0, cluster.state().value("c/incarnation").path("number").intValue());
   }
 }
--- a/src/test/java/io/cherryspool/sim/SnapshotRecoveryTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/SnapshotRecoveryTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.loststate;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,6 +6,9 @@
 
 import io.cherryspool.config.RecoverySettings;
 import io.cherryspool.model.Job;
+import io.cherryspool.sim.cluster.DirectedFaultsFixture;
+import io.cherryspool.sim.cluster.SimulatedCluster;
+import io.cherryspool.sim.cluster.SimulatedController;
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -20,12 +23,12 @@
  * The state service loses its data, and all controllers end with it: what is left is the snapshots
  * on their disks and what the workers run.
  */
-class SnapshotRecoveryTest extends CombinedFaultsFixture {
+class SnapshotRecoveryTest extends DirectedFaultsFixture {
   private static final Duration EVERY = Duration.ofSeconds(5);
 
   private void begin(long seed, Set<String> heldClasses) {
     cluster =
-        Cluster.recovering(
+        SimulatedCluster.recovering(
             seed,
             3,
             new RecoverySettings(
@@ -35,8 +38,8 @@
 
   /** All processes end and the data is gone; the processes are back within a few seconds. */
   private void loseEverything(long seed) {
-    cluster.state().loseAll();
-    for (ControllerNode node : cluster.nodes()) {
+    cluster.state().loseAllData();
+    for (SimulatedController node : cluster.nodes()) {
       node.crash(Duration.ofMillis(300 + 900 * (seed % 4)));
     }
   }
@@ -59,7 +62,7 @@
     loseEverything(seed);
     cluster.run(110);
     allEnd(jobs);
-    assertEquals(0, cluster.leasesLost(), "what ran went on running");
+    assertEquals(0, cluster.expiredLeases(), "what ran went on running");
   }
 
   /** Tasks begin and end after the newest snapshot; what runs is adopted, what is done counts. */
@@ -68,19 +71,19 @@
   void theSnapshotIsOlderThanTheNewestWork(long seed) {
     begin(seed, Set.of());
     List<Job> jobs = seenBySnapshots();
-    for (ControllerNode node : cluster.nodes()) {
-      node.disk().freeze();
+    for (SimulatedController node : cluster.nodes()) {
+      node.snapshotStore().dropWrites();
     }
     cluster.run(6 + seed);
     Job late = submit("guest", 5, 0.5, Duration.ofSeconds(60));
     cluster.run(5);
-    int running = cluster.runningTasks(late);
+    int running = cluster.runningTaskCount(late);
     assertTrue(running > 0, "its tasks run");
     loseEverything(seed);
     cluster.run(25);
-    assertTrue(cluster.runningTasks(late) >= running, "tasks of an unknown job run on");
+    assertTrue(cluster.runningTaskCount(late) >= running, "tasks of an unknown job run on");
     assertFalse(cluster.rules().ended(late.id()));
-    cluster.users().repeat(late);
+    cluster.users().resubmit(late);
     jobs.add(late);
     cluster.run(120);
     allEnd(jobs);
@@ -91,9 +94,9 @@
   void aTornSnapshotIsPassedOver() {
     begin(1, Set.of());
     List<Job> jobs = seenBySnapshots();
-    for (ControllerNode node : cluster.nodes()) {
-      node.disk().freeze();
-      node.disk().tearNewest();
+    for (SimulatedController node : cluster.nodes()) {
+      node.snapshotStore().dropWrites();
+      node.snapshotStore().truncateNewest();
     }
     loseEverything(1);
     cluster.run(110);
@@ -109,7 +112,7 @@
     loseEverything(seed);
     for (int i = 0; i < cluster.nodes().size(); i++) {
       if (i != seed % 3) {
-        cluster.nodes().get(i).disk().wipe();
+        cluster.nodes().get(i).snapshotStore().deleteAll();
       }
     }
     cluster.run(110);
@@ -122,24 +125,25 @@
     begin(1, Set.of("lane"));
     Job job = submit("blue", 6, 4, Duration.ofSeconds(30));
     cluster.run(12);
-    assertEquals(6, cluster.runningTasks(job));
-    for (ControllerNode node : cluster.nodes()) {
-      node.disk().freeze();
+    assertEquals(6, cluster.runningTaskCount(job));
+    for (SimulatedController node : cluster.nodes()) {
+      node.snapshotStore().dropWrites();
     }
     // One machine dies with what it runs; whether that had ended, no report will tell.
     cluster.killBusiestMachine();
     cluster.run(0.2);
-    int left = cluster.runningTasks(job);
+    int left = cluster.runningTaskCount(job);
     assertTrue(left < 6, "some of them are gone");
     loseEverything(1);
     cluster.run(70);
-    assertTrue(cluster.state().holds("/held/" + job.id()), "the job is held");
+    assertTrue(cluster.state().hasKeyEndingWith("/held/" + job.id()), "the job is held");
     assertFalse(cluster.rules().ended(job.id()), "nothing of it was run again");
     assertEquals(
-        409, cluster.operator("resolve", "{\"job\":\"req-999998\",\"decision\":\"repeat\"}"));
+        409,
+        cluster.postRecoveryCommand("resolve", "{\"job\":\"req-999998\",\"decision\":\"repeat\"}"));
     String decision = "{\"job\":\"" + job.id() + "\",\"decision\":\"repeat\"}";
-    assertEquals(200, cluster.operator("resolve", decision));
-    assertEquals(409, cluster.operator("resolve", decision), "it is not held any more");
+    assertEquals(200, cluster.postRecoveryCommand("resolve", decision));
+    assertEquals(409, cluster.postRecoveryCommand("resolve", decision), "it is not held any more");
     cluster.run(70);
     assertTrue(cluster.rules().ended(job.id()), "it was run again once that was decided");
   }
@@ -150,12 +154,12 @@
     begin(1, Set.of());
     Job job = submit("blue", 6, 4, Duration.ofSeconds(60));
     cluster.run(12);
-    assertEquals(6, cluster.runningTasks(job));
+    assertEquals(6, cluster.runningTaskCount(job));
     loseEverything(0);
-    cluster.nodes().forEach(node -> node.disk().wipe());
+    cluster.nodes().forEach(node -> node.snapshotStore().deleteAll());
     cluster.run(40);
-    assertEquals(6, cluster.runningTasks(job), "it runs on");
-    cluster.users().repeat(job);
+    assertEquals(6, cluster.runningTaskCount(job), "it runs on");
+    cluster.users().resubmit(job);
     cluster.run(80);
     assertTrue(cluster.rules().ended(job.id()));
   }
@@ -166,14 +170,14 @@
     Job job = submit("blue", 6, 4, Duration.ofSeconds(200));
     cluster.run(12);
     loseEverything(0);
-    cluster.nodes().forEach(node -> node.disk().wipe());
+    cluster.nodes().forEach(node -> node.snapshotStore().deleteAll());
     cluster.run(40);
     String repeat = "{\"job\":\"" + job.id() + "\",\"decision\":\"repeat\"}";
-    assertEquals(409, cluster.operator("resolve", repeat), "nobody has described it");
+    assertEquals(409, cluster.postRecoveryCommand("resolve", repeat), "nobody has described it");
     String abandon = "{\"job\":\"" + job.id() + "\",\"decision\":\"abandon\"}";
-    cluster.users().forget(job.id());
-    assertEquals(200, cluster.operator("resolve", abandon));
+    cluster.users().stopAsking(job.id());
+    assertEquals(200, cluster.postRecoveryCommand("resolve", abandon));
     cluster.run(8);
-    assertEquals(0, cluster.runningTasks(job), "its tasks are stopped");
+    assertEquals(0, cluster.runningTaskCount(job), "its tasks are stopped");
   }
 }
--- a/src/test/java/io/cherryspool/sim/LinkFaults.java
+++ b/src/test/java/io/cherryspool/sim/network/LinkFaults.java
@@ -1,12 +1,13 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.network;
 
+import io.cherryspool.sim.time.VirtualTime;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
 
 /** Faults of single directions between two hosts; the other direction may be well. */
-final class LinkFaults {
+public final class LinkFaults {
   /** How much longer a delayed message takes. */
   static final Duration DELAY = Duration.ofMillis(700);
 
@@ -14,7 +15,7 @@
   private final Map<Direction, Failure> failures = new HashMap<>();
 
   /** What becomes of a message. */
-  enum Mode {
+  public enum Mode {
     /** It is lost. */
     DROP,
     /** Its sender is told at once that the connection is reset. */
@@ -36,7 +37,7 @@
   }
 
   /** What goes from the one host to the other fails for so long. */
-  void fail(String from, String to, Mode mode, Duration length) {
+  public void fail(String from, String to, Mode mode, Duration length) {
     failures.put(new Direction(from, to), new Failure(mode, time.now().plus(length)));
   }
 
--- a/src/test/java/io/cherryspool/sim/SimNet.java
+++ b/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
@@ -1,10 +1,12 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.network;
 
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
 import io.cherryspool.http.RequestHandler;
 import io.cherryspool.http.Transport;
+import io.cherryspool.sim.time.ProcessInbox;
+import io.cherryspool.sim.time.VirtualTime;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -25,9 +27,9 @@
  * in the same way. Now and then an answer is lost. A host may be deaf: what it sends arrives, and
  * nothing reaches it; or mute: it can't open connections, and others reach it. Copies of workers'
  * reports may come late, or be kept for the next leader. Single directions between two hosts fail
- * by {@link #links}.
+ * by {@link #linkFaults}.
  */
-final class SimNet {
+public final class SimulatedNetwork {
   private static final double LOST_ANSWER = 0.002;
   private static final double COPIED = 0.02;
   private static final int COPY_LATEST_MS = 70_000;
@@ -42,7 +44,7 @@
   private final Set<String> cuts = new HashSet<>();
   private final Set<String> refused = new HashSet<>();
   private final Set<String> cutZones = new HashSet<>();
-  private final LinkFaults links;
+  private final LinkFaults linkFaults;
   private final List<Request> kept = new ArrayList<>();
   private int slowMs;
   private boolean copies;
@@ -50,36 +52,36 @@
   private final Map<String, List<Runnable>> held = new HashMap<>();
 
   /** Who listens at an address, and how it is reached. */
-  private record Host(RequestHandler handler, Gate gate) {}
+  private record Host(RequestHandler handler, ProcessInbox gate) {}
 
   /**
    * @param zoneOf the zone of a host, empty for what no zone holds
    */
-  SimNet(VirtualTime time, RandomGenerator random, UnaryOperator<String> zoneOf) {
+  public SimulatedNetwork(VirtualTime time, RandomGenerator random, UnaryOperator<String> zoneOf) {
     this.time = time;
-    this.links = new LinkFaults(time);
+    this.linkFaults = new LinkFaults(time);
     this.random = random;
     this.zoneOf = zoneOf;
   }
 
-  void listen(Endpoint at, RequestHandler handler) {
-    listen(at, handler, Gate.open());
+  public void listen(Endpoint at, RequestHandler handler) {
+    listen(at, handler, ProcessInbox.alwaysOpen());
   }
 
-  void listen(Endpoint at, RequestHandler handler, Gate gate) {
+  public void listen(Endpoint at, RequestHandler handler, ProcessInbox gate) {
     hosts.put(at, new Host(handler, gate));
   }
 
-  void close(Endpoint at) {
+  public void close(Endpoint at) {
     hosts.remove(at);
   }
 
   /** Faults of single directions. */
-  LinkFaults links() {
-    return links;
+  public LinkFaults linkFaults() {
+    return linkFaults;
   }
 
-  void cut(String a, String b, Duration duration) {
+  public void cut(String a, String b, Duration duration) {
     String pair = pair(a, b);
     if (cuts.add(pair)) {
       time.schedule(duration, () -> release(cuts, pair));
@@ -87,7 +89,7 @@
   }
 
   /** What the one host asks of the other is answered 503 for so long; open watches wait. */
-  void refuse(String from, String to, Duration duration) {
+  public void refuseRequests(String from, String to, Duration duration) {
     String way = way(from, to);
     if (refused.add(way)) {
       time.schedule(duration, () -> release(refused, way));
@@ -99,7 +101,7 @@
   }
 
   /** The zone reaches nothing outside it and is reached by nothing; inside, all goes on. */
-  void cutZone(String zone, Duration duration) {
+  public void cutZone(String zone, Duration duration) {
     if (cutZones.add(zone)) {
       time.schedule(duration, () -> release(cutZones, zone));
     }
@@ -114,8 +116,8 @@
   }
 
   /** What a message that is worth nothing later takes from host to host; empty if it is lost. */
-  Optional<Duration> passes(String from, String to) {
-    Optional<LinkFaults.Mode> mode = links.mode(from, to);
+  public Optional<Duration> datagramDelay(String from, String to) {
+    Optional<LinkFaults.Mode> mode = linkFaults.mode(from, to);
     boolean delayed = mode.filter(LinkFaults.Mode.DELAY::equals).isPresent();
     if (barrier(from, to) != null || mode.isPresent() && !delayed) {
       return Optional.empty();
@@ -143,36 +145,36 @@
   }
 
   /** Nothing reaches the host for so long, while its own messages arrive. */
-  void deafen(String host, Duration duration) {
+  public void dropInbound(String host, Duration duration) {
     if (deaf.add(host)) {
       time.schedule(duration, () -> deaf.remove(host));
     }
   }
 
   /** The host opens no connection for so long, while others reach it. */
-  void mute(String host, Duration duration) {
+  public void mute(String host, Duration duration) {
     if (mute.add(host)) {
       time.schedule(duration, () -> mute.remove(host));
     }
   }
 
   /** Every message takes up to so much longer; 0 ends it. */
-  void slow(int millis) {
+  public void setMaxExtraDelay(int millis) {
     slowMs = millis;
   }
 
   /** Whether copies of reports come, from at once to well over a lease later. */
-  void copyReports(boolean on) {
+  public void setDuplicatingHeartbeats(boolean on) {
     copies = on;
   }
 
-  /** From now on a copy of some reports is kept for {@link #copiesTo}. */
-  void keepReports() {
+  /** From now on a copy of some reports is kept for {@link #replayHeartbeats}. */
+  public void recordHeartbeats() {
     keeping = true;
   }
 
   /** The copies kept reach all of these, before anything that is sent from now on. */
-  void copiesTo(Iterable<Endpoint> all) {
+  public void replayHeartbeats(Iterable<Endpoint> all) {
     for (Endpoint each : all) {
       for (Request request : List.copyOf(kept)) {
         handOver(each, request);
@@ -181,7 +183,7 @@
   }
 
   /** Keeps no copies any more, and drops those that it kept. */
-  void dropReports() {
+  public void discardRecordedHeartbeats() {
     kept.clear();
     keeping = false;
   }
@@ -204,7 +206,7 @@
   }
 
   /** The sockets of one host; answers reach it only as its gate lets them. */
-  Transport from(String host, Gate gate) {
+  public Transport from(String host, ProcessInbox gate) {
     return (to, request, deadline) -> {
       CompletableFuture<Reply> result = new CompletableFuture<>();
       time.schedule(deadline, () -> fail(result, gate, "no answer from " + to));
@@ -222,7 +224,11 @@
   }
 
   private void deliver(
-      String from, Endpoint to, Request request, CompletableFuture<Reply> result, Gate gate) {
+      String from,
+      Endpoint to,
+      Request request,
+      CompletableFuture<Reply> result,
+      ProcessInbox gate) {
     Host host = hosts.get(to);
     if (host == null) {
       fail(result, gate, "refused by " + to);
@@ -248,7 +254,7 @@
   }
 
   private boolean isReset(String from, String to) {
-    return links.mode(from, to).filter(LinkFaults.Mode.RESET::equals).isPresent();
+    return linkFaults.mode(from, to).filter(LinkFaults.Mode.RESET::equals).isPresent();
   }
 
   private void answer(String from, String to, Runnable arrival) {
@@ -260,7 +266,7 @@
     }
   }
 
-  private static void fail(CompletableFuture<Reply> result, Gate gate, String why) {
+  private static void fail(CompletableFuture<Reply> result, ProcessInbox gate, String why) {
     gate.pass(() -> result.completeExceptionally(new IOException(why)));
   }
 
@@ -272,13 +278,13 @@
           if (deaf.contains(to)) {
             return;
           }
-          LinkFaults.Mode fault = links.mode(from, to).orElse(null);
+          LinkFaults.Mode fault = linkFaults.mode(from, to).orElse(null);
           if (fault == LinkFaults.Mode.DROP || fault == LinkFaults.Mode.RESET) {
             return;
           }
           if (fault != null) {
             boolean held = fault == LinkFaults.Mode.HOLD;
-            time.schedule(held ? links.remaining(from, to) : LinkFaults.DELAY, arrival);
+            time.schedule(held ? linkFaults.remaining(from, to) : LinkFaults.DELAY, arrival);
             return;
           }
           String barrier = barrier(from, to);
--- a/src/test/java/io/cherryspool/sim/FlappingLinksTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/FlappingLinksTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.partition;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,11 +18,12 @@
 
   @ParameterizedTest
   @EnumSource
-  void theLeaderRarelyChangesWhateverFlaps(FlapDay.Link link) {
+  void theLeaderRarelyChangesWhateverFlaps(LinkFlapRun.Link link) {
     long seed = 1;
     for (double seconds : new double[] {0.5, 1, 2, 3, 5, 10}) {
       seed++;
-      FlapDay.Cost cost = FlapDay.play(seed, link, Duration.ofMillis((long) (seconds * 1000)));
+      LinkFlapRun.Cost cost =
+          LinkFlapRun.play(seed, link, Duration.ofMillis((long) (seconds * 1000)));
       String what = link + " for " + seconds + " s, seed " + seed + ": " + cost;
       assertTrue(cost.mostInAMinute() <= MOST_CHANGES, what);
     }
@@ -37,9 +38,10 @@
     "STATE_REFUSED,0.5", "STATE_REFUSED,1", "STATE_REFUSED,2", "STATE_REFUSED,3",
     "STATE_SILENT,0.5", "STATE_SILENT,1", "STATE_SILENT,2", "PEERS,10"
   })
-  void aShortFlapCostsNoLeadership(FlapDay.Link link, double seconds) {
+  void aShortFlapCostsNoLeadership(LinkFlapRun.Link link, double seconds) {
     for (long seed = 1; seed <= 3; seed++) {
-      FlapDay.Cost cost = FlapDay.play(seed, link, Duration.ofMillis((long) (seconds * 1000)));
+      LinkFlapRun.Cost cost =
+          LinkFlapRun.play(seed, link, Duration.ofMillis((long) (seconds * 1000)));
       assertEquals(0, cost.changes(), link + " for " + seconds + " s, seed " + seed);
     }
   }
@@ -51,9 +53,10 @@
    */
   @ParameterizedTest
   @CsvSource({"STATE_REFUSED,1", "STATE_REFUSED,2", "STATE_SILENT,1", "STATE_SILENT,2"})
-  void usersHardlyNoticeAFlap(FlapDay.Link link, double seconds) {
+  void usersHardlyNoticeAFlap(LinkFlapRun.Link link, double seconds) {
     for (long seed = 1; seed <= 2; seed++) {
-      FlapDay.Cost cost = FlapDay.play(seed, link, Duration.ofMillis((long) (seconds * 1000)));
+      LinkFlapRun.Cost cost =
+          LinkFlapRun.play(seed, link, Duration.ofMillis((long) (seconds * 1000)));
       assertTrue(cost.unserved() <= 5, link + " for " + seconds + " s, seed " + seed + ": " + cost);
     }
   }
--- a/src/test/java/io/cherryspool/sim/LinkCut.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkCut.java
@@ -1,5 +1,9 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.partition;
 
+import io.cherryspool.sim.cluster.SimulatedCluster;
+import io.cherryspool.sim.cluster.SimulatedController;
+import io.cherryspool.sim.fakes.FakeWorker;
+import io.cherryspool.sim.network.LinkFaults;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -54,31 +58,32 @@
   }
 
   /** Brings the cut about for this node. */
-  void apply(Cluster cluster, ControllerNode node, LinkFaults.Mode mode, Duration length) {
+  void apply(
+      SimulatedCluster cluster, SimulatedController node, LinkFaults.Mode mode, Duration length) {
     switch (state) {
-      case REFUSED -> node.refuse(length);
-      case SILENT -> node.cutFromState(length);
+      case REFUSED -> node.refuseByStateStore(length);
+      case SILENT -> node.cutFromStateStore(length);
       default -> {
         // Nothing of it fails.
       }
     }
     String own = node.address().host();
     if (peers) {
-      for (ControllerNode other : cluster.nodes()) {
+      for (SimulatedController other : cluster.nodes()) {
         if (other != node) {
           fail(cluster, own, other.address().host(), mode, length);
         }
       }
     }
     int number = 0;
-    for (StandInWorker worker : cluster.workers()) {
+    for (FakeWorker worker : cluster.workers()) {
       if (cuts(worker, node, number++)) {
         fail(cluster, own, worker.machine().host, mode, length);
       }
     }
   }
 
-  private boolean cuts(StandInWorker worker, ControllerNode node, int number) {
+  private boolean cuts(FakeWorker worker, SimulatedController node, int number) {
     return switch (workers) {
       case NONE -> false;
       case ONE_ZONE -> worker.machine().zone.equals(node.zone());
@@ -88,12 +93,12 @@
   }
 
   private void fail(
-      Cluster cluster, String own, String other, LinkFaults.Mode mode, Duration length) {
+      SimulatedCluster cluster, String own, String other, LinkFaults.Mode mode, Duration length) {
     if (way != Way.FROM_NODE) {
-      cluster.net().links().fail(other, own, mode, length);
+      cluster.network().linkFaults().fail(other, own, mode, length);
     }
     if (way != Way.TO_NODE) {
-      cluster.net().links().fail(own, other, mode, length);
+      cluster.network().linkFaults().fail(own, other, mode, length);
     }
   }
 }
--- a/src/test/java/io/cherryspool/sim/FlapDay.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
@@ -1,6 +1,8 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.partition;
 
 import io.cherryspool.model.Job;
+import io.cherryspool.sim.cluster.SimulatedCluster;
+import io.cherryspool.sim.cluster.SimulatedController;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,13 +10,13 @@
 import java.util.List;
 
 /** Two minutes in which one link fails for a while, again and again, while work arrives. */
-final class FlapDay {
+public final class LinkFlapRun {
   private static final double SETTLE = 40;
   private static final double FLAPPING = 120;
   private static final double QUIET = 90;
   private static final Duration MINUTE = Duration.ofSeconds(60);
 
-  private final Cluster cluster;
+  private final SimulatedCluster cluster;
   private final Link link;
   private final Duration length;
   private final List<Job> jobs = new ArrayList<>();
@@ -25,7 +27,7 @@
   private int tasks;
 
   /** What flaps, at whichever node leads then. */
-  enum Link {
+  public enum Link {
     /** The state service refuses the leader. */
     STATE_REFUSED,
     /** The state service does not answer the leader; what is sent arrives later. */
@@ -46,26 +48,27 @@
    * @param repeated tasks that were started once more
    * @param unserved users' requests that were answered 503, or not at all
    */
-  record Cost(int changes, int mostInAMinute, int repeated, int unserved, int added, int deleted) {}
+  public record Cost(
+      int changes, int mostInAMinute, int repeated, int unserved, int added, int deleted) {}
 
-  private FlapDay(long seed, Link link, Duration length) {
-    this.cluster = Cluster.of(seed, 3);
+  private LinkFlapRun(long seed, Link link, Duration length) {
+    this.cluster = SimulatedCluster.of(seed, 3);
     this.link = link;
     this.length = length;
   }
 
   /** Plays a day on which the link fails for this long, and is well as long; zero for never. */
-  static Cost play(long seed, Link link, Duration length) {
-    return new FlapDay(seed, link, length).play();
+  public static Cost play(long seed, Link link, Duration length) {
+    return new LinkFlapRun(seed, link, length).play();
   }
 
   private Cost play() {
-    cluster.after(1, this::arrive);
+    cluster.schedule(1, this::arrive);
     cluster.run(SETTLE);
     term = term();
-    int added = cluster.cloud().added();
-    int deleted = cluster.cloud().deletions();
-    int unserved = cluster.users().unserved();
+    int added = cluster.cloud().machinesAdded();
+    int deleted = cluster.cloud().machinesDeleted();
+    int unserved = cluster.users().unservedRequests();
     if (!length.isZero()) {
       flap(SETTLE + FLAPPING);
     }
@@ -76,9 +79,9 @@
             allChanges,
             mostInAMinute,
             0,
-            cluster.users().unserved() - unserved,
-            cluster.cloud().added() - added,
-            cluster.cloud().deletions() - deleted);
+            cluster.users().unservedRequests() - unserved,
+            cluster.cloud().machinesAdded() - added,
+            cluster.cloud().machinesDeleted() - deleted);
     cluster.run(QUIET);
     for (Job job : jobs) {
       if (!cluster.rules().ended(job.id())) {
@@ -98,7 +101,7 @@
     if (cluster.time().seconds() > SETTLE + FLAPPING) {
       return;
     }
-    cluster.after(4, this::arrive);
+    cluster.schedule(4, this::arrive);
     Job job = cluster.job(jobs.size() % 2 == 0 ? "red" : "blue", 4, 3, Duration.ofSeconds(12));
     jobs.add(job);
     tasks += job.taskCount();
@@ -107,31 +110,31 @@
 
   private void flap(double end) {
     if (cluster.time().seconds() < end) {
-      cluster.after(2 * length.toNanos() / 1e9, () -> flap(end));
-      cluster.leading().ifPresent(this::fail);
+      cluster.schedule(2 * length.toNanos() / 1e9, () -> flap(end));
+      cluster.currentLeader().ifPresent(this::fail);
     }
   }
 
-  private void fail(ControllerNode leader) {
+  private void fail(SimulatedController leader) {
     switch (link) {
-      case STATE_REFUSED -> leader.refuse(length);
-      case STATE_SILENT -> leader.cutFromState(length);
+      case STATE_REFUSED -> leader.refuseByStateStore(length);
+      case STATE_SILENT -> leader.cutFromStateStore(length);
       case PEERS -> {
-        cluster.refuseMesh(true);
-        cluster.time().schedule(length, () -> cluster.refuseMesh(false));
+        cluster.setMeshDown(true);
+        cluster.time().schedule(length, () -> cluster.setMeshDown(false));
       }
       case WORKERS -> cluster.cutLeaderFromWorkers(length);
-      case ZONE -> cluster.net().cutZone(cluster.other(leader).zone(), length);
+      case ZONE -> cluster.network().cutZone(cluster.nodeAfter(leader).zone(), length);
       default -> throw new IllegalStateException(link.name());
     }
   }
 
   private long term() {
-    return cluster.state().peek("c/term").path("term").longValue();
+    return cluster.state().value("c/term").path("term").longValue();
   }
 
   private void watch() {
-    cluster.after(0.1, this::watch);
+    cluster.schedule(0.1, this::watch);
     if (term() > term) {
       term = term();
       allChanges++;
--- a/src/test/java/io/cherryspool/sim/PartitionTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
@@ -1,10 +1,16 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.partition;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.http.Request;
 import io.cherryspool.model.Job;
+import io.cherryspool.sim.cluster.DirectedFaultsFixture;
+import io.cherryspool.sim.cluster.SimulatedCluster;
+import io.cherryspool.sim.cluster.SimulatedController;
+import io.cherryspool.sim.fakes.FakeWorker;
+import io.cherryspool.sim.network.LinkFaults;
+import io.cherryspool.sim.time.ProcessInbox;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -19,7 +25,7 @@
  * one, two or all of the controllers fail. The rules are checked after each step, so that a task
  * that starts twice fails the test at once; every accepted job must have its one answer at the end.
  */
-class PartitionTest extends CombinedFaultsFixture {
+class PartitionTest extends DirectedFaultsFixture {
   private static final Duration CUT = Duration.ofSeconds(12);
   private static final LinkFaults.Mode[] MODES = LinkFaults.Mode.values();
 
@@ -45,22 +51,22 @@
   private void play(LinkCut cut, long seed, int controllers, boolean leader, int failing) {
     settle(seed, controllers);
     List<Job> jobs = work();
-    ControllerNode leading = cluster.leader();
-    ControllerNode node = leader ? leading : cluster.other(leading);
-    long terms = cluster.state().peek("c/term").path("term").longValue();
+    SimulatedController leading = cluster.leader();
+    SimulatedController node = leader ? leading : cluster.nodeAfter(leading);
+    long terms = cluster.state().value("c/term").path("term").longValue();
     cut.apply(cluster, node, MODES[(int) (seed % MODES.length)], CUT);
-    cluster.after(2, () -> cluster.users().cancel(jobs.get(1).id()));
+    cluster.schedule(2, () -> cluster.users().cancel(jobs.get(1).id()));
     for (int i = 0; i < failing; i++) {
-      ControllerNode failed =
+      SimulatedController failed =
           cluster.nodes().get((cluster.nodes().indexOf(leading) + i) % controllers);
-      cluster.after(1 + 1.5 * i, () -> failed.crash(Duration.ofMillis(300 + 900 * (seed % 4))));
+      cluster.schedule(1 + 1.5 * i, () -> failed.crash(Duration.ofMillis(300 + 900 * (seed % 4))));
     }
-    cluster.after(3, () -> jobs.add(submit("red", 4, 2, Duration.ofSeconds(4))));
+    cluster.schedule(3, () -> jobs.add(submit("red", 4, 2, Duration.ofSeconds(4))));
     cluster.run(100);
     allEnd(jobs);
-    long changes = cluster.state().peek("c/term").path("term").longValue() - terms;
+    long changes = cluster.state().value("c/term").path("term").longValue() - terms;
     assertTrue(changes <= FOR_THE_CUT + failing, changes + " changes of leader");
-    assertTrue(cluster.leading().isPresent(), "somebody leads");
+    assertTrue(cluster.currentLeader().isPresent(), "somebody leads");
   }
 
   @ParameterizedTest
@@ -87,17 +93,17 @@
     for (int i = 0; i < 4; i++) {
       settle(seed, 5);
       List<Job> jobs = work();
-      ControllerNode leader = cluster.leader();
+      SimulatedController leader = cluster.leader();
       LinkCut first = all.get(cluster.random().nextInt(all.size()));
       LinkCut second = all.get(cluster.random().nextInt(all.size()));
       first.apply(cluster, leader, MODES[i % MODES.length], CUT);
       cluster.run(0.5 * i);
-      second.apply(cluster, cluster.other(leader), MODES[(i + 1) % MODES.length], CUT);
+      second.apply(cluster, cluster.nodeAfter(leader), MODES[(i + 1) % MODES.length], CUT);
       cluster.users().cancel(jobs.get(1).id());
       if (i > 1) {
         cluster.run(1);
         leader.crash(Duration.ofMillis(400));
-        cluster.other(cluster.other(leader)).crash(Duration.ofSeconds(5));
+        cluster.nodeAfter(cluster.nodeAfter(leader)).crash(Duration.ofSeconds(5));
       }
       cluster.run(110);
       allEnd(jobs);
@@ -110,17 +116,17 @@
   void aCutMeetsAnOutageAndLateCopies(long seed) {
     List<LinkCut> all = LinkCut.all();
     settle(seed, 3);
-    cluster.net().copyReports(true);
+    cluster.network().setDuplicatingHeartbeats(true);
     List<Job> jobs = work();
     for (int i = 0; i < 3; i++) {
       LinkCut cut = all.get(cluster.random().nextInt(all.size()));
       cut.apply(cluster, cluster.leader(), MODES[(int) (seed + i) % MODES.length], CUT);
       cluster.run(3);
-      cluster.outage(Duration.ofSeconds(3 + seed));
+      cluster.stateStoreOutage(Duration.ofSeconds(3 + seed));
       cluster.run(30);
     }
     cluster.users().cancel(jobs.get(1).id());
-    cluster.net().copyReports(false);
+    cluster.network().setDuplicatingHeartbeats(false);
     cluster.run(110);
     allEnd(jobs);
   }
@@ -140,23 +146,23 @@
     awaitRunning(jobs.get(1), 6);
     List<String> busy =
         cluster.workers().stream()
-            .filter(worker -> !worker.onMachine().isEmpty())
+            .filter(worker -> !worker.runningTasks().isEmpty())
             .map(worker -> worker.machine().name)
             .toList();
-    int added = cluster.cloud().added();
-    long leases = cluster.leasesLost();
-    ControllerNode node = cluster.leader();
+    int added = cluster.cloud().machinesAdded();
+    long leases = cluster.expiredLeases();
+    SimulatedController node = cluster.leader();
     new LinkCut(LinkCut.StateLink.UP, false, LinkCut.Workers.ALL, LinkCut.Way.BOTH)
         .apply(cluster, node, LinkFaults.Mode.HOLD, CUT);
-    for (int i = 0; i < 120 && cluster.leading().filter(node::equals).isPresent(); i++) {
+    for (int i = 0; i < 120 && cluster.currentLeader().filter(node::equals).isPresent(); i++) {
       cluster.run(0.1);
     }
     assertTrue(busy.size() > 2, "the cut meets work");
     for (String machine : busy) {
-      assertTrue(cluster.rented(machine), machine + " is deleted");
+      assertTrue(cluster.isRented(machine), machine + " is deleted");
     }
-    assertEquals(added, cluster.cloud().added(), "machines are rented");
-    assertEquals(leases, cluster.leasesLost(), "leases");
+    assertEquals(added, cluster.cloud().machinesAdded(), "machines are rented");
+    assertEquals(leases, cluster.expiredLeases(), "leases");
     cluster.users().cancel(jobs.get(1).id());
     cluster.run(90);
     allEnd(jobs);
@@ -168,14 +174,14 @@
   void aLeaderWithoutTheStateServiceHoldsPlacing(long seed) {
     settle(seed, 3);
     work();
-    ControllerNode node = cluster.leader();
+    SimulatedController node = cluster.leader();
     new LinkCut(LinkCut.StateLink.REFUSED, true, LinkCut.Workers.NONE, LinkCut.Way.BOTH)
         .apply(cluster, node, LinkFaults.Mode.DROP, CUT);
     cluster.run(2.5);
-    assertTrue(node.leads(), "its workers go on");
+    assertTrue(node.isLeader(), "its workers go on");
     assertEquals("hold-placing", node.verdict().orElseThrow().name());
     cluster.run(CUT.plusSeconds(3));
-    assertTrue(cluster.leading().isPresent());
+    assertTrue(cluster.currentLeader().isPresent());
     assertEquals("serve", cluster.leader().verdict().orElseThrow().name());
   }
 
@@ -188,19 +194,19 @@
     jobs.add(submit("blue", 20, 4, LONG));
     awaitRunning(jobs.get(0), 16);
     cluster.run(8);
-    ControllerNode leader = cluster.leader();
-    String zone = cluster.other(leader).zone();
+    SimulatedController leader = cluster.leader();
+    String zone = cluster.nodeAfter(leader).zone();
     List<String> there =
         cluster.workers().stream()
             .filter(worker -> worker.machine().zone.equals(zone))
             .map(worker -> worker.machine().name)
             .toList();
-    cluster.net().cutZone(zone, Cluster.LEASE.plusSeconds(4));
-    cluster.run(Cluster.LEASE.plusSeconds(3));
+    cluster.network().cutZone(zone, SimulatedCluster.LEASE.plusSeconds(4));
+    cluster.run(SimulatedCluster.LEASE.plusSeconds(3));
     if (there.size() > 1) {
       assertEquals("hold-zones", leader.verdict().orElseThrow().name());
       for (String machine : there) {
-        assertTrue(cluster.rented(machine), machine + " is deleted");
+        assertTrue(cluster.isRented(machine), machine + " is deleted");
       }
     }
     cluster.users().cancel(jobs.get(0).id());
@@ -213,22 +219,26 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void aNodeThatIsRefusedPassesItsUsersOn(long seed) {
     settle(seed, 3);
-    ControllerNode node = seed % 2 == 0 ? cluster.leader() : cluster.other(cluster.leader());
-    node.refuse(CUT);
+    SimulatedController node =
+        seed % 2 == 0 ? cluster.leader() : cluster.nodeAfter(cluster.leader());
+    node.refuseByStateStore(CUT);
     cluster.run(0.5 * seed);
-    int unserved = cluster.users().unserved();
+    int unserved = cluster.users().unservedRequests();
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       Job job = cluster.job("red", 1, 1, Duration.ofSeconds(2));
       cluster.users().submit(job, node.address());
       jobs.add(job);
       cluster.run(0.3);
-      assertTrue(cluster.state().holds("c/jobs/" + job.id()), job.id() + " is accepted at once");
+      assertTrue(
+          cluster.state().hasKeyEndingWith("c/jobs/" + job.id()),
+          job.id() + " is accepted at once");
     }
     cluster.users().cancel(jobs.get(7).id(), node.address());
     cluster.run(0.3);
     assertTrue(cluster.rules().cancelTold(jobs.get(7).id()) != null, "cancelled at once");
-    assertTrue(cluster.users().unserved() - unserved <= 1, "one may meet the first refusal");
+    assertTrue(
+        cluster.users().unservedRequests() - unserved <= 1, "one may meet the first refusal");
     cluster.run(40);
     allEnd(jobs);
   }
@@ -242,17 +252,17 @@
   void aLeaderCutOffAsItIsElectedMakesWay(long seed) {
     settle(seed, 3);
     List<Job> jobs = work();
-    long leases = cluster.leasesLost();
-    ControllerNode old = cluster.leader();
+    long leases = cluster.expiredLeases();
+    SimulatedController old = cluster.leader();
     old.crash(Duration.ofMillis(500));
-    for (int i = 0; i < 1000 && cluster.leadingBeside(old).isEmpty(); i++) {
+    for (int i = 0; i < 1000 && cluster.leaderOtherThan(old).isEmpty(); i++) {
       cluster.run(0.01);
     }
-    ControllerNode next = cluster.leadingBeside(old).orElseThrow();
+    SimulatedController next = cluster.leaderOtherThan(old).orElseThrow();
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(40));
     cluster.run(14);
-    assertTrue(cluster.leadingBeside(next).isPresent(), "another leads");
-    assertEquals(leases, cluster.leasesLost(), "leases");
+    assertTrue(cluster.leaderOtherThan(next).isPresent(), "another leads");
+    assertEquals(leases, cluster.expiredLeases(), "leases");
     cluster.users().cancel(jobs.get(1).id());
     cluster.run(90);
     allEnd(jobs);
@@ -263,15 +273,15 @@
   @ValueSource(longs = {1, 2, 3})
   void aNodeWithoutTheStateServiceNamesTheLeaderToWorkers(long seed) {
     settle(seed, 3);
-    ControllerNode leader = cluster.leader();
-    ControllerNode node = cluster.other(leader);
-    node.cutFromState(CUT);
+    SimulatedController leader = cluster.leader();
+    SimulatedController node = cluster.nodeAfter(leader);
+    node.cutFromStateStore(CUT);
     cluster.run(8);
-    StandInWorker worker = cluster.workers().iterator().next();
+    FakeWorker worker = cluster.workers().iterator().next();
     List<String> answers = new ArrayList<>();
     cluster
-        .net()
-        .from(worker.machine().host, Gate.open())
+        .network()
+        .from(worker.machine().host, ProcessInbox.alwaysOpen())
         .send(node.address(), Request.post("/v1/report", worker.report()), CUT)
         .thenAccept(reply -> answers.add(new String(reply.body(), StandardCharsets.UTF_8)));
     cluster.run(0.5);
@@ -286,13 +296,13 @@
     settle(1, 3);
     Job job = submit("red", 1, 1, LONG);
     awaitRunning(job, 1);
-    ControllerNode node = cluster.leader();
-    node.refuse(CUT);
+    SimulatedController node = cluster.leader();
+    node.refuseByStateStore(CUT);
     cluster.run(4);
     List<Integer> answers = new ArrayList<>();
     cluster
-        .net()
-        .from("user", Gate.open())
+        .network()
+        .from("user", ProcessInbox.alwaysOpen())
         .send(node.address(), Request.get("/api/jobs/" + job.id() + mark), CUT)
         .thenAccept(reply -> answers.add(reply.status()));
     cluster.run(2);
--- a/src/test/java/io/cherryspool/sim/RandomVerdictsTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/RandomVerdictsTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.partition;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -7,6 +7,8 @@
 import io.cherryspool.reachability.Reason;
 import io.cherryspool.reachability.Verdict;
 import io.cherryspool.reachability.VerdictRule;
+import io.cherryspool.sim.cluster.RandomizedRun;
+import io.cherryspool.sim.cluster.SimulatedCluster;
 import java.time.Duration;
 import java.util.Set;
 import java.util.SplittableRandom;
@@ -67,7 +69,8 @@
   }
 
   private static void play(long seed) {
-    Simulation simulation = new Simulation(Cluster.judgedBy(seed, new ByChance(seed)));
+    RandomizedRun simulation =
+        new RandomizedRun(SimulatedCluster.withVerdicts(seed, new ByChance(seed)));
     simulation.play(TROUBLES, 260);
     assertTrue(simulation.cluster().rules().starts() > 50);
   }
--- a/src/test/java/io/cherryspool/sim/Gate.java
+++ b/src/test/java/io/cherryspool/sim/time/ProcessInbox.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.time;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -10,22 +10,22 @@
  * answers to its calls. A process that has ended lets nothing in any more; one that stands still
  * takes in all that came meanwhile when it goes on, in any order.
  */
-final class Gate {
+public final class ProcessInbox {
   private final List<Runnable> held = new ArrayList<>();
   private boolean still;
-  private boolean closed;
+  private boolean isClosed;
 
   /** A host that neither ends nor stands still, as far as the simulation goes. */
-  static Gate open() {
-    return new Gate();
+  public static ProcessInbox alwaysOpen() {
+    return new ProcessInbox();
   }
 
-  boolean closed() {
-    return closed;
+  public boolean isClosed() {
+    return isClosed;
   }
 
-  void pass(Runnable event) {
-    if (closed) {
+  public void pass(Runnable event) {
+    if (isClosed) {
       return;
     }
     if (still) {
@@ -35,17 +35,17 @@
     }
   }
 
-  void close() {
-    closed = true;
+  public void close() {
+    isClosed = true;
     held.clear();
   }
 
-  void standStill() {
+  public void freeze() {
     still = true;
   }
 
   /** Goes on; the seed says what is taken in first. */
-  void goOn(long seed) {
+  public void resume(long seed) {
     still = false;
     List<Runnable> late = new ArrayList<>(held);
     held.clear();
--- a/src/test/java/io/cherryspool/sim/VirtualTime.java
+++ b/src/test/java/io/cherryspool/sim/time/VirtualTime.java
@@ -1,4 +1,4 @@
-package io.cherryspool.sim;
+package io.cherryspool.sim.time;
 
 import io.cherryspool.lifecycle.EventLoop;
 import java.time.Duration;
@@ -44,7 +44,7 @@
   }
 
   /** Runs the next event; if there is none before the end, it is the end, and false. */
-  public boolean step(Duration end) {
+  public boolean runNextEvent(Duration end) {
     Event next = events.peek();
     if (next == null || next.at > end.toNanos()) {
       nanos = Math.max(nanos, end.toNanos());
@@ -62,7 +62,7 @@
    * A process's view of time: what it scheduled dies with it, and waits while it stands still; the
    * clock goes on.
    */
-  public EventLoop of(Gate gate) {
+  public EventLoop eventLoopOf(ProcessInbox gate) {
     return new EventLoop() {
       @Override
       public Duration now() {
--- a/src/test/java/io/cherryspool/store/GroupCommitTest.java
+++ b/src/test/java/io/cherryspool/store/GroupCommitTest.java
@@ -7,10 +7,10 @@
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
-import io.cherryspool.sim.StandInState;
-import io.cherryspool.sim.StateServiceTransport;
-import io.cherryspool.sim.StateServiceTransport.Fate;
-import io.cherryspool.sim.VirtualTime;
+import io.cherryspool.sim.fakes.ControlledTransport;
+import io.cherryspool.sim.fakes.ControlledTransport.Fate;
+import io.cherryspool.sim.fakes.FakeStateStore;
+import io.cherryspool.sim.time.VirtualTime;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
@@ -26,7 +26,7 @@
 
 class GroupCommitTest {
   private final VirtualTime time = new VirtualTime();
-  private final StandInState state = new StandInState(time, new SplittableRandom(1), 0);
+  private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
   private final List<Request> swallowed = new ArrayList<>();
   private boolean swallow;
   private final StateStoreClient client =
@@ -52,7 +52,7 @@
     return new GroupCommit(time, client, rateLimiter, 8, maxQueue, Duration.ofSeconds(1));
   }
 
-  private final StateServiceTransport line = new StateServiceTransport(time, state);
+  private final ControlledTransport line = new ControlledTransport(time, state);
 
   /** On a line of which single messages can be decided on. */
   private GroupCommit lined() {
@@ -80,7 +80,7 @@
 
   private void run(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
-    while (time.step(end)) {
+    while (time.runNextEvent(end)) {
       // Each step may schedule more.
     }
   }
@@ -132,13 +132,13 @@
     GroupCommit commits = lined();
     CompletableFuture<Boolean> first = put(commits, "c/first");
     List<CompletableFuture<Boolean>> group = putAll(commits, "c/a", "c/b", "c/c");
-    line.next(StateServiceTransport.COMMIT, Fate.LOSE_ANSWER);
+    line.interceptNext(ControlledTransport.COMMIT, Fate.LOSE_ANSWER);
     run(0.01);
     assertEquals(true, first.getNow(null));
     run(0.5);
     assertEquals(List.of(false, false, false), known(group));
-    assertNotNull(state.peek("c/c"));
-    assertEquals(3, line.count(StateServiceTransport.COMMIT));
+    assertNotNull(state.value("c/c"));
+    assertEquals(3, line.sentCount(ControlledTransport.COMMIT));
   }
 
   @Test
@@ -146,13 +146,13 @@
     GroupCommit commits = lined();
     putAll(commits, "c/a", "c/b");
     run(0.1);
-    long before = line.count(StateServiceTransport.COMMIT);
+    long before = line.sentCount(ControlledTransport.COMMIT);
     CompletableFuture<Boolean> first = put(commits, "c/first");
     List<CompletableFuture<Boolean>> group = putAll(commits, "c/a", "c/c", "c/b", "c/d");
     run(0.1);
     assertEquals(true, first.getNow(null));
     assertEquals(List.of(false, true, false, true), known(group));
-    assertEquals(before + 3, line.count(StateServiceTransport.COMMIT));
+    assertEquals(before + 3, line.sentCount(ControlledTransport.COMMIT));
   }
 
   /** A user that repeats a request in a hurry cost the others a transaction for each. */
@@ -168,7 +168,7 @@
         List.of(true, false, true, false, false, false, true, false, false, false), known(group));
     assertEquals(
         3,
-        line.count(StateServiceTransport.COMMIT),
+        line.sentCount(ControlledTransport.COMMIT),
         "the first, the group, and the group without what conflicts");
   }
 
@@ -176,10 +176,10 @@
   void repeatedChangesThatMeetTheLimitGoAgain() {
     GroupCommit commits = lined();
     CompletableFuture<Boolean> first = put(commits, "c/first");
-    line.answerNext(StateServiceTransport.COMMIT, 429, "{}");
+    line.replyNext(ControlledTransport.COMMIT, 429, "{}");
     List<CompletableFuture<Boolean>> group = putAll(commits, "c/a", "c/b", "c/a");
     run(0.1);
-    line.release(StateServiceTransport.COMMIT);
+    line.release(ControlledTransport.COMMIT);
     run(0.3);
     assertEquals(true, first.getNow(null));
     assertEquals(List.of(true, true, false), known(group));
@@ -190,12 +190,12 @@
   @ValueSource(strings = {"[]", "[\"c/other\"]"})
   void aConflictThatNamesNoneOfTheGroupIsNoAnswerToAnyOfThem(String failed) {
     GroupCommit commits = lined();
-    line.answerNext(StateServiceTransport.COMMIT, 409, "{\"failed\":" + failed + ",\"epoch\":1}");
+    line.replyNext(ControlledTransport.COMMIT, 409, "{\"failed\":" + failed + ",\"epoch\":1}");
     CompletableFuture<Boolean> result = put(commits, "c/a");
     run(0.1);
-    line.release(StateServiceTransport.COMMIT);
+    line.release(ControlledTransport.COMMIT);
     run(0.1);
     assertTrue(result.isCompletedExceptionally());
-    assertEquals(1, line.count(StateServiceTransport.COMMIT));
+    assertEquals(1, line.sentCount(ControlledTransport.COMMIT));
   }
 }
--- a/src/test/java/io/cherryspool/store/RateLimiterTest.java
+++ b/src/test/java/io/cherryspool/store/RateLimiterTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.cherryspool.sim.VirtualTime;
+import io.cherryspool.sim.time.VirtualTime;
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
@@ -15,7 +15,7 @@
   private void pass(int millis) {
     Duration end = time.now().plusMillis(millis);
     time.schedule(Duration.ofMillis(millis), () -> {});
-    time.step(end);
+    time.runNextEvent(end);
   }
 
   private RateLimiter rateLimiter(int nodes, double writes, boolean leader) {
--- a/src/test/java/io/cherryspool/store/ReplicaCostTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaCostTest.java
@@ -13,9 +13,9 @@
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Priority;
 import io.cherryspool.model.Shard;
-import io.cherryspool.sim.HeapMeter;
-import io.cherryspool.sim.StateServiceTransport;
-import io.cherryspool.sim.VirtualTime;
+import io.cherryspool.sim.driver.HeapMeter;
+import io.cherryspool.sim.fakes.ControlledTransport;
+import io.cherryspool.sim.time.VirtualTime;
 import io.cherryspool.wire.Json;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -50,7 +50,7 @@
   private long revision;
 
   private CompletableFuture<Reply> send(Request request) {
-    if (request.target().contains(StateServiceTransport.WATCH)) {
+    if (request.target().contains(ControlledTransport.WATCH)) {
       watch = new CompletableFuture<>();
       return watch;
     }
@@ -76,7 +76,7 @@
 
   private void reopen() {
     while (watch.isDone()) {
-      time.step(time.now().plusSeconds(1));
+      time.runNextEvent(time.now().plusSeconds(1));
     }
   }
 
@@ -109,7 +109,7 @@
     progress(WARM_UP).forEach(this::tell);
     long bytes = 0;
     for (Reply reply : progress(EVENTS)) {
-      bytes += HeapMeter.allocated(() -> watch.complete(reply));
+      bytes += HeapMeter.allocatedBytes(() -> watch.complete(reply));
       reopen();
     }
     assertEquals(OWNED, replica.job(JOB).ownedCount(), "the changes are taken in");
@@ -120,7 +120,7 @@
   @Test
   void aJobThatHasEndedKeepsLittle() {
     replica.start();
-    long bytes = HeapMeter.kept(this::endedJobs) / JOBS;
+    long bytes = HeapMeter.retainedBytes(this::endedJobs) / JOBS;
     assertEquals(JOBS, replica.jobCount());
     assertEquals(0, replica.activeJobs().size());
     assertTrue(bytes <= MOST_KEPT_PER_JOB, bytes + " bytes a job");
--- a/src/test/java/io/cherryspool/store/ReplicaTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaTest.java
@@ -10,10 +10,10 @@
 import io.cherryspool.model.JobFixture;
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Priority;
-import io.cherryspool.sim.StandInState;
-import io.cherryspool.sim.StateServiceTransport;
-import io.cherryspool.sim.StateServiceTransport.Fate;
-import io.cherryspool.sim.VirtualTime;
+import io.cherryspool.sim.fakes.ControlledTransport;
+import io.cherryspool.sim.fakes.ControlledTransport.Fate;
+import io.cherryspool.sim.fakes.FakeStateStore;
+import io.cherryspool.sim.time.VirtualTime;
 import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.List;
@@ -28,8 +28,8 @@
   private static final Duration CALL = Duration.ofSeconds(1);
 
   private final VirtualTime time = new VirtualTime();
-  private final StandInState state = new StandInState(time, new SplittableRandom(1), 0);
-  private final StateServiceTransport line = new StateServiceTransport(time, state);
+  private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
+  private final ControlledTransport line = new ControlledTransport(time, state);
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
   private final StateStoreClient client =
       new StateStoreClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
@@ -38,7 +38,7 @@
 
   private void run(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
-    while (time.step(end)) {
+    while (time.runNextEvent(end)) {
       // Each step may schedule more.
     }
   }
@@ -64,7 +64,7 @@
 
   /** Loaded, with a watch open that will tell that the history is gone. */
   private void load() {
-    line.answerNext(StateServiceTransport.WATCH, 410, "{}");
+    line.replyNext(ControlledTransport.WATCH, 410, "{}");
     replica.start();
     run(0.05);
     assertTrue(replica.isLoaded());
@@ -77,18 +77,18 @@
   @Test
   void aRequestIsNotAnsweredByAReadingThatWasSentBeforeIt() {
     load();
-    line.next(StateServiceTransport.READING, Fate.HOLD_ANSWER);
+    line.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
     CompletableFuture<Void> before = replica.refresh();
     run(0.05);
     CompletableFuture<Void> after = replica.refresh();
     accept(JOB);
-    line.next(StateServiceTransport.READING, Fate.HOLD_REQUEST);
-    line.release(StateServiceTransport.READING);
+    line.interceptNext(ControlledTransport.READ, Fate.HOLD_REQUEST);
+    line.release(ControlledTransport.READ);
     run(0.05);
     assertTrue(succeeded(before));
     assertNull(replica.job(JOB), "carried out before the job was accepted");
     assertFalse(after.isDone(), "its own reading is still under way");
-    line.release(StateServiceTransport.READING);
+    line.release(ControlledTransport.READ);
     run(0.05);
     assertTrue(succeeded(after));
     assertNotNull(replica.job(JOB));
@@ -97,16 +97,16 @@
   @Test
   void whileAllKeysAreReadAgainRequestsAreRefusedAtOnce() {
     load();
-    line.next(StateServiceTransport.READING, Fate.HOLD_ANSWER);
+    line.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
     CompletableFuture<Void> sent = replica.refresh();
     run(0.05);
     CompletableFuture<Void> waits = replica.refresh();
-    line.next("/keys", Fate.HOLD_REQUEST);
-    line.release(StateServiceTransport.WATCH);
+    line.interceptNext("/keys", Fate.HOLD_REQUEST);
+    line.release(ControlledTransport.WATCH);
     assertFalse(replica.isLoaded());
     assertTrue(waits.isCompletedExceptionally(), "its reading would have been sent from a gap");
     assertTrue(replica.refresh().isCompletedExceptionally());
-    line.release(StateServiceTransport.READING);
+    line.release(ControlledTransport.READ);
     assertTrue(succeeded(sent), "what was read before holds in the copy that is still there");
     line.release("/keys");
     run(0.05);
@@ -119,19 +119,19 @@
   @Test
   void aReloadNeverTakesTheCopyBack() {
     load();
-    line.next(StateServiceTransport.READING, Fate.HOLD_REQUEST);
+    line.interceptNext(ControlledTransport.READ, Fate.HOLD_REQUEST);
     CompletableFuture<Void> reading = replica.refresh();
     run(0.05);
-    line.next(StateServiceTransport.READING, Fate.HOLD_ANSWER);
-    line.release(StateServiceTransport.WATCH);
+    line.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
+    line.release(ControlledTransport.WATCH);
     run(0.05);
     accept(JOB);
-    line.release(StateServiceTransport.READING);
+    line.release(ControlledTransport.READ);
     run(0.05);
     assertTrue(succeeded(reading));
     assertNotNull(replica.job(JOB), "a user may have been told so");
     assertFalse(replica.isLoaded());
-    line.release(StateServiceTransport.READING);
+    line.release(ControlledTransport.READ);
     assertNotNull(replica.job(JOB));
     run(0.05);
     assertTrue(replica.isLoaded());
@@ -143,15 +143,15 @@
   void aReadingThatReturnsAfterTheReloadChangesNothing() {
     load();
     accept(JOB);
-    line.next(StateServiceTransport.READING, Fate.HOLD_ANSWER);
+    line.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
     CompletableFuture<Void> reading = replica.refresh();
     run(0.05);
     cancel(JOB);
-    line.release(StateServiceTransport.WATCH);
+    line.release(ControlledTransport.WATCH);
     run(0.05);
     assertEquals(Outcome.CANCELLED, replica.job(JOB).outcome());
     Duration confirmed = replica.lastConfirmedAt();
-    line.release(StateServiceTransport.READING);
+    line.release(ControlledTransport.READ);
     assertTrue(succeeded(reading));
     assertEquals(Outcome.CANCELLED, replica.job(JOB).outcome());
     assertEquals(confirmed, replica.lastConfirmedAt(), "read earlier than the copy");
@@ -162,16 +162,16 @@
   void aReadingFromBeforeTheReloadThatFindsTheHistoryGoneBeginsNoOther() {
     load();
     accept(JOB);
-    line.answerNext(StateServiceTransport.READING, 410, "{}");
+    line.replyNext(ControlledTransport.READ, 410, "{}");
     CompletableFuture<Void> reading = replica.refresh();
     run(0.05);
-    line.release(StateServiceTransport.WATCH);
+    line.release(ControlledTransport.WATCH);
     run(0.05);
     assertTrue(replica.isLoaded());
-    line.release(StateServiceTransport.READING);
+    line.release(ControlledTransport.READ);
     assertTrue(reading.isCompletedExceptionally());
     assertTrue(replica.isLoaded());
     run(0.05);
-    assertEquals(2, line.count("/keys"));
+    assertEquals(2, line.sentCount("/keys"));
   }
 }
