--- a/src/main/java/io/cherryspool/controller/election/Election.java
+++ b/src/main/java/io/cherryspool/controller/election/Election.java
@@ -191,7 +191,8 @@
     }
     yielding = true;
     StateStoreLease held = lease;
-    Records.Successor record = new Records.Successor(replica.term(), successor, node);
+    Records.Successor record =
+        new Records.Successor(replica.term(), /* node= */ successor, /* predecessor= */ node);
     rateLimiter.forceAcquire(1);
     client
         .commit(
--- a/src/main/java/io/cherryspool/recovery/Recovery.java
+++ b/src/main/java/io/cherryspool/recovery/Recovery.java
@@ -57,7 +57,7 @@
 
   /**
    * @param snapshot what a snapshot of an earlier life of this node remembers, or {@link
-   *     Picture#EMPTY}
+   *     RecordsSnapshot#EMPTY}
    */
   public Recovery(
       EventLoop loop,
