--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -10,14 +10,16 @@
 import io.cherryspool.controller.api.StateStoreHealth;
 import io.cherryspool.controller.api.UserApi;
 import io.cherryspool.controller.election.Election;
+import io.cherryspool.controller.fleet.FleetPermissions;
 import io.cherryspool.controller.leader.LeaderTerm;
 import io.cherryspool.controller.metrics.Meters;
 import io.cherryspool.controller.metrics.ReachabilityMeters;
 import io.cherryspool.controller.provisioning.MachineTypeCatalog;
+import io.cherryspool.controller.provisioning.ProvisioningLimits;
 import io.cherryspool.controller.recovery.ElectionClusterNode;
 import io.cherryspool.controller.recovery.RecoveryModule;
 import io.cherryspool.controller.rounds.RoundCommitter;
-import io.cherryspool.controller.rounds.SchedulingLoop;
+import io.cherryspool.controller.rounds.RoundLimits;
 import io.cherryspool.controller.timing.Timings;
 import io.cherryspool.http.ObservedTransport;
 import io.cherryspool.http.Reply;
@@ -412,37 +414,32 @@
     RoundCommitter writer =
         new RoundCommitter(loop, state, rateLimiter, maxChanges, replica.termVersion());
     return new LeaderTerm(
-        loop,
-        replica,
-        workers,
-        cloud,
-        writer,
-        new SchedulingLoop.Limits(
-            operators.roundMax(),
-            timings.heartbeatInterval().multipliedBy(2).plusMillis(500),
-            settings.workerLease().dividedBy(2),
-            operators.beginWithin(),
-            operators.failureCap(),
-            maxChanges,
-            settings.deadlineMultiples()),
-        new LeaderTerm.ProvisioningLimits(
-            settings.cloudRequestsPerSecond(), settings.cloudListLag(), operators.idleKeep()),
-        new LeaderTerm.TermDependencies(
-            new LeaderTerm.Authority(election::mayCommandWorkers, election::mayChangeFleet),
+        new LeaderTerm.Services(loop, clock, replica, workers, cloud, catalog::types, meters),
+        new LeaderTerm.TermSettings(
+            timings,
+            new RoundLimits(
+                operators.roundMax(),
+                timings.heartbeatInterval().multipliedBy(2).plusMillis(500),
+                settings.workerLease().dividedBy(2),
+                operators.beginWithin(),
+                operators.failureCap(),
+                maxChanges,
+                settings.deadlineMultiples()),
+            new ProvisioningLimits(
+                settings.cloudRequestsPerSecond(), settings.cloudListLag(), operators.idleKeep()),
             teams,
-            catalog::types,
-            clock,
-            new LeaderTerm.FleetPermissions(
+            operators.recovery().map(RecoverySettings::heldClasses).orElse(Set.of())),
+        new LeaderTerm.Authority(
+            election::mayCommandWorkers,
+            election::mayChangeFleet,
+            new FleetPermissions(
                 reachability::mayPlaceTasks,
                 reachability::mayChangeFleet,
                 reachability::isZoneEvictionSuspended,
-                reachability.machineRule()),
-            meters,
-            operators.recovery().map(RecoverySettings::heldClasses).orElse(Set.of()),
-            recovery.map(part -> part::reportUnrecordedStart)),
-        timings,
-        replica.term(),
-        this::termShown);
+                reachability.machineRule())),
+        new LeaderTerm.Findings(this::termShown, recovery.map(part -> part::reportUnrecordedStart)),
+        writer,
+        replica.term());
   }
 
   @Override
--- a/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
@@ -2,6 +2,7 @@
 
 import io.cherryspool.cloud.CloudClient;
 import io.cherryspool.controller.fleet.Fleet;
+import io.cherryspool.controller.fleet.FleetPermissions;
 import io.cherryspool.controller.fleet.MachineEligibility;
 import io.cherryspool.controller.fleet.MachineState;
 import io.cherryspool.controller.metrics.Meters;
@@ -9,13 +10,16 @@
 import io.cherryspool.controller.ownership.Ownership;
 import io.cherryspool.controller.ownership.StopRequests;
 import io.cherryspool.controller.provisioning.Provisioner;
+import io.cherryspool.controller.provisioning.ProvisioningLimits;
 import io.cherryspool.controller.release.CrashLoopBackoff;
 import io.cherryspool.controller.release.PendingReleases;
 import io.cherryspool.controller.release.TerminationEvidence;
 import io.cherryspool.controller.rounds.Adoption;
 import io.cherryspool.controller.rounds.DemandEstimator;
 import io.cherryspool.controller.rounds.RoundCommitter;
+import io.cherryspool.controller.rounds.RoundLimits;
 import io.cherryspool.controller.rounds.SchedulingLoop;
+import io.cherryspool.controller.rounds.TaskTracking;
 import io.cherryspool.controller.timing.EventLoopLag;
 import io.cherryspool.controller.timing.Timings;
 import io.cherryspool.lifecycle.EventLoop;
@@ -27,7 +31,6 @@
 import io.cherryspool.model.WorkerCommand;
 import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.reachability.FleetReachability;
-import io.cherryspool.reachability.MachineEvictionRule;
 import io.cherryspool.recovery.Reconciliation;
 import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.JobRecord;
@@ -45,7 +48,6 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import java.util.function.Predicate;
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -101,73 +103,70 @@
   private boolean stopped;
   private EventLoop.Timer timer;
 
+  /**
+   * @param committer commits the rounds of this term, and is stopped with it
+   */
   public LeaderTerm(
-      EventLoop loop,
-      ClusterRecords replica,
-      WorkerClient workers,
-      CloudClient cloud,
-      RoundCommitter writer,
-      SchedulingLoop.Limits limits,
-      ProvisioningLimits provisioningLimits,
-      TermDependencies cluster,
-      Timings timings,
-      long term,
-      LongConsumer higherTerm) {
-    this.loop = loop;
-    this.replica = replica;
-    this.workers = workers;
-    this.timings = timings;
+      Services services,
+      TermSettings settings,
+      Authority authority,
+      Findings findings,
+      RoundCommitter committer,
+      long term) {
+    this.loop = services.loop();
+    this.replica = services.records();
+    this.workers = services.workers();
+    this.timings = settings.timings();
     this.term = term;
-    this.higherTerm = higherTerm;
-    this.authority = cluster.authority();
-    this.startMissing = cluster.unrecordedStart();
+    this.higherTerm = findings.higherTerm();
+    this.authority = authority;
+    this.startMissing = findings.unrecordedStart();
     this.started = loop.now();
-    this.listLag = provisioningLimits.listLag();
+    this.listLag = settings.provisioning().listLag();
     this.tokens = new FencingTokenSource(term);
     this.ownership = new Ownership(replica);
     this.adoption =
         replica.isPartialRebuild()
-            ? new Adoption(replica, fleet, tokens, cluster.heldClasses())
+            ? new Adoption(replica, fleet, tokens, settings.heldClasses())
             : Adoption.NONE;
     this.workerCommands = new WorkerCommandPlanner(stopRequests, tokens, pendingReleases, adoption);
     this.commandSender =
         new CommandSender(loop, workers, tokens, timings.workerTimeout(), this::commandAnswered);
-    this.workload = new DemandEstimator(replica, pendingReleases, backoff, cluster.clock());
+    this.workload = new DemandEstimator(replica, pendingReleases, backoff, services.clock());
     TerminationEvidence evidence = new TerminationEvidence(timings, tokens, stopRequests, started);
     this.rounds =
         new SchedulingLoop(
             loop,
             replica,
-            writer,
+            committer,
             fleet,
             evidence,
-            new SchedulingLoop.TaskTracking(
-                ownership, pendingReleases, stopRequests, backoff, adoption),
+            new TaskTracking(ownership, pendingReleases, stopRequests, backoff, adoption),
             tokens,
-            cluster.teams(),
-            cluster.catalog(),
-            limits,
-            cluster.clock(),
+            settings.teams(),
+            services.catalog(),
+            settings.rounds(),
+            services.clock(),
             workload,
-            cluster.meters(),
-            cluster.permissions().mayPlace(),
+            services.meters(),
+            authority.permissions().mayPlace(),
             this::sendDueCommands);
     this.provisioner =
         new Provisioner(
             loop,
-            cloud,
+            services.cloud(),
             fleet,
             ownership,
             rounds,
             workload,
-            cluster.catalog(),
-            provisioningLimits.cloudRps(),
-            provisioningLimits.listLag(),
-            provisioningLimits.idleKeep(),
+            services.catalog(),
+            settings.provisioning().cloudRps(),
+            settings.provisioning().listLag(),
+            settings.provisioning().idleKeep(),
             adoption,
             replica.instanceRequestPrefix() + term + "-",
-            cluster.authority().mayChangeFleet(),
-            cluster.permissions(),
+            authority.mayChangeFleet(),
+            authority.permissions(),
             this::inspectListed);
     ownership.setListener(new Changes());
   }
@@ -208,42 +207,50 @@
     }
   }
 
+  /** What a term runs on and calls; it outlives the term. */
+  public record Services(
+      EventLoop loop,
+      InstantSource clock,
+      ClusterRecords records,
+      WorkerClient workers,
+      CloudClient cloud,
+      Supplier<List<MachineType>> catalog,
+      Meters meters) {}
+
   /**
-   * What does not change with the term.
+   * The settings that a term works by.
    *
+   * @param teams the teams by name
    * @param heldClasses see {@link Adoption}
-   * @param unrecordedStart told of a task that a worker has and no record, where losses are looked
-   *     for
    */
-  public record TermDependencies(
-      Authority authority,
+  public record TermSettings(
+      Timings timings,
+      RoundLimits rounds,
+      ProvisioningLimits provisioning,
       Map<String, Team> teams,
-      Supplier<List<MachineType>> catalog,
-      InstantSource clock,
-      FleetPermissions permissions,
-      Meters meters,
-      Set<String> heldClasses,
-      Optional<Consumer<String>> unrecordedStart) {}
+      Set<String> heldClasses) {}
 
   /**
-   * What the judgement of this node's links allows.
+   * What the leader may do now.
    *
-   * @param mayPlace whether anything may be planned and recorded, rented and deleted
-   * @param mayScale whether machines may be rented and idle ones returned
-   * @param isZoneHeld whether the machines of a zone are unheard rather than dead
-   * @param machineRule when a single machine is given up
+   * @param mayCommandWorkers whether it may act for the controllers towards workers
+   * @param mayChangeFleet whether there is surely no other leader, so that it may have machines
+   *     added and deleted
+   * @param permissions what the verdict on this node's links allows
    */
-  public record FleetPermissions(
-      BooleanSupplier mayPlace,
-      BooleanSupplier mayScale,
-      Predicate<String> isZoneHeld,
-      MachineEvictionRule machineRule) {}
-
-  /** What the leader may still do: {@code acts} for workers, {@code sole} for the cloud. */
-  public record Authority(BooleanSupplier mayCommandWorkers, BooleanSupplier mayChangeFleet) {}
+  public record Authority(
+      BooleanSupplier mayCommandWorkers,
+      BooleanSupplier mayChangeFleet,
+      FleetPermissions permissions) {}
 
-  /** The cloud's limits and how long idle machines are kept. */
-  public record ProvisioningLimits(double cloudRps, Duration listLag, Duration idleKeep) {}
+  /**
+   * Receivers of what a term finds out and the whole node must know; each may end the term.
+   *
+   * @param higherTerm receives a higher term that a worker has shown
+   * @param unrecordedStart receives an attempt that a worker has and no record, where losses of
+   *     state are looked for
+   */
+  public record Findings(LongConsumer higherTerm, Optional<Consumer<String>> unrecordedStart) {}
 
   @Override
   public void start() {
--- a/src/main/java/io/cherryspool/controller/provisioning/Provisioner.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/Provisioner.java
@@ -2,8 +2,8 @@
 
 import io.cherryspool.cloud.CloudClient;
 import io.cherryspool.controller.fleet.Fleet;
+import io.cherryspool.controller.fleet.FleetPermissions;
 import io.cherryspool.controller.fleet.MachineState;
-import io.cherryspool.controller.leader.LeaderTerm;
 import io.cherryspool.controller.ownership.Ownership;
 import io.cherryspool.controller.rounds.Adoption;
 import io.cherryspool.controller.rounds.DemandEstimator;
@@ -58,7 +58,7 @@
   private final Adoption adoption;
   private final String prefix;
   private final BooleanSupplier sole;
-  private final LeaderTerm.FleetPermissions links;
+  private final FleetPermissions links;
   private final LocalHealth health = new LocalHealth(STANDSTILL);
   private final Runnable listedMachines;
   private final Map<String, Instance> list = new HashMap<>();
@@ -96,7 +96,7 @@
       Adoption adoption,
       String prefix,
       BooleanSupplier sole,
-      LeaderTerm.FleetPermissions links,
+      FleetPermissions links,
       Runnable listed) {
     this.loop = loop;
     this.cloud = cloud;
@@ -251,7 +251,7 @@
       machine.setIdle(idle, now);
       Duration silentFor = now.minus(machine.lastSeenAt());
       Optional<MachineEvictionRule.Fault> fault =
-          links.machineRule().judge(signs(machine, silentFor, !idle, now), listening);
+          links.evictionRule().judge(signs(machine, silentFor, !idle, now), listening);
       if (fault.isPresent()) {
         doom(
             machine.name(),
@@ -271,7 +271,7 @@
         machine.contact().notReceivingFor(now),
         owns,
         machine.contact().isUnresponsive(),
-        list.containsKey(machine.name()) && links.isZoneHeld().test(machine.zone()));
+        list.containsKey(machine.name()) && links.isZoneEvictionSuspended().test(machine.zone()));
   }
 
   private Duration bootLimit(String type) {
--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/provisioning/ProvisioningLimits.java
@@ -0,0 +1,12 @@
+package io.cherryspool.controller.provisioning;
+
+import java.time.Duration;
+
+/**
+ * The cloud's limits and how long idle machines are kept, from the settings.
+ *
+ * @param cloudRps the requests that the cloud allows in a second
+ * @param listLag after so long the cloud's list shows every change
+ * @param idleKeep for how long a machine without tasks is kept
+ */
+public record ProvisioningLimits(double cloudRps, Duration listLag, Duration idleKeep) {}
--- a/src/main/java/io/cherryspool/controller/rounds/ClusterViewBuilder.java
+++ b/src/main/java/io/cherryspool/controller/rounds/ClusterViewBuilder.java
@@ -61,7 +61,7 @@
   ClusterViewBuilder(
       ClusterRecords replica,
       Fleet fleet,
-      SchedulingLoop.TaskTracking ledger,
+      TaskTracking ledger,
       FencingTokenSource tokens,
       Duration silence,
       Duration halfLease,
--- a/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
+++ b/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
@@ -6,8 +6,6 @@
 import io.cherryspool.controller.metrics.Meters;
 import io.cherryspool.controller.ownership.FencingTokenSource;
 import io.cherryspool.controller.ownership.Ownership;
-import io.cherryspool.controller.ownership.StopRequests;
-import io.cherryspool.controller.release.CrashLoopBackoff;
 import io.cherryspool.controller.release.PendingReleases;
 import io.cherryspool.controller.release.TerminationEvidence;
 import io.cherryspool.lifecycle.EventLoop;
@@ -65,7 +63,7 @@
   private final ClusterViewBuilder view;
   private final Map<String, Team> teams;
   private final Supplier<List<MachineType>> catalog;
-  private final Limits limits;
+  private final RoundLimits limits;
   private final InstantSource clock;
   private final DemandEstimator workload;
   private final Meters meters;
@@ -96,7 +94,7 @@
       FencingTokenSource tokens,
       Map<String, Team> teams,
       Supplier<List<MachineType>> catalog,
-      Limits limits,
+      RoundLimits limits,
       InstantSource clock,
       DemandEstimator workload,
       Meters meters,
@@ -123,32 +121,14 @@
             fleet,
             ledger,
             tokens,
-            limits.silence(),
+            limits.maxSilence(),
             limits.halfLease(),
             limits.failureCap());
   }
 
-  /** What the leader knows of owned tasks: by the records, by evidence, and by its own decision. */
-  public record TaskTracking(
-      Ownership ownership,
-      PendingReleases pendingReleases,
-      StopRequests stopRequests,
-      CrashLoopBackoff backoff,
-      Adoption adoption) {}
-
-  /** A round's sizes and times, from the settings. */
-  public record Limits(
-      Duration roundMax,
-      Duration silence,
-      Duration halfLease,
-      Duration beginWithin,
-      int failureCap,
-      int maxChanges,
-      Map<String, List<Double>> deadlineTimes) {}
-
   @Override
   public void start() {
-    longest = loop.schedule(limits.roundMax(), this::atLongest);
+    longest = loop.schedule(limits.maxRoundInterval(), this::atLongest);
     requestRound();
   }
 
@@ -234,17 +214,17 @@
    * Time alone proves a silent machine's tasks lapsed, so the silent ones are looked at as well.
    */
   private void atLongest() {
-    longest = loop.schedule(limits.roundMax(), this::atLongest);
+    longest = loop.schedule(limits.maxRoundInterval(), this::atLongest);
     Duration now = loop.now();
     for (String name : ledger.ownership().owningMachines()) {
       MachineState machine = fleet.get(name);
       if (machine == null
           || machine.isDeleted()
-          || machine.contact().isSilent(now, limits.silence())) {
+          || machine.contact().isSilent(now, limits.maxSilence())) {
         dirty.add(name);
       }
     }
-    if (!dirty.isEmpty() || now.minus(lastRun).compareTo(limits.roundMax()) >= 0) {
+    if (!dirty.isEmpty() || now.minus(lastRun).compareTo(limits.maxRoundInterval()) >= 0) {
       requestRound();
     }
   }
@@ -414,7 +394,7 @@
             new ClusterView(
                 clock.instant(),
                 now,
-                limits.beginWithin(),
+                limits.maxStartDelay(),
                 jobs,
                 view.schedulableMachines(catalog.get(), now),
                 teams,
@@ -422,7 +402,7 @@
                 view.teamsWithinGuarantee(teams),
                 catalog.get(),
                 last.unschedulable().stream().map(RoundPlan.Unschedulable::job).toList(),
-                limits.deadlineTimes()));
+                limits.deadlineMultiples()));
     last = plan;
     meters.preemptions.add(plan.victims().size());
     for (RoundPlan.Assignment item : plan.assignments()) {
--- a/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
@@ -3,10 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.cloud.CloudClient;
+import io.cherryspool.controller.fleet.FleetPermissions;
 import io.cherryspool.controller.metrics.Meters;
 import io.cherryspool.controller.ownership.FencingTokenSource;
+import io.cherryspool.controller.provisioning.ProvisioningLimits;
 import io.cherryspool.controller.rounds.RoundCommitter;
-import io.cherryspool.controller.rounds.SchedulingLoop;
+import io.cherryspool.controller.rounds.RoundLimits;
 import io.cherryspool.controller.timing.Timings;
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.http.Reply;
@@ -77,36 +79,38 @@
     Transport silent = (to, request, deadline) -> new CompletableFuture<Reply>();
     term =
         new LeaderTerm(
-            loop,
-            replica,
-            new WorkerClient(silent, CALL),
-            new CloudClient(silent, ANYWHERE, CALL),
-            new RoundCommitter(loop, client, rateLimiter, 8, 0),
-            new SchedulingLoop.Limits(
-                ROUND_MAX,
-                REPORT.multipliedBy(2),
-                Duration.ofSeconds(8),
-                Duration.ofSeconds(150),
-                20,
-                8,
-                Map.of()),
-            new LeaderTerm.ProvisioningLimits(6, Duration.ofSeconds(6), Duration.ofSeconds(40)),
-            new LeaderTerm.TermDependencies(
-                new LeaderTerm.Authority(() -> true, () -> false),
-                Map.of("red", new Team("red", 0, 0, 0, 0)),
-                () -> TYPES,
+            new LeaderTerm.Services(
+                loop,
                 this::clock,
-                new LeaderTerm.FleetPermissions(
+                replica,
+                new WorkerClient(silent, CALL),
+                new CloudClient(silent, ANYWHERE, CALL),
+                () -> TYPES,
+                new Meters()),
+            new LeaderTerm.TermSettings(
+                timings(),
+                new RoundLimits(
+                    ROUND_MAX,
+                    REPORT.multipliedBy(2),
+                    Duration.ofSeconds(8),
+                    Duration.ofSeconds(150),
+                    20,
+                    8,
+                    Map.of()),
+                new ProvisioningLimits(6, Duration.ofSeconds(6), Duration.ofSeconds(40)),
+                Map.of("red", new Team("red", 0, 0, 0, 0)),
+                Set.of()),
+            new LeaderTerm.Authority(
+                () -> true,
+                () -> false,
+                new FleetPermissions(
                     () -> true,
                     () -> true,
                     zone -> false,
-                    ReachabilityFixture.reachability("node-0", List.of()).machineRule()),
-                new Meters(),
-                Set.of(),
-                Optional.empty()),
-            timings(),
-            TERM,
-            higher -> {});
+                    ReachabilityFixture.reachability("node-0", List.of()).machineRule())),
+            new LeaderTerm.Findings(higher -> {}, Optional.empty()),
+            new RoundCommitter(loop, client, rateLimiter, 8, 0),
+            TERM);
     replica.onChange(term::recordsChanged);
     term.start();
   }
--- a/src/test/java/io/cherryspool/controller/rounds/ClusterViewBuilderTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/ClusterViewBuilderTest.java
@@ -28,7 +28,7 @@
       new ClusterViewBuilder(
           null,
           fleet,
-          new SchedulingLoop.TaskTracking(
+          new TaskTracking(
               new Ownership(null),
               new PendingReleases(),
               new StopRequests(),
