--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -39,9 +39,9 @@
 import io.cherryspool.reachability.VerdictRule;
 import io.cherryspool.recovery.RecoveryTimings;
 import io.cherryspool.recovery.SnapshotStore;
-import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.GroupCommit;
 import io.cherryspool.store.RateLimiter;
+import io.cherryspool.store.Replica;
 import io.cherryspool.store.StateStoreClient;
 import io.cherryspool.wire.StateStoreProtocol;
 import io.cherryspool.worker.WorkerClient;
@@ -88,7 +88,7 @@
   private final StateStoreHealth standing;
   private final StateStoreClient state;
   private final RateLimiter rateLimiter;
-  private final ClusterRecords replica;
+  private final Replica replica;
   private final Election election;
   private final CloudClient cloud;
   private final WorkerClient workers;
@@ -146,8 +146,7 @@
             timings.stateStoreTimeout());
     Duration refreshGap = Duration.ofNanos((long) (2e9 * nodes / limits.requestsPerSecond()));
     replica =
-        new ClusterRecords(
-            loop, state, rateLimiter, refreshGap, timings.stateStoreTimeout().dividedBy(2));
+        new Replica(loop, state, rateLimiter, refreshGap, timings.stateStoreTimeout().dividedBy(2));
     standing = new StateStoreHealth(loop, replica, reachability, timings);
     election =
         new Election(
--- a/src/main/java/io/cherryspool/controller/api/UserApi.java
+++ b/src/main/java/io/cherryspool/controller/api/UserApi.java
@@ -75,7 +75,7 @@
     JsonNode record;
     try {
       job = UserProtocol.parseJob(node, clock.instant());
-      record = Records.jobKey(job, Records.tasksPerShard(valueBytes));
+      record = Records.encodeJob(job, Records.tasksPerShard(valueBytes));
       if (Json.toBytes(record).length > valueBytes) {
         throw new MalformedMessageException("the description is too long to be kept");
       }
@@ -152,7 +152,7 @@
    * they run is known only once all are heard.
    */
   private Reply unknown(String id) {
-    boolean gone = replica.isAbandoned(id) || !replica.unknownJobs(id);
+    boolean gone = replica.isAbandoned(id) || !replica.isUnknownJob(id);
     return replica.isReconciled() && gone
         ? notFound()
         : later("the records of this job are lost; submit it again");
@@ -179,7 +179,7 @@
                       RateLimiter.WriteClass.CANCEL,
                       Map.of(Records.outcomeKey(id), 0L),
                       new StateStoreProtocol.Change(
-                          Records.outcomeKey(id), Records.outcomeKey(Outcome.CANCELLED), 0))
+                          Records.outcomeKey(id), Records.encodeOutcome(Outcome.CANCELLED), 0))
                   .thenCompose(
                       applied ->
                           applied
--- a/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
@@ -372,7 +372,7 @@
   private boolean lookForMissingStart(WorkerHeartbeat report) {
     for (WorkerHeartbeat.TaskStatus item : report.tasks()) {
       String job = item.task().jobId();
-      boolean noted = replica.isAbandoned(job) || replica.unknownJobs(job);
+      boolean noted = replica.isAbandoned(job) || replica.isUnknownJob(job);
       if (!noted && !Reconciliation.isStartRecorded(replica.job(job), item)) {
         startMissing.get().accept(item.task() + " try " + item.attempt());
         return true;
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
@@ -166,7 +166,7 @@
   }
 
   private CompletableFuture<Reply> repeat(String id) {
-    if (replica.unknownJobs(id) && replica.job(id) == null) {
+    if (replica.isUnknownJob(id) && replica.job(id) == null) {
       return now(
           error(409, "nobody has described job " + id + "; its user must submit it once more"));
     }
@@ -180,7 +180,7 @@
   }
 
   private CompletableFuture<Reply> abandon(String id) {
-    if (replica.unknownJobs(id) && replica.job(id) == null) {
+    if (replica.isUnknownJob(id) && replica.job(id) == null) {
       return commit(
           Map.of(Records.jobKey(id), 0L),
           List.of(
@@ -195,7 +195,7 @@
         Map.of(Records.outcomeKey(id), 0L),
         List.of(
             new StateStoreProtocol.Change(
-                Records.outcomeKey(id), Records.outcomeKey(Outcome.CANCELLED), 0),
+                Records.outcomeKey(id), Records.encodeOutcome(Outcome.CANCELLED), 0),
             new StateStoreProtocol.Change(Records.heldJobKey(id), null, 0)),
         "job " + id + " is cancelled");
   }
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
@@ -16,9 +16,9 @@
 import io.cherryspool.recovery.SnapshotFile;
 import io.cherryspool.recovery.SnapshotRepository;
 import io.cherryspool.recovery.SnapshotWriter;
-import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.RecordsSnapshot;
+import io.cherryspool.store.Replica;
 import io.cherryspool.store.RollbackDetector;
 import io.cherryspool.store.StateStoreClient;
 import io.micrometer.core.instrument.MeterRegistry;
@@ -46,7 +46,7 @@
       EventLoop loop,
       StateStoreClient client,
       RateLimiter rateLimiter,
-      ClusterRecords replica,
+      Replica replica,
       Election election,
       RandomGenerator random,
       InstantSource clock) {}
--- a/src/main/java/io/cherryspool/controller/rounds/Adoption.java
+++ b/src/main/java/io/cherryspool/controller/rounds/Adoption.java
@@ -87,7 +87,7 @@
   }
 
   private boolean concerns(String job) {
-    return !replica.isReconciled() || replica.unknownJobs(job);
+    return !replica.isReconciled() || replica.isUnknownJob(job);
   }
 
   private Decision decide(MachineState machine, WorkerHeartbeat.TaskStatus item) {
@@ -131,7 +131,7 @@
     }
     List<RoundCommitter.ChangeSet> units = new ArrayList<>();
     for (String id : unknown) {
-      if (!replica.unknownJobs(id)) {
+      if (!replica.isUnknownJob(id)) {
         units.add(unit(Map.of(Records.unknownJobKey(id), 0L), Records.unknownJobKey(id), true));
       }
     }
@@ -180,7 +180,7 @@
       for (WorkerHeartbeat.TaskStatus item : machine.latestHeartbeat().tasks()) {
         Decision decision = decide(machine, item);
         String id = item.task().jobId();
-        boolean noted = replica.unknownJobs(id) || replica.isAbandoned(id);
+        boolean noted = replica.isUnknownJob(id) || replica.isAbandoned(id);
         boolean left = decision == Decision.LEAVE && !noted;
         if (left || decision == Decision.ADOPT || decision == Decision.RECORD_DONE) {
           return false;
--- a/src/main/java/io/cherryspool/controller/rounds/RoundTransaction.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundTransaction.java
@@ -195,7 +195,7 @@
         conditions,
         List.of(
             new StateStoreProtocol.Change(
-                Records.outcomeKey(id), Records.outcomeKey(Outcome.DONE), 0)),
+                Records.outcomeKey(id), Records.encodeOutcome(Outcome.DONE), 0)),
         0,
         use(entry));
   }
--- a/src/main/java/io/cherryspool/recovery/Contributions.java
+++ b/src/main/java/io/cherryspool/recovery/Contributions.java
@@ -85,12 +85,12 @@
               if (entry == null) {
                 changes.add(
                     new StateStoreProtocol.Change(
-                        Records.jobKey(id), Records.jobKey(job.job(), job.tasksPerShard()), 0));
+                        Records.jobKey(id), Records.encodeJob(job.job(), job.tasksPerShard()), 0));
               }
               if (job.outcome() != null && (entry == null || entry.outcome() == null)) {
                 changes.add(
                     new StateStoreProtocol.Change(
-                        Records.outcomeKey(id), Records.outcomeKey(job.outcome()), 0));
+                        Records.outcomeKey(id), Records.encodeOutcome(job.outcome()), 0));
               }
             });
     if (!changes.isEmpty()) {
--- a/src/main/java/io/cherryspool/recovery/Rebuilder.java
+++ b/src/main/java/io/cherryspool/recovery/Rebuilder.java
@@ -214,7 +214,7 @@
       if (bytes + size > StateStoreProtocol.MAX_TRANSACTION_VALUE_BYTES && !changes.isEmpty()) {
         break;
       }
-      changes.add(change(Records.bundleKey(next), Records.bundleKey(chunks.get(next))));
+      changes.add(change(Records.bundleKey(next), Records.encodeBundle(chunks.get(next))));
       bytes += size;
       next++;
     }
--- a/src/main/java/io/cherryspool/recovery/Recovery.java
+++ b/src/main/java/io/cherryspool/recovery/Recovery.java
@@ -2,11 +2,11 @@
 
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.lifecycle.Lifecycle;
-import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.Incarnation;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
 import io.cherryspool.store.RecordsSnapshot;
+import io.cherryspool.store.Replica;
 import io.cherryspool.store.RollbackDetector;
 import io.cherryspool.store.StateStoreClient;
 import io.cherryspool.wire.StateStoreProtocol;
@@ -29,7 +29,7 @@
   private final EventLoop loop;
   private final StateStoreClient client;
   private final RateLimiter rateLimiter;
-  private final ClusterRecords replica;
+  private final Replica replica;
   private final RandomGenerator random;
   private final RecoveryTimings timings;
   private final ClusterNode node;
@@ -63,7 +63,7 @@
       EventLoop loop,
       StateStoreClient client,
       RateLimiter rateLimiter,
-      ClusterRecords replica,
+      Replica replica,
       RandomGenerator random,
       RecoveryTimings timings,
       ClusterNode node,
--- a/src/main/java/io/cherryspool/store/RecordIndex.java
+++ b/src/main/java/io/cherryspool/store/RecordIndex.java
@@ -123,11 +123,13 @@
   JsonNode permanentRecord(String key) {
     if (key.startsWith(Records.JOBS)) {
       JobRecord entry = jobs.get(key.substring(Records.JOBS.length()));
-      return entry == null ? null : Records.jobKey(entry.job(), entry.tasksPerShard());
+      return entry == null ? null : Records.encodeJob(entry.job(), entry.tasksPerShard());
     }
     if (key.startsWith(Records.OUTCOMES)) {
       JobRecord entry = jobs.get(key.substring(Records.OUTCOMES.length()));
-      return entry == null || entry.outcome() == null ? null : Records.outcomeKey(entry.outcome());
+      return entry == null || entry.outcome() == null
+          ? null
+          : Records.encodeOutcome(entry.outcome());
     }
     return null;
   }
--- a/src/main/java/io/cherryspool/store/Records.java
+++ b/src/main/java/io/cherryspool/store/Records.java
@@ -89,7 +89,7 @@
     return Math.max(1, valueBytes / BYTES_PER_TASK);
   }
 
-  public static JsonNode bundleKey(byte[] chunk) {
+  public static JsonNode encodeBundle(byte[] chunk) {
     return Json.object().put("z", Base64.getEncoder().encodeToString(chunk));
   }
 
@@ -156,7 +156,7 @@
         node.path("term").longValue(), node.path("node").asText(), node.path("by").asText());
   }
 
-  public static JsonNode jobKey(Job job, int tasksPerShard) {
+  public static JsonNode encodeJob(Job job, int tasksPerShard) {
     ObjectNode node = Json.object();
     node.set("job", UserProtocol.encodeJob(job));
     node.put("at", job.submittedAt().toEpochMilli());
@@ -173,7 +173,7 @@
     return Math.max(1, node.path("per").intValue());
   }
 
-  public static JsonNode outcomeKey(Outcome outcome) {
+  public static JsonNode encodeOutcome(Outcome outcome) {
     return Json.object().put("end", outcome == Outcome.DONE ? "done" : "cancelled");
   }
 
--- a/src/main/java/io/cherryspool/store/RecordsSnapshotCodec.java
+++ b/src/main/java/io/cherryspool/store/RecordsSnapshotCodec.java
@@ -75,9 +75,9 @@
 
   private static void addUnits(String id, RecordsSnapshot.JobSnapshot job, List<JsonNode> units) {
     ObjectNode description = Json.object().put(ID, id);
-    description.set(JOB, Records.jobKey(job.job(), job.tasksPerShard()));
+    description.set(JOB, Records.encodeJob(job.job(), job.tasksPerShard()));
     if (job.outcome() != null) {
-      description.set(OUTCOME, Records.outcomeKey(job.outcome()));
+      description.set(OUTCOME, Records.encodeOutcome(job.outcome()));
     }
     units.add(description);
     job.shards()
--- a/src/test/java/io/cherryspool/controller/api/UserApiTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiTest.java
@@ -19,10 +19,10 @@
 import io.cherryspool.sim.fakes.ControlledTransport.Fate;
 import io.cherryspool.sim.fakes.FakeStateStore;
 import io.cherryspool.sim.time.VirtualTime;
-import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.GroupCommit;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
+import io.cherryspool.store.Replica;
 import io.cherryspool.store.StateStoreClient;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.MalformedMessageException;
@@ -57,7 +57,7 @@
   /** One node as far as users see it. */
   private final class Node {
     private final ControlledTransport line = new ControlledTransport(time, state);
-    private final ClusterRecords replica;
+    private final Replica replica;
     private final UserApi users;
     private List<MachineType> types = TYPES;
     private boolean behind;
@@ -66,8 +66,7 @@
       RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
       StateStoreClient client =
           new StateStoreClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
-      replica =
-          new ClusterRecords(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+      replica = new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
       GroupCommit commits = new GroupCommit(time, client, rateLimiter, 8, 32, CALL);
       users =
           new UserApi(
@@ -156,7 +155,7 @@
             Map.of(Records.outcomeKey(JOB), 0L),
             List.of(
                 new StateStoreProtocol.Change(
-                    Records.outcomeKey(JOB), Records.outcomeKey(outcome), 0))));
+                    Records.outcomeKey(JOB), Records.encodeOutcome(outcome), 0))));
   }
 
   @Test
--- a/src/test/java/io/cherryspool/controller/election/ElectionTest.java
+++ b/src/test/java/io/cherryspool/controller/election/ElectionTest.java
@@ -11,9 +11,9 @@
 import io.cherryspool.sim.fakes.ControlledTransport;
 import io.cherryspool.sim.fakes.FakeStateStore;
 import io.cherryspool.sim.time.VirtualTime;
-import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
+import io.cherryspool.store.Replica;
 import io.cherryspool.store.StateStoreClient;
 import java.time.Duration;
 import java.util.List;
@@ -30,8 +30,8 @@
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
   private final StateStoreClient client =
       new StateStoreClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
-  private final ClusterRecords replica =
-      new ClusterRecords(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+  private final Replica replica =
+      new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
   private final Reachability reachability =
       ReachabilityFixture.reachability("node-0", List.of("node-1"));
   private final Election election =
--- a/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
@@ -20,9 +20,9 @@
 import io.cherryspool.sim.fakes.ControlledTransport;
 import io.cherryspool.sim.fakes.FakeStateStore;
 import io.cherryspool.sim.time.VirtualTime;
-import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
+import io.cherryspool.store.Replica;
 import io.cherryspool.store.StateStoreClient;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.MalformedMessageException;
@@ -69,8 +69,8 @@
     StateStoreClient client =
         new StateStoreClient(
             loop, rateLimiter, new ControlledTransport(time, state), ANYWHERE, CALL);
-    ClusterRecords replica =
-        new ClusterRecords(loop, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+    Replica replica =
+        new Replica(loop, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
     replica.start();
     run(Duration.ofMillis(50));
     assertTrue(replica.isLoaded());
@@ -166,7 +166,7 @@
   /** Some node accepts a job. */
   void accept(Job job) {
     StateStoreProtocol.Change change =
-        new StateStoreProtocol.Change(Records.jobKey(job.id()), Records.jobKey(job, 100), 0);
+        new StateStoreProtocol.Change(Records.jobKey(job.id()), Records.encodeJob(job, 100), 0);
     state.handle(StateStoreProtocol.transactionRequest(Map.of(), List.of(change)));
   }
 
--- a/src/test/java/io/cherryspool/recovery/RecoveryTest.java
+++ b/src/test/java/io/cherryspool/recovery/RecoveryTest.java
@@ -15,11 +15,11 @@
 import io.cherryspool.sim.fakes.ControlledTransport.Fate;
 import io.cherryspool.sim.fakes.FakeStateStore;
 import io.cherryspool.sim.time.VirtualTime;
-import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.Incarnation;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
 import io.cherryspool.store.RecordsSnapshot;
+import io.cherryspool.store.Replica;
 import io.cherryspool.store.RollbackDetector.Loss;
 import io.cherryspool.store.StateStoreClient;
 import io.cherryspool.wire.StateStoreProtocol;
@@ -45,8 +45,8 @@
     private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
     private final StateStoreClient client =
         new StateStoreClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
-    private final ClusterRecords replica =
-        new ClusterRecords(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+    private final Replica replica =
+        new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
     private final Recovery recovery;
     private final List<Peer> peers = new ArrayList<>();
     private boolean leadsSurely;
@@ -112,7 +112,7 @@
 
   private static StateStoreProtocol.Change job(String id) {
     return new StateStoreProtocol.Change(
-        Records.jobKey(id), Records.jobKey(JobFixture.job(id, Priority.NORMAL, 1, 1), 100), 0);
+        Records.jobKey(id), Records.encodeJob(JobFixture.job(id, Priority.NORMAL, 1, 1), 100), 0);
   }
 
   /** Some process without memory changes a key. */
@@ -194,7 +194,7 @@
         Map.of(),
         List.of(
             new StateStoreProtocol.Change(
-                Records.outcomeKey(JOB), Records.outcomeKey(Outcome.CANCELLED), 0)));
+                Records.outcomeKey(JOB), Records.encodeOutcome(Outcome.CANCELLED), 0)));
     run(1);
     node.leadsSurely = true;
     node.knownTerm = 17;
@@ -413,8 +413,7 @@
     RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
     Endpoint anywhere = new Endpoint("127.0.0.1", 1);
     StateStoreClient client = new StateStoreClient(time, rateLimiter, line, anywhere, CALL);
-    ClusterRecords plain =
-        new ClusterRecords(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+    Replica plain = new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
     plain.start();
     run(1);
     assertTrue(plain.isLoaded(), "before any loss both read the same records");
@@ -423,8 +422,7 @@
     run(25);
     assertTrue(node.recovery.isServing());
     assertFalse(plain.isLoaded());
-    ClusterRecords begun =
-        new ClusterRecords(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+    Replica begun = new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
     begun.start();
     run(2);
     assertFalse(begun.isLoaded());
@@ -459,7 +457,7 @@
                 new StateStoreProtocol.Change(
                     Records.progressKey(JOB, 0), Records.encodeShard(ended), 0),
                 new StateStoreProtocol.Change(
-                    Records.outcomeKey("req-000002"), Records.outcomeKey(Outcome.DONE), 0),
+                    Records.outcomeKey("req-000002"), Records.encodeOutcome(Outcome.DONE), 0),
                 new StateStoreProtocol.Change(Records.progressKey("req-000002", 0), null, 0)));
     run(0.5);
     assertTrue(changes.join().applied());
--- a/src/test/java/io/cherryspool/sim/driver/CostDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostDriver.java
@@ -247,14 +247,14 @@
                 POLLS, REQUESTS_PER_S, i -> cluster.ask(ASKED, Request.get("/api/jobs/" + known))));
     String id = id(++jobCount);
     Job job = job(id, EVENTS + 1, List.of("none"));
-    put(Records.jobKey(id), Records.jobKey(job, EVENTS + 1));
+    put(Records.jobKey(id), Records.encodeJob(job, EVENTS + 1));
     pause(SETTLE);
     phase(
         "progress record changed",
         Kind.EVENTS,
         EVENTS,
         () -> paced(EVENTS, EVENTS_PER_S, i -> progress(id, i)));
-    put(Records.outcomeKey(id), Records.outcomeKey(Outcome.CANCELLED));
+    put(Records.outcomeKey(id), Records.encodeOutcome(Outcome.CANCELLED));
     pause(SETTLE);
   }
 
--- a/src/test/java/io/cherryspool/sim/driver/RecoveryDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/RecoveryDriver.java
@@ -156,12 +156,12 @@
     CompletableFuture<Reply> put =
         cluster.commit(
             new StateStoreProtocol.Change(
-                Records.jobKey(id), Records.jobKey(job(id, 1), TASKS_PER_SHARD), 0));
+                Records.jobKey(id), Records.encodeJob(job(id, 1), TASKS_PER_SHARD), 0));
     LoopbackCluster.await(put);
     LoopbackCluster.await(
         cluster.commit(
             new StateStoreProtocol.Change(
-                Records.outcomeKey(id), Records.outcomeKey(Outcome.DONE), 0)));
+                Records.outcomeKey(id), Records.encodeOutcome(Outcome.DONE), 0)));
   }
 
   private void submit() {
--- a/src/test/java/io/cherryspool/store/RecordsSnapshotCodecTest.java
+++ b/src/test/java/io/cherryspool/store/RecordsSnapshotCodecTest.java
@@ -47,7 +47,7 @@
     List<byte[]> chunks =
         RecordsSnapshotCodec.encode(picture.jobs(), Records.maxChunkBytes(VALUE_BYTES));
     for (byte[] chunk : chunks) {
-      assertTrue(Json.toBytes(Records.bundleKey(chunk)).length <= VALUE_BYTES);
+      assertTrue(Json.toBytes(Records.encodeBundle(chunk)).length <= VALUE_BYTES);
     }
     // At 60 changes a second these are written within a few seconds, of a lease of 16.
     assertTrue(chunks.size() <= 180, chunks.size() + " bundles");
--- a/src/test/java/io/cherryspool/store/ReplicaCostTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaCostTest.java
@@ -44,8 +44,8 @@
           (to, request, deadline) -> send(request),
           new Endpoint("127.0.0.1", 1),
           CALL);
-  private final ClusterRecords replica =
-      new ClusterRecords(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+  private final Replica replica =
+      new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
   private CompletableFuture<Reply> watch;
   private long revision;
 
@@ -82,7 +82,8 @@
 
   private Reply accepted(String id) {
     return put(
-        Records.jobKey(id), Records.jobKey(JobFixture.job(id, Priority.NORMAL, TASKS, 1), TASKS));
+        Records.jobKey(id),
+        Records.encodeJob(JobFixture.job(id, Priority.NORMAL, TASKS, 1), TASKS));
   }
 
   /** Some of the tasks are done, the next ones have owners. */
@@ -130,7 +131,7 @@
     for (int i = 0; i < JOBS; i++) {
       String id = String.format("req-%06d", i);
       tell(accepted(id));
-      tell(put(Records.outcomeKey(id), Records.outcomeKey(Outcome.DONE)));
+      tell(put(Records.outcomeKey(id), Records.encodeOutcome(Outcome.DONE)));
     }
     return replica;
   }
--- a/src/test/java/io/cherryspool/store/ReplicaTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaTest.java
@@ -33,8 +33,8 @@
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
   private final StateStoreClient client =
       new StateStoreClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
-  private final ClusterRecords replica =
-      new ClusterRecords(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+  private final Replica replica =
+      new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
 
   private void run(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
@@ -45,7 +45,7 @@
 
   /** Another node accepts a job. */
   private void accept(String id) {
-    var record = Records.jobKey(JobFixture.job(id, Priority.NORMAL, 1, 1), 100);
+    var record = Records.encodeJob(JobFixture.job(id, Priority.NORMAL, 1, 1), 100);
     state.handle(
         StateStoreProtocol.transactionRequest(
             Map.of(Records.jobKey(id), 0L),
@@ -59,7 +59,7 @@
             Map.of(Records.outcomeKey(id), 0L),
             List.of(
                 new StateStoreProtocol.Change(
-                    Records.outcomeKey(id), Records.outcomeKey(Outcome.CANCELLED), 0))));
+                    Records.outcomeKey(id), Records.encodeOutcome(Outcome.CANCELLED), 0))));
   }
 
   /** Loaded, with a watch open that will tell that the history is gone. */
--- a/src/test/java/io/cherryspool/store/StoredFormatsTest.java
+++ b/src/test/java/io/cherryspool/store/StoredFormatsTest.java
@@ -51,12 +51,12 @@
   }
 
   private static void checkJob(String name, Job expected) throws MalformedMessageException {
-    assertRecorded(name, Records.jobKey(expected, SampleRecords.TASKS_PER_SHARD));
+    assertRecorded(name, Records.encodeJob(expected, SampleRecords.TASKS_PER_SHARD));
     JsonNode recorded = readJson(name);
     Job job = Records.decodeJob(recorded);
     assertEquals(expected, job);
     assertEquals(SampleRecords.TASKS_PER_SHARD, Records.decodeTasksPerShard(recorded));
-    assertRecorded(name, Records.jobKey(job, Records.decodeTasksPerShard(recorded)));
+    assertRecorded(name, Records.encodeJob(job, Records.decodeTasksPerShard(recorded)));
   }
 
   @Test
@@ -66,10 +66,10 @@
   }
 
   private static void checkOutcome(String name, Outcome expected) throws MalformedMessageException {
-    assertRecorded(name, Records.outcomeKey(expected));
+    assertRecorded(name, Records.encodeOutcome(expected));
     Outcome read = Records.decodeOutcome(readJson(name));
     assertEquals(expected, read);
-    assertRecorded(name, Records.outcomeKey(read));
+    assertRecorded(name, Records.encodeOutcome(read));
   }
 
   @Test
@@ -152,7 +152,7 @@
     List<byte[]> chunks = RecordsSnapshotCodec.encode(SampleRecords.jobs(), CHUNK_BYTES);
     assertEquals(BUNDLES, chunks.size());
     for (int i = 0; i < BUNDLES; i++) {
-      assertRecorded("bundle-" + i + ".json", Records.bundleKey(chunks.get(i)));
+      assertRecorded("bundle-" + i + ".json", Records.encodeBundle(chunks.get(i)));
     }
     List<byte[]> read = new ArrayList<>();
     for (int i = 0; i < BUNDLES; i++) {
@@ -168,7 +168,7 @@
     assertEquals(50, running.shards().get(2).doneCount());
     List<byte[]> again = RecordsSnapshotCodec.encode(jobs, CHUNK_BYTES);
     for (int i = 0; i < BUNDLES; i++) {
-      assertRecorded("bundle-" + i + ".json", Records.bundleKey(again.get(i)));
+      assertRecorded("bundle-" + i + ".json", Records.encodeBundle(again.get(i)));
     }
   }
 
