--- a/src/main/java/io/cherryspool/controller/api/UserApi.java
+++ b/src/main/java/io/cherryspool/controller/api/UserApi.java
@@ -19,6 +19,7 @@
 import java.time.InstantSource;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
@@ -80,14 +81,15 @@
         throw new MalformedMessageException("the description is too long to be kept");
       }
     } catch (MalformedMessageException e) {
-      String named = UserProtocol.findJobId(node);
+      String named = UserProtocol.findJobId(node).orElse(null);
       return named == null ? now(malformed(e)) : refuse(named, malformed(e));
     }
     String id = job.id();
     List<MachineType> types = catalog.get();
-    String impossible = PlacementConstraints.infeasibilityReason(job, teams.get(job.team()), types);
-    if (impossible != null) {
-      return refuse(id, Reply.json(422, UserProtocol.encodeError(impossible)));
+    Optional<String> infeasible =
+        PlacementConstraints.infeasibilityReason(job, teams.get(job.team()), types);
+    if (infeasible.isPresent()) {
+      return refuse(id, Reply.json(422, UserProtocol.encodeError(infeasible.get())));
     }
     if (replica.job(id) != null) {
       return known(id);
--- a/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
+++ b/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
@@ -421,7 +421,7 @@
                 view.usageByTeam(),
                 view.teamsWithinGuarantee(teams),
                 catalog.get(),
-                last.unschedulable().stream().map(RoundPlan.Unschedulable::job).toList(),
+                last.unschedulable().stream().map(RoundPlan.TaskGroup::job).toList(),
                 limits.deadlineTimes()));
     last = plan;
     meters.preemptions.add(plan.victims().size());
--- a/src/main/java/io/cherryspool/scheduler/Placement.java
+++ b/src/main/java/io/cherryspool/scheduler/Placement.java
@@ -49,8 +49,8 @@
   private final List<Failure> failures = new ArrayList<>();
   private final Map<Demand, List<Bin>> ranked = new HashMap<>();
   private final List<RoundPlan.Assignment> assignments = new ArrayList<>();
-  private final List<RoundPlan.Unschedulable> unplaced = new ArrayList<>();
-  private final List<RoundPlan.Unschedulable> atLimit = new ArrayList<>();
+  private final List<RoundPlan.TaskGroup> unplaced = new ArrayList<>();
+  private final List<RoundPlan.TaskGroup> atLimit = new ArrayList<>();
   private final List<Job> scarce;
   private int considered;
 
@@ -142,7 +142,7 @@
     Resources total = use.getOrDefault(job.team(), Resources.NONE);
     int allowed = team == null ? 0 : team.countWithinQuota(total, job.perTask(), tasks.size());
     if (allowed < tasks.size()) {
-      atLimit.add(new RoundPlan.Unschedulable(job, tasks.size() - allowed));
+      atLimit.add(new RoundPlan.TaskGroup(job, tasks.size() - allowed));
     }
     if (allowed == 0) {
       if (entry.front()) {
@@ -154,7 +154,7 @@
     use.put(job.team(), total.plus(job.perTask().times(allowed)));
     int placed = fill(entry.job(), tasks.subList(0, allowed));
     if (placed < allowed) {
-      unplaced.add(new RoundPlan.Unschedulable(job, allowed - placed));
+      unplaced.add(new RoundPlan.TaskGroup(job, allowed - placed));
       if (entry.front()) {
         reserve(job);
       }
@@ -291,7 +291,7 @@
    * The tasks that run where those without room could, though other types would do for them.
    * Machines of those types may still be had when the ones that everybody wants are not.
    */
-  private List<RoundPlan.Unschedulable> displacing() {
+  private List<RoundPlan.TaskGroup> displacing() {
     List<MachineType> wanted = new ArrayList<>();
     for (MachineType type : view.catalog()) {
       if (unplaced.stream().anyMatch(item -> item.job().allowsType(type))) {
@@ -307,12 +307,12 @@
         machine.runningTasks().forEach(task -> counts.merge(task.job(), 1, Integer::sum));
       }
     }
-    List<RoundPlan.Unschedulable> result = new ArrayList<>();
+    List<RoundPlan.TaskGroup> result = new ArrayList<>();
     counts.forEach(
         (job, count) -> {
           if (view.catalog().stream()
               .anyMatch(type -> !wanted.contains(type) && job.allowsType(type))) {
-            result.add(new RoundPlan.Unschedulable(job, count));
+            result.add(new RoundPlan.TaskGroup(job, count));
           }
         });
     return result;
--- a/src/main/java/io/cherryspool/scheduler/PlacementConstraints.java
+++ b/src/main/java/io/cherryspool/scheduler/PlacementConstraints.java
@@ -2,38 +2,46 @@
 
 import io.cherryspool.model.Job;
 import io.cherryspool.model.MachineType;
-import io.cherryspool.model.Resources;
 import io.cherryspool.model.Team;
 import java.util.Collection;
+import java.util.Optional;
 
-/** What a job's description allows, whatever the moment. */
+/** The constraints that a job's description puts on the placement of each of its tasks. */
 public final class PlacementConstraints {
   private PlacementConstraints() {}
 
-  public static boolean allows(Job job, MachineType type, String zone, boolean spot) {
-    return job.allowsType(type) && job.allowsZone(zone) && (job.allowsSpot() || !spot);
+  /**
+   * Whether a task of the job may run on such a machine, if the machine is empty. The constraints
+   * on the zones of all the job's tasks together are not considered.
+   */
+  public static boolean allows(Job job, MachineType type, String zone, boolean isSpot) {
+    return job.allowsType(type) && job.allowsZone(zone) && (job.allowsSpot() || !isSpot);
   }
 
   /**
-   * Why the job can never run, or null if it can. The team alone may say so; without a catalog,
-   * null, nothing is said of the machine types.
+   * Why the job can never run; empty if it can.
+   *
+   * @param team the job's team, null if no such team is configured
+   * @param catalog the machine types, null if they are not known yet: then only the team's quota
+   *     counts
    */
-  public static String infeasibilityReason(Job job, Team team, Collection<MachineType> catalog) {
+  public static Optional<String> infeasibilityReason(
+      Job job, Team team, Collection<MachineType> catalog) {
     if (team == null) {
-      return "unknown team " + job.team();
+      return Optional.of("unknown team " + job.team());
     }
-    if (!team.isWithinQuota(Resources.NONE.plus(job.perTask()))) {
-      return "a task needs more than the limit of team " + job.team();
+    if (!team.isWithinQuota(job.perTask())) {
+      return Optional.of("a task needs more than the limit of team " + job.team());
     }
     if (catalog == null) {
-      return null;
+      return Optional.empty();
     }
     for (MachineType type : catalog) {
       if (job.allowsType(type)
           && (job.requiredZone() == null || type.zones().contains(job.requiredZone()))) {
-        return null;
+        return Optional.empty();
       }
     }
-    return "a task fits no allowed machine type";
+    return Optional.of("a task fits no allowed machine type");
   }
 }
--- a/src/main/java/io/cherryspool/scheduler/Preemption.java
+++ b/src/main/java/io/cherryspool/scheduler/Preemption.java
@@ -50,17 +50,17 @@
 
   static List<RoundPlan.Victim> plan(
       ClusterView view,
-      List<RoundPlan.Unschedulable> waiting,
-      List<RoundPlan.Unschedulable> atLimit,
+      List<RoundPlan.TaskGroup> waiting,
+      List<RoundPlan.TaskGroup> atLimit,
       List<RoundPlan.Assignment> assignments) {
     if (waiting.isEmpty() && atLimit.isEmpty()) {
       return List.of();
     }
     Preemption preemption = new Preemption(view, assignments);
-    for (RoundPlan.Unschedulable item : waiting) {
+    for (RoundPlan.TaskGroup item : waiting) {
       preemption.makeRoom(item);
     }
-    for (RoundPlan.Unschedulable item : atLimit) {
+    for (RoundPlan.TaskGroup item : atLimit) {
       preemption.makeAllowance(item);
     }
     return preemption.stops;
@@ -100,7 +100,7 @@
   }
 
   /** Stops what lets most of the waiting tasks in for the least loss, machine by machine. */
-  private void makeRoom(RoundPlan.Unschedulable item) {
+  private void makeRoom(RoundPlan.TaskGroup item) {
     Job job = item.job();
     boolean over = job.priority().ordinal() > lowest;
     if (job.requiresSingleZone()
@@ -206,7 +206,7 @@
    * A team's own lower work gives way when it alone keeps the team's pressing job at the team's
    * limit; otherwise an urgent job would wait for its own team's long ones.
    */
-  private void makeAllowance(RoundPlan.Unschedulable item) {
+  private void makeAllowance(RoundPlan.TaskGroup item) {
     Job job = item.job();
     Team team = view.teams().get(job.team());
     if (team == null
--- a/src/main/java/io/cherryspool/scheduler/RoundPlan.java
+++ b/src/main/java/io/cherryspool/scheduler/RoundPlan.java
@@ -14,8 +14,8 @@
 public record RoundPlan(
     List<Assignment> assignments,
     List<Victim> victims,
-    List<Unschedulable> unschedulable,
-    List<Unschedulable> relocatable,
+    List<TaskGroup> unschedulable,
+    List<TaskGroup> relocatable,
     int machinesExamined) {
 
   /** Nothing to do. */
@@ -29,5 +29,5 @@
   public record Victim(TaskId task, Duration gracePeriod) {}
 
   /** So many tasks of a job that their team may run but for which no machine has room. */
-  public record Unschedulable(Job job, int taskCount) {}
+  public record TaskGroup(Job job, int taskCount) {}
 }
--- a/src/main/java/io/cherryspool/scheduler/ScalingPlan.java
+++ b/src/main/java/io/cherryspool/scheduler/ScalingPlan.java
@@ -73,8 +73,8 @@
   /** What the fleet is planned from. {@code soldOut} holds the offers refused a short while ago. */
   public record FleetView(
       Instant now,
-      List<RoundPlan.Unschedulable> unschedulable,
-      List<RoundPlan.Unschedulable> relocatable,
+      List<RoundPlan.TaskGroup> unschedulable,
+      List<RoundPlan.TaskGroup> relocatable,
       List<Offering> provisioning,
       List<ActiveMachine> activeMachines,
       List<JobDemand> demands,
@@ -105,7 +105,7 @@
 
   public static Decision decide(FleetView view) {
     ScalingPlan plan = new ScalingPlan(view);
-    for (RoundPlan.Unschedulable item : view.unschedulable()) {
+    for (RoundPlan.TaskGroup item : view.unschedulable()) {
       plan.pack(item.job(), item.taskCount());
     }
     plan.makeWay();
@@ -278,7 +278,7 @@
   private void makeWay() {
     Set<MachineType> wanted = new LinkedHashSet<>();
     boolean soldOut = false;
-    for (RoundPlan.Unschedulable item : view.unschedulable()) {
+    for (RoundPlan.TaskGroup item : view.unschedulable()) {
       Places places = places(item.job());
       if (cheapest(item.job(), Set.of()) == null && need(places).cpus(1) > capacity(places)) {
         soldOut = true;
@@ -288,7 +288,7 @@
     if (!soldOut) {
       return;
     }
-    for (RoundPlan.Unschedulable item : view.relocatable()) {
+    for (RoundPlan.TaskGroup item : view.relocatable()) {
       int left = fillIncoming(item.job(), item.taskCount(), wanted);
       while (left > 0) {
         Offering best = cheapest(item.job(), wanted);
--- a/src/main/java/io/cherryspool/wire/UserProtocol.java
+++ b/src/main/java/io/cherryspool/wire/UserProtocol.java
@@ -9,6 +9,7 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
+import java.util.Optional;
 import java.util.regex.Pattern;
 
 /** Jobs as users write them, and what users are told of them. */
@@ -36,10 +37,10 @@
     return ID.matcher(text).matches();
   }
 
-  /** The id that a description names, whatever else is wrong with it, or null. */
-  public static String findJobId(JsonNode node) {
+  /** The job id that a submission names, whatever else is wrong with it; empty if it has none. */
+  public static Optional<String> findJobId(JsonNode node) {
     String text = node.path("ref").asText();
-    return isJobId(text) ? text : null;
+    return isJobId(text) ? Optional.of(text) : Optional.empty();
   }
 
   public static Job parseJob(JsonNode node, Instant submitted) throws MalformedMessageException {
--- a/src/main/java/io/cherryspool/wire/WorkerProtocol.java
+++ b/src/main/java/io/cherryspool/wire/WorkerProtocol.java
@@ -21,10 +21,7 @@
       throw new MalformedMessageException("pieces must be a list");
     }
     for (JsonNode piece : pieces) {
-      TaskId id = TaskId.parse(Json.text(piece, "piece"));
-      if (id == null) {
-        throw new MalformedMessageException("piece is not of the form req-000412/3");
-      }
+      TaskId id = parseTaskId(Json.text(piece, "piece"));
       int attempt = (int) Json.integer(piece, "try", 0, Integer.MAX_VALUE);
       WorkerHeartbeat.TaskState state = state(Json.text(piece, "status"));
       WorkerHeartbeat.ExitCause cause =
@@ -45,6 +42,14 @@
         List.copyOf(tasks));
   }
 
+  private static TaskId parseTaskId(String text) throws MalformedMessageException {
+    try {
+      return TaskId.parse(text);
+    } catch (IllegalArgumentException e) {
+      throw new MalformedMessageException("piece is not of the form req-000412/3");
+    }
+  }
+
   public static byte[] encodeHeartbeatReply(long token, List<WorkerCommand> orders) {
     ObjectNode node = Json.object().put("baton", token);
     node.set("orders", orders(orders));
