--- a/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
@@ -16,10 +16,12 @@
 import io.cherryspool.controller.release.TerminationEvidence;
 import io.cherryspool.controller.rounds.Adoption;
 import io.cherryspool.controller.rounds.DemandEstimator;
+import io.cherryspool.controller.rounds.PlanningInputs;
 import io.cherryspool.controller.rounds.RoundCommitter;
 import io.cherryspool.controller.rounds.RoundLimits;
 import io.cherryspool.controller.rounds.SchedulingLoop;
 import io.cherryspool.controller.rounds.TaskTracking;
+import io.cherryspool.controller.rounds.TermState;
 import io.cherryspool.controller.timing.EventLoopLag;
 import io.cherryspool.controller.timing.Timings;
 import io.cherryspool.lifecycle.EventLoop;
@@ -133,24 +135,23 @@
     this.commandSender =
         new CommandSender(loop, workers, tokens, timings.workerTimeout(), this::commandAnswered);
     this.workload = new DemandEstimator(replica, pendingReleases, backoff, services.clock());
-    TerminationEvidence evidence = new TerminationEvidence(timings, tokens, stopRequests, started);
+    TermState state =
+        new TermState(
+            tokens,
+            fleet,
+            new TaskTracking(ownership, pendingReleases, stopRequests, backoff, adoption),
+            new TerminationEvidence(timings, tokens, stopRequests, started),
+            workload);
     this.rounds =
         new SchedulingLoop(
             loop,
             replica,
             committer,
-            fleet,
-            evidence,
-            new TaskTracking(ownership, pendingReleases, stopRequests, backoff, adoption),
-            tokens,
-            settings.teams(),
-            services.catalog(),
-            settings.rounds(),
-            services.clock(),
-            workload,
+            state,
+            new PlanningInputs(
+                settings.teams(), services.catalog(), services.clock(), settings.rounds()),
             services.meters(),
-            authority.permissions().mayPlace(),
-            this::sendDueCommands);
+            new RoundHost(authority.permissions()));
     this.provisioner =
         new Provisioner(
             loop,
@@ -171,6 +172,25 @@
     ownership.setListener(new Changes());
   }
 
+  /** What the rounds need of the term. */
+  private final class RoundHost implements SchedulingLoop.Host {
+    private final FleetPermissions permissions;
+
+    RoundHost(FleetPermissions permissions) {
+      this.permissions = permissions;
+    }
+
+    @Override
+    public boolean mayPlace() {
+      return permissions.mayPlace().getAsBoolean();
+    }
+
+    @Override
+    public void commandsChanged() {
+      sendDueCommands();
+    }
+  }
+
   /** What changes of the records set off. */
   private final class Changes implements Ownership.Listener {
     @Override
--- a/src/main/java/io/cherryspool/controller/rounds/Adoption.java
+++ b/src/main/java/io/cherryspool/controller/rounds/Adoption.java
@@ -1,5 +1,6 @@
 package io.cherryspool.controller.rounds;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import io.cherryspool.controller.fleet.Fleet;
 import io.cherryspool.controller.fleet.MachineState;
 import io.cherryspool.controller.ownership.FencingTokenSource;
@@ -20,60 +21,69 @@
 import java.util.Set;
 
 /**
- * Takes in what ran when the state was lost. While it is open, tasks may run that the records have
+ * Records what ran when the state was lost. While it is open, tasks may run that the records have
  * as free: nothing is placed or started, and what workers report is recorded instead of stopped.
- * Afterwards it only looks after tasks whose jobs nobody has described, until their users submit
- * them again.
+ * Afterwards it only protects tasks whose jobs nobody has described, until their users submit them
+ * again.
+ *
+ * <p>Used on the event loop only.
  */
 public final class Adoption {
-  /** Of records that hold every start: nothing to take in. */
+  /** For records that hold every start: there is nothing to adopt, whatever a worker reports. */
   public static final Adoption NONE = new Adoption(null, null, null, Set.of());
 
-  private final ClusterRecords replica;
+  private final ClusterRecords records;
   private final Fleet fleet;
   private final FencingTokenSource tokens;
   private final Set<String> heldClasses;
 
   /**
-   * @param heldClasses classes of which no task that may have ended unseen is run again before an
-   *     operator says so
+   * For records that were rebuilt from less than all that was ever recorded.
+   *
+   * @param heldClasses job classes of which no task that may have ended unseen is run again before
+   *     an operator says so
    */
   public Adoption(
-      ClusterRecords replica, Fleet fleet, FencingTokenSource tokens, Set<String> heldClasses) {
-    this.replica = replica;
+      ClusterRecords records, Fleet fleet, FencingTokenSource tokens, Set<String> heldClasses) {
+    this.records = records;
     this.fleet = fleet;
     this.tokens = tokens;
     this.heldClasses = heldClasses;
   }
 
   /** A leader's term ends with the incarnation of its records, so that this does not change. */
-  private boolean concerned() {
+  private boolean isNeeded() {
     return this != NONE;
   }
 
   /** Whether tasks may run that the records have as free. */
   public boolean isOpen() {
-    return concerned() && !replica.isReconciled();
+    return isNeeded() && !records.isReconciled();
   }
 
-  /** Whether the worker must not be told to stop or forget this task, which no record gives it. */
-  public boolean mustLeaveUntouched(MachineState machine, WorkerHeartbeat.TaskStatus item) {
-    if (!concerned()) {
+  /**
+   * Whether the worker must not be sent a command to stop or acknowledge this task, although no
+   * record gives it to the machine.
+   */
+  public boolean mustLeaveUntouched(MachineState machine, WorkerHeartbeat.TaskStatus task) {
+    if (!isNeeded()) {
       return false;
     }
-    Decision decision = decide(machine, item);
-    return decision == Decision.LEAVE && !replica.isAbandoned(item.task().jobId())
-        || (decision == Decision.ADOPT || decision == Decision.RECORD_DONE)
-            && concerns(item.task().jobId());
+    String job = task.task().jobId();
+    return switch (decide(machine, task)) {
+      case LEAVE -> !records.isAbandoned(job);
+      case ADOPT, RECORD_DONE -> isAdopting(job);
+      case KEEP, DISCARD -> false;
+    };
   }
 
-  /** Whether the machine runs tasks of unknown size, so that its room is not known. */
+  /** Whether the machine runs tasks of unknown size, so that its free resources are not known. */
   public boolean hasUnknownUsage(MachineState machine) {
-    if (!concerned() || !machine.hasHeartbeat()) {
+    if (!isNeeded() || !machine.hasHeartbeat()) {
       return false;
     }
-    for (WorkerHeartbeat.TaskStatus item : machine.latestHeartbeat().tasks()) {
-      if (mustLeaveUntouched(machine, item)) {
+    for (WorkerHeartbeat.TaskStatus task : machine.latestHeartbeat().tasks()) {
+      if (mustLeaveUntouched(machine, task)) {
         return true;
       }
     }
@@ -81,93 +91,93 @@
   }
 
   /** Whether no task of the job may be placed or started now. */
-  public boolean isHeldBack(JobRecord entry) {
-    return concerned()
-        && (concerns(entry.job().id()) || replica.heldJobs().contains(entry.job().id()));
+  public boolean isHeldBack(JobRecord job) {
+    return isNeeded()
+        && (isAdopting(job.job().id()) || records.heldJobs().contains(job.job().id()));
   }
 
-  private boolean concerns(String job) {
-    return !replica.isReconciled() || replica.isUnknownJob(job);
+  /** Whether tasks of the job may still be found that no record tells of. */
+  private boolean isAdopting(String job) {
+    return !records.isReconciled() || records.isUnknownJob(job);
   }
 
-  private Decision decide(MachineState machine, WorkerHeartbeat.TaskStatus item) {
-    JobRecord entry = replica.job(item.task().jobId());
+  private Decision decide(MachineState machine, WorkerHeartbeat.TaskStatus task) {
+    JobRecord job = records.job(task.task().jobId());
     return Reconciliation.decide(
-        entry,
-        item,
+        job,
+        task,
         machine.name(),
         machine.latestHeartbeat().agentEpoch(),
-        entry != null && ownerReports(entry, item));
+        job != null && isReportedByOwner(job, task.task().index()));
   }
 
-  private boolean ownerReports(JobRecord entry, WorkerHeartbeat.TaskStatus item) {
-    int task = item.task().index();
-    Attempt owner =
-        task < entry.job().taskCount()
-            ? entry.shard(entry.shardIndexOf(task)).shard().ownedAttempt(task)
+  private boolean isReportedByOwner(JobRecord job, int task) {
+    Attempt owned =
+        task < job.job().taskCount()
+            ? job.shard(job.shardIndexOf(task)).shard().ownedAttempt(task)
             : null;
-    return owner != null && reports(entry, owner);
+    return owned != null && isReported(job, owned);
   }
 
   /**
-   * Adds what the machines report to the round. Only messages under a token of this term count: an
-   * older one may be a late copy.
+   * Adds what the machines report to the round. Only heartbeats under a token of this term count:
+   * an older one may be a late copy.
    *
    * @return changes beside those of progress records
    */
-  List<RoundCommitter.ChangeSet> collectChanges(RoundTransaction edits) {
-    if (!concerned()) {
+  List<ChangeSet> collectChanges(RoundTransaction transaction) {
+    if (!isNeeded()) {
       return List.of();
     }
-    Set<String> unknown = new HashSet<>();
-    Set<String> pending = new HashSet<>();
+    Set<String> unknownJobs = new HashSet<>();
+    Set<String> pendingJobs = new HashSet<>();
     for (MachineState machine : fleet.all()) {
-      if (machine.isDeleted() || !machine.contact().hasTokenAbove(tokens.termBase())) {
-        continue;
-      }
-      for (WorkerHeartbeat.TaskStatus item : machine.latestHeartbeat().tasks()) {
-        collectChanges(machine, item, edits, unknown, pending);
+      if (!machine.isDeleted() && machine.contact().hasTokenAbove(tokens.termBase())) {
+        for (WorkerHeartbeat.TaskStatus task : machine.latestHeartbeat().tasks()) {
+          collect(machine, task, transaction, unknownJobs, pendingJobs);
+        }
       }
     }
-    List<RoundCommitter.ChangeSet> units = new ArrayList<>();
-    for (String id : unknown) {
-      if (!replica.isUnknownJob(id)) {
-        units.add(unit(Map.of(Records.unknownJobKey(id), 0L), Records.unknownJobKey(id), true));
+    List<ChangeSet> changeSets = new ArrayList<>();
+    for (String id : unknownJobs) {
+      if (!records.isUnknownJob(id)) {
+        changeSets.add(addMark(Records.unknownJobKey(id)));
       }
     }
-    for (String id : replica.unknownJobs()) {
-      if (replica.job(id) != null && !pending.contains(id)) {
-        units.add(unit(Map.of(), Records.unknownJobKey(id), false));
+    for (String id : records.unknownJobs()) {
+      if (records.job(id) != null && !pendingJobs.contains(id)) {
+        changeSets.add(markChange(Map.of(), Records.unknownJobKey(id), null));
       }
     }
-    return units;
+    return changeSets;
   }
 
-  private void collectChanges(
+  private void collect(
       MachineState machine,
-      WorkerHeartbeat.TaskStatus item,
-      RoundTransaction edits,
-      Set<String> unknown,
-      Set<String> pending) {
-    String id = item.task().jobId();
-    Decision decision = decide(machine, item);
+      WorkerHeartbeat.TaskStatus task,
+      RoundTransaction transaction,
+      Set<String> unknownJobs,
+      Set<String> pendingJobs) {
+    String id = task.task().jobId();
+    Decision decision = decide(machine, task);
     if (decision == Decision.LEAVE) {
-      if (!replica.isAbandoned(id)) {
-        unknown.add(id);
+      if (!records.isAbandoned(id)) {
+        unknownJobs.add(id);
       }
-    } else if (concerns(id) && decision == Decision.ADOPT) {
-      pending.add(id);
-      edits.adopt(
-          replica.job(id),
+    } else if (isAdopting(id) && decision == Decision.ADOPT) {
+      pendingJobs.add(id);
+      WorkerHeartbeat heartbeat = machine.latestHeartbeat();
+      transaction.adopt(
+          records.job(id),
           new Attempt(
-              item.task().index(),
+              task.task().index(),
               machine.name(),
-              machine.latestHeartbeat().agentEpoch(),
-              item.attempt(),
-              machine.latestHeartbeat().highestFencingToken()));
-    } else if (concerns(id) && decision == Decision.RECORD_DONE) {
-      pending.add(id);
-      edits.complete(replica.job(id), item.task().index());
+              heartbeat.agentEpoch(),
+              task.attempt(),
+              heartbeat.highestFencingToken()));
+    } else if (isAdopting(id) && decision == Decision.RECORD_DONE) {
+      pendingJobs.add(id);
+      transaction.complete(records.job(id), task.task().index());
     }
   }
 
@@ -177,12 +187,15 @@
       if (machine.isDeleted() || !machine.hasHeartbeat()) {
         continue;
       }
-      for (WorkerHeartbeat.TaskStatus item : machine.latestHeartbeat().tasks()) {
-        Decision decision = decide(machine, item);
-        String id = item.task().jobId();
-        boolean noted = replica.isUnknownJob(id) || replica.isAbandoned(id);
-        boolean left = decision == Decision.LEAVE && !noted;
-        if (left || decision == Decision.ADOPT || decision == Decision.RECORD_DONE) {
+      for (WorkerHeartbeat.TaskStatus task : machine.latestHeartbeat().tasks()) {
+        String id = task.task().jobId();
+        boolean isRecorded =
+            switch (decide(machine, task)) {
+              case LEAVE -> records.isUnknownJob(id) || records.isAbandoned(id);
+              case ADOPT, RECORD_DONE -> false;
+              case KEEP, DISCARD -> true;
+            };
+        if (!isRecorded) {
           return false;
         }
       }
@@ -190,48 +203,50 @@
     return true;
   }
 
-  private static RoundCommitter.ChangeSet unit(
-      Map<String, Long> conditions, String key, boolean present) {
-    return new RoundCommitter.ChangeSet(
-        conditions,
-        List.of(new StateStoreProtocol.Change(key, present ? Records.presenceMarker() : null, 0)),
-        0,
-        RateLimiter.WriteClass.ROUND);
-  }
-
   /**
-   * The changes that end the taking in: first the jobs of which tasks may have ended unseen, where
-   * an operator wants to be asked, and once those are there, that it is over.
+   * The changes that end the adoption: first the jobs of which tasks may have ended unseen, where
+   * an operator wants to be asked, and once those are recorded, that the records are reconciled.
    */
-  List<RoundCommitter.ChangeSet> reconciledChanges() {
-    List<RoundCommitter.ChangeSet> units = new ArrayList<>();
-    for (JobRecord entry : replica.activeJobs()) {
-      String id = entry.job().id();
-      if (uncertain(entry) && !replica.heldJobs().contains(id)) {
-        units.add(unit(Map.of(Records.heldJobKey(id), 0L), Records.heldJobKey(id), true));
+  List<ChangeSet> reconciledChanges() {
+    List<ChangeSet> changeSets = new ArrayList<>();
+    for (JobRecord job : records.activeJobs()) {
+      String id = job.job().id();
+      if (mayHaveEndedUnseen(job) && !records.heldJobs().contains(id)) {
+        changeSets.add(addMark(Records.heldJobKey(id)));
       }
     }
-    return units.isEmpty()
-        ? List.of(unit(Map.of(Records.RECONCILED, 0L), Records.RECONCILED, true))
-        : units;
+    return changeSets.isEmpty() ? List.of(addMark(Records.RECONCILED)) : changeSets;
+  }
+
+  private static ChangeSet addMark(String key) {
+    return markChange(Map.of(key, 0L), key, Records.presenceMarker());
+  }
+
+  private static ChangeSet markChange(Map<String, Long> conditions, String key, JsonNode value) {
+    return new ChangeSet(
+        conditions,
+        List.of(new StateStoreProtocol.Change(key, value, 0)),
+        0,
+        RateLimiter.WriteClass.ROUND);
   }
 
-  private boolean uncertain(JobRecord entry) {
-    if (entry.outcome() != null
-        || !heldClasses.contains(entry.job().jobClass())
-        || !replica.isRebuilt(entry.job().id())) {
+  private boolean mayHaveEndedUnseen(JobRecord job) {
+    if (job.outcome() != null
+        || !heldClasses.contains(job.job().jobClass())
+        || !records.isRebuilt(job.job().id())) {
       return false;
     }
-    int accounted = entry.doneCount();
-    for (JobRecord.VersionedShard item : entry.shards().values()) {
+    int accounted = job.doneCount();
+    for (JobRecord.VersionedShard item : job.shards().values()) {
       for (Attempt attempt : item.shard().ownedAttempts().values()) {
-        accounted += reports(entry, attempt) ? 1 : 0;
+        accounted += isReported(job, attempt) ? 1 : 0;
       }
     }
-    return accounted < entry.job().taskCount();
+    return accounted < job.job().taskCount();
   }
 
-  private boolean reports(JobRecord entry, Attempt attempt) {
+  /** Whether the machine that the records give the attempt to reports it. */
+  private boolean isReported(JobRecord job, Attempt attempt) {
     MachineState machine = fleet.get(attempt.machine());
     return machine != null
         && !machine.isDeleted()
@@ -239,7 +254,7 @@
         && machine.latestHeartbeat().agentEpoch() == attempt.agentEpoch()
         && machine
             .contact()
-            .findTask(new TaskId(entry.job().id(), attempt.taskIndex()), attempt.number())
+            .findTask(new TaskId(job.job().id(), attempt.taskIndex()), attempt.number())
             .isPresent();
   }
 }
--- a/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
+++ b/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
@@ -17,137 +17,164 @@
 import java.util.Map;
 
 /**
- * How much work there is: what has arrived in the last minutes, by the jobs' own times of
+ * Estimates how much work there is: what has arrived in the last minutes, by the jobs' own times of
  * submission, so that a new leader knows it at once, and what waits. Run times are the owners'
- * estimates, corrected by how those of the class have turned out.
+ * estimates, corrected by how those of the job class have turned out.
+ *
+ * <p>Used on the event loop only.
  */
 public final class DemandEstimator {
-  /** Long enough that a few large jobs do not look like a change of the times. */
-  private static final Duration WINDOW = Duration.ofSeconds(300);
+  /** Over how long arrivals are averaged: a few large jobs must not look like a lasting change. */
+  private static final Duration ARRIVAL_WINDOW = Duration.ofSeconds(300);
 
   /** Short enough that machines are not kept for work which has ceased to come. */
-  private static final Duration LATELY = Duration.ofSeconds(90);
+  private static final Duration RECENT_WINDOW = Duration.ofSeconds(90);
 
-  private static final double RISE = 1.6;
+  /** The average counts for at most this multiple of the rate within the recent window. */
+  private static final double MAX_RATIO_TO_RECENT = 1.6;
 
   /** The first jobs of a service come at once and say nothing of how many will follow. */
-  private static final Duration LEAST = Duration.ofSeconds(60);
+  private static final Duration MIN_OBSERVED_SPAN = Duration.ofSeconds(60);
 
-  /** Tasks of a class after which its pace is trusted, and how much an older one still counts. */
-  private static final int ENOUGH = 20;
+  /** Tasks of a job class that must have completed before its run time factor is trusted. */
+  private static final int MIN_RUNS = 20;
 
-  private static final double FADE = 0.995;
-  private static final double MOST = 3;
+  /** How much the runs before still count when another one is recorded. */
+  private static final double RUN_DECAY = 0.995;
 
-  private final ClusterRecords replica;
+  /** Bounds the run time factor from above, and its reciprocal from below. */
+  private static final double MAX_RUN_TIME_FACTOR = 3;
+
+  private final ClusterRecords records;
   private final PendingReleases pendingReleases;
   private final CrashLoopBackoff backoff;
   private final InstantSource clock;
-  private final Map<String, JobRecord> recent = new LinkedHashMap<>();
-  private final Map<String, Runs> runs = new HashMap<>();
+  private final Map<String, JobRecord> recentJobs = new LinkedHashMap<>();
+  private final Map<String, RunTimes> runTimesByClass = new HashMap<>();
 
-  /** Run times of a class against their estimates. */
-  private static final class Runs {
+  /** Run times of a job class against their estimates, in seconds; older runs count less. */
+  private static final class RunTimes {
     private double actual;
-    private double expected;
+    private double estimated;
     private int count;
   }
 
+  /**
+   * @param clock the wall clock, against which the jobs' times of submission count
+   */
   public DemandEstimator(
-      ClusterRecords replica,
+      ClusterRecords records,
       PendingReleases pendingReleases,
       CrashLoopBackoff backoff,
       InstantSource clock) {
-    this.replica = replica;
+    this.records = records;
     this.pendingReleases = pendingReleases;
     this.backoff = backoff;
     this.clock = clock;
   }
 
+  /** Takes the recent jobs from the records, which were all read again. */
   public void recordsReloaded() {
-    recent.clear();
-    replica.jobs().forEach(this::jobAccepted);
+    recentJobs.clear();
+    for (JobRecord job : records.jobs()) {
+      jobAccepted(job);
+    }
   }
 
-  public void jobAccepted(JobRecord entry) {
-    if (age(entry.job()).compareTo(WINDOW) < 0) {
-      recent.put(entry.job().id(), entry);
+  /** Counts the job among the arrivals if it was submitted lately; a second time has no effect. */
+  public void jobAccepted(JobRecord job) {
+    if (age(job.job()).compareTo(ARRIVAL_WINDOW) < 0) {
+      recentJobs.put(job.job().id(), job);
     }
   }
 
-  /** A task ran for so long until it was done. */
-  void recordRunTime(Job job, Duration time) {
-    Runs known = runs.computeIfAbsent(job.jobClass(), key -> new Runs());
-    known.actual = known.actual * FADE + seconds(time);
-    known.expected = known.expected * FADE + seconds(job.estimatedRunTime());
+  /** Records for how long a task of the job ran until it was done. */
+  void recordRunTime(Job job, Duration runTime) {
+    RunTimes known = runTimesByClass.computeIfAbsent(job.jobClass(), key -> new RunTimes());
+    known.actual = known.actual * RUN_DECAY + seconds(runTime);
+    known.estimated = known.estimated * RUN_DECAY + seconds(job.estimatedRunTime());
     known.count++;
   }
 
-  /** How long the tasks of a class run for a second of their estimate. */
-  double runTimeFactor(String jobClass) {
-    Runs known = runs.get(jobClass);
-    if (known == null || known.count < ENOUGH || known.expected <= 0) {
-      return 1;
-    }
-    return Math.max(1 / MOST, Math.min(MOST, known.actual / known.expected));
-  }
-
+  /** The present wall-clock time, for plans that rest on this estimate. */
   public Instant now() {
     return clock.instant();
   }
 
+  /**
+   * The demand of each job that arrived lately, and of each that waits; a job may be in both. Jobs
+   * that only crash are left out, so that no machine is added for what runs nowhere.
+   */
   public List<ScalingPlan.JobDemand> estimateLoads() {
-    // No machine is rented for what does not seem to run anywhere.
-    recent
-        .values()
-        .removeIf(entry -> age(entry.job()).compareTo(WINDOW) >= 0 || crashLooping(entry));
     List<ScalingPlan.JobDemand> result = new ArrayList<>();
-    double all = 0;
-    double lately = 0;
-    Duration span = LEAST;
-    for (JobRecord entry : recent.values()) {
-      double work = work(entry.job(), entry.job().taskCount());
-      Duration age = age(entry.job());
+    addArrivals(result);
+    addWaiting(result);
+    return result;
+  }
+
+  private void addArrivals(List<ScalingPlan.JobDemand> result) {
+    recentJobs
+        .values()
+        .removeIf(job -> age(job.job()).compareTo(ARRIVAL_WINDOW) >= 0 || isCrashLooping(job));
+    double allWork = 0;
+    double recentWork = 0;
+    Duration span = MIN_OBSERVED_SPAN;
+    for (JobRecord job : recentJobs.values()) {
+      double work = cpuSeconds(job.job(), job.job().taskCount());
+      Duration age = age(job.job());
       span = age.compareTo(span) > 0 ? age : span;
-      all += work;
-      lately += age.compareTo(LATELY) < 0 ? work : 0;
+      allWork += work;
+      recentWork += age.compareTo(RECENT_WINDOW) < 0 ? work : 0;
     }
-    double rate = all / seconds(span);
-    double bound = RISE * lately / Math.min(seconds(LATELY), seconds(span));
-    double share = rate <= 0 ? 0 : Math.min(1, bound / rate) / seconds(span);
-    for (JobRecord entry : recent.values()) {
-      double work = work(entry.job(), entry.job().taskCount());
-      double cpus = entry.job().taskCount() * entry.job().perTask().cpus();
-      result.add(new ScalingPlan.JobDemand(entry.job(), work * share, work * cpus * share, 0));
+    double rate = allWork / seconds(span);
+    double maxRate =
+        MAX_RATIO_TO_RECENT * recentWork / Math.min(seconds(RECENT_WINDOW), seconds(span));
+    double share = rate <= 0 ? 0 : Math.min(1, maxRate / rate) / seconds(span);
+    for (JobRecord job : recentJobs.values()) {
+      double work = cpuSeconds(job.job(), job.job().taskCount());
+      double cpus = job.job().taskCount() * job.job().perTask().cpus();
+      result.add(new ScalingPlan.JobDemand(job.job(), work * share, work * cpus * share, 0));
     }
-    for (JobRecord entry : replica.activeJobs()) {
-      if (entry.outcome() == null && !crashLooping(entry)) {
-        Collection<PendingReleases.Release> known =
-            pendingReleases.ofJob(entry.job().id()).values();
-        int running = entry.ownedCount() - known.size();
-        int done = entry.doneCount() + PendingReleases.countDone(known);
-        int waiting = entry.job().taskCount() - done - running;
+  }
+
+  private void addWaiting(List<ScalingPlan.JobDemand> result) {
+    for (JobRecord job : records.activeJobs()) {
+      if (job.outcome() == null && !isCrashLooping(job)) {
+        Collection<PendingReleases.Release> releases =
+            pendingReleases.ofJob(job.job().id()).values();
+        int running = job.ownedCount() - releases.size();
+        int done = job.doneCount() + PendingReleases.countDone(releases);
+        int waiting = job.job().taskCount() - done - running;
         if (waiting > 0) {
-          result.add(new ScalingPlan.JobDemand(entry.job(), 0, 0, work(entry.job(), waiting)));
+          result.add(new ScalingPlan.JobDemand(job.job(), 0, 0, cpuSeconds(job.job(), waiting)));
         }
       }
     }
-    return result;
   }
 
-  private boolean crashLooping(JobRecord entry) {
-    Collection<PendingReleases.Release> known = pendingReleases.ofJob(entry.job().id()).values();
-    return entry.doneCount() + PendingReleases.countDone(known) == 0
-        && backoff.isCrashLooping(entry);
+  private boolean isCrashLooping(JobRecord job) {
+    Collection<PendingReleases.Release> releases = pendingReleases.ofJob(job.job().id()).values();
+    return job.doneCount() + PendingReleases.countDone(releases) == 0
+        && backoff.isCrashLooping(job);
   }
 
-  private double work(Job job, int tasks) {
+  private double cpuSeconds(Job job, int tasks) {
     return tasks
         * job.perTask().cpus()
         * seconds(job.estimatedRunTime())
         * runTimeFactor(job.jobClass());
   }
 
+  /** How long the tasks of a job class run for each second of their estimates. */
+  private double runTimeFactor(String jobClass) {
+    RunTimes known = runTimesByClass.get(jobClass);
+    if (known == null || known.count < MIN_RUNS || known.estimated <= 0) {
+      return 1;
+    }
+    return Math.max(
+        1 / MAX_RUN_TIME_FACTOR, Math.min(MAX_RUN_TIME_FACTOR, known.actual / known.estimated));
+  }
+
   private Duration age(Job job) {
     return Duration.between(job.submittedAt(), clock.instant());
   }
--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/rounds/MachineViewCache.java
@@ -0,0 +1,134 @@
+package io.cherryspool.controller.rounds;
+
+import io.cherryspool.controller.fleet.Fleet;
+import io.cherryspool.controller.fleet.MachineContact;
+import io.cherryspool.controller.fleet.MachineState;
+import io.cherryspool.controller.ownership.FencingTokenSource;
+import io.cherryspool.controller.ownership.Ownership;
+import io.cherryspool.model.Job;
+import io.cherryspool.model.MachineType;
+import io.cherryspool.model.Resources;
+import io.cherryspool.scheduler.ClusterView;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * What planning sees of the machines. A machine's view is kept until something about the machine
+ * changes, so that a round's preparation costs what happened since the last one.
+ *
+ * <p>Used on the event loop only.
+ */
+final class MachineViewCache {
+  /** For so long a job whose task failed on a machine is not placed there again. */
+  private static final Duration FAILED_JOB_EXCLUSION = Duration.ofSeconds(120);
+
+  private final FencingTokenSource tokens;
+  private final Fleet fleet;
+  private final TaskTracking tasks;
+  private final Duration maxSilence;
+  private final Duration halfLease;
+
+  /**
+   * @param maxSilence after so long without a heartbeat a machine is given no work
+   * @param halfLease half a worker's lease; a machine that has less left is given no work
+   */
+  MachineViewCache(
+      FencingTokenSource tokens,
+      Fleet fleet,
+      TaskTracking tasks,
+      Duration maxSilence,
+      Duration halfLease) {
+    this.tokens = tokens;
+    this.fleet = fleet;
+    this.tasks = tasks;
+    this.maxSilence = maxSilence;
+    this.halfLease = halfLease;
+  }
+
+  /** Discards all views, since the records were all read again. */
+  void invalidateAll() {
+    for (MachineState machine : fleet.all()) {
+      machine.invalidateView();
+    }
+  }
+
+  /** The machines of a known type that may be given work now. */
+  List<ClusterView.MachineView> schedulableMachines(List<MachineType> catalog, Duration now) {
+    Map<String, MachineType> types = new HashMap<>();
+    for (MachineType type : catalog) {
+      types.put(type.name(), type);
+    }
+    List<ClusterView.MachineView> result = new ArrayList<>();
+    for (MachineState machine : fleet.all()) {
+      MachineType type = types.get(machine.type());
+      if (type == null || !isSchedulable(machine, now)) {
+        continue;
+      }
+      machine.removeFailedJobs(FAILED_JOB_EXCLUSION, now);
+      result.add(view(machine, type));
+    }
+    return result;
+  }
+
+  private ClusterView.MachineView view(MachineState machine, MachineType type) {
+    ClusterView.MachineView cached = machine.cachedView();
+    // The catalog is read again now and then, with other prices.
+    if (cached != null && cached.type() == type) {
+      return cached;
+    }
+    ClusterView.MachineView fresh = newView(machine, type);
+    machine.cacheView(fresh);
+    return fresh;
+  }
+
+  /**
+   * Whether the machine may be given work: it has shown a token of this term, receives its replies,
+   * sent a heartbeat a short while ago, and half its lease is left. Direct calls do not renew the
+   * lease, so that a machine which answers them while its heartbeats are lost is about to lose what
+   * it runs.
+   */
+  boolean isSchedulable(MachineState machine, Duration now) {
+    MachineContact contact = machine.contact();
+    return contact.hasHeartbeat()
+        && !machine.isDeleted()
+        && !machine.isMarkedForDeletion()
+        && !contact.isUnresponsive()
+        && contact.ignoredReplies() == 0
+        && contact.latest().preemptionNotice() == null
+        && !machine.history().isFaulty()
+        && now.minus(contact.lastHeartbeatAt()).compareTo(maxSilence) < 0
+        && now.minus(contact.lastKeptAliveAt()).compareTo(halfLease) < 0
+        && contact.hasTokenAbove(tokens.termBase())
+        && !tasks.adoption().hasUnknownUsage(machine);
+  }
+
+  private ClusterView.MachineView newView(MachineState machine, MachineType type) {
+    Resources free = type.capacity();
+    List<ClusterView.RunningTask> running = new ArrayList<>();
+    for (Ownership.OwnedTask owned : tasks.ownership().attemptsOn(machine.name())) {
+      if (!tasks.pendingReleases().contains(owned)) {
+        Job job = owned.entry().job();
+        free = free.minus(job.perTask());
+        running.add(
+            new ClusterView.RunningTask(
+                owned.id(),
+                job,
+                machine.history().runningSince(owned.id()).orElse(null),
+                tasks.stopRequests().graceFor(owned) != null));
+      }
+    }
+    return new ClusterView.MachineView(
+        machine.name(),
+        type,
+        machine.zone(),
+        machine.isSpot(),
+        machine.isCordoned(),
+        free,
+        machine.history().images(),
+        machine.history().failedJobs(),
+        running);
+  }
+}
--- a/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
@@ -18,15 +18,17 @@
  * Commits a round in a few transactions, each conditional on the leader's term. A transaction
  * without an answer is sent again until there is one: with the same conditions it can be applied
  * only once, whichever copy comes first, so nothing of the round is left open behind it.
+ *
+ * <p>Used on the event loop only.
  */
 public final class RoundCommitter {
   private static final Logger LOG = LoggerFactory.getLogger(RoundCommitter.class);
-  private static final Duration AGAIN = Duration.ofMillis(300);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
-  /** On the term, and on the incarnation of the records. */
+  /** Conditions of each transaction: on the term, and on the incarnation of the records. */
   static final int RESERVED_CONDITIONS = 2;
 
-  /** A transaction may have so many times as many conditions as changes, all counted. */
+  /** The state store's limit on a transaction's conditions, for each change that it allows. */
   static final int MAX_CONDITIONS_PER_CHANGE = 4;
 
   private final EventLoop loop;
@@ -36,13 +38,10 @@
   private final long termVersion;
   private boolean stopped;
 
-  /** Changes that are committed together or not at all; {@code bytes} is what their values take. */
-  record ChangeSet(
-      Map<String, Long> conditions,
-      List<StateStoreProtocol.Change> changes,
-      int bytes,
-      RateLimiter.WriteClass use) {}
-
+  /**
+   * @param maxChanges the most changes in a transaction of the state store
+   * @param termVersion the version of the term's record, on which every transaction is conditional
+   */
   public RoundCommitter(
       EventLoop loop,
       StateStoreClient client,
@@ -56,88 +55,61 @@
     this.termVersion = termVersion;
   }
 
-  void stop() {
+  /** Sends nothing more and reports nothing more, since the term has ended. */
+  public void stop() {
     stopped = true;
   }
 
   /**
-   * Sends as many units as the rate limit allows, in order. Returns how many; {@code done} runs
-   * when all of their outcomes are certain, and not at all when none was sent.
+   * Sends as many change sets as the rate limit allows, in order.
+   *
+   * @param whenCertain runs when the outcomes of all that was sent are certain, whatever they are;
+   *     not at all when nothing was sent
+   * @return how many were sent
    */
-  int commit(List<ChangeSet> units, Runnable done) {
-    List<List<ChangeSet>> transactions = new ArrayList<>();
-    List<ChangeSet> batch = new ArrayList<>();
-    int changes = 0;
-    int conditions = RESERVED_CONDITIONS;
-    int bytes = 0;
-    int taken = 0;
-    for (ChangeSet unit : units) {
-      int count = unit.changes.size();
-      int size = unit.bytes + StateStoreProtocol.CHANGE_OVERHEAD_BYTES * count;
-      boolean full =
-          changes + count > maxChanges
-              || conditions + unit.conditions.size() > MAX_CONDITIONS_PER_CHANGE * maxChanges
-              || bytes + size > StateStoreProtocol.MAX_TRANSACTION_VALUE_BYTES;
-      if (full && !batch.isEmpty()) {
-        rateLimiter.forceAcquire(changes);
-        batch = new ArrayList<>();
-        changes = 0;
-        conditions = RESERVED_CONDITIONS;
-        bytes = 0;
+  int commit(List<ChangeSet> changeSets, Runnable whenCertain) {
+    List<Transaction> transactions = new ArrayList<>();
+    Transaction current = new Transaction();
+    int sent = 0;
+    for (ChangeSet next : changeSets) {
+      if (!current.isEmpty() && !current.hasRoomFor(next)) {
+        rateLimiter.forceAcquire(current.changes.size());
+        current = new Transaction();
       }
-      // As many as may go now, and not a batch of the largest size later: starts wait for it.
-      if (!rateLimiter.mayWrite(unit.use, changes, count)) {
+      // As many as may go now, and not a transaction of the largest size later: starts wait for it.
+      if (!rateLimiter.mayWrite(next.writeClass(), current.changes.size(), next.changes().size())) {
         break;
       }
-      if (batch.isEmpty()) {
-        transactions.add(batch);
+      if (current.isEmpty()) {
+        transactions.add(current);
       }
-      batch.add(unit);
-      changes += count;
-      conditions += unit.conditions.size();
-      bytes += size;
-      taken++;
+      current.add(next);
+      sent++;
     }
-    if (!batch.isEmpty()) {
-      rateLimiter.forceAcquire(changes);
+    if (!current.isEmpty()) {
+      rateLimiter.forceAcquire(current.changes.size());
     }
-    int[] open = {transactions.size()};
-    for (List<ChangeSet> transaction : transactions) {
-      Map<String, Long> named = new LinkedHashMap<>();
-      List<StateStoreProtocol.Change> all = new ArrayList<>();
-      named.put(Records.TERM, termVersion);
-      for (ChangeSet unit : transaction) {
-        named.putAll(unit.conditions);
-        all.addAll(unit.changes);
-      }
-      send(
-          named,
-          all,
-          false,
-          () -> {
-            if (--open[0] == 0 && !stopped) {
-              done.run();
-            }
-          });
+    OpenRound round = new OpenRound(transactions.size(), whenCertain);
+    for (Transaction transaction : transactions) {
+      send(transaction, false, round);
     }
-    return taken;
+    return sent;
   }
 
   /**
-   * Once a copy had no answer, {@code open}, only an answer settles the transaction. That a later
-   * copy was refused says nothing of the ones before, which may be carried out seconds later: a
-   * round planned meanwhile would give the same room, and the same part of a team's limit, again.
+   * Sends the transaction until its outcome is certain.
+   *
+   * @param unanswered whether an earlier copy had no answer. Then only an answer of the store makes
+   *     the outcome certain: that a later copy was refused says nothing of the ones before, which
+   *     may be applied seconds later, and a round planned meanwhile would give the same room, and
+   *     the same part of a team's quota, again.
    */
-  private void send(
-      Map<String, Long> conditions,
-      List<StateStoreProtocol.Change> changes,
-      boolean open,
-      Runnable certain) {
+  private void send(Transaction transaction, boolean unanswered, OpenRound round) {
     if (stopped) {
       return;
     }
     client
-        .commit(conditions, changes)
+        .commit(transaction.conditions, transaction.changes)
         .whenComplete(
             (result, failure) -> {
               StateStoreException.Kind kind =
@@ -148,21 +120,77 @@
               if (kind == StateStoreException.Kind.RATE_LIMITED) {
                 rateLimiter.drain();
               }
-              if (kind == StateStoreException.Kind.OUTCOME_UNKNOWN || open && refused) {
-                loop.schedule(
-                    AGAIN,
-                    () -> {
-                      rateLimiter.forceAcquire(changes.size());
-                      send(conditions, changes, true, certain);
-                    });
+              if (kind == StateStoreException.Kind.OUTCOME_UNKNOWN || unanswered && refused) {
+                loop.schedule(RETRY_DELAY, () -> sendAgain(transaction, round));
                 return;
               }
               if (kind != null && !refused) {
-                LOG.error("the state service rejects a round: {}", failure.toString());
+                LOG.error("the state store rejects a round's transaction: {}", failure.toString());
               } else if (kind == null && !result.applied()) {
-                LOG.debug("a round's transaction was overtaken: {}", result.failed());
+                LOG.debug(
+                    "a round's transaction conflicts with a later version: {}", result.failed());
               }
-              certain.run();
+              round.transactionCertain();
             });
   }
+
+  private void sendAgain(Transaction transaction, OpenRound round) {
+    rateLimiter.forceAcquire(transaction.changes.size());
+    send(transaction, true, round);
+  }
+
+  /** Change sets that are committed together, within the limits of the state store. */
+  private final class Transaction {
+    private final Map<String, Long> conditions = new LinkedHashMap<>();
+    private final List<StateStoreProtocol.Change> changes = new ArrayList<>();
+
+    /** Conditions of all change sets; a key that two of them name counts twice. */
+    private int conditionCount = RESERVED_CONDITIONS;
+
+    private int bytes;
+
+    Transaction() {
+      conditions.put(Records.TERM, termVersion);
+    }
+
+    boolean isEmpty() {
+      return changes.isEmpty();
+    }
+
+    boolean hasRoomFor(ChangeSet next) {
+      return changes.size() + next.changes().size() <= maxChanges
+          && conditionCount + next.conditions().size() <= MAX_CONDITIONS_PER_CHANGE * maxChanges
+          && bytes + size(next) <= StateStoreProtocol.MAX_TRANSACTION_VALUE_BYTES;
+    }
+
+    void add(ChangeSet next) {
+      conditions.putAll(next.conditions());
+      changes.addAll(next.changes());
+      conditionCount += next.conditions().size();
+      bytes += size(next);
+    }
+
+    private static int size(ChangeSet changeSet) {
+      return changeSet.bytes()
+          + StateStoreProtocol.CHANGE_OVERHEAD_BYTES * changeSet.changes().size();
+    }
+  }
+
+  /** A round of which the outcome of some transactions is not certain yet. */
+  private final class OpenRound {
+    private final Runnable whenCertain;
+    private int uncertain;
+
+    OpenRound(int transactions, Runnable whenCertain) {
+      this.uncertain = transactions;
+      this.whenCertain = whenCertain;
+    }
+
+    void transactionCertain() {
+      uncertain--;
+      if (uncertain == 0 && !stopped) {
+        whenCertain.run();
+      }
+    }
+  }
 }
--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundPlanner.java
@@ -0,0 +1,138 @@
+package io.cherryspool.controller.rounds;
+
+import io.cherryspool.controller.fleet.MachineState;
+import io.cherryspool.controller.metrics.Meters;
+import io.cherryspool.model.Attempt;
+import io.cherryspool.model.TaskId;
+import io.cherryspool.scheduler.ClusterView;
+import io.cherryspool.scheduler.Placement;
+import io.cherryspool.scheduler.RoundPlan;
+import io.cherryspool.store.ClusterRecords;
+import io.cherryspool.store.JobRecord;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Plans a round: places tasks, requests stops, and puts together what is to be committed.
+ *
+ * <p>Used on the event loop only.
+ */
+final class RoundPlanner {
+  private static final Logger LOG = LoggerFactory.getLogger(RoundPlanner.class);
+
+  /** How long a release that nothing waits for may wait for other changes of its shard. */
+  private static final Duration RELEASE_DELAY = Duration.ofSeconds(4);
+
+  /** And how long at most, however many writes there are; after so long users see the count old. */
+  private static final Duration MAX_RELEASE_DELAY = Duration.ofSeconds(25);
+
+  private final ClusterRecords records;
+  private final TermState state;
+  private final ClusterViewBuilder views;
+  private final TerminationCollector terminations;
+  private final int maxChanges;
+  private final Meters meters;
+  private final SchedulingLoop.Host host;
+  private RoundPlan lastPlan = RoundPlan.EMPTY;
+
+  /**
+   * @param maxChanges the most changes in a transaction of the state store
+   */
+  RoundPlanner(
+      ClusterRecords records,
+      TermState state,
+      ClusterViewBuilder views,
+      TerminationCollector terminations,
+      int maxChanges,
+      Meters meters,
+      SchedulingLoop.Host host) {
+    this.records = records;
+    this.state = state;
+    this.views = views;
+    this.terminations = terminations;
+    this.maxChanges = maxChanges;
+    this.meters = meters;
+    this.host = host;
+  }
+
+  /** The last plan, empty before the first. */
+  RoundPlan lastPlan() {
+    return lastPlan;
+  }
+
+  /**
+   * The changes of a round, the pressing ones first.
+   *
+   * @param phase what rounds may do by now
+   * @param roundStart when the round began
+   * @param now the present time
+   */
+  List<ChangeSet> plan(SchedulingLoop.Phase phase, Duration roundStart, Duration now) {
+    Adoption adoption = state.tasks().adoption();
+    RoundTransaction transaction =
+        new RoundTransaction(state.tasks().pendingReleases(), maxChanges);
+    List<ChangeSet> changeSets = new ArrayList<>(adoption.collectChanges(transaction));
+    if (phase == SchedulingLoop.Phase.PLACING && views.isCatalogKnown()) {
+      place(transaction, now);
+    }
+    changeSets.addAll(
+        transaction.changeSets(
+            records.activeJobs(),
+            roundStart.minus(RELEASE_DELAY),
+            roundStart.minus(MAX_RELEASE_DELAY)));
+    if (phase != SchedulingLoop.Phase.REBUILDING && adoption.isOpen()) {
+      changeSets.addAll(adoption.reconciledChanges());
+    }
+    return changeSets;
+  }
+
+  private void place(RoundTransaction transaction, Duration now) {
+    List<ClusterView.JobView> jobs = views.schedulableJobs(now);
+    if (jobs.isEmpty()) {
+      lastPlan = RoundPlan.EMPTY;
+      return;
+    }
+    meters.plannedRounds.increment();
+    lastPlan = Placement.plan(views.build(jobs, lastPlan, now));
+    meters.preemptions.add(lastPlan.victims().size());
+    for (RoundPlan.Assignment item : lastPlan.assignments()) {
+      JobRecord job = records.job(item.jobId());
+      MachineState machine = state.fleet().get(item.machine());
+      transaction.assign(
+          job,
+          item.taskIndex(),
+          item.machine(),
+          machine.latestHeartbeat().agentEpoch(),
+          // The round's own token, to which the commit advances.
+          state.tokens().current() + 1);
+      machine.recordImage(job.job().image());
+    }
+    if (!lastPlan.victims().isEmpty()) {
+      requestStops(lastPlan.victims());
+      // Stops need no commit.
+      host.commandsChanged();
+    }
+  }
+
+  private void requestStops(List<RoundPlan.Victim> victims) {
+    Map<String, Integer> countByJob = new LinkedHashMap<>();
+    for (RoundPlan.Victim victim : victims) {
+      TaskId task = victim.task();
+      JobRecord job = records.job(task.jobId());
+      Attempt attempt =
+          job.shard(job.shardIndexOf(task.index())).shard().ownedAttempt(task.index());
+      if (attempt != null) {
+        countByJob.merge(task.jobId(), 1, Integer::sum);
+        state.tasks().stopRequests().add(task, attempt.number(), victim.gracePeriod());
+        terminations.machineChanged(attempt.machine());
+      }
+    }
+    // A line for each job: thousands of small tasks may be preempted in a round.
+    countByJob.forEach((job, count) -> LOG.info("preempting tasks: job={}, count={}", job, count));
+  }
+}
--- a/src/main/java/io/cherryspool/controller/rounds/RoundTransaction.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundTransaction.java
@@ -20,73 +20,65 @@
 import java.util.TreeMap;
 
 /**
- * Turns a round's assignments and the pending releases into changes of records, the pressing ones
- * first: ends of jobs, then starts, each taking the releases of its shard along, then releases that
- * have waited long enough, then records of ended jobs.
+ * Turns a round's assignments and the pending releases into change sets, the pressing ones first:
+ * ends of jobs, then starts, each taking the releases of its shard along, then releases that have
+ * waited long enough, then records of ended jobs. Low-priority work comes after all other, or its
+ * ends would go before the starts of those it waits for.
+ *
+ * <p>Made for one round; {@link #changeSets} is called once, at its end.
  */
 final class RoundTransaction {
   private final PendingReleases pendingReleases;
   private final int maxChanges;
-  private final Map<String, Edit> edits = new LinkedHashMap<>();
+  private final Map<String, JobEdit> edits = new LinkedHashMap<>();
 
-  /** The changed shards of one job. */
-  private final class Edit {
-    private final JobRecord entry;
-    private final Map<Integer, Shard.Editor> shards = new TreeMap<>();
-    private final Set<Integer> assigned = new HashSet<>();
-    private boolean late;
+  /** Ends of jobs and starts, of work other than low-priority work. */
+  private final Urgent regular = new Urgent();
 
-    Edit(JobRecord entry) {
-      this.entry = entry;
-    }
+  private final Urgent lowPriority = new Urgent();
 
-    /** The next version of a shard; what is proved of it goes along with any other change. */
-    Shard.Editor shard(int index) {
-      Shard.Editor known = shards.get(index);
-      if (known != null) {
-        return known;
-      }
-      Shard.Editor editor = entry.shard(index).shard().edit();
-      for (PendingReleases.Release release : pendingReleases.ofJob(entry.job().id()).values()) {
-        int task = release.owned().id().index();
-        if (entry.shardIndexOf(task) == index) {
-          if (release.isDone()) {
-            editor.complete(task);
-          } else {
-            editor.release(task, release.countsAsFailure());
-          }
-        }
-      }
-      shards.put(index, editor);
-      return editor;
-    }
-  }
+  /** What can wait for a later round. */
+  private final List<ChangeSet> deferrable = new ArrayList<>();
 
+  /**
+   * @param maxChanges the most changes in a transaction of the state store
+   */
   RoundTransaction(PendingReleases pendingReleases, int maxChanges) {
     this.pendingReleases = pendingReleases;
     this.maxChanges = maxChanges;
   }
 
-  void assign(JobRecord entry, int task, String machine, long session, long token) {
-    Edit edit = edits.computeIfAbsent(entry.job().id(), key -> new Edit(entry));
-    int shard = entry.shardIndexOf(task);
-    edit.shard(shard).assign(task, machine, session, token);
-    edit.assigned.add(shard);
+  /** Change sets of like importance, ends of jobs before starts. */
+  private static final class Urgent {
+    private final List<ChangeSet> ends = new ArrayList<>();
+    private final List<ChangeSet> starts = new ArrayList<>();
   }
 
-  /** The task runs there, although no record says that it was started. */
-  void adopt(JobRecord entry, Attempt attempt) {
-    Edit edit = edits.computeIfAbsent(entry.job().id(), key -> new Edit(entry));
-    int shard = entry.shardIndexOf(attempt.taskIndex());
+  /** Gives the free task to the machine, as its next attempt. */
+  void assign(JobRecord job, int task, String machine, long agentEpoch, long token) {
+    JobEdit edit = edit(job);
+    int shard = job.shardIndexOf(task);
+    edit.shard(shard).assign(task, machine, agentEpoch, token);
+    edit.assignedShards.add(shard);
+  }
+
+  /** Records that the attempt runs, although no record says that it was started. */
+  void adopt(JobRecord job, Attempt attempt) {
+    JobEdit edit = edit(job);
+    int shard = job.shardIndexOf(attempt.taskIndex());
     edit.shard(shard).adopt(attempt);
-    edit.assigned.add(shard);
+    edit.assignedShards.add(shard);
+  }
+
+  /** Records that the task has completed, although no record says that it was started. */
+  void complete(JobRecord job, int task) {
+    JobEdit edit = edit(job);
+    edit.shard(job.shardIndexOf(task)).complete(task);
+    edit.isOverdue = true;
   }
 
-  /** The task has completed, although no record says that it was started. */
-  void complete(JobRecord entry, int task) {
-    Edit edit = edits.computeIfAbsent(entry.job().id(), key -> new Edit(entry));
-    edit.shard(entry.shardIndexOf(task)).complete(task);
-    edit.late = true;
+  private JobEdit edit(JobRecord job) {
+    return edits.computeIfAbsent(job.job().id(), key -> new JobEdit(job));
   }
 
   /**
@@ -95,139 +87,178 @@
    * @param due releases learnt until then are written even if nothing else needs their shard
    * @param overdue those learnt until then press as much as anything
    */
-  List<RoundCommitter.ChangeSet> changeSets(
-      Collection<JobRecord> active, Duration due, Duration overdue) {
-    // Idle work comes after all other, or its ends would go before the starts of those it waits
-    // for.
-    Ranks usual = new Ranks();
-    Ranks idle = new Ranks();
-    List<RoundCommitter.ChangeSet> rest = new ArrayList<>();
+  List<ChangeSet> changeSets(Collection<JobRecord> activeJobs, Duration due, Duration overdue) {
+    Set<String> ending = addReleases(due, overdue);
+    edits.forEach((id, edit) -> addShards(edit, ending.contains(id)));
+    addCleanUp(activeJobs);
+    List<ChangeSet> all = new ArrayList<>(regular.ends);
+    all.addAll(regular.starts);
+    all.addAll(lowPriority.ends);
+    all.addAll(lowPriority.starts);
+    all.addAll(deferrable);
+    return all;
+  }
+
+  /** Adds the releases that are due to the edits; returns the ids of the jobs that end. */
+  private Set<String> addReleases(Duration due, Duration overdue) {
     Set<String> ending = new HashSet<>();
     for (String id : pendingReleases.jobIds()) {
-      Collection<PendingReleases.Release> known = pendingReleases.ofJob(id).values();
-      JobRecord entry = known.iterator().next().owned().entry();
-      boolean whole =
-          entry.doneCount() + PendingReleases.countDone(known) == entry.job().taskCount();
-      boolean write = entry.outcome() == null && whole;
-      boolean late = false;
-      for (PendingReleases.Release release : known) {
-        write |= release.learnedAt().compareTo(due) <= 0;
-        late |= release.learnedAt().compareTo(overdue) <= 0;
+      Collection<PendingReleases.Release> releases = pendingReleases.ofJob(id).values();
+      JobRecord job = releases.iterator().next().owned().entry();
+      boolean ends =
+          job.outcome() == null
+              && job.doneCount() + PendingReleases.countDone(releases) == job.job().taskCount();
+      boolean isDue = ends;
+      boolean isOverdue = false;
+      for (PendingReleases.Release release : releases) {
+        isDue |= release.learnedAt().compareTo(due) <= 0;
+        isOverdue |= release.learnedAt().compareTo(overdue) <= 0;
       }
-      if (write) {
-        Edit edit = edits.computeIfAbsent(id, key -> new Edit(entry));
-        edit.late = late;
-        known.forEach(release -> edit.shard(entry.shardIndexOf(release.owned().id().index())));
+      if (isDue) {
+        JobEdit edit = edit(job);
+        edit.isOverdue = isOverdue;
+        for (PendingReleases.Release release : releases) {
+          edit.shard(job.shardIndexOf(release.owned().id().index()));
+        }
       }
-      if (entry.outcome() == null && whole) {
+      if (ends) {
         ending.add(id);
       }
     }
-    edits.forEach(
-        (id, edit) -> add(edit, ending.contains(id), idle(edit.entry) ? idle : usual, rest));
-    clean(active, rest);
-    List<RoundCommitter.ChangeSet> all = new ArrayList<>(usual.ends);
-    all.addAll(usual.starts);
-    all.addAll(idle.ends);
-    all.addAll(idle.starts);
-    all.addAll(rest);
-    return all;
+    return ending;
   }
 
-  /** Changes of like importance, ends of jobs before starts. */
-  private static final class Ranks {
-    private final List<RoundCommitter.ChangeSet> ends = new ArrayList<>();
-    private final List<RoundCommitter.ChangeSet> starts = new ArrayList<>();
-  }
-
-  private static boolean idle(JobRecord entry) {
-    return entry.job().priority() == Priority.LOW;
-  }
-
-  private void add(Edit edit, boolean ending, Ranks ranks, List<RoundCommitter.ChangeSet> rest) {
-    JobRecord entry = edit.entry;
-    String id = entry.job().id();
-    Map<Integer, Shard> built = new TreeMap<>();
-    edit.shards.forEach((index, editor) -> built.put(index, editor.build()));
-    int needed = built.size() + 1 + RoundCommitter.RESERVED_CONDITIONS;
-    if (ending && needed <= RoundCommitter.MAX_CONDITIONS_PER_CHANGE * maxChanges) {
-      ranks.ends.add(ending(entry, built.keySet()));
+  private void addShards(JobEdit edit, boolean ending) {
+    JobRecord job = edit.job;
+    Urgent urgent = isLowPriority(job) ? lowPriority : regular;
+    Map<Integer, Shard> shards = edit.build();
+    int conditions = shards.size() + 1 + RoundCommitter.RESERVED_CONDITIONS;
+    if (ending && conditions <= RoundCommitter.MAX_CONDITIONS_PER_CHANGE * maxChanges) {
+      urgent.ends.add(endOf(job, shards.keySet()));
       return;
     }
-    built.forEach(
+    boolean isUrgent = ending || edit.isOverdue;
+    shards.forEach(
         (index, shard) -> {
-          Map<String, Long> conditions = new LinkedHashMap<>();
-          conditions.put(Records.progressKey(id, index), entry.shard(index).version());
-          boolean assigns = edit.assigned.contains(index);
-          if (assigns) {
-            // After a cancel is committed nothing of the job may be assigned.
-            conditions.put(Records.outcomeKey(id), 0L);
-          }
-          boolean over = entry.outcome() != null && shard.ownedAttempts().isEmpty();
-          RoundCommitter.ChangeSet unit =
-              new RoundCommitter.ChangeSet(
-                  conditions,
-                  List.of(
-                      new StateStoreProtocol.Change(
-                          Records.progressKey(id, index),
-                          over ? null : Records.encodeShard(shard),
-                          0)),
-                  Records.maxEncodedBytes(shard),
-                  assigns || ending || edit.late ? use(entry) : RateLimiter.WriteClass.DEFERRABLE);
-          (assigns ? ranks.starts : ending ? ranks.ends : rest).add(unit);
+          boolean assigns = edit.assignedShards.contains(index);
+          ChangeSet change = shardChange(job, index, shard, assigns, isUrgent);
+          (assigns ? urgent.starts : ending ? urgent.ends : deferrable).add(change);
         });
   }
 
+  private static ChangeSet shardChange(
+      JobRecord job, int index, Shard shard, boolean assigns, boolean isUrgent) {
+    String id = job.job().id();
+    String key = Records.progressKey(id, index);
+    Map<String, Long> conditions = new LinkedHashMap<>();
+    conditions.put(key, job.shard(index).version());
+    if (assigns) {
+      // After a cancel is committed nothing of the job may be assigned.
+      conditions.put(Records.outcomeKey(id), 0L);
+    }
+    boolean isOver = job.outcome() != null && shard.ownedAttempts().isEmpty();
+    return new ChangeSet(
+        conditions,
+        List.of(new StateStoreProtocol.Change(key, isOver ? null : Records.encodeShard(shard), 0)),
+        Records.maxEncodedBytes(shard),
+        assigns || isUrgent ? writeClass(job) : RateLimiter.WriteClass.DEFERRABLE);
+  }
+
   /**
    * The job's outcome, which rests on the ends that are proved and not written yet. They need not
    * be: a job that is done has no tasks left to tell of, so that one change ends it. Its progress
-   * records go when there is room. With four changes for each single task, of 25 a second, idle
-   * work alone took them all.
+   * records go when there is room. With four changes for each single task, of 25 a second,
+   * low-priority work alone took them all.
    */
-  private RoundCommitter.ChangeSet ending(JobRecord entry, Set<Integer> shards) {
-    String id = entry.job().id();
+  private static ChangeSet endOf(JobRecord job, Set<Integer> shards) {
+    String id = job.job().id();
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put(Records.outcomeKey(id), 0L);
     for (int index : shards) {
-      conditions.put(Records.progressKey(id, index), entry.shard(index).version());
+      conditions.put(Records.progressKey(id, index), job.shard(index).version());
     }
-    return new RoundCommitter.ChangeSet(
+    return new ChangeSet(
         conditions,
         List.of(
             new StateStoreProtocol.Change(
                 Records.outcomeKey(id), Records.encodeOutcome(Outcome.DONE), 0)),
         0,
-        use(entry));
+        writeClass(job));
   }
 
-  private static RateLimiter.WriteClass use(JobRecord entry) {
-    return idle(entry) ? RateLimiter.WriteClass.IDLE : RateLimiter.WriteClass.ROUND;
+  private static boolean isLowPriority(JobRecord job) {
+    return job.job().priority() == Priority.LOW;
+  }
+
+  private static RateLimiter.WriteClass writeClass(JobRecord job) {
+    return isLowPriority(job) ? RateLimiter.WriteClass.IDLE : RateLimiter.WriteClass.ROUND;
   }
 
   /** Ends jobs whose last shards were committed apart, and removes records of ended jobs. */
-  private void clean(Collection<JobRecord> active, List<RoundCommitter.ChangeSet> units) {
-    for (JobRecord entry : active) {
-      String id = entry.job().id();
-      if (edits.containsKey(id)) {
+  private void addCleanUp(Collection<JobRecord> activeJobs) {
+    for (JobRecord job : activeJobs) {
+      if (edits.containsKey(job.job().id())) {
         continue;
       }
-      if (entry.outcome() == null) {
-        if (entry.doneCount() == entry.job().taskCount()) {
-          units.add(ending(entry, Set.of()));
-        }
-        continue;
+      if (job.outcome() != null) {
+        addRemovals(job);
+      } else if (job.doneCount() == job.job().taskCount()) {
+        deferrable.add(endOf(job, Set.of()));
       }
-      for (int index : entry.shards().keySet()) {
-        JobRecord.VersionedShard item = entry.shard(index);
-        if (entry.outcome() == Outcome.DONE || item.shard().ownedAttempts().isEmpty()) {
-          units.add(
-              new RoundCommitter.ChangeSet(
-                  Map.of(Records.progressKey(id, index), item.version()),
-                  List.of(new StateStoreProtocol.Change(Records.progressKey(id, index), null, 0)),
-                  0,
-                  RateLimiter.WriteClass.DEFERRABLE));
+    }
+  }
+
+  private void addRemovals(JobRecord job) {
+    for (int index : job.shards().keySet()) {
+      JobRecord.VersionedShard item = job.shard(index);
+      if (job.outcome() == Outcome.DONE || item.shard().ownedAttempts().isEmpty()) {
+        String key = Records.progressKey(job.job().id(), index);
+        deferrable.add(
+            new ChangeSet(
+                Map.of(key, item.version()),
+                List.of(new StateStoreProtocol.Change(key, null, 0)),
+                0,
+                RateLimiter.WriteClass.DEFERRABLE));
+      }
+    }
+  }
+
+  /** The changed shards of one job. */
+  private final class JobEdit {
+    private final JobRecord job;
+    private final Map<Integer, Shard.Editor> shards = new TreeMap<>();
+    private final Set<Integer> assignedShards = new HashSet<>();
+    private boolean isOverdue;
+
+    JobEdit(JobRecord job) {
+      this.job = job;
+    }
+
+    /** The next version of a shard; what is proved of it goes along with any other change. */
+    Shard.Editor shard(int index) {
+      Shard.Editor known = shards.get(index);
+      if (known != null) {
+        return known;
+      }
+      Shard.Editor editor = job.shard(index).shard().edit();
+      for (PendingReleases.Release release : pendingReleases.ofJob(job.job().id()).values()) {
+        int task = release.owned().id().index();
+        if (job.shardIndexOf(task) == index) {
+          if (release.isDone()) {
+            editor.complete(task);
+          } else {
+            editor.release(task, release.countsAsFailure());
+          }
         }
       }
+      shards.put(index, editor);
+      return editor;
+    }
+
+    Map<Integer, Shard> build() {
+      Map<Integer, Shard> built = new TreeMap<>();
+      shards.forEach((index, editor) -> built.put(index, editor.build()));
+      return built;
     }
   }
 }
--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/rounds/TerminationCollector.java
@@ -0,0 +1,182 @@
+package io.cherryspool.controller.rounds;
+
+import io.cherryspool.controller.fleet.MachineState;
+import io.cherryspool.controller.metrics.Meters;
+import io.cherryspool.controller.ownership.Ownership;
+import io.cherryspool.controller.release.PendingReleases;
+import io.cherryspool.controller.release.TerminationEvidence;
+import io.cherryspool.model.Job;
+import io.cherryspool.store.JobRecord;
+import java.time.Duration;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Collects the proofs that attempts have ended. A proved end is pending until it is committed, and
+ * counts at once for what is planned.
+ *
+ * <p>Used on the event loop only.
+ */
+final class TerminationCollector {
+  private static final Logger LOG = LoggerFactory.getLogger(TerminationCollector.class);
+
+  private final TermState state;
+  private final TaskTracking tasks;
+  private final JobViewCache jobViews;
+  private final Meters meters;
+  private final Duration maxSilence;
+
+  /** The machines of which a message or a change of records may prove something new. */
+  private final Set<String> machinesToExamine = new LinkedHashSet<>();
+
+  /**
+   * @param maxSilence after so long without a heartbeat time alone may prove that tasks are lost
+   */
+  TerminationCollector(TermState state, JobViewCache jobViews, Meters meters, Duration maxSilence) {
+    this.state = state;
+    this.tasks = state.tasks();
+    this.jobViews = jobViews;
+    this.meters = meters;
+    this.maxSilence = maxSilence;
+  }
+
+  /** Has the machine's attempts examined, since its messages or what it owns have changed. */
+  void machineChanged(String name) {
+    machinesToExamine.add(name);
+    MachineState machine = state.fleet().get(name);
+    if (machine != null) {
+      machine.invalidateView();
+    }
+  }
+
+  /** Has the attempts of all machines examined, since the records were all read again. */
+  void recordsReloaded() {
+    tasks.pendingReleases().clear();
+    machinesToExamine.addAll(tasks.ownership().owningMachines());
+  }
+
+  /** Whether the machine's attempts are examined in the next round anyway. */
+  boolean willExamine(String machine) {
+    return machinesToExamine.contains(machine);
+  }
+
+  /** Has the attempts of silent machines examined; returns whether any machine is now due. */
+  boolean addSilentMachines(Duration now) {
+    for (String name : tasks.ownership().owningMachines()) {
+      MachineState machine = state.fleet().get(name);
+      if (machine == null || machine.isDeleted() || machine.contact().isSilent(now, maxSilence)) {
+        machinesToExamine.add(name);
+      }
+    }
+    return !machinesToExamine.isEmpty();
+  }
+
+  /** Examines the attempts of the machines that are due; what is proved becomes pending. */
+  void collect(Duration now) {
+    boolean needsFencing = false;
+    int lost = 0;
+    Set<String> lostMachines = new LinkedHashSet<>();
+    List<String> names = List.copyOf(machinesToExamine);
+    machinesToExamine.clear();
+    for (String name : names) {
+      MachineState machine = find(name, now);
+      for (Ownership.OwnedTask owned : tasks.ownership().attemptsOn(name)) {
+        if (tasks.pendingReleases().contains(owned)) {
+          continue;
+        }
+        TerminationEvidence.Verdict verdict = state.evidence().assess(owned, machine, now);
+        if (verdict == TerminationEvidence.Verdict.NEEDS_FENCING) {
+          needsFencing = true;
+          machinesToExamine.add(name);
+        } else if (verdict != TerminationEvidence.Verdict.OWNED) {
+          addRelease(owned, machine, verdict, now);
+          if (verdict == TerminationEvidence.Verdict.LOST) {
+            lost++;
+            lostMachines.add(name);
+          }
+        }
+      }
+    }
+    if (lost > 0) {
+      // One line for all: thousands may be lost in a round, when the processor is short anyway.
+      LOG.info("tasks lost with their machines: count={}, machines={}", lost, lostMachines);
+    }
+    if (needsFencing) {
+      state.tokens().advance();
+    }
+  }
+
+  /** The machine's state; null if nothing is known of it, not even that it was deleted. */
+  private MachineState find(String name, Duration now) {
+    MachineState machine = state.fleet().get(name);
+    if (machine == null && state.fleet().isDeleted(name)) {
+      machine = new MachineState(name, "", "", false, now);
+      machine.markDeleted();
+    }
+    return machine;
+  }
+
+  private void addRelease(
+      Ownership.OwnedTask owned,
+      MachineState machine,
+      TerminationEvidence.Verdict verdict,
+      Duration now) {
+    tasks.pendingReleases().add(new PendingReleases.Release(owned, verdict, now));
+    boolean done = verdict == TerminationEvidence.Verdict.DONE;
+    jobViews.attemptEnded(owned.id(), done, now);
+    if (machine != null) {
+      machine.invalidateView();
+    }
+    if (done) {
+      recordSuccess(owned, machine, now);
+    } else {
+      recordFailure(owned, machine, verdict, now);
+    }
+  }
+
+  private void recordSuccess(Ownership.OwnedTask owned, MachineState machine, Duration now) {
+    Job job = owned.entry().job();
+    tasks.backoff().reset(job.id());
+    if (machine != null) {
+      machine.history().recordSuccess();
+      Optional<Duration> since = machine.history().runningSince(owned.id());
+      if (since.isPresent()) {
+        state.demand().recordRunTime(job, now.minus(since.get()));
+      }
+    }
+  }
+
+  private void recordFailure(
+      Ownership.OwnedTask owned,
+      MachineState machine,
+      TerminationEvidence.Verdict verdict,
+      Duration now) {
+    boolean failed = verdict == TerminationEvidence.Verdict.FAILED;
+    if (verdict == TerminationEvidence.Verdict.LOST) {
+      meters.lostTasks.increment();
+    } else if (failed) {
+      meters.taskFailures.increment();
+    }
+    if (!failed && verdict != TerminationEvidence.Verdict.REFUSED) {
+      return;
+    }
+    JobRecord job = owned.entry();
+    LOG.info(
+        "task {}: task={}, attempt={}, machine={}",
+        failed ? "failed" : "was refused",
+        owned.id(),
+        owned.attempt().number(),
+        owned.attempt().machine());
+    if (machine == null) {
+      return;
+    }
+    machine.history().recordJobFailure(job.job().id(), now);
+    if (failed && tasks.backoff().recordFailure(job, jobViews.hasSucceeded(job), machine, now)) {
+      machine.history().recordMachineFailure();
+    }
+  }
+}
--- a/src/test/java/io/cherryspool/controller/rounds/ClusterViewBuilderTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/MachineViewCacheTest.java
@@ -17,16 +17,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ClusterViewBuilderTest {
+/** Whether planning sees a machine as it is now. */
+class MachineViewCacheTest {
   private static final Duration NOW = Duration.ofSeconds(100);
-  private static final Duration SILENCE = Duration.ofSeconds(5);
+  private static final Duration MAX_SILENCE = Duration.ofSeconds(5);
   private static final Duration HALF_LEASE = Duration.ofSeconds(8);
 
   private final FencingTokenSource tokens = new FencingTokenSource(5);
   private final Fleet fleet = new Fleet();
-  private final ClusterViewBuilder view =
-      new ClusterViewBuilder(
-          null,
+  private final MachineViewCache views =
+      new MachineViewCache(
+          tokens,
           fleet,
           new TaskTracking(
               new Ownership(null),
@@ -34,10 +35,8 @@
               new StopRequests(),
               new CrashLoopBackoff(),
               Adoption.NONE),
-          tokens,
-          SILENCE,
-          HALF_LEASE,
-          20);
+          MAX_SILENCE,
+          HALF_LEASE);
 
   private static MachineType box(double spotPrice) {
     return new MachineType(
@@ -52,14 +51,14 @@
   }
 
   private ClusterView.MachineView only(MachineType type) {
-    List<ClusterView.MachineView> machines = view.schedulableMachines(List.of(type), NOW);
+    List<ClusterView.MachineView> machines = views.schedulableMachines(List.of(type), NOW);
     assertEquals(1, machines.size());
     return machines.get(0);
   }
 
-  /** Reports no longer make the view of a machine anew, and prices move all the time. */
+  /** Heartbeats alone do not renew the view of a machine, and prices change all the time. */
   @Test
-  void aMachineIsSeenWithTheNewestPriceAndOtherwiseKept() {
+  void aMachinesViewHasTheNewestPriceAndIsOtherwiseKept() {
     fleet.accept(
         new WorkerHeartbeat(
             "host-1", "10.0.0.1:1", "box", "a", true, 1, 1, tokens.current(), null, List.of()),
--- a/src/test/java/io/cherryspool/controller/rounds/RoundCommitterTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/RoundCommitterTest.java
@@ -32,7 +32,7 @@
   private final StateStoreClient client =
       new StateStoreClient(
           time, rateLimiter, line, new Endpoint("127.0.0.1", 1), Duration.ofSeconds(1));
-  private final RoundCommitter writer = new RoundCommitter(time, client, rateLimiter, 8, 0);
+  private final RoundCommitter committer = new RoundCommitter(time, client, rateLimiter, 8, 0);
   private int certain;
 
   private void run(double seconds) {
@@ -42,20 +42,19 @@
     }
   }
 
-  private void write() {
+  private void commit() {
     StateStoreProtocol.Change change =
         new StateStoreProtocol.Change(SHARD, Json.object().put("x", 1), 0);
-    RoundCommitter.ChangeSet unit =
-        new RoundCommitter.ChangeSet(
-            Map.of(SHARD, 0L), List.of(change), 20, RateLimiter.WriteClass.ROUND);
-    writer.commit(List.of(unit), () -> certain++);
+    ChangeSet changeSet =
+        new ChangeSet(Map.of(SHARD, 0L), List.of(change), 20, RateLimiter.WriteClass.ROUND);
+    committer.commit(List.of(changeSet), () -> certain++);
   }
 
   /** The second copy meets what the first has written. */
   @Test
   void aConflictWithOnesOwnCopyIsCertain() {
     line.interceptNext(ControlledTransport.COMMIT, Fate.LOSE_ANSWER);
-    write();
+    commit();
     run(0.2);
     assertNotNull(state.value(SHARD));
     assertEquals(0, certain);
@@ -67,7 +66,7 @@
   @ValueSource(ints = {429, 503})
   void whatWasSurelyNotCarriedOutIsCertain(int status) {
     line.replyNext(ControlledTransport.COMMIT, status, "{}");
-    write();
+    commit();
     run(0.01);
     line.release(ControlledTransport.COMMIT);
     assertEquals(1, certain);
@@ -84,7 +83,7 @@
     line.interceptNext(ControlledTransport.COMMIT, Fate.HOLD_REQUEST);
     line.interceptNext(ControlledTransport.COMMIT, Fate.HOLD_REQUEST);
     line.replyNext(ControlledTransport.COMMIT, status, "{}");
-    write();
+    commit();
     run(1.7);
     assertEquals(
         3, line.sentCount(ControlledTransport.COMMIT), "two copies without an answer, and another");
@@ -97,11 +96,11 @@
   }
 
   @Test
-  void aWriterThatIsStoppedTellsNothing() {
+  void aStoppedCommitterReportsNothing() {
     line.interceptNext(ControlledTransport.COMMIT, Fate.HOLD_ANSWER);
-    write();
+    commit();
     run(0.01);
-    writer.stop();
+    committer.stop();
     line.release(ControlledTransport.COMMIT);
     run(5);
     assertEquals(0, certain);
--- a/src/test/java/io/cherryspool/controller/rounds/RoundTransactionTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/RoundTransactionTest.java
@@ -39,44 +39,45 @@
             Duration.ofSeconds(at)));
   }
 
-  private List<RoundCommitter.ChangeSet> units(RoundTransaction edits) {
-    return edits.changeSets(List.of(entry), DUE, OVERDUE);
+  private List<ChangeSet> changeSets(RoundTransaction transaction) {
+    return transaction.changeSets(List.of(entry), DUE, OVERDUE);
   }
 
-  private RoundTransaction edits() {
+  private RoundTransaction transaction() {
     return new RoundTransaction(pendingReleases, 8);
   }
 
   @Test
   void aFreshEndWaitsForAnotherChangeOfItsShard() {
     ended(0, TerminationEvidence.Verdict.DONE, 101);
-    assertEquals(List.of(), units(edits()));
-    RoundTransaction edits = edits();
-    edits.assign(entry, 3, "host-2", 1, 9);
-    List<RoundCommitter.ChangeSet> units = units(edits);
-    assertEquals(1, units.size());
-    String value = units.get(0).changes().get(0).value().toString();
+    assertEquals(List.of(), changeSets(transaction()));
+    RoundTransaction transaction = transaction();
+    transaction.assign(entry, 3, "host-2", 1, 9);
+    List<ChangeSet> changeSets = changeSets(transaction);
+    assertEquals(1, changeSets.size());
+    String value = changeSets.get(0).changes().get(0).value().toString();
     assertTrue(value.contains("\"done\":[0,0]"), value);
     assertTrue(value.contains("[3,\"host-2\",1,1,9]"), value);
-    assertEquals(7L, units.get(0).conditions().get(Records.progressKey(ID, 0)));
-    assertEquals(0L, units.get(0).conditions().get(Records.outcomeKey(ID)), "not after a cancel");
+    assertEquals(7L, changeSets.get(0).conditions().get(Records.progressKey(ID, 0)));
+    assertEquals(
+        0L, changeSets.get(0).conditions().get(Records.outcomeKey(ID)), "not after a cancel");
   }
 
   @Test
   void itWaitsAsLongAsWritesAreLimitedButNotForGood() {
     ended(0, TerminationEvidence.Verdict.DONE, 99);
-    assertEquals(RateLimiter.WriteClass.DEFERRABLE, units(edits()).get(0).use());
+    assertEquals(RateLimiter.WriteClass.DEFERRABLE, changeSets(transaction()).get(0).writeClass());
     ended(1, TerminationEvidence.Verdict.FAILED, 79);
-    assertEquals(RateLimiter.WriteClass.ROUND, units(edits()).get(0).use());
+    assertEquals(RateLimiter.WriteClass.ROUND, changeSets(transaction()).get(0).writeClass());
   }
 
   /** The freed task is planned again before its release is written. */
   @Test
   void aReleaseAndTheNextStartOfATaskAreOneWrite() {
     ended(2, TerminationEvidence.Verdict.LOST, 101);
-    RoundTransaction edits = edits();
-    edits.assign(entry, 2, "host-2", 4, 9);
-    String value = units(edits).get(0).changes().get(0).value().toString();
+    RoundTransaction transaction = transaction();
+    transaction.assign(entry, 2, "host-2", 4, 9);
+    String value = changeSets(transaction).get(0).changes().get(0).value().toString();
     assertTrue(value.contains("[2,\"host-2\",4,2,9]"), value);
     assertTrue(value.contains("[2,2,1]"), "the second attempt, and one failure: " + value);
   }
@@ -93,15 +94,15 @@
               TerminationEvidence.Verdict.DONE,
               Duration.ofSeconds(101)));
     }
-    List<RoundCommitter.ChangeSet> units = edits().changeSets(List.of(all), DUE, OVERDUE);
-    assertEquals(1, units.size());
+    List<ChangeSet> changeSets = transaction().changeSets(List.of(all), DUE, OVERDUE);
+    assertEquals(1, changeSets.size());
     assertEquals(
         List.of(Records.outcomeKey(ID)),
-        units.get(0).changes().stream().map(StateStoreProtocol.Change::key).toList(),
+        changeSets.get(0).changes().stream().map(StateStoreProtocol.Change::key).toList(),
         "one change ends a job");
     assertEquals(
-        0L, units.get(0).conditions().get(Records.outcomeKey(ID)), "unless it is cancelled");
-    assertEquals(7L, units.get(0).conditions().get(Records.progressKey(ID, 0)));
-    assertEquals(RateLimiter.WriteClass.ROUND, units.get(0).use());
+        0L, changeSets.get(0).conditions().get(Records.outcomeKey(ID)), "unless it is cancelled");
+    assertEquals(7L, changeSets.get(0).conditions().get(Records.progressKey(ID, 0)));
+    assertEquals(RateLimiter.WriteClass.ROUND, changeSets.get(0).writeClass());
   }
 }
