--- a/src/main/java/io/cherryspool/controller/fleet/Fleet.java
+++ b/src/main/java/io/cherryspool/controller/fleet/Fleet.java
@@ -14,7 +14,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The machines that a leader knows from their messages and from the cloud's list. */
+/**
+ * The machines that a leader knows from their heartbeats and from the cloud's list, by name. Used
+ * on the event loop only.
+ */
 public final class Fleet {
   private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
 
@@ -23,46 +26,55 @@
   /**
    * Machines whose deletion is confirmed. The list shows them a while longer; names are not reused.
    */
-  private final Set<String> gone = new HashSet<>();
+  private final Set<String> deleted = new HashSet<>();
 
+  /** The state of the machine, null if it is not known or was removed after its deletion. */
   public MachineState get(String name) {
     return machines.get(name);
   }
 
+  /** All machines, also deleted ones that still own tasks, in the order they became known in. */
   public Collection<MachineState> all() {
     return Collections.unmodifiableCollection(machines.values());
   }
 
-  /** Whether the machine has sent any message in this term. */
+  /** Whether the machine is known and has sent a heartbeat in this term. */
   public boolean hasSentHeartbeat(String name) {
     MachineState machine = machines.get(name);
     return machine != null && machine.hasHeartbeat();
   }
 
+  /** Whether the machine's deletion was confirmed in this term. */
   public boolean isDeleted(String name) {
-    return gone.contains(name);
+    return deleted.contains(name);
   }
 
+  /**
+   * Returns the state of the machine, which is made if the machine was not known.
+   *
+   * @param address where its worker takes calls, null if that is not known; the first one counts
+   */
   public MachineState register(
-      String name, String address, String type, String zone, boolean spot, Duration now) {
+      String name, String address, String type, String zone, boolean isSpot, Duration now) {
     MachineState machine =
-        machines.computeIfAbsent(name, key -> new MachineState(name, type, zone, spot, now));
+        machines.computeIfAbsent(name, key -> new MachineState(name, type, zone, isSpot, now));
     if (!machine.hasEndpoint() && address != null) {
       try {
         machine.setEndpoint(Endpoint.parse(address));
       } catch (IllegalArgumentException e) {
-        LOG.warn("machine {} has no usable address: {}", name, e.getMessage());
+        LOG.warn("machine={} has no usable address: {}", name, e.getMessage());
       }
     }
     return machine;
   }
 
+  /** Records that the cloud has confirmed the machine's deletion. */
   public void markDeleted(MachineState machine) {
     machine.markDeleted();
-    gone.add(machine.name());
+    deleted.add(machine.name());
   }
 
-  /** Drops the states of machines that are gone and own nothing any more. */
+  /** Removes the states of deleted machines that own nothing any more. */
   public void removeDeleted(Ownership ownership) {
     for (Iterator<MachineState> all = machines.values().iterator(); all.hasNext(); ) {
       MachineState machine = all.next();
@@ -72,18 +84,29 @@
     }
   }
 
-  /** Takes a worker's message in; null if the machine is gone, so that the message is history. */
-  public MachineState accept(WorkerHeartbeat report, Duration now) {
-    if (gone.contains(report.machine())) {
-      return null;
+  /**
+   * Records a worker's heartbeat; returns whether it is the newest one of a machine that is not
+   * deleted. What an older one says has been superseded.
+   */
+  public boolean accept(WorkerHeartbeat heartbeat, Duration now) {
+    if (deleted.contains(heartbeat.machine())) {
+      return false;
     }
     MachineState machine =
         register(
-            report.machine(), report.address(), report.type(), report.zone(), report.isSpot(), now);
+            heartbeat.machine(),
+            heartbeat.address(),
+            heartbeat.type(),
+            heartbeat.zone(),
+            heartbeat.isSpot(),
+            now);
     WorkerHeartbeat before = machine.latestHeartbeat();
-    if (machine.contact().accept(report, now) && report.hasChangedSince(before)) {
-      machine.history().recordTasks(report, now);
+    if (!machine.contact().accept(heartbeat, now)) {
+      return false;
     }
-    return machine;
+    if (heartbeat.hasChangedSince(before)) {
+      machine.history().recordTasks(heartbeat, now);
+    }
+    return true;
   }
 }
--- a/src/main/java/io/cherryspool/controller/fleet/MachineState.java
+++ b/src/main/java/io/cherryspool/controller/fleet/MachineState.java
@@ -27,7 +27,7 @@
 
   private Duration idleSince;
   private boolean markedForDeletion;
-  private boolean cordoned;
+  private boolean draining;
   private boolean deleted;
 
   /** Type and zone may be empty, of a machine that is known by its name only. */
@@ -174,14 +174,14 @@
   }
 
   /** Whether it is given only work that fits nowhere else, since the fleet can do without it. */
-  public boolean isCordoned() {
-    return cordoned;
+  public boolean isDraining() {
+    return draining;
   }
 
   /** Decides whether it is given only work that fits nowhere else. */
-  public void setCordoned(boolean cordon) {
-    if (cordoned != cordon) {
-      cordoned = cordon;
+  public void setDraining(boolean drain) {
+    if (draining != drain) {
+      draining = drain;
       view = null;
     }
   }
--- a/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
@@ -154,18 +154,13 @@
     this.provisioner =
         new Provisioner(
             loop,
-            services.cloud(),
-            fleet,
-            ownership,
-            rounds,
-            workload,
-            services.catalog(),
-            settings.provisioning().cloudRps(),
-            settings.provisioning().listLag(),
-            settings.provisioning().idleKeep(),
-            adoption,
-            replica.instanceRequestPrefix() + term + "-",
-            authority.mayChangeFleet(),
+            new Provisioner.Cloud(
+                services.cloud(),
+                settings.provisioning(),
+                replica.instanceRequestPrefix() + term + "-",
+                authority.mayChangeFleet()),
+            new Provisioner.Cluster(
+                fleet, ownership, adoption, rounds, workload, services.catalog()),
             authority.permissions(),
             this::inspectListed);
     ownership.setListener(new Changes());
@@ -354,10 +349,10 @@
       return;
     }
     MachineEligibility standing = rounds.eligibility(known);
-    MachineState machine = fleet.accept(report, loop.now());
-    if (machine == null || machine.latestHeartbeat() != report) {
+    if (!fleet.accept(report, loop.now())) {
       return;
     }
+    MachineState machine = fleet.get(report.machine());
     // A newer token alone is no news: each round would touch every machine and ask for the next.
     if (report.hasChangedSince(before)
         || standing.isImprovedBy(rounds.eligibility(machine))
--- a/src/main/java/io/cherryspool/controller/leader/WorkerCommandPlanner.java
+++ b/src/main/java/io/cherryspool/controller/leader/WorkerCommandPlanner.java
@@ -39,7 +39,7 @@
     for (WorkerHeartbeat.TaskStatus item : latest.tasks()) {
       Ownership.OwnedTask owner = owner(item, owned, latest.agentEpoch());
       if (owner != null) {
-        Duration grace = stopRequests.graceFor(owner);
+        Duration grace = stopRequests.gracePeriodFor(owner).orElse(null);
         boolean running =
             item.state() == WorkerHeartbeat.TaskState.FETCHING
                 || item.state() == WorkerHeartbeat.TaskState.RUNNING;
@@ -69,7 +69,7 @@
       if (here
           && item.entry().outcome() == null
           && !adoption.isHeldBack(item.entry())
-          && stopRequests.graceFor(item) == null
+          && !stopRequests.isRequested(item)
           // An attempt that has ended must not run once more while its end waits to be written.
           && !pendingReleases.contains(item)
           && machine.contact().findTask(item.id(), item.attempt().number()).isEmpty()) {
--- a/src/main/java/io/cherryspool/controller/ownership/StopRequests.java
+++ b/src/main/java/io/cherryspool/controller/ownership/StopRequests.java
@@ -5,34 +5,42 @@
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * Which attempts are to stop: for other work, for a cancel, or since their machine will be taken
- * away. Kept in memory: a new leader decides anew.
+ * Which attempts are to stop: as victims of a preemption, for a cancel, or since their machine will
+ * be taken away. Kept in memory: a new leader decides anew. Used on the event loop only.
  */
 public final class StopRequests {
   private final Map<TaskId, StopRequest> requests = new HashMap<>();
 
-  private record StopRequest(int attempt, Duration grace) {}
+  private record StopRequest(int attempt, Duration gracePeriod) {}
 
-  /** The first stop of an attempt counts; one of an earlier attempt means nothing for this one. */
-  public void add(TaskId task, int attempt, Duration grace) {
-    requests.compute(
-        task,
-        (key, known) ->
-            known == null || known.attempt < attempt ? new StopRequest(attempt, grace) : known);
+  /** Requests a stop. The first one of an attempt counts; one of an earlier attempt is replaced. */
+  public void add(TaskId task, int attempt, Duration gracePeriod) {
+    StopRequest known = requests.get(task);
+    if (known == null || known.attempt < attempt) {
+      requests.put(task, new StopRequest(attempt, gracePeriod));
+    }
+  }
+
+  /** Whether the attempt is to stop. */
+  public boolean isRequested(Ownership.OwnedTask owned) {
+    return gracePeriodFor(owned).isPresent();
   }
 
-  /** The grace of the stop that the attempt is under, or null if it is to go on. */
-  public Duration graceFor(Ownership.OwnedTask owned) {
+  /** The grace period of the stop requested for the attempt, empty if it is to go on. */
+  public Optional<Duration> gracePeriodFor(Ownership.OwnedTask owned) {
     if (owned.entry().outcome() == Outcome.CANCELLED) {
-      return Duration.ZERO;
+      return Optional.of(Duration.ZERO);
     }
     StopRequest request = requests.get(owned.id());
-    return request != null && request.attempt == owned.attempt().number() ? request.grace : null;
+    return request != null && request.attempt == owned.attempt().number()
+        ? Optional.of(request.gracePeriod)
+        : Optional.empty();
   }
 
-  /** The records have released the attempt, so nothing is left to stop. */
+  /** Drops the request for an attempt that the records have released. */
   public void remove(Ownership.OwnedTask owned) {
     StopRequest request = requests.get(owned.id());
     if (request != null && request.attempt <= owned.attempt().number()) {
--- a/src/main/java/io/cherryspool/controller/provisioning/MachineTypeCatalog.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/MachineTypeCatalog.java
@@ -18,36 +18,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Knows the machine types: from the cloud, or while the cloud is silent as a leader last recorded
- * them, so that a restarted node can accept jobs during an outage of the cloud.
+ * The machine types on offer: read from the cloud, or while that does not answer as a leader last
+ * recorded them, so that a restarted node can accept jobs during an outage of the cloud. Used on
+ * the event loop only.
  */
 public final class MachineTypeCatalog implements Lifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
-  private static final Duration RENEW = Duration.ofSeconds(30);
-  private static final Duration RETRY = Duration.ofSeconds(2);
+  private static final Duration REFRESH_INTERVAL = Duration.ofSeconds(30);
+  private static final Duration RETRY_PAUSE = Duration.ofSeconds(2);
 
   private final EventLoop loop;
   private final CloudClient cloud;
-  private final ClusterRecords replica;
+  private final ClusterRecords records;
   private final StateStoreClient client;
   private final RateLimiter rateLimiter;
-  private final BooleanSupplier leading;
-  private List<MachineType> known;
+  private final BooleanSupplier isLeader;
+
+  /** As the cloud last gave them, null before it did. */
+  private List<MachineType> fetched;
+
   private EventLoop.Timer timer;
 
+  /**
+   * @param isLeader whether this node may record the machine types
+   */
   public MachineTypeCatalog(
       EventLoop loop,
       CloudClient cloud,
-      ClusterRecords replica,
+      ClusterRecords records,
       StateStoreClient client,
       RateLimiter rateLimiter,
-      BooleanSupplier leading) {
+      BooleanSupplier isLeader) {
     this.loop = loop;
     this.cloud = cloud;
-    this.replica = replica;
+    this.records = records;
     this.client = client;
     this.rateLimiter = rateLimiter;
-    this.leading = leading;
+    this.isLeader = isLeader;
   }
 
   @Override
@@ -62,9 +69,9 @@
     }
   }
 
-  /** The machine types, or null while nobody has told them. */
+  /** The machine types, null while neither the cloud nor the records have given them. */
   public List<MachineType> types() {
-    return known != null ? known : replica.catalog();
+    return fetched != null ? fetched : records.catalog();
   }
 
   private void fetch() {
@@ -73,36 +80,37 @@
         .whenComplete(
             (types, failure) -> {
               if (failure == null) {
-                if (known == null) {
-                  LOG.info("the cloud has {} machine types", types.size());
+                if (fetched == null) {
+                  LOG.info("the cloud offers {} machine types", types.size());
                 }
-                known = types;
-                record();
+                fetched = types;
+                recordIfChanged();
               } else {
-                LOG.debug("reading the catalog failed: {}", failure.toString());
+                LOG.debug("reading the machine types failed: {}", failure.toString());
               }
-              timer = loop.schedule(failure == null ? RENEW : RETRY, this::fetch);
+              timer = loop.schedule(failure == null ? REFRESH_INTERVAL : RETRY_PAUSE, this::fetch);
             });
   }
 
-  private void record() {
-    if (!leading.getAsBoolean() || replica.catalog() != null && same(replica.catalog(), known)) {
+  private void recordIfChanged() {
+    List<MachineType> recorded = records.catalog();
+    if (!isLeader.getAsBoolean() || recorded != null && areSameButPrices(recorded, fetched)) {
       return;
     }
     Map<String, Long> conditions =
-        Map.of(Records.TERM, replica.termVersion(), Records.CATALOG, replica.catalogVersion());
+        Map.of(Records.TERM, records.termVersion(), Records.CATALOG, records.catalogVersion());
     rateLimiter.forceAcquire(1);
     client
         .commit(
             conditions,
             List.of(
                 new StateStoreProtocol.Change(
-                    Records.CATALOG, CloudProtocol.encodeCatalog(known), 0)))
+                    Records.CATALOG, CloudProtocol.encodeCatalog(fetched), 0)))
         .exceptionally(failure -> null);
   }
 
   /** Spot prices move all the time and are not worth a write. */
-  private static boolean same(List<MachineType> one, List<MachineType> other) {
+  private static boolean areSameButPrices(List<MachineType> one, List<MachineType> other) {
     if (one.size() != other.size()) {
       return false;
     }
--- a/src/main/java/io/cherryspool/controller/release/TerminationEvidence.java
+++ b/src/main/java/io/cherryspool/controller/release/TerminationEvidence.java
@@ -12,10 +12,10 @@
 import java.util.Optional;
 
 /**
- * Decides what is proved of an owned task. A task is free again only on proof: its worker says that
- * the attempt ended, or that it is absent after every start that could still run was fenced off;
- * the worker is in a later session; the cloud has confirmed the machine's deletion; or the lease
- * that could keep the worker's tasks alive has surely run out.
+ * Decides what is proved of an owned task. A task is free again only on proof: its worker reports
+ * that the attempt ended, or that it is absent after every start that could still run was fenced;
+ * the worker is in a later agent epoch; the cloud has confirmed the machine's deletion; or the
+ * lease that could keep the worker's tasks alive has surely expired. Used on the event loop only.
  */
 public final class TerminationEvidence {
   private final Timings timings;
@@ -23,6 +23,9 @@
   private final StopRequests stopRequests;
   private final Duration termStart;
 
+  /**
+   * @param termStart when the leader's term began, by the event loop
+   */
   public TerminationEvidence(
       Timings timings, FencingTokenSource tokens, StopRequests stopRequests, Duration termStart) {
     this.timings = timings;
@@ -31,58 +34,67 @@
     this.termStart = termStart;
   }
 
-  /** What is proved. */
+  /** What is proved of an attempt. */
   public enum Verdict {
+    /** Nothing: it may run, or run yet. */
     OWNED,
+    /** It has completed its task. */
     DONE,
+    /** It was stopped, or will not start any more. */
     ENDED,
+    /** Its worker did not start it. */
     REFUSED,
+    /** It ended by itself without completing the task. */
     FAILED,
+    /** Its machine is deleted or has begun a new agent epoch, or the worker's lease has expired. */
     LOST,
-    /** Owned, but a higher token at the worker would prove it free. */
+    /** Nothing, but a higher token at the worker would prove that it has ended. */
     NEEDS_FENCING
   }
 
+  /**
+   * Assesses an owned attempt by all that this leader knows of its machine.
+   *
+   * @param machine the machine that owns it, null if nothing is known of that
+   */
   public Verdict assess(Ownership.OwnedTask owned, MachineState machine, Duration now) {
     if (machine == null) {
-      return lapsed(termStart.plus(timings.authority()), now);
+      return assessLease(termStart.plus(timings.authority()), now);
     }
     if (machine.isDeleted()) {
       return Verdict.LOST;
     }
-    Attempt attempt = owned.attempt();
-    WorkerHeartbeat latest = machine.latestHeartbeat();
-    if (latest != null) {
-      if (latest.agentEpoch() > attempt.agentEpoch()) {
+    if (machine.hasHeartbeat()) {
+      if (machine.latestHeartbeat().agentEpoch() > owned.attempt().agentEpoch()) {
         return Verdict.LOST;
       }
-      Verdict reported = reported(owned, machine);
+      Verdict reported = assessHeartbeat(owned, machine);
       if (reported != Verdict.OWNED) {
         return reported;
       }
     }
-    return lapsed(keptAliveUntil(machine), now);
+    return assessLease(keptAliveUntil(machine), now);
   }
 
-  private Verdict reported(Ownership.OwnedTask owned, MachineState machine) {
+  private Verdict assessHeartbeat(Ownership.OwnedTask owned, MachineState machine) {
     Attempt attempt = owned.attempt();
     Optional<WorkerHeartbeat.TaskStatus> found =
         machine.contact().findTask(owned.id(), attempt.number());
     if (found.isEmpty()) {
-      return absent(owned, machine);
+      return assessAbsence(owned, machine);
     }
-    WorkerHeartbeat.TaskStatus item = found.get();
-    if (item.state() != WorkerHeartbeat.TaskState.EXITED) {
+    WorkerHeartbeat.TaskStatus status = found.get();
+    if (status.state() != WorkerHeartbeat.TaskState.EXITED) {
       return Verdict.OWNED;
     }
-    if (item.cause() == WorkerHeartbeat.ExitCause.DONE) {
+    if (status.cause() == WorkerHeartbeat.ExitCause.DONE) {
       return Verdict.DONE;
     }
-    // A start that has no answer yet could run once more after the attempt is forgotten.
+    // A start without an answer yet could run once more after the worker has dropped the attempt.
     if (!machine.contact().hasTokenAbove(tokens.termBase()) || !machine.areCommandsFenced()) {
       return Verdict.NEEDS_FENCING;
     }
-    return switch (item.cause()) {
+    return switch (status.cause()) {
       case STOPPED -> Verdict.ENDED;
       case INSUFFICIENT_RESOURCES, OTHER_ATTEMPT_PRESENT, UNKNOWN_JOB -> Verdict.REFUSED;
       default -> Verdict.FAILED;
@@ -90,30 +102,30 @@
   }
 
   /** Absence proves something only of a task that will not be started again. */
-  private Verdict absent(Ownership.OwnedTask owned, MachineState machine) {
-    if (stopRequests.graceFor(owned) == null
+  private Verdict assessAbsence(Ownership.OwnedTask owned, MachineState machine) {
+    if (!stopRequests.isRequested(owned)
         || machine.latestHeartbeat().agentEpoch() != owned.attempt().agentEpoch()) {
       return Verdict.OWNED;
     }
     WorkerCommand start = WorkerCommand.start(owned.id(), owned.attempt().number());
-    long sent = machine.commands().startTokenOr(start, tokens.termBase());
-    if (!machine.contact().hasTokenAbove(sent) || !machine.areCommandsFenced()) {
+    long startToken = machine.commands().startTokenOr(start, tokens.termBase());
+    if (!machine.contact().hasTokenAbove(startToken) || !machine.areCommandsFenced()) {
       return Verdict.NEEDS_FENCING;
     }
     return Verdict.ENDED;
   }
 
-  /** Until when some leader may have kept the worker alive. */
+  /** Until when this leader or an earlier one may have kept the worker alive. */
   private Duration keptAliveUntil(MachineState machine) {
     Duration keptAlive = machine.contact().lastKeptAliveAt();
-    Duration own = keptAlive == null ? termStart : keptAlive;
-    boolean fenced = machine.contact().hasTokenAbove(tokens.termBase());
-    Duration earlier = fenced ? termStart : termStart.plus(timings.authority());
-    return own.compareTo(earlier) > 0 ? own : earlier;
+    Duration byThisLeader = keptAlive == null ? termStart : keptAlive;
+    boolean isFenced = machine.contact().hasTokenAbove(tokens.termBase());
+    Duration byEarlierLeader = isFenced ? termStart : termStart.plus(timings.authority());
+    return byThisLeader.compareTo(byEarlierLeader) > 0 ? byThisLeader : byEarlierLeader;
   }
 
-  private Verdict lapsed(Duration keptAlive, Duration now) {
-    return now.minus(keptAlive).compareTo(timings.workerLeaseExpiry()) > 0
+  private Verdict assessLease(Duration keptAliveAt, Duration now) {
+    return now.minus(keptAliveAt).compareTo(timings.workerLeaseExpiry()) > 0
         ? Verdict.LOST
         : Verdict.OWNED;
   }
--- a/src/main/java/io/cherryspool/controller/rounds/ClusterViewBuilder.java
+++ b/src/main/java/io/cherryspool/controller/rounds/ClusterViewBuilder.java
@@ -210,7 +210,7 @@
                 owned.id(),
                 job,
                 machine.history().runningSince(owned.id()).orElse(null),
-                stopRequests.graceFor(owned) != null));
+                stopRequests.isRequested(owned)));
       }
     }
     return new ClusterView.MachineView(
@@ -218,7 +218,7 @@
         type,
         machine.zone(),
         machine.isSpot(),
-        machine.isCordoned(),
+        machine.isDraining(),
         free,
         machine.history().images(),
         machine.history().failedJobs(),
