--- a/src/main/java/io/cherryspool/controller/fleet/PlacementHistory.java
+++ b/src/main/java/io/cherryspool/controller/fleet/PlacementHistory.java
@@ -18,6 +18,7 @@
   /** A machine on which so many tasks in a row failed is not used again. */
   private static final int FAULTY_AFTER_FAILURES = 3;
 
+  /** Images that are taken to be cached on the machine. */
   private static final int MAX_IMAGES = 16;
 
   private final Map<TaskId, Duration> runningSince = new HashMap<>();
@@ -48,7 +49,7 @@
 
   /**
    * When the task was first seen running, for estimates of what stopping it loses; empty if it was
-   * not, or the machine has it no more.
+   * not, or is no longer on the machine.
    */
   public Optional<Duration> runningSince(TaskId task) {
     return Optional.ofNullable(runningSince.get(task));
--- a/src/main/java/io/cherryspool/controller/metrics/EventCounter.java
+++ b/src/main/java/io/cherryspool/controller/metrics/EventCounter.java
@@ -10,16 +10,18 @@
 public final class EventCounter {
   private long total;
 
+  /** Counts one event. */
   public void increment() {
     add(1);
   }
 
+  /** Counts so many events. */
   public void add(long events) {
     total += events;
   }
 
   /** Makes the registry read the count under this name. */
   void bindTo(MeterRegistry registry, String name) {
-    FunctionCounter.builder(name, this, count -> count.total).register(registry);
+    FunctionCounter.builder(name, this, counter -> counter.total).register(registry);
   }
 }
--- a/src/main/java/io/cherryspool/controller/metrics/Meters.java
+++ b/src/main/java/io/cherryspool/controller/metrics/Meters.java
@@ -3,7 +3,10 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.binder.MeterBinder;
 
-/** What a node counts while it runs, whoever leads; one counter for each guard of the rules. */
+/**
+ * What a node counts while it runs, whoever leads. Each counter is raised where the event occurs,
+ * on the event loop.
+ */
 public final class Meters implements MeterBinder {
   /** Rounds that changed records. */
   public final EventCounter committedRounds = new EventCounter();
@@ -11,19 +14,21 @@
   /** Rounds for which a placement was computed, whatever came of it. */
   public final EventCounter plannedRounds = new EventCounter();
 
-  /** Tasks taken back since their machine's lease ran out, or it is gone. */
+  /**
+   * Tasks released since their worker's lease expired, or their machine is deleted or restarted.
+   */
   public final EventCounter lostTasks = new EventCounter();
 
   /** Tasks that failed by themselves. */
   public final EventCounter taskFailures = new EventCounter();
 
-  /** Tasks stopped for other work. */
+  /** Tasks stopped as victims of a preemption. */
   public final EventCounter preemptions = new EventCounter();
 
-  /** Reports that were not this node's to answer. */
+  /** Heartbeats that were not this node's to answer. */
   public final EventCounter redirectedHeartbeats = new EventCounter();
 
-  /** Users' requests that were passed on to another node. */
+  /** Users' requests that were forwarded to another node. */
   public final EventCounter forwardedRequests = new EventCounter();
 
   /** Users' requests that could not be served now. */
--- a/src/main/java/io/cherryspool/controller/metrics/ReachabilityMeters.java
+++ b/src/main/java/io/cherryspool/controller/metrics/ReachabilityMeters.java
@@ -4,7 +4,6 @@
 import io.cherryspool.mesh.LinkState;
 import io.cherryspool.reachability.Reachability;
 import io.cherryspool.reachability.RequestLink;
-import io.cherryspool.reachability.Verdict;
 import io.micrometer.core.instrument.Gauge;
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.binder.MeterBinder;
@@ -12,15 +11,18 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The meters of a node's links. A link is 0 if it is up, 1 if something failed, 2 if it is down.
+ * The meters of a node's links, read when they are exported. A link is 0 if it is up, 1 if
+ * something failed, 2 if it is down.
  */
 public final class ReachabilityMeters implements MeterBinder {
+  /** The names of verdicts as dashboards have them. */
   private static final List<String> VERDICTS =
       List.of("pass-on", "hold-placing", "hold-zones", "hold-fleet", "make-way");
 
   private final Reachability reachability;
   private final EventLoop loop;
 
+  /** Reads the meters at the time of the loop. */
   public ReachabilityMeters(Reachability reachability, EventLoop loop) {
     this.reachability = reachability;
     this.loop = loop;
@@ -28,29 +30,28 @@
 
   @Override
   public void bindTo(MeterRegistry registry) {
-    link(registry, "state", reachability.stateLink());
-    link(registry, "cloud", reachability.cloudLink());
-    gauge(registry, "cherryspool.links.zones.flaps", from -> reachability.zoneFlapCount());
-    gauge(registry, "cherryspool.links.peers.down", from -> peersDown());
-    gauge(registry, "cherryspool.leadership.losses", from -> reachability.leadershipLosses());
-    gauge(
+    bindLink(registry, "state", reachability.stateLink());
+    bindLink(registry, "cloud", reachability.cloudLink());
+    bindGauge(registry, "cherryspool.links.zones.flaps", meters -> reachability.zoneFlapCount());
+    bindGauge(registry, "cherryspool.links.peers.down", meters -> peersDown());
+    bindGauge(registry, "cherryspool.leadership.losses", meters -> reachability.leadershipLosses());
+    bindGauge(
         registry,
         "cherryspool.leadership.penalty",
-        from -> reachability.leadershipPenalty(loop.now()));
-    gauge(
+        meters -> reachability.leadershipPenalty(loop.now()));
+    bindGauge(
         registry,
         "cherryspool.workers.redirected",
-        from -> reachability.redirectedWorkers().count(loop.now()));
+        meters -> reachability.redirectedWorkers().count(loop.now()));
     for (String verdict : VERDICTS) {
-      Gauge.builder("cherryspool.links.verdict", this, from -> has(verdict))
+      Gauge.builder("cherryspool.links.verdict", this, meters -> meters.isVerdict(verdict) ? 1 : 0)
           .tag("verdict", verdict)
           .register(registry);
     }
   }
 
-  private double has(String name) {
-    Verdict verdict = reachability.verdict();
-    return verdict.name().equals(name) ? 1 : 0;
+  private boolean isVerdict(String name) {
+    return reachability.verdict().name().equals(name);
   }
 
   private double peersDown() {
@@ -59,15 +60,15 @@
         .count();
   }
 
-  private void link(MeterRegistry registry, String name, RequestLink link) {
+  private void bindLink(MeterRegistry registry, String name, RequestLink link) {
     String prefix = "cherryspool.links." + name;
-    gauge(registry, prefix, from -> link.state(loop.now()).ordinal());
-    gauge(registry, prefix + ".flaps", from -> link.damper().flapCount());
-    gauge(registry, prefix + ".penalty", from -> link.damper().penalty(loop.now()));
+    bindGauge(registry, prefix, meters -> link.state(loop.now()).ordinal());
+    bindGauge(registry, prefix + ".flaps", meters -> link.damper().flapCount());
+    bindGauge(registry, prefix + ".penalty", meters -> link.damper().penalty(loop.now()));
   }
 
-  private void gauge(
-      MeterRegistry registry, String name, ToDoubleFunction<ReachabilityMeters> figure) {
-    Gauge.builder(name, this, figure).register(registry);
+  private void bindGauge(
+      MeterRegistry registry, String name, ToDoubleFunction<ReachabilityMeters> value) {
+    Gauge.builder(name, this, value).register(registry);
   }
 }
--- a/src/main/java/io/cherryspool/controller/metrics/RecoveryMeters.java
+++ b/src/main/java/io/cherryspool/controller/metrics/RecoveryMeters.java
@@ -9,46 +9,52 @@
 import io.micrometer.core.instrument.binder.MeterBinder;
 import java.util.function.ToDoubleFunction;
 
-/** The meters of a node that looks for losses of its state. */
+/** The meters of a node that looks for losses of its records, read when they are exported. */
 public final class RecoveryMeters implements MeterBinder {
   private final Recovery recovery;
-  private final ClusterRecords replica;
+  private final ClusterRecords records;
   private final SnapshotWriter snapshots;
 
   /**
    * @param snapshots null if none are taken
    */
-  public RecoveryMeters(Recovery recovery, ClusterRecords replica, SnapshotWriter snapshots) {
+  public RecoveryMeters(Recovery recovery, ClusterRecords records, SnapshotWriter snapshots) {
     this.recovery = recovery;
-    this.replica = replica;
+    this.records = records;
     this.snapshots = snapshots;
   }
 
   @Override
   public void bindTo(MeterRegistry registry) {
-    gauge(registry, "serving", from -> recovery.isServing() ? 1 : 0);
-    gauge(
-        registry, "incarnation", from -> recovery.retainedRecords().position().incarnationNumber());
-    gauge(registry, "revision", from -> recovery.retainedRecords().position().revision());
-    gauge(registry, "losses", from -> recovery.statistics().losses());
-    gauge(registry, "rebuilds", from -> recovery.statistics().rebuilds());
-    gauge(registry, "records.added", from -> recovery.statistics().addedRecords());
-    gauge(registry, "hold.seconds", from -> recovery.statistics().lastHold().toMillis() / 1e3);
-    gauge(registry, "jobs.held", from -> replica.heldJobs().size());
-    gauge(registry, "jobs.unknown", from -> replica.unknownJobs().size());
+    bindGauge(registry, "serving", meters -> recovery.isServing() ? 1 : 0);
+    bindGauge(
+        registry,
+        "incarnation",
+        meters -> recovery.retainedRecords().position().incarnationNumber());
+    bindGauge(registry, "revision", meters -> recovery.retainedRecords().position().revision());
+    bindGauge(registry, "losses", meters -> recovery.statistics().losses());
+    bindGauge(registry, "rebuilds", meters -> recovery.statistics().rebuilds());
+    bindGauge(registry, "records.added", meters -> recovery.statistics().addedRecords());
+    bindGauge(
+        registry, "hold.seconds", meters -> recovery.statistics().lastHold().toMillis() / 1e3);
+    bindGauge(registry, "jobs.held", meters -> records.heldJobs().size());
+    bindGauge(registry, "jobs.unknown", meters -> records.unknownJobs().size());
     if (snapshots != null) {
-      gauge(registry, "snapshot.age.seconds", from -> snapshots.ageSeconds());
-      gauge(registry, "snapshot.bytes", from -> written(SnapshotRepository.WriteResult::bytes));
-      gauge(registry, "snapshot.seconds", from -> written(last -> last.durationNanos() / 1e9));
+      bindGauge(registry, "snapshot.age.seconds", meters -> snapshots.ageSeconds());
+      bindGauge(
+          registry, "snapshot.bytes", meters -> lastWrite(SnapshotRepository.WriteResult::bytes));
+      bindGauge(
+          registry, "snapshot.seconds", meters -> lastWrite(last -> last.durationNanos() / 1e9));
     }
   }
 
-  private double written(ToDoubleFunction<SnapshotRepository.WriteResult> figure) {
+  private double lastWrite(ToDoubleFunction<SnapshotRepository.WriteResult> value) {
     SnapshotRepository.WriteResult last = snapshots.lastResult();
-    return last == null ? 0 : figure.applyAsDouble(last);
+    return last == null ? 0 : value.applyAsDouble(last);
   }
 
-  private void gauge(MeterRegistry registry, String name, ToDoubleFunction<RecoveryMeters> figure) {
-    Gauge.builder("cherryspool.recovery." + name, this, figure).register(registry);
+  private void bindGauge(
+      MeterRegistry registry, String name, ToDoubleFunction<RecoveryMeters> value) {
+    Gauge.builder("cherryspool.recovery." + name, this, value).register(registry);
   }
 }
--- a/src/main/java/io/cherryspool/controller/ownership/FencingTokenSource.java
+++ b/src/main/java/io/cherryspool/controller/ownership/FencingTokenSource.java
@@ -2,11 +2,15 @@
 
 import io.cherryspool.model.FencingToken;
 
-/** The tokens of one term. Only the leader of the term makes them, and they only grow. */
+/**
+ * The fencing tokens of one term, one a round. Only the leader of the term makes them, and they
+ * only grow. Used on the event loop only.
+ */
 public final class FencingTokenSource {
   private final long term;
   private long round = 1;
 
+  /** Begins with the first round of the term. */
   public FencingTokenSource(long term) {
     this.term = term;
   }
@@ -16,11 +20,14 @@
     return FencingToken.of(term, 0);
   }
 
+  /** The token of the present round, under which commands and replies are sent. */
   public long current() {
     return FencingToken.of(term, round);
   }
 
-  /** Starts the next round. Messages of earlier rounds then no longer count at the workers. */
+  /**
+   * Begins the next round. A worker that has received its token ignores messages of earlier rounds.
+   */
   public void advance() {
     round++;
   }
--- a/src/main/java/io/cherryspool/controller/ownership/Ownership.java
+++ b/src/main/java/io/cherryspool/controller/ownership/Ownership.java
@@ -15,58 +15,66 @@
 import java.util.Set;
 
 /**
- * Who owns what, by machine, as the committed records say. It follows the records change by change,
- * so that a report costs the look-up of one machine however many tasks run.
+ * Which attempts own tasks, by machine, as the committed records have it. It follows the records
+ * change by change, so that a heartbeat costs the look-up of one machine however many tasks run.
+ * Used on the event loop only.
  */
 public final class Ownership implements ClusterRecords.RecordsListener, Lifecycle {
 
-  /** One owned task. */
+  /** One owned task, and the attempt that owns it. */
   public record OwnedTask(JobRecord entry, TaskId id, Attempt attempt) {}
 
-  /** Who acts on the changes. */
+  /** Acts on changes of the records as they are applied. */
   public interface Listener {
+    /** What the machine owns has changed, or is to be stopped. */
     void machineChanged(String machine);
 
+    /** The job's outcome or progress has changed. */
     void jobChanged(JobRecord entry);
 
-    /** The job has ended. */
+    /** The job has an outcome. */
     void jobEnded(JobRecord entry);
 
     /** The records no longer hold this attempt. */
     void released(OwnedTask owned);
 
-    /** Everything may have changed. */
+    /** The records were read anew, so that everything may have changed. */
     void reloaded();
   }
 
-  private final ClusterRecords replica;
+  private final ClusterRecords records;
   private final Map<String, List<OwnedTask>> byMachine = new HashMap<>();
   private Listener listener;
 
-  public Ownership(ClusterRecords replica) {
-    this.replica = replica;
+  /**
+   * @param records are followed from {@link #start} to {@link #stop}
+   */
+  public Ownership(ClusterRecords records) {
+    this.records = records;
   }
 
-  public void setListener(Listener to) {
-    listener = to;
+  /** Sets the one listener, before the start. */
+  public void setListener(Listener only) {
+    listener = only;
   }
 
   @Override
   public void start() {
-    replica.addListener(this);
+    records.addListener(this);
     onReloaded();
   }
 
   @Override
   public void stop() {
-    replica.removeListener(this);
+    records.removeListener(this);
   }
 
+  /** What the machine owns, as a live view; empty if nothing. */
   public List<OwnedTask> attemptsOn(String machine) {
     return byMachine.getOrDefault(machine, List.of());
   }
 
-  /** The machines that own anything. */
+  /** The names of the machines that own anything, as a live view. */
   public Set<String> owningMachines() {
     return Collections.unmodifiableSet(byMachine.keySet());
   }
@@ -110,7 +118,7 @@
   @Override
   public void onReloaded() {
     byMachine.clear();
-    for (JobRecord entry : replica.activeJobs()) {
+    for (JobRecord entry : records.activeJobs()) {
       if (entry.outcome() == Outcome.DONE) {
         continue;
       }
--- a/src/main/java/io/cherryspool/controller/release/CrashLoopBackoff.java
+++ b/src/main/java/io/cherryspool/controller/release/CrashLoopBackoff.java
@@ -16,89 +16,114 @@
  * user cancels it, so that it gets a few tries at a time, ever more seldom, until one succeeds.
  *
  * <p>A job of which some tasks fail now and then soon has one that succeeds, and one with a bad
- * machine fails on that machine only: neither is held back for longer than a run.
+ * machine fails on that machine only: neither is held back for longer than a run. Used on the event
+ * loop only.
  */
 public final class CrashLoopBackoff {
   private static final Logger LOG = LoggerFactory.getLogger(CrashLoopBackoff.class);
 
-  /** Machines on which a job must have failed before it, not they, is to blame. */
-  private static final int MACHINES = 3;
+  /** Machines on which a job must have failed before the job, not they, is to blame. */
+  private static final int MIN_MACHINES = 3;
 
   /** Tries of a crash-looping job at a time. */
   public static final int MAX_CONCURRENT_TRIES = 2;
 
+  private static final long FIRST_PAUSE_MILLIS = 500;
   private static final Duration MAX_PAUSE = Duration.ofSeconds(30);
 
+  /** Keeps the doubled pause from overflowing; by then it is above its limit. */
+  private static final int MAX_DOUBLINGS = 10;
+
   private final Map<String, CrashLoop> loops = new HashMap<>();
 
+  /** A job's failures before any success. */
   private static final class CrashLoop {
     private final Set<String> machines = new HashSet<>();
-    private Duration last;
+    private Duration lastFailureAt;
     private int tries;
-    private boolean told;
+    private boolean isLogged;
+
+    /** Returns whether it is the first failure on that machine. */
+    boolean recordFailure(String machine, Duration now) {
+      boolean isFirstOnMachine = machines.add(machine);
+      // Those that were under way together count as one try.
+      tries += isEstablished() && now.compareTo(nextTryAt(now)) >= 0 ? 1 : 0;
+      lastFailureAt = now;
+      return isFirstOnMachine;
+    }
 
-    Duration ready(Duration now) {
-      Duration pause = Duration.ofMillis(500L << Math.min(tries, 10));
-      return last == null ? now : last.plus(pause.compareTo(MAX_PAUSE) < 0 ? pause : MAX_PAUSE);
+    void logOnce(String job, String machine) {
+      if (!isLogged) {
+        isLogged = true;
+        LOG.warn(
+            "crash loop: job={} fails on {} machines and has succeeded on none, last machine={}; it"
+                + " gets {} tries at a time until it succeeds or is cancelled",
+            job,
+            machines.size(),
+            machine,
+            MAX_CONCURRENT_TRIES);
+      }
+    }
+
+    boolean isEstablished() {
+      return machines.size() >= MIN_MACHINES;
+    }
+
+    Duration nextTryAt(Duration now) {
+      if (lastFailureAt == null) {
+        return now;
+      }
+      Duration pause = Duration.ofMillis(FIRST_PAUSE_MILLIS << Math.min(tries, MAX_DOUBLINGS));
+      return lastFailureAt.plus(pause.compareTo(MAX_PAUSE) < 0 ? pause : MAX_PAUSE);
     }
   }
 
-  /** A task of the job failed by itself; true if the machine, not the job, is to blame. */
+  /**
+   * Records that a task of the job failed by itself; returns whether the machine is to blame rather
+   * than the job.
+   *
+   * @param succeeded whether any task of the job was ever done
+   */
   public boolean recordFailure(
       JobRecord entry, boolean succeeded, MachineState machine, Duration now) {
-    String id = entry.job().id();
     if (succeeded) {
       return true;
     }
+    String id = entry.job().id();
     CrashLoop loop = loops.computeIfAbsent(id, key -> new CrashLoop());
-    // What has succeeded nowhere says no more of a machine by failing there again and again.
-    boolean first = loop.machines.add(machine.name());
-    // Those that were under way together count as one try.
-    loop.tries += isCrashLooping(loop) && now.compareTo(loop.ready(now)) >= 0 ? 1 : 0;
-    loop.last = now;
-    if (isCrashLooping(loop)) {
-      if (!loop.told) {
-        loop.told = true;
-        LOG.warn(
-            "job {} fails on {} machines and has succeeded on none, last on {}: it gets {} tries at"
-                + " a time until it succeeds or is cancelled",
-            id,
-            loop.machines.size(),
-            machine.name(),
-            MAX_CONCURRENT_TRIES);
-      }
+    boolean isFirstOnMachine = loop.recordFailure(machine.name(), now);
+    if (loop.isEstablished()) {
+      loop.logOnce(id, machine.name());
+      return false;
     }
-    return first && !isCrashLooping(loop);
+    // What has succeeded nowhere says no more of a machine by failing there again and again.
+    return isFirstOnMachine;
   }
 
-  /** The job has ended, or a task of it has succeeded. */
+  /** Ends the backoff, since the job has ended or a task of it has succeeded. */
   public void reset(String job) {
     loops.remove(job);
   }
 
   /**
    * Whether the job, of which no task has succeeded, is crash-looping. A new leader goes by the
-   * records until it has seen for itself.
+   * records until it has recorded failures itself.
    */
   public boolean isCrashLooping(JobRecord entry) {
     CrashLoop loop = loops.get(entry.job().id());
-    return loop != null && isCrashLooping(loop) || recorded(entry);
+    return loop != null && loop.isEstablished() || isCrashLoopingByRecords(entry);
   }
 
-  /** When the job may be tried again. */
+  /** When the job may be tried again, which may be in the past; now, if nothing is known of it. */
   public Duration nextTryAt(JobRecord entry, Duration now) {
     CrashLoop loop = loops.get(entry.job().id());
-    return loop == null ? now : loop.ready(now);
-  }
-
-  private static boolean isCrashLooping(CrashLoop loop) {
-    return loop.machines.size() >= MACHINES;
+    return loop == null ? now : loop.nextTryAt(now);
   }
 
   /** All that was ever tried has failed, but for what may be under way as a try. */
-  private static boolean recorded(JobRecord entry) {
+  private static boolean isCrashLoopingByRecords(JobRecord entry) {
     JobRecord.FailureCounts failures = entry.failureCounts();
-    return failures.totalFailures() >= MACHINES
+    return failures.totalFailures() >= MIN_MACHINES
         && failures.failedTasks() >= failures.attemptedTasks() - MAX_CONCURRENT_TRIES;
   }
 }
--- a/src/main/java/io/cherryspool/controller/timing/Timings.java
+++ b/src/main/java/io/cherryspool/controller/timing/Timings.java
@@ -6,11 +6,16 @@
 import java.time.Duration;
 
 /**
- * The times that the safety of ownership rests on, from the settings.
+ * The durations that the safety of ownership rests on, from the settings.
  *
+ * @param heartbeatInterval how often a worker sends a heartbeat
  * @param authority how long after sending its last confirmed renewal and reading a leader may keep
  *     workers alive, see {@link Settings#authority()}
- * @param workerLeaseExpiry how long after a worker was last kept alive its tasks are surely gone
+ * @param workerLeaseExpiry how long after a worker was last kept alive its tasks have surely ended
+ * @param stateStoreLease how long a leader's lease in the state store lasts without renewal
+ * @param stateStoreTimeout after so long a call to the state store has failed
+ * @param workerTimeout after so long a call to a worker has failed
+ * @param cloudTimeout after so long a call to the cloud has failed
  */
 public record Timings(
     Duration heartbeatInterval,
@@ -21,36 +26,43 @@
     Duration workerTimeout,
     Duration cloudTimeout) {
 
-  /** After so long without a report a worker is late, whatever the deviation of its reports. */
+  private static final Duration MAX_WORKER_TIMEOUT = Duration.ofSeconds(2);
+  private static final Duration CLOUD_TIMEOUT = Duration.ofSeconds(5);
+
+  /** Calls to the state store that fit into one lease of it. */
+  private static final int CALLS_PER_STATE_STORE_LEASE = 4;
+
+  /** After so long without a heartbeat a worker is late, whatever the deviation of its interval. */
   public Duration lateAfter() {
     return Durations.divide(Durations.multiply(heartbeatInterval, 5), 4).plusMillis(250);
   }
 
   /**
-   * How much later than this node another must have read the state for this one to be the one that
-   * is cut off. Each reads at least four times in a state lease.
+   * How much later than this node another must have read the state store for this one to be the one
+   * that is partitioned from it. Each reads at least four times in a lease.
    */
   public Duration staleReadLag() {
     return Durations.divide(stateStoreLease, 2);
   }
 
+  /** Derives the durations from the deploy file's settings and the operators'. */
   public static Timings fromSettings(Settings settings, OperatorSettings operators) {
-    Duration lease = settings.workerLease();
+    Duration workerLease = settings.workerLease();
+    Duration heartbeatInterval = settings.heartbeatInterval();
     Duration authority = settings.authority();
     // Where the cancel limit leaves little, leadership is renewed more often: stretching the
-    // authority to the state lease instead would let cancelled tasks outlast the limit.
-    Duration stateLease =
+    // authority to the state store's lease instead would let cancelled tasks outlast the limit.
+    Duration stateStoreLease =
         authority.compareTo(operators.stateLease()) < 0 ? authority : operators.stateLease();
-    Duration call = stateLease.dividedBy(4);
     return new Timings(
-        settings.heartbeatInterval(),
+        heartbeatInterval,
         authority,
-        lease.plus(lease.dividedBy(500)).plusMillis(500),
-        stateLease,
-        call,
-        settings.heartbeatInterval().compareTo(Duration.ofSeconds(2)) < 0
-            ? settings.heartbeatInterval()
-            : Duration.ofSeconds(2),
-        Duration.ofSeconds(5));
+        workerLease.plus(workerLease.dividedBy(500)).plusMillis(500),
+        stateStoreLease,
+        stateStoreLease.dividedBy(CALLS_PER_STATE_STORE_LEASE),
+        heartbeatInterval.compareTo(MAX_WORKER_TIMEOUT) < 0
+            ? heartbeatInterval
+            : MAX_WORKER_TIMEOUT,
+        CLOUD_TIMEOUT);
   }
 }
