--- a/src/main/java/io/cherryspool/controller/rounds/MachineViewCache.java
+++ b/src/main/java/io/cherryspool/controller/rounds/MachineViewCache.java
@@ -117,7 +117,7 @@
                 owned.id(),
                 job,
                 machine.history().runningSince(owned.id()).orElse(null),
-                tasks.stopRequests().graceFor(owned) != null));
+                tasks.stopRequests().isRequested(owned)));
       }
     }
     return new ClusterView.MachineView(
@@ -125,7 +125,7 @@
         type,
         machine.zone(),
         machine.isSpot(),
-        machine.isCordoned(),
+        machine.isDraining(),
         free,
         machine.history().images(),
         machine.history().failedJobs(),
