--- a/src/main/java/io/cherryspool/controller/leader/CommandSender.java
+++ b/src/main/java/io/cherryspool/controller/leader/CommandSender.java
@@ -1,5 +1,6 @@
 package io.cherryspool.controller.leader;
 
+import io.cherryspool.controller.fleet.CommandDelivery;
 import io.cherryspool.controller.fleet.MachineState;
 import io.cherryspool.controller.ownership.FencingTokenSource;
 import io.cherryspool.lifecycle.EventLoop;
@@ -8,57 +9,75 @@
 import io.cherryspool.worker.WorkerClient;
 import java.time.Duration;
 import java.util.List;
-import java.util.function.BiConsumer;
+import java.util.Optional;
 
 /**
- * Sends committed commands straight to workers, so that a start need not wait for the next report.
- * One call at a time goes to a machine. A call without an answer may still run later, so the token
- * is raised at once and the machine counts as unsettled until it has acknowledged the higher one.
+ * Sends committed commands straight to workers, so that a start need not wait for the next
+ * heartbeat. One call at a time goes to a machine. A call without an answer may still run later, so
+ * the token is raised at once, and the machine's commands count as not fenced until it has
+ * acknowledged the higher one.
+ *
+ * <p>Used on the event loop only.
  */
 final class CommandSender {
   private final EventLoop loop;
   private final WorkerClient workers;
   private final FencingTokenSource tokens;
-  private final Duration pause;
-  private final BiConsumer<MachineState, WorkerHeartbeat> sink;
+  private final Duration pauseAfterFailure;
+  private final AnswerListener listener;
+
+  /** Whom the outcome of each call is passed to. */
+  interface AnswerListener {
+    /**
+     * Called when a call to the machine has ended.
+     *
+     * @param answer the worker's state, or empty if the call got no answer
+     */
+    void commandsAnswered(MachineState machine, Optional<WorkerHeartbeat> answer);
+  }
 
   /**
-   * @param sink takes each answer, or null where there was none
+   * @param pauseAfterFailure for how long a machine is sent nothing after a call without an answer
    */
   CommandSender(
       EventLoop loop,
       WorkerClient workers,
       FencingTokenSource tokens,
-      Duration pause,
-      BiConsumer<MachineState, WorkerHeartbeat> sink) {
+      Duration pauseAfterFailure,
+      AnswerListener listener) {
     this.loop = loop;
     this.workers = workers;
     this.tokens = tokens;
-    this.pause = pause;
-    this.sink = sink;
+    this.pauseAfterFailure = pauseAfterFailure;
+    this.listener = listener;
   }
 
-  /** Sends the commands; with none, the call still makes the worker take the current token. */
+  /**
+   * Sends the commands, unless the machine can't be called now; with none, the call still makes the
+   * worker take the current token.
+   */
   void send(MachineState machine, List<WorkerCommand> commands) {
+    CommandDelivery delivery = machine.commands();
     if (!machine.hasHeartbeat()
         || !machine.hasEndpoint()
         || machine.isDeleted()
-        || !machine.commands().mayCall(loop.now())) {
+        || !delivery.mayCall(loop.now())) {
       return;
     }
     long token = tokens.current();
-    machine.commands().beginCall(commands, token);
+    delivery.beginCall(commands, token);
     workers
         .sendCommands(machine.endpoint(), token, machine.latestHeartbeat().agentEpoch(), commands)
         .whenComplete(
-            (report, failure) -> {
+            (heartbeat, failure) -> {
               if (failure == null) {
-                machine.commands().callAnswered();
+                delivery.callAnswered();
+                listener.commandsAnswered(machine, Optional.of(heartbeat));
               } else {
-                machine.commands().callFailed(loop.now().plus(pause));
+                delivery.callFailed(loop.now().plus(pauseAfterFailure));
                 tokens.advance();
+                listener.commandsAnswered(machine, Optional.empty());
               }
-              sink.accept(machine, failure == null ? report : null);
             });
   }
 }
--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/leader/FailoverReconciliation.java
@@ -0,0 +1,142 @@
+package io.cherryspool.controller.leader;
+
+import io.cherryspool.controller.fleet.MachineState;
+import io.cherryspool.controller.provisioning.Provisioner;
+import io.cherryspool.controller.rounds.SchedulingLoop;
+import io.cherryspool.controller.rounds.TermState;
+import io.cherryspool.controller.timing.Timings;
+import io.cherryspool.lifecycle.EventLoop;
+import io.cherryspool.model.Durations;
+import java.time.Duration;
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Decides when a new leader knows enough of what runs to place tasks.
+ *
+ * <p>Used on the event loop only.
+ */
+final class FailoverReconciliation {
+  private static final Logger LOG = LoggerFactory.getLogger(FailoverReconciliation.class);
+
+  /**
+   * How long machines may take to answer once they are listed. A live worker answers a call within
+   * milliseconds; a lost packet costs some hundred.
+   */
+  private static final Duration MAX_ANSWER_TIME = Duration.ofMillis(1200);
+
+  private final EventLoop loop;
+  private final Duration termStart;
+  private final Timings timings;
+  private final Duration listLag;
+  private final TermState state;
+  private final SchedulingLoop rounds;
+  private final Provisioner provisioner;
+  private boolean done;
+
+  /**
+   * @param termStart when this leader's term began
+   * @param listLag after so long the cloud's list shows a new machine
+   */
+  FailoverReconciliation(
+      EventLoop loop,
+      Duration termStart,
+      Timings timings,
+      Duration listLag,
+      TermState state,
+      SchedulingLoop rounds,
+      Provisioner provisioner) {
+    this.loop = loop;
+    this.termStart = termStart;
+    this.timings = timings;
+    this.listLag = listLag;
+    this.state = state;
+    this.rounds = rounds;
+    this.provisioner = provisioner;
+  }
+
+  /** Whether ownership is rebuilt, so that tasks are placed. */
+  boolean isDone() {
+    return done;
+  }
+
+  /**
+   * After a loss of state tasks may run that no record tells of. Placing waits until every machine
+   * that may run one has shown a token of this term, or its lease has surely expired.
+   */
+  void checkAdopted() {
+    Duration now = loop.now();
+    Duration leasesExpiredAt =
+        termStart.plus(timings.authority()).plus(timings.workerLeaseExpiry());
+    Duration listCompleteAt = termStart.plus(Durations.multiply(listLag, 2));
+    boolean areLeasesExpired = now.compareTo(leasesExpiredAt) > 0;
+    boolean isAllKnown =
+        areLeasesExpired || provisioner.isListReadSince(listCompleteAt) && isEveryMachineFenced();
+    if (isAllKnown && state.tasks().adoption().isAllRecorded()) {
+      LOG.info(
+          "failover after a loss of state: reconciled what ran, ms={}, complete by {}",
+          now.minus(termStart).toMillis(),
+          areLeasesExpired ? "lease expiry" : "heartbeats of all machines");
+      rounds.recordReconciled();
+    } else {
+      rounds.requestRound();
+    }
+  }
+
+  private boolean isEveryMachineFenced() {
+    Set<String> names = new HashSet<>(provisioner.listedMachines());
+    names.addAll(state.tasks().ownership().owningMachines());
+    state.fleet().all().forEach(machine -> names.add(machine.name()));
+    for (String name : names) {
+      MachineState machine = state.fleet().get(name);
+      boolean isFenced =
+          machine != null && machine.contact().hasTokenAbove(state.tokens().termBase());
+      if (!isFenced && !state.fleet().isDeleted(name)) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  /**
+   * Placing waits for every live worker's heartbeat. A listed worker that has neither sent one nor
+   * answered a call in time does not count as live; without a list the wait is two heartbeat
+   * intervals. What the others own stays owned until its end is proved.
+   *
+   * @param firstListedAt when the cloud's list was first read, empty before that
+   */
+  void checkRebuilt(Optional<Duration> firstListedAt) {
+    Duration now = loop.now();
+    boolean isComplete = firstListedAt.isPresent() && haveAllSentHeartbeats();
+    Duration limit =
+        firstListedAt.isPresent()
+            ? firstListedAt.get().plus(MAX_ANSWER_TIME)
+            : termStart.plus(Durations.multiply(timings.heartbeatInterval(), 2));
+    if (isComplete || now.compareTo(limit) > 0) {
+      done = true;
+      LOG.info(
+          "failover: ownership rebuilt, machines={}, ms={}, {}",
+          state.fleet().all().size(),
+          now.minus(termStart).toMillis(),
+          isComplete ? "all machines sent heartbeats" : "some machines sent no heartbeat");
+      rounds.allowPlacing();
+    }
+  }
+
+  private boolean haveAllSentHeartbeats() {
+    for (MachineState machine : state.fleet().all()) {
+      if (!machine.isDeleted() && !machine.hasHeartbeat()) {
+        return false;
+      }
+    }
+    for (String name : state.tasks().ownership().owningMachines()) {
+      if (!state.fleet().isDeleted(name) && !state.fleet().hasSentHeartbeat(name)) {
+        return false;
+      }
+    }
+    return true;
+  }
+}
--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/leader/HeartbeatHandler.java
@@ -0,0 +1,116 @@
+package io.cherryspool.controller.leader;
+
+import io.cherryspool.controller.fleet.MachineEligibility;
+import io.cherryspool.controller.fleet.MachineState;
+import io.cherryspool.controller.ownership.Ownership;
+import io.cherryspool.controller.rounds.SchedulingLoop;
+import io.cherryspool.controller.rounds.TermState;
+import io.cherryspool.lifecycle.EventLoop;
+import io.cherryspool.model.Job;
+import io.cherryspool.model.WorkerHeartbeat;
+import io.cherryspool.wire.WorkerProtocol;
+import java.time.Duration;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Takes in the workers' heartbeats, and replies with the current token and the commands that are
+ * due.
+ *
+ * <p>Used on the event loop only.
+ */
+final class HeartbeatHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
+
+  private final EventLoop loop;
+  private final TermState state;
+  private final SchedulingLoop rounds;
+  private final CommandDispatcher dispatcher;
+  private final HistoryCheck historyCheck;
+  private boolean stopped;
+
+  HeartbeatHandler(
+      EventLoop loop,
+      TermState state,
+      SchedulingLoop rounds,
+      CommandDispatcher dispatcher,
+      HistoryCheck historyCheck) {
+    this.loop = loop;
+    this.state = state;
+    this.rounds = rounds;
+    this.dispatcher = dispatcher;
+    this.historyCheck = historyCheck;
+  }
+
+  /** Takes in nothing more, since the term has ended. */
+  void stop() {
+    stopped = true;
+  }
+
+  /** Takes in a heartbeat that the worker sent itself; returns the encoded reply. */
+  byte[] handle(WorkerHeartbeat heartbeat) {
+    accept(heartbeat);
+    MachineState machine = state.fleet().get(heartbeat.machine());
+    long token = state.tokens().current();
+    if (machine == null || machine.isDeleted() || !machine.hasHeartbeat()) {
+      return WorkerProtocol.encodeHeartbeatReply(token, List.of());
+    }
+    MachineEligibility before = rounds.eligibility(machine);
+    boolean isAnswered = machine.contact().recordReply(heartbeat, token, loop.now());
+    if (before.isImprovedBy(rounds.eligibility(machine))) {
+      // The reply renews its lease, so that it may be given work again.
+      rounds.requestRound();
+    }
+    if (!isAnswered || heartbeat.agentEpoch() != machine.latestHeartbeat().agentEpoch()) {
+      return WorkerProtocol.encodeHeartbeatReply(token, List.of());
+    }
+    return WorkerProtocol.encodeHeartbeatReply(token, dispatcher.commandsForReply(machine, token));
+  }
+
+  /** Takes in a heartbeat, whether the worker sent it itself or in answer to a direct call. */
+  void accept(WorkerHeartbeat heartbeat) {
+    if (stopped) {
+      return;
+    }
+    MachineState known = state.fleet().get(heartbeat.machine());
+    WorkerHeartbeat before = known == null ? null : known.latestHeartbeat();
+    if (historyCheck.isContradictedBy(heartbeat, before)) {
+      return;
+    }
+    MachineEligibility eligibility = rounds.eligibility(known);
+    if (!state.fleet().accept(heartbeat, loop.now())) {
+      return;
+    }
+    MachineState machine = state.fleet().get(heartbeat.machine());
+    // A newer token alone is no news: each round would touch every machine and ask for the next.
+    if (heartbeat.hasChangedSince(before)
+        || eligibility.isImprovedBy(rounds.eligibility(machine))
+        || rounds.willExamine(machine.name())) {
+      rounds.machineChanged(machine.name());
+      dispatcher.machineChanged(machine.name());
+      rounds.requestRound();
+    }
+    if (heartbeat.preemptionNotice() != null
+        && (before == null || before.preemptionNotice() == null)) {
+      LOG.info(
+          "preemption notice: machine={}, seconds={}",
+          machine.name(),
+          heartbeat.preemptionNotice().toSeconds());
+      checkpointTasks(machine, heartbeat.preemptionNotice());
+    }
+  }
+
+  /** Stops the tasks that can save their progress in time; the rest may still finish in it. */
+  private void checkpointTasks(MachineState machine, Duration notice) {
+    for (Ownership.OwnedTask owned : state.tasks().ownership().attemptsOn(machine.name())) {
+      Job job = owned.entry().job();
+      boolean savesProgress = !job.checkpointInterval().isZero();
+      if (savesProgress && job.checkpointDuration().compareTo(notice) < 0) {
+        state.tasks().stopRequests().add(owned.id(), owned.attempt().number(), notice);
+        rounds.machineChanged(machine.name());
+      }
+    }
+    dispatcher.sendDue();
+  }
+}
--- a/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
@@ -3,7 +3,6 @@
 import io.cherryspool.cloud.CloudClient;
 import io.cherryspool.controller.fleet.Fleet;
 import io.cherryspool.controller.fleet.FleetPermissions;
-import io.cherryspool.controller.fleet.MachineEligibility;
 import io.cherryspool.controller.fleet.MachineState;
 import io.cherryspool.controller.metrics.Meters;
 import io.cherryspool.controller.ownership.FencingTokenSource;
@@ -26,23 +25,16 @@
 import io.cherryspool.controller.timing.Timings;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.lifecycle.Lifecycle;
-import io.cherryspool.model.Durations;
-import io.cherryspool.model.FencingToken;
 import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Team;
 import io.cherryspool.model.WorkerCommand;
 import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.reachability.FleetReachability;
-import io.cherryspool.recovery.Reconciliation;
 import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.JobRecord;
-import io.cherryspool.wire.WorkerProtocol;
 import io.cherryspool.worker.WorkerClient;
 import java.time.Duration;
 import java.time.InstantSource;
-import java.util.HashSet;
-import java.util.Iterator;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -55,173 +47,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term of this node as leader: rebuilds ownership, then runs rounds, until it is stopped. All
- * its memory goes with it; the next leader starts from the records and the workers' reports.
+ * One term of this node as leader: reconciles what runs with the records, then runs rounds, until
+ * it is stopped. All that it knows ends with it; the next leader starts from the records and the
+ * workers' heartbeats.
+ *
+ * <p>Used on the event loop only.
  */
 public final class LeaderTerm implements Lifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
-
-  /** Calls that ask machines for their state at a time; each holds a socket. */
-  private static final int MAX_INSPECTING = 32;
-
-  /** As many while the loop is behind: the machines' own reports bring the same, and go first. */
-  private static final int FEW_INSPECTING = 1;
-
-  /** Orders given in an answer show in the worker's next report, which a change brings soon. */
-  private static final Duration TOLD = Duration.ofMillis(1200);
-
-  /** A live worker answers a call within milliseconds; a lost packet costs some hundred. */
-  private static final Duration SILENCE = Duration.ofMillis(1200);
+  private static final Duration TICK_DURING_FAILOVER = Duration.ofMillis(100);
+  private static final Duration TICK = Duration.ofMillis(250);
 
   private final EventLoop loop;
-  private final ClusterRecords replica;
-  private final WorkerClient workers;
-  private final Timings timings;
-  private final FencingTokenSource tokens;
   private final long term;
-  private final Fleet fleet = new Fleet();
-  private final Ownership ownership;
-  private final PendingReleases pendingReleases = new PendingReleases();
-  private final StopRequests stopRequests = new StopRequests();
-  private final CrashLoopBackoff backoff = new CrashLoopBackoff();
-  private final Adoption adoption;
-  private final WorkerCommandPlanner workerCommands;
-  private final CommandSender commandSender;
-  private final DemandEstimator workload;
+  private final Timings timings;
+  private final Duration termStart;
+  private final TermState state;
   private final SchedulingLoop rounds;
   private final Provisioner provisioner;
-  private final LongConsumer higherTerm;
-  private final Authority authority;
-  private final Optional<Consumer<String>> startMissing;
-  private final Duration started;
-  private final Duration listLag;
-  private final Set<String> toInspect = new LinkedHashSet<>();
-  private final Set<String> inspected = new HashSet<>();
-  private final Set<String> ordered = new LinkedHashSet<>();
-  private final EventLoopLag backlog = new EventLoopLag();
-  private int inspecting;
-  private Duration listed;
-  private boolean placing;
-  private boolean stopped;
+  private final CommandDispatcher dispatcher;
+  private final HeartbeatHandler heartbeats;
+  private final MachineProber prober;
+  private final FailoverReconciliation failover;
+  private final EventLoopLag lag = new EventLoopLag();
   private EventLoop.Timer timer;
 
-  /**
-   * @param committer commits the rounds of this term, and is stopped with it
-   */
-  public LeaderTerm(
-      Services services,
-      TermSettings settings,
-      Authority authority,
-      Findings findings,
-      RoundCommitter committer,
-      long term) {
-    this.loop = services.loop();
-    this.replica = services.records();
-    this.workers = services.workers();
-    this.timings = settings.timings();
-    this.term = term;
-    this.higherTerm = findings.higherTerm();
-    this.authority = authority;
-    this.startMissing = findings.unrecordedStart();
-    this.started = loop.now();
-    this.listLag = settings.provisioning().listLag();
-    this.tokens = new FencingTokenSource(term);
-    this.ownership = new Ownership(replica);
-    this.adoption =
-        replica.isPartialRebuild()
-            ? new Adoption(replica, fleet, tokens, settings.heldClasses())
-            : Adoption.NONE;
-    this.workerCommands = new WorkerCommandPlanner(stopRequests, tokens, pendingReleases, adoption);
-    this.commandSender =
-        new CommandSender(loop, workers, tokens, timings.workerTimeout(), this::commandAnswered);
-    this.workload = new DemandEstimator(replica, pendingReleases, backoff, services.clock());
-    TermState state =
-        new TermState(
-            tokens,
-            fleet,
-            new TaskTracking(ownership, pendingReleases, stopRequests, backoff, adoption),
-            new TerminationEvidence(timings, tokens, stopRequests, started),
-            workload);
-    this.rounds =
-        new SchedulingLoop(
-            loop,
-            replica,
-            committer,
-            state,
-            new PlanningInputs(
-                settings.teams(), services.catalog(), services.clock(), settings.rounds()),
-            services.meters(),
-            new RoundHost(authority.permissions()));
-    this.provisioner =
-        new Provisioner(
-            loop,
-            new Provisioner.Cloud(
-                services.cloud(),
-                settings.provisioning(),
-                replica.instanceRequestPrefix() + term + "-",
-                authority.mayChangeFleet()),
-            new Provisioner.Cluster(
-                fleet, ownership, adoption, rounds, workload, services.catalog()),
-            authority.permissions(),
-            this::inspectListed);
-    ownership.setListener(new Changes());
-  }
-
-  /** What the rounds need of the term. */
-  private final class RoundHost implements SchedulingLoop.Host {
-    private final FleetPermissions permissions;
-
-    RoundHost(FleetPermissions permissions) {
-      this.permissions = permissions;
-    }
-
-    @Override
-    public boolean mayPlace() {
-      return permissions.mayPlace().getAsBoolean();
-    }
-
-    @Override
-    public void commandsChanged() {
-      sendDueCommands();
-    }
-  }
-
-  /** What changes of the records set off. */
-  private final class Changes implements Ownership.Listener {
-    @Override
-    public void machineChanged(String machine) {
-      touched(machine);
-    }
-
-    @Override
-    public void jobChanged(JobRecord entry) {
-      rounds.jobChanged(entry);
-      workload.jobAccepted(entry);
-    }
-
-    @Override
-    public void jobEnded(JobRecord entry) {
-      LOG.info("job {} is {}", entry.job().id(), entry.outcome());
-    }
-
-    @Override
-    public void released(Ownership.OwnedTask owned) {
-      pendingReleases.remove(owned);
-      stopRequests.remove(owned);
-      MachineState machine = fleet.get(owned.attempt().machine());
-      if (machine != null) {
-        machine.commands().removeStart(WorkerCommand.start(owned.id(), owned.attempt().number()));
-      }
-    }
-
-    @Override
-    public void reloaded() {
-      ordered.addAll(ownership.owningMachines());
-      workload.recordsReloaded();
-      rounds.recordsReloaded();
-    }
-  }
-
   /** What a term runs on and calls; it outlives the term. */
   public record Services(
       EventLoop loop,
@@ -267,10 +117,95 @@
    */
   public record Findings(LongConsumer higherTerm, Optional<Consumer<String>> unrecordedStart) {}
 
+  /**
+   * @param committer commits the rounds of this term, and is stopped with it
+   */
+  public LeaderTerm(
+      Services services,
+      TermSettings settings,
+      Authority authority,
+      Findings findings,
+      RoundCommitter committer,
+      long term) {
+    this.term = term;
+    loop = services.loop();
+    timings = settings.timings();
+    termStart = loop.now();
+    state = newState(services, settings);
+    rounds =
+        new SchedulingLoop(
+            loop,
+            services.records(),
+            committer,
+            state,
+            new PlanningInputs(
+                settings.teams(), services.catalog(), services.clock(), settings.rounds()),
+            services.meters(),
+            new RoundHost(authority.permissions()));
+    provisioner = newProvisioner(services, settings, authority);
+    FencingTokenSource tokens = state.tokens();
+    CommandSender sender =
+        new CommandSender(
+            loop, services.workers(), tokens, timings.workerTimeout(), this::commandsAnswered);
+    dispatcher =
+        new CommandDispatcher(
+            loop,
+            state,
+            new WorkerCommandPlanner(tokens, state.tasks()),
+            sender,
+            authority.mayCommandWorkers());
+    HistoryCheck historyCheck = new HistoryCheck(services.records(), tokens, term, findings);
+    heartbeats = new HeartbeatHandler(loop, state, rounds, dispatcher, historyCheck);
+    prober = new MachineProber(loop, state, services.workers(), timings, lag, this::probeAnswered);
+    Duration listLag = settings.provisioning().listLag();
+    failover =
+        new FailoverReconciliation(loop, termStart, timings, listLag, state, rounds, provisioner);
+    state.tasks().ownership().setListener(new OwnershipChanges());
+  }
+
+  private TermState newState(Services services, TermSettings settings) {
+    ClusterRecords records = services.records();
+    FencingTokenSource tokens = new FencingTokenSource(term);
+    Fleet fleet = new Fleet();
+    PendingReleases pendingReleases = new PendingReleases();
+    StopRequests stopRequests = new StopRequests();
+    CrashLoopBackoff backoff = new CrashLoopBackoff();
+    Adoption adoption =
+        records.isPartialRebuild()
+            ? new Adoption(records, fleet, tokens, settings.heldClasses())
+            : Adoption.NONE;
+    return new TermState(
+        tokens,
+        fleet,
+        new TaskTracking(new Ownership(records), pendingReleases, stopRequests, backoff, adoption),
+        new TerminationEvidence(timings, tokens, stopRequests, termStart),
+        new DemandEstimator(records, pendingReleases, backoff, services.clock()));
+  }
+
+  private Provisioner newProvisioner(
+      Services services, TermSettings settings, Authority authority) {
+    return new Provisioner(
+        loop,
+        new Provisioner.Cloud(
+            services.cloud(),
+            settings.provisioning(),
+            services.records().instanceRequestPrefix() + term + "-",
+            authority.mayChangeFleet()),
+        new Provisioner.Cluster(
+            state.fleet(),
+            state.tasks().ownership(),
+            state.tasks().adoption(),
+            rounds,
+            state.demand(),
+            services.catalog()),
+        authority.permissions(),
+        this::machinesListed);
+  }
+
   @Override
   public void start() {
     LOG.info("leading in term {}; rebuilding ownership", term);
-    ownership.start();
+    state.tasks().ownership().start();
     rounds.start();
     provisioner.start();
     tick();
@@ -278,321 +213,142 @@
 
   @Override
   public void stop() {
-    stopped = true;
+    dispatcher.stop();
+    heartbeats.stop();
+    prober.stop();
     LOG.info("no longer leading in term {}", term);
-    ownership.stop();
+    state.tasks().ownership().stop();
     rounds.stop();
     provisioner.stop();
     timer.cancel();
   }
 
+  /** The number of the term. */
   public long term() {
     return term;
   }
 
-  /** How this leader hears its machines. */
+  /** How this leader reaches its machines. */
   public FleetReachability fleetView() {
     Duration lateSince = loop.now().minus(timings.lateAfter());
     FleetReachability.Builder view = new FleetReachability.Builder();
-    for (MachineState machine : fleet.all()) {
+    for (MachineState machine : state.fleet().all()) {
       if (!machine.isDeleted()) {
-        boolean listedNow = provisioner.isListed(machine.name());
-        view.addMachine(machine.zone(), listedNow, machine.contactStanding(lateSince, started));
+        view.addMachine(
+            machine.zone(),
+            provisioner.isListed(machine.name()),
+            machine.contactStanding(lateSince, termStart));
       }
     }
     return view.build();
   }
 
+  /** The machines that this leader knows. */
   public Fleet fleet() {
-    return fleet;
+    return state.fleet();
   }
 
-  /** The records changed: a new job, a cancel, this term's own commits. */
+  /** Has a round run soon, since the records or this node's links have changed. */
   public void recordsChanged() {
     rounds.requestRound();
   }
 
-  /** Answers a report with the current token and the committed commands. */
-  public byte[] handleHeartbeat(WorkerHeartbeat report) {
-    ingest(report);
-    MachineState machine = fleet.get(report.machine());
-    long token = tokens.current();
-    if (machine == null || machine.isDeleted() || !machine.hasHeartbeat()) {
-      return WorkerProtocol.encodeHeartbeatReply(token, List.of());
-    }
-    MachineEligibility standing = rounds.eligibility(machine);
-    boolean waits = machine.contact().recordReply(report, token, loop.now());
-    if (standing.isImprovedBy(rounds.eligibility(machine))) {
-      // Its lease is renewed, so that it may be given work again.
-      rounds.requestRound();
-    }
-    if (!waits || report.agentEpoch() != machine.latestHeartbeat().agentEpoch()) {
-      return WorkerProtocol.encodeHeartbeatReply(token, List.of());
-    }
-    List<WorkerCommand> list =
-        workerCommands.commandsFor(machine, ownership.attemptsOn(machine.name()));
-    machine.commands().recordDelivered(list, token, loop.now());
-    return WorkerProtocol.encodeHeartbeatReply(token, list);
+  /**
+   * Takes in a heartbeat, which may end the term; returns the encoded reply with the current token
+   * and the commands that are due.
+   */
+  public byte[] handleHeartbeat(WorkerHeartbeat heartbeat) {
+    return heartbeats.handle(heartbeat);
   }
 
-  /** The answer to a direct call, or word that there was none. */
-  private void commandAnswered(MachineState machine, WorkerHeartbeat report) {
-    if (report != null) {
-      ingest(report);
+  private void tick() {
+    Duration next = failover.isDone() ? TICK : TICK_DURING_FAILOVER;
+    lag.timerFired(loop.now(), next);
+    timer = loop.schedule(next, this::tick);
+    if (state.tasks().adoption().isOpen()) {
+      failover.checkAdopted();
+      prober.probeLate();
+    } else if (failover.isDone()) {
+      prober.probeLate();
+    } else {
+      failover.checkRebuilt(prober.firstListedAt());
     }
-    // Whether the call may still run bears on what absence proves.
-    touched(machine.name());
+    dispatcher.sendDue();
   }
 
-  /** Something of the machine has changed that may prove an end or ask for a command. */
-  private void touched(String machine) {
-    rounds.machineChanged(machine);
-    ordered.add(machine);
+  private void machinesListed() {
+    prober.machinesListed();
   }
 
-  private void ingest(WorkerHeartbeat report) {
-    if (stopped) {
-      return;
-    }
-    if (report.highestFencingToken() > tokens.current()) {
-      // Of a later leader; or, in a lost history, of another leader in a term of this number.
-      higherTerm.accept(Math.max(FencingToken.term(report.highestFencingToken()), term + 1));
-      return;
-    }
-    MachineState known = fleet.get(report.machine());
-    WorkerHeartbeat before = known == null ? null : known.latestHeartbeat();
-    // What a report repeats was looked at before; records only come to know more.
-    if (startMissing.isPresent()
-        && replica.isReconciled()
-        && report.hasChangedSince(before)
-        && lookForMissingStart(report)) {
-      return;
-    }
-    MachineEligibility standing = rounds.eligibility(known);
-    if (!fleet.accept(report, loop.now())) {
-      return;
-    }
-    MachineState machine = fleet.get(report.machine());
-    // A newer token alone is no news: each round would touch every machine and ask for the next.
-    if (report.hasChangedSince(before)
-        || standing.isImprovedBy(rounds.eligibility(machine))
-        || rounds.willExamine(machine.name())) {
-      touched(machine.name());
-      rounds.requestRound();
-    }
-    if (report.preemptionNotice() != null
-        && (before == null || before.preemptionNotice() == null)) {
-      LOG.info(
-          "machine {} will be taken in {} s",
-          machine.name(),
-          report.preemptionNotice().toSeconds());
-      drain(machine);
-    }
+  private void commandsAnswered(MachineState machine, Optional<WorkerHeartbeat> answer) {
+    answer.ifPresent(heartbeats::accept);
+    // Whether the call may still run bears on what absence proves.
+    machineChanged(machine.name());
   }
 
-  /** This leader has read all that was recorded before its term, and ordered nothing else. */
-  private boolean lookForMissingStart(WorkerHeartbeat report) {
-    for (WorkerHeartbeat.TaskStatus item : report.tasks()) {
-      String job = item.task().jobId();
-      boolean noted = replica.isAbandoned(job) || replica.isUnknownJob(job);
-      if (!noted && !Reconciliation.isStartRecorded(replica.job(job), item)) {
-        startMissing.get().accept(item.task() + " try " + item.attempt());
-        return true;
-      }
-    }
-    return false;
+  private void probeAnswered(MachineState machine, WorkerHeartbeat heartbeat) {
+    heartbeats.accept(heartbeat);
+    dispatcher.fence(machine);
   }
 
-  /** Saves what can be saved on a machine that goes; the rest may still finish in time. */
-  private void drain(MachineState machine) {
-    for (Ownership.OwnedTask owned : ownership.attemptsOn(machine.name())) {
-      Duration save = owned.entry().job().checkpointDuration();
-      boolean saves = !owned.entry().job().checkpointInterval().isZero();
-      if (saves && save.compareTo(machine.latestHeartbeat().preemptionNotice()) < 0) {
-        stopRequests.add(
-            owned.id(), owned.attempt().number(), machine.latestHeartbeat().preemptionNotice());
-        rounds.machineChanged(machine.name());
-      }
-    }
-    sendDueCommands();
+  /** Something about the machine may prove an end or make a command due. */
+  private void machineChanged(String machine) {
+    rounds.machineChanged(machine);
+    dispatcher.machineChanged(machine);
   }
 
-  /** Sends what is due to the machines that something has changed for. */
-  private void sendDueCommands() {
-    if (stopped || !authority.mayCommandWorkers().getAsBoolean()) {
-      return;
-    }
-    Duration now = loop.now();
-    for (Iterator<String> names = ordered.iterator(); names.hasNext(); ) {
-      MachineState machine = fleet.get(names.next());
-      if (machine == null || machine.isDeleted()) {
-        names.remove();
-      } else if (machine.hasHeartbeat() && !machine.commands().isCallInFlight()) {
-        List<WorkerCommand> due =
-            workerCommands.commandsFor(machine, ownership.attemptsOn(machine.name()));
-        due.removeIf(order -> order.action() == WorkerCommand.Action.ACKNOWLEDGE);
-        if (due.isEmpty()) {
-          names.remove();
-          continue;
-        }
-        due.removeIf(order -> machine.commands().wasDeliveredWithin(order, TOLD, now));
-        if (!due.isEmpty()) {
-          commandSender.send(machine, due);
-        }
-      }
-    }
-  }
+  /** What the rounds need of the term. */
+  private final class RoundHost implements SchedulingLoop.Host {
+    private final FleetPermissions permissions;
 
-  private void tick() {
-    Duration next = Duration.ofMillis(placing ? 250 : 100);
-    backlog.timerFired(loop.now(), next);
-    timer = loop.schedule(next, this::tick);
-    if (adoption.isOpen()) {
-      checkAdopted();
-    } else if (placing) {
-      probeLate();
-    } else {
-      checkRebuilt();
+    RoundHost(FleetPermissions permissions) {
+      this.permissions = permissions;
     }
-    sendDueCommands();
-  }
 
-  /**
-   * After a loss of state tasks may run that no record tells of. Placing waits until every machine
-   * that may run one has shown a token of this term, or its lease has surely run out.
-   */
-  private void checkAdopted() {
-    Duration now = loop.now();
-    Duration limit = started.plus(timings.authority()).plus(timings.workerLeaseExpiry());
-    Duration listsAll = started.plus(Durations.multiply(listLag, 2));
-    boolean over = now.compareTo(limit) > 0;
-    if ((over || provisioner.isListReadSince(listsAll) && allFenced())
-        && adoption.isAllRecorded()) {
-      LOG.info(
-          "what ran when the state was lost is taken in after {} ms, {}",
-          now.minus(started).toMillis(),
-          over ? "by time" : "all heard");
-      rounds.recordReconciled();
-    } else {
-      rounds.requestRound();
+    @Override
+    public boolean mayPlace() {
+      return permissions.mayPlace().getAsBoolean();
     }
-    probeLate();
-  }
 
-  private boolean allFenced() {
-    Set<String> names = new HashSet<>(provisioner.listedMachines());
-    names.addAll(ownership.owningMachines());
-    fleet.all().forEach(machine -> names.add(machine.name()));
-    for (String name : names) {
-      MachineState machine = fleet.get(name);
-      boolean fenced = machine != null && machine.contact().hasTokenAbove(tokens.termBase());
-      if (!fenced && !fleet.isDeleted(name)) {
-        return false;
-      }
+    @Override
+    public void commandsChanged() {
+      dispatcher.sendDue();
     }
-    return true;
   }
 
-  /**
-   * Placing waits for every live worker's report. A listed worker that has neither reported nor
-   * answered a call within the silence limit does not count as live; without a list the wait is two
-   * reports' time. What the others own stays owned until its end is proved.
-   */
-  private void checkRebuilt() {
-    Duration now = loop.now();
-    boolean all = listed != null;
-    for (MachineState machine : fleet.all()) {
-      all &= machine.isDeleted() || machine.hasHeartbeat();
-    }
-    for (String name : ownership.owningMachines()) {
-      all &= fleet.isDeleted(name) || fleet.hasSentHeartbeat(name);
-    }
-    Duration limit =
-        listed == null
-            ? started.plus(Durations.multiply(timings.heartbeatInterval(), 2))
-            : listed.plus(SILENCE);
-    if (all || now.compareTo(limit) > 0) {
-      placing = true;
-      LOG.info(
-          "ownership rebuilt from {} machines after {} ms, {}",
-          fleet.all().size(),
-          now.minus(started).toMillis(),
-          all ? "all heard" : "some not heard");
-      rounds.allowPlacing();
+  /** What changes of ownership cause. */
+  private final class OwnershipChanges implements Ownership.Listener {
+    @Override
+    public void machineChanged(String machine) {
+      LeaderTerm.this.machineChanged(machine);
     }
-  }
 
-  /** Calls listed machines that have not reported yet, so that take-over need not wait for them. */
-  private void inspectListed() {
-    listed = listed == null ? loop.now() : listed;
-    for (MachineState machine : fleet.all()) {
-      if (machine.hasEndpoint() && !machine.hasHeartbeat() && inspected.add(machine.name())) {
-        toInspect.add(machine.name());
-      }
+    @Override
+    public void jobChanged(JobRecord job) {
+      rounds.jobChanged(job);
+      state.demand().jobAccepted(job);
     }
-    inspectNext();
-  }
 
-  /**
-   * Calls machines that own tasks and are late, once in each silence: a dead or hung one is known
-   * in half the time that its reports alone would take, and a live one whose reports go astray is
-   * not taken for dead.
-   */
-  private void probeLate() {
-    Duration lateSince = loop.now().minus(timings.lateAfter());
-    for (String name : ownership.owningMachines()) {
-      MachineState machine = fleet.get(name);
-      if (machine != null
-          && !machine.isDeleted()
-          && machine.hasEndpoint()
-          && machine.contact().isProbeDue(lateSince)) {
-        machine.contact().recordProbe();
-        toInspect.add(name);
-      }
+    @Override
+    public void jobEnded(JobRecord job) {
+      LOG.info("job ended: job={}, outcome={}", job.job().id(), job.outcome());
     }
-    inspectNext();
-  }
 
-  /**
-   * A few at a time: a thousand calls at once would take all sockets, and all of the processor. On
-   * 7.6% of a core they did so after each take-over, so that reports were answered too late and a
-   * thousand tasks lost their leases after a single controller had ended.
-   */
-  private void inspectNext() {
-    int most = backlog.isBehind() ? FEW_INSPECTING : MAX_INSPECTING;
-    while (inspecting < most && !toInspect.isEmpty() && !stopped) {
-      Iterator<String> first = toInspect.iterator();
-      MachineState machine = fleet.get(first.next());
-      first.remove();
-      if (machine == null || machine.isDeleted() || machine.contact().hasHeartbeatSinceProbe()) {
-        continue;
+    @Override
+    public void released(Ownership.OwnedTask owned) {
+      state.tasks().pendingReleases().remove(owned);
+      state.tasks().stopRequests().remove(owned);
+      MachineState machine = state.fleet().get(owned.attempt().machine());
+      if (machine != null) {
+        machine.commands().removeStart(WorkerCommand.start(owned.id(), owned.attempt().number()));
       }
-      inspecting++;
-      Duration asked = loop.now();
-      workers
-          .requestHeartbeat(machine.endpoint())
-          .whenComplete(
-              (report, failure) -> {
-                inspecting--;
-                Duration took = loop.now().minus(asked);
-                if (failure == null && !stopped) {
-                  ingest(report);
-                  fence(machine);
-                } else if (!machine.contact().hasHeartbeatSinceProbe()
-                    && took.compareTo(Durations.divide(timings.workerTimeout(), 2)) > 0) {
-                  // A call that fails at once found no socket, which says nothing of the machine.
-                  machine.contact().markUnresponsive();
-                }
-                inspectNext();
-              });
     }
-  }
 
-  private void fence(MachineState machine) {
-    if (machine.hasHeartbeat()
-        && machine.latestHeartbeat().highestFencingToken() < tokens.current()) {
-      commandSender.send(
-          machine, workerCommands.commandsFor(machine, ownership.attemptsOn(machine.name())));
+    @Override
+    public void reloaded() {
+      dispatcher.recordsReloaded();
+      state.demand().recordsReloaded();
+      rounds.recordsReloaded();
     }
   }
 }
--- a/src/main/java/io/cherryspool/controller/leader/WorkerCommandPlanner.java
+++ b/src/main/java/io/cherryspool/controller/leader/WorkerCommandPlanner.java
@@ -3,88 +3,106 @@
 import io.cherryspool.controller.fleet.MachineState;
 import io.cherryspool.controller.ownership.FencingTokenSource;
 import io.cherryspool.controller.ownership.Ownership;
-import io.cherryspool.controller.ownership.StopRequests;
-import io.cherryspool.controller.release.PendingReleases;
-import io.cherryspool.controller.rounds.Adoption;
+import io.cherryspool.controller.rounds.TaskTracking;
 import io.cherryspool.model.WorkerCommand;
 import io.cherryspool.model.WorkerHeartbeat;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * What a worker is to do, from the committed records and its newest message alone. The same
- * commands come again until a message shows them done, so none is lost with an answer.
+ * Plans what a worker is to do, from the committed records and its newest heartbeat alone. The same
+ * commands come again until a heartbeat shows them done, so that none is lost with a reply.
+ *
+ * <p>Used on the event loop only.
  */
 final class WorkerCommandPlanner {
-  private final StopRequests stopRequests;
   private final FencingTokenSource tokens;
-  private final PendingReleases pendingReleases;
-  private final Adoption adoption;
+  private final TaskTracking tasks;
 
-  WorkerCommandPlanner(
-      StopRequests stopRequests,
-      FencingTokenSource tokens,
-      PendingReleases pendingReleases,
-      Adoption adoption) {
-    this.stopRequests = stopRequests;
+  WorkerCommandPlanner(FencingTokenSource tokens, TaskTracking tasks) {
     this.tokens = tokens;
-    this.pendingReleases = pendingReleases;
-    this.adoption = adoption;
+    this.tasks = tasks;
   }
 
+  /**
+   * The commands that are due; the list is the caller's to change.
+   *
+   * @param machine has sent a heartbeat in this term
+   * @param owned the tasks that the records give to the machine
+   */
   List<WorkerCommand> commandsFor(MachineState machine, List<Ownership.OwnedTask> owned) {
-    WorkerHeartbeat latest = machine.latestHeartbeat();
     List<WorkerCommand> commands = new ArrayList<>();
-    for (WorkerHeartbeat.TaskStatus item : latest.tasks()) {
-      Ownership.OwnedTask owner = owner(item, owned, latest.agentEpoch());
+    for (WorkerHeartbeat.TaskStatus status : machine.latestHeartbeat().tasks()) {
+      Ownership.OwnedTask owner = findOwned(status, owned, machine);
       if (owner != null) {
-        Duration grace = stopRequests.gracePeriodFor(owner).orElse(null);
-        boolean running =
-            item.state() == WorkerHeartbeat.TaskState.FETCHING
-                || item.state() == WorkerHeartbeat.TaskState.RUNNING;
-        boolean cutShort =
-            item.state() == WorkerHeartbeat.TaskState.CHECKPOINTING
-                && grace != null
-                && grace.isZero();
-        if (grace != null && (running || cutShort)) {
-          commands.add(WorkerCommand.stop(item.task(), item.attempt(), grace));
-        }
-      } else if (adoption.mustLeaveUntouched(machine, item)) {
-        // The records lack what happened last, and this may be part of it.
-        continue;
-      } else if (item.state() != WorkerHeartbeat.TaskState.EXITED) {
-        // The records give this task to nobody, or to another attempt: nobody may run it here.
-        commands.add(WorkerCommand.stop(item.task(), item.attempt(), Duration.ZERO));
-      } else if (latest.highestFencingToken() > tokens.termBase() && machine.areCommandsFenced()) {
-        commands.add(WorkerCommand.acknowledge(item.task(), item.attempt()));
+        addStop(commands, status, owner);
+      } else {
+        addEnd(commands, status, machine);
       }
     }
-    if (adoption.isOpen()) {
+    if (tasks.adoption().isOpen()) {
       // What is owned and not here may run elsewhere as a later attempt.
       return commands;
     }
     for (Ownership.OwnedTask item : owned) {
-      boolean here = item.attempt().agentEpoch() == latest.agentEpoch();
-      if (here
-          && item.entry().outcome() == null
-          && !adoption.isHeldBack(item.entry())
-          && !stopRequests.isRequested(item)
-          // An attempt that has ended must not run once more while its end waits to be written.
-          && !pendingReleases.contains(item)
-          && machine.contact().findTask(item.id(), item.attempt().number()).isEmpty()) {
+      if (isStartDue(item, machine)) {
         commands.add(WorkerCommand.start(item.id(), item.attempt().number()));
       }
     }
     return commands;
   }
 
-  private static Ownership.OwnedTask owner(
-      WorkerHeartbeat.TaskStatus item, List<Ownership.OwnedTask> owned, long session) {
+  /** For a task that the machine owns: it goes on, unless its stop is requested. */
+  private void addStop(
+      List<WorkerCommand> commands, WorkerHeartbeat.TaskStatus status, Ownership.OwnedTask owned) {
+    Optional<Duration> gracePeriod = tasks.stopRequests().gracePeriodFor(owned);
+    if (gracePeriod.isEmpty()) {
+      return;
+    }
+    boolean isRunning =
+        status.state() == WorkerHeartbeat.TaskState.FETCHING
+            || status.state() == WorkerHeartbeat.TaskState.RUNNING;
+    boolean isCutShort =
+        status.state() == WorkerHeartbeat.TaskState.CHECKPOINTING && gracePeriod.get().isZero();
+    if (isRunning || isCutShort) {
+      commands.add(WorkerCommand.stop(status.task(), status.attempt(), gracePeriod.get()));
+    }
+  }
+
+  /** For a task that the records give to no machine, or to another attempt. */
+  private void addEnd(
+      List<WorkerCommand> commands, WorkerHeartbeat.TaskStatus status, MachineState machine) {
+    if (tasks.adoption().mustLeaveUntouched(machine, status)) {
+      // The records lack what happened last, and this may be part of it.
+      return;
+    }
+    if (status.state() != WorkerHeartbeat.TaskState.EXITED) {
+      commands.add(WorkerCommand.stop(status.task(), status.attempt(), Duration.ZERO));
+    } else if (machine.contact().hasTokenAbove(tokens.termBase()) && machine.areCommandsFenced()) {
+      commands.add(WorkerCommand.acknowledge(status.task(), status.attempt()));
+    }
+  }
+
+  private boolean isStartDue(Ownership.OwnedTask owned, MachineState machine) {
+    return owned.attempt().agentEpoch() == machine.latestHeartbeat().agentEpoch()
+        && owned.entry().outcome() == null
+        && !tasks.adoption().isHeldBack(owned.entry())
+        && !tasks.stopRequests().isRequested(owned)
+        // An attempt that has ended must not run once more while its end waits to be written.
+        && !tasks.pendingReleases().contains(owned)
+        && machine.contact().findTask(owned.id(), owned.attempt().number()).isEmpty();
+  }
+
+  /** The owned task that the status is of, null if there is none. */
+  private static Ownership.OwnedTask findOwned(
+      WorkerHeartbeat.TaskStatus status, List<Ownership.OwnedTask> owned, MachineState machine) {
+    long epoch = machine.latestHeartbeat().agentEpoch();
     for (Ownership.OwnedTask candidate : owned) {
-      if (candidate.attempt().number() == item.attempt()
-          && candidate.attempt().agentEpoch() == session
-          && candidate.id().equals(item.task())) {
+      if (candidate.attempt().number() == status.attempt()
+          && candidate.attempt().agentEpoch() == epoch
+          && candidate.id().equals(status.task())) {
         return candidate;
       }
     }
--- a/src/test/java/io/cherryspool/controller/leader/TerminationEvidenceTest.java
+++ b/src/test/java/io/cherryspool/controller/release/TerminationEvidenceTest.java
@@ -1,4 +1,4 @@
-package io.cherryspool.controller.leader;
+package io.cherryspool.controller.release;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,9 +7,6 @@
 import io.cherryspool.controller.ownership.FencingTokenSource;
 import io.cherryspool.controller.ownership.Ownership;
 import io.cherryspool.controller.ownership.StopRequests;
-import io.cherryspool.controller.release.PendingReleases;
-import io.cherryspool.controller.release.TerminationEvidence;
-import io.cherryspool.controller.rounds.Adoption;
 import io.cherryspool.controller.timing.Timings;
 import io.cherryspool.model.Attempt;
 import io.cherryspool.model.Job;
@@ -43,8 +40,6 @@
   private final StopRequests stopRequests = new StopRequests();
   private final TerminationEvidence evidence =
       new TerminationEvidence(timings, tokens, stopRequests, START);
-  private final WorkerCommandPlanner workerCommands =
-      new WorkerCommandPlanner(stopRequests, tokens, new PendingReleases(), Adoption.NONE);
   private final MachineState machine = new MachineState("host-1", "box", "a", false, START);
   private final Job job = JobFixture.job("req-000001", Priority.NORMAL, 1, 1);
   private final Ownership.OwnedTask owned =
@@ -54,14 +49,17 @@
           new Attempt(0, "host-1", 3, 1, tokens.termBase() - 7));
   private long sequence;
 
-  private void hears(
-      long session, long token, WorkerHeartbeat.TaskState state, WorkerHeartbeat.ExitCause cause) {
+  private void receive(
+      long agentEpoch,
+      long token,
+      WorkerHeartbeat.TaskState state,
+      WorkerHeartbeat.ExitCause cause) {
     List<WorkerHeartbeat.TaskStatus> tasks =
         state == null ? List.of() : List.of(new WorkerHeartbeat.TaskStatus(TASK, 1, state, cause));
-    WorkerHeartbeat report =
+    WorkerHeartbeat heartbeat =
         new WorkerHeartbeat(
-            "host-1", "127.0.0.1:1", "box", "a", false, session, ++sequence, token, null, tasks);
-    assertTrue(machine.contact().accept(report, START.plusSeconds(1)));
+            "host-1", "127.0.0.1:1", "box", "a", false, agentEpoch, ++sequence, token, null, tasks);
+    assertTrue(machine.contact().accept(heartbeat, START.plusSeconds(1)));
   }
 
   private TerminationEvidence.Verdict at(double seconds) {
@@ -71,12 +69,12 @@
   @Test
   void absenceProvesNothingWhileAStartMayStillRun() {
     stopRequests.add(TASK, 1, Duration.ZERO);
-    hears(3, tokens.termBase() - 1, null, null);
+    receive(3, tokens.termBase() - 1, null, null);
     assertEquals(
         TerminationEvidence.Verdict.NEEDS_FENCING,
         at(2),
         "an earlier leader's start is not fenced yet");
-    hears(3, tokens.current(), null, null);
+    receive(3, tokens.current(), null, null);
     assertEquals(TerminationEvidence.Verdict.ENDED, at(2));
     machine
         .commands()
@@ -86,37 +84,31 @@
         at(2),
         "this leader's own start may be on its way");
     tokens.advance();
-    hears(3, tokens.current(), null, null);
+    receive(3, tokens.current(), null, null);
     assertEquals(TerminationEvidence.Verdict.ENDED, at(2));
   }
 
   @Test
   void absenceProvesNothingOfATaskThatIsStillWanted() {
-    hears(3, tokens.current(), null, null);
+    receive(3, tokens.current(), null, null);
     assertEquals(TerminationEvidence.Verdict.OWNED, at(2));
-    assertEquals(
-        List.of(WorkerCommand.start(TASK, 1)), workerCommands.commandsFor(machine, List.of(owned)));
   }
 
-  /** After it is forgotten, a start that is still under way would run the attempt once more. */
+  /** A start that is still under way could run the attempt once more. */
   @Test
-  void anEndedAttemptIsNeitherFreedNorForgottenWhileACommandHasNoAnswer() {
+  void anEndedAttemptIsNotFreedWhileACommandHasNoAnswer() {
     machine.commands().beginCall(List.of(), tokens.current());
     machine.commands().callFailed(START);
-    hears(3, tokens.current(), WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR);
+    receive(3, tokens.current(), WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR);
     assertEquals(TerminationEvidence.Verdict.NEEDS_FENCING, at(2));
-    assertEquals(List.of(), workerCommands.commandsFor(machine, List.of()), "not forgotten either");
     tokens.advance();
-    hears(3, tokens.current(), WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR);
+    receive(3, tokens.current(), WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR);
     assertEquals(TerminationEvidence.Verdict.FAILED, at(2));
-    assertEquals(
-        List.of(WorkerCommand.acknowledge(TASK, 1)),
-        workerCommands.commandsFor(machine, List.of()));
   }
 
   @Test
-  void aLaterSessionOrADeletionIsProofAndAnOlderMessageIsNot() {
-    hears(4, tokens.termBase() - 1, null, null);
+  void aLaterAgentEpochOrADeletionIsProofAndAnOlderHeartbeatIsNot() {
+    receive(4, tokens.termBase() - 1, null, null);
     assertEquals(TerminationEvidence.Verdict.LOST, at(2));
     WorkerHeartbeat old =
         new WorkerHeartbeat("host-1", "127.0.0.1:1", "box", "a", false, 3, 99, 0, null, List.of());
@@ -127,7 +119,7 @@
   }
 
   @Test
-  void aSilentMachineLapsesOnlyWhenNoLeaderCanHaveKeptItAlive() {
+  void aSilentMachineIsLostOnlyWhenNoLeaderCanHaveKeptItAlive() {
     double earlier = AUTHORITY.toSeconds() + LEASE.toSeconds();
     assertEquals(
         TerminationEvidence.Verdict.OWNED,
@@ -137,8 +129,8 @@
     assertEquals(
         TerminationEvidence.Verdict.OWNED,
         evidence.assess(owned, null, START.plusMillis((long) (earlier * 1000) - 100)),
-        "nor is a machine never heard of any sooner free");
-    hears(3, tokens.current(), WorkerHeartbeat.TaskState.RUNNING, null);
+        "nor is a machine that was never seen free any sooner");
+    receive(3, tokens.current(), WorkerHeartbeat.TaskState.RUNNING, null);
     machine
         .contact()
         .recordReply(machine.latestHeartbeat(), tokens.current(), START.plusSeconds(4));
@@ -147,13 +139,12 @@
   }
 
   /**
-   * A machine whose reports went astray while it answered direct calls began a new session, was
-   * given work there, and had it taken for lapsed at once, by the last answer in the session
-   * before.
+   * A machine whose heartbeats were lost while it answered direct calls began a new agent epoch,
+   * was given work there, and had it taken for lost at once, by the last reply in the epoch before.
    */
   @Test
-  void aSessionLivesForALeaseFromItsStartWithoutAnyAnswer() {
-    hears(2, tokens.current(), null, null);
+  void anAgentEpochLivesForALeaseFromItsStartWithoutAnyReply() {
+    receive(2, tokens.current(), null, null);
     machine
         .contact()
         .recordReply(machine.latestHeartbeat(), tokens.current(), START.plusSeconds(4));
@@ -175,12 +166,4 @@
     assertEquals(TerminationEvidence.Verdict.OWNED, at(30 + LEASE.toSeconds() - 0.1));
     assertEquals(TerminationEvidence.Verdict.LOST, at(30 + LEASE.toSeconds() + 0.1));
   }
-
-  @Test
-  void aTaskThatTheRecordsGiveToNobodyIsStopped() {
-    hears(3, tokens.current(), WorkerHeartbeat.TaskState.RUNNING, null);
-    assertEquals(
-        List.of(WorkerCommand.stop(TASK, 1, Duration.ZERO)),
-        workerCommands.commandsFor(machine, List.of()));
-  }
 }
