--- a/src/main/java/io/cherryspool/controller/leader/CommandDispatcher.java
+++ b/src/main/java/io/cherryspool/controller/leader/CommandDispatcher.java
@@ -33,6 +33,8 @@
   private boolean stopped;
 
   /**
+   * Creates a dispatcher with no machine to consider.
+   *
    * @param mayCommandWorkers whether the leader may act for the controllers now
    */
   CommandDispatcher(
--- a/src/main/java/io/cherryspool/controller/leader/CommandSender.java
+++ b/src/main/java/io/cherryspool/controller/leader/CommandSender.java
@@ -37,6 +37,8 @@
   }
 
   /**
+   * Creates a sender; what is under way is kept with the machines.
+   *
    * @param pauseAfterFailure for how long a machine is sent nothing after a call without an answer
    */
   CommandSender(
--- a/src/main/java/io/cherryspool/controller/leader/FailoverReconciliation.java
+++ b/src/main/java/io/cherryspool/controller/leader/FailoverReconciliation.java
@@ -38,6 +38,8 @@
   private boolean done;
 
   /**
+   * Creates the reconciliation of a term that begins.
+   *
    * @param termStart when this leader's term began
    * @param listLag after so long the cloud's list shows a new machine
    */
--- a/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
@@ -5,21 +5,13 @@
 import io.cherryspool.controller.fleet.FleetPermissions;
 import io.cherryspool.controller.fleet.MachineState;
 import io.cherryspool.controller.metrics.Meters;
-import io.cherryspool.controller.ownership.FencingTokenSource;
-import io.cherryspool.controller.ownership.Ownership;
-import io.cherryspool.controller.ownership.StopRequests;
 import io.cherryspool.controller.provisioning.Provisioner;
 import io.cherryspool.controller.provisioning.ProvisioningLimits;
-import io.cherryspool.controller.release.CrashLoopBackoff;
-import io.cherryspool.controller.release.PendingReleases;
-import io.cherryspool.controller.release.TerminationEvidence;
 import io.cherryspool.controller.rounds.Adoption;
-import io.cherryspool.controller.rounds.DemandEstimator;
 import io.cherryspool.controller.rounds.PlanningInputs;
 import io.cherryspool.controller.rounds.RoundCommitter;
 import io.cherryspool.controller.rounds.RoundLimits;
 import io.cherryspool.controller.rounds.SchedulingLoop;
-import io.cherryspool.controller.rounds.TaskTracking;
 import io.cherryspool.controller.rounds.TermState;
 import io.cherryspool.controller.timing.EventLoopLag;
 import io.cherryspool.controller.timing.Timings;
@@ -27,11 +19,9 @@
 import io.cherryspool.lifecycle.Lifecycle;
 import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Team;
-import io.cherryspool.model.WorkerCommand;
 import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.reachability.FleetReachability;
 import io.cherryspool.store.ClusterRecords;
-import io.cherryspool.store.JobRecord;
 import io.cherryspool.worker.WorkerClient;
 import java.time.Duration;
 import java.time.InstantSource;
@@ -118,6 +108,8 @@
   public record Findings(LongConsumer higherTerm, Optional<Consumer<String>> unrecordedStart) {}
 
   /**
+   * Creates a term that has not started.
+   *
    * @param committer commits the rounds of this term, and is stopped with it
    */
   public LeaderTerm(
@@ -131,55 +123,49 @@
     loop = services.loop();
     timings = settings.timings();
     termStart = loop.now();
-    state = newState(services, settings);
-    rounds =
-        new SchedulingLoop(
-            loop,
-            services.records(),
-            committer,
-            state,
-            new PlanningInputs(
-                settings.teams(), services.catalog(), services.clock(), settings.rounds()),
-            services.meters(),
-            new RoundHost(authority.permissions()));
+    state =
+        TermState.create(
+            term, termStart, services.records(), services.clock(), timings, settings.heldClasses());
+    rounds = newRounds(services, settings, committer, authority.permissions());
     provisioner = newProvisioner(services, settings, authority);
-    FencingTokenSource tokens = state.tokens();
     CommandSender sender =
         new CommandSender(
-            loop, services.workers(), tokens, timings.workerTimeout(), this::commandsAnswered);
+            loop,
+            services.workers(),
+            state.tokens(),
+            timings.workerTimeout(),
+            this::commandsAnswered);
     dispatcher =
         new CommandDispatcher(
             loop,
             state,
-            new WorkerCommandPlanner(tokens, state.tasks()),
+            new WorkerCommandPlanner(state.tokens(), state.tasks()),
             sender,
             authority.mayCommandWorkers());
-    HistoryCheck historyCheck = new HistoryCheck(services.records(), tokens, term, findings);
+    HistoryCheck historyCheck =
+        new HistoryCheck(services.records(), state.tokens(), term, findings);
     heartbeats = new HeartbeatHandler(loop, state, rounds, dispatcher, historyCheck);
     prober = new MachineProber(loop, state, services.workers(), timings, lag, this::probeAnswered);
     Duration listLag = settings.provisioning().listLag();
     failover =
         new FailoverReconciliation(loop, termStart, timings, listLag, state, rounds, provisioner);
-    state.tasks().ownership().setListener(new OwnershipChanges());
+    state.tasks().ownership().setListener(new OwnershipChangeHandler(state, rounds, dispatcher));
   }
 
-  private TermState newState(Services services, TermSettings settings) {
-    ClusterRecords records = services.records();
-    FencingTokenSource tokens = new FencingTokenSource(term);
-    Fleet fleet = new Fleet();
-    PendingReleases pendingReleases = new PendingReleases();
-    StopRequests stopRequests = new StopRequests();
-    CrashLoopBackoff backoff = new CrashLoopBackoff();
-    Adoption adoption =
-        records.isPartialRebuild()
-            ? new Adoption(records, fleet, tokens, settings.heldClasses())
-            : Adoption.NONE;
-    return new TermState(
-        tokens,
-        fleet,
-        new TaskTracking(new Ownership(records), pendingReleases, stopRequests, backoff, adoption),
-        new TerminationEvidence(timings, tokens, stopRequests, termStart),
-        new DemandEstimator(records, pendingReleases, backoff, services.clock()));
+  private SchedulingLoop newRounds(
+      Services services,
+      TermSettings settings,
+      RoundCommitter committer,
+      FleetPermissions permissions) {
+    return new SchedulingLoop(
+        loop,
+        services.records(),
+        committer,
+        state,
+        new PlanningInputs(
+            settings.teams(), services.catalog(), services.clock(), settings.rounds()),
+        services.meters(),
+        new RoundHost(permissions));
   }
 
   private Provisioner newProvisioner(
@@ -199,7 +185,7 @@
             state.demand(),
             services.catalog()),
         authority.permissions(),
-        this::machinesListed);
+        () -> prober.machinesListed());
   }
 
   @Override
@@ -276,10 +262,6 @@
     dispatcher.sendDue();
   }
 
-  private void machinesListed() {
-    prober.machinesListed();
-  }
-
   private void commandsAnswered(MachineState machine, Optional<WorkerHeartbeat> answer) {
     answer.ifPresent(heartbeats::accept);
     // Whether the call may still run bears on what absence proves.
@@ -315,40 +297,4 @@
       dispatcher.sendDue();
     }
   }
-
-  /** What changes of ownership cause. */
-  private final class OwnershipChanges implements Ownership.Listener {
-    @Override
-    public void machineChanged(String machine) {
-      LeaderTerm.this.machineChanged(machine);
-    }
-
-    @Override
-    public void jobChanged(JobRecord job) {
-      rounds.jobChanged(job);
-      state.demand().jobAccepted(job);
-    }
-
-    @Override
-    public void jobEnded(JobRecord job) {
-      LOG.info("job ended: job={}, outcome={}", job.job().id(), job.outcome());
-    }
-
-    @Override
-    public void released(Ownership.OwnedTask owned) {
-      state.tasks().pendingReleases().remove(owned);
-      state.tasks().stopRequests().remove(owned);
-      MachineState machine = state.fleet().get(owned.attempt().machine());
-      if (machine != null) {
-        machine.commands().removeStart(WorkerCommand.start(owned.id(), owned.attempt().number()));
-      }
-    }
-
-    @Override
-    public void reloaded() {
-      dispatcher.recordsReloaded();
-      state.demand().recordsReloaded();
-      rounds.recordsReloaded();
-    }
-  }
 }
--- a/src/main/java/io/cherryspool/controller/leader/MachineProber.java
+++ b/src/main/java/io/cherryspool/controller/leader/MachineProber.java
@@ -53,6 +53,8 @@
   private boolean stopped;
 
   /**
+   * Creates a prober without calls.
+   *
    * @param answerListener receives each answer with the machine it is from
    */
   MachineProber(
--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/leader/OwnershipChangeHandler.java
@@ -0,0 +1,63 @@
+package io.cherryspool.controller.leader;
+
+import io.cherryspool.controller.fleet.MachineState;
+import io.cherryspool.controller.ownership.Ownership;
+import io.cherryspool.controller.rounds.SchedulingLoop;
+import io.cherryspool.controller.rounds.TermState;
+import io.cherryspool.model.WorkerCommand;
+import io.cherryspool.store.JobRecord;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Passes changes of ownership on to the parts of the term that they concern.
+ *
+ * <p>Used on the event loop only.
+ */
+final class OwnershipChangeHandler implements Ownership.Listener {
+  private static final Logger LOG = LoggerFactory.getLogger(OwnershipChangeHandler.class);
+
+  private final TermState state;
+  private final SchedulingLoop rounds;
+  private final CommandDispatcher dispatcher;
+
+  OwnershipChangeHandler(TermState state, SchedulingLoop rounds, CommandDispatcher dispatcher) {
+    this.state = state;
+    this.rounds = rounds;
+    this.dispatcher = dispatcher;
+  }
+
+  @Override
+  public void machineChanged(String machine) {
+    rounds.machineChanged(machine);
+    dispatcher.machineChanged(machine);
+  }
+
+  @Override
+  public void jobChanged(JobRecord job) {
+    rounds.jobChanged(job);
+    state.demand().jobAccepted(job);
+  }
+
+  @Override
+  public void jobEnded(JobRecord job) {
+    LOG.info("job ended: job={}, outcome={}", job.job().id(), job.outcome());
+  }
+
+  @Override
+  public void released(Ownership.OwnedTask owned) {
+    state.tasks().pendingReleases().remove(owned);
+    state.tasks().stopRequests().remove(owned);
+    MachineState machine = state.fleet().get(owned.attempt().machine());
+    if (machine != null) {
+      machine.commands().removeStart(WorkerCommand.start(owned.id(), owned.attempt().number()));
+    }
+  }
+
+  @Override
+  public void reloaded() {
+    dispatcher.recordsReloaded();
+    state.demand().recordsReloaded();
+    rounds.recordsReloaded();
+  }
+}
--- a/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
+++ b/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
@@ -60,6 +60,8 @@
   }
 
   /**
+   * Creates an estimator that has seen no jobs and no runs.
+   *
    * @param clock the wall clock, against which the jobs' times of submission count
    */
   public DemandEstimator(
--- a/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
+++ b/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
@@ -59,6 +59,8 @@
   }
 
   /**
+   * Creates a cache without views.
+   *
    * @param failureCap how often a task may fail before it is tried only seldom
    */
   JobViewCache(ClusterRecords records, Fleet fleet, TaskTracking tasks, int failureCap) {
--- a/src/main/java/io/cherryspool/controller/rounds/MachineViewCache.java
+++ b/src/main/java/io/cherryspool/controller/rounds/MachineViewCache.java
@@ -32,6 +32,8 @@
   private final Duration halfLease;
 
   /**
+   * Creates the cache; the views themselves are kept with the machines.
+   *
    * @param maxSilence after so long without a heartbeat a machine is given no work
    * @param halfLease half a worker's lease; a machine that has less left is given no work
    */
--- a/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
@@ -39,6 +39,8 @@
   private boolean stopped;
 
   /**
+   * Creates a committer for the rounds of one term.
+   *
    * @param maxChanges the most changes in a transaction of the state store
    * @param termVersion the version of the term's record, on which every transaction is conditional
    */
--- a/src/main/java/io/cherryspool/controller/rounds/RoundPlanner.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundPlanner.java
@@ -41,6 +41,8 @@
   private RoundPlan lastPlan = RoundPlan.EMPTY;
 
   /**
+   * Creates a planner without a last plan.
+   *
    * @param maxChanges the most changes in a transaction of the state store
    */
   RoundPlanner(
--- a/src/main/java/io/cherryspool/controller/rounds/RoundTransaction.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundTransaction.java
@@ -41,6 +41,8 @@
   private final List<ChangeSet> deferrable = new ArrayList<>();
 
   /**
+   * Creates a transaction without changes.
+   *
    * @param maxChanges the most changes in a transaction of the state store
    */
   RoundTransaction(PendingReleases pendingReleases, int maxChanges) {
--- a/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
+++ b/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
@@ -80,6 +80,7 @@
     void commandsChanged();
   }
 
+  /** Creates a loop that has not started, in the first phase. */
   public SchedulingLoop(
       EventLoop loop,
       ClusterRecords records,
--- a/src/main/java/io/cherryspool/controller/rounds/TermState.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TermState.java
@@ -2,7 +2,16 @@
 
 import io.cherryspool.controller.fleet.Fleet;
 import io.cherryspool.controller.ownership.FencingTokenSource;
+import io.cherryspool.controller.ownership.Ownership;
+import io.cherryspool.controller.ownership.StopRequests;
+import io.cherryspool.controller.release.CrashLoopBackoff;
+import io.cherryspool.controller.release.PendingReleases;
 import io.cherryspool.controller.release.TerminationEvidence;
+import io.cherryspool.controller.timing.Timings;
+import io.cherryspool.store.ClusterRecords;
+import java.time.Duration;
+import java.time.InstantSource;
+import java.util.Set;
 
 /**
  * What one term of a leader knows, shared by its parts. It lives in memory and ends with the term;
@@ -19,4 +28,34 @@
     Fleet fleet,
     TaskTracking tasks,
     TerminationEvidence evidence,
-    DemandEstimator demand) {}
+    DemandEstimator demand) {
+
+  /**
+   * Creates the state of a term that begins, which knows nothing yet.
+   *
+   * @param heldClasses see {@link Adoption}
+   */
+  public static TermState create(
+      long term,
+      Duration termStart,
+      ClusterRecords records,
+      InstantSource clock,
+      Timings timings,
+      Set<String> heldClasses) {
+    FencingTokenSource tokens = new FencingTokenSource(term);
+    Fleet fleet = new Fleet();
+    PendingReleases pendingReleases = new PendingReleases();
+    StopRequests stopRequests = new StopRequests();
+    CrashLoopBackoff backoff = new CrashLoopBackoff();
+    Adoption adoption =
+        records.isPartialRebuild()
+            ? new Adoption(records, fleet, tokens, heldClasses)
+            : Adoption.NONE;
+    return new TermState(
+        tokens,
+        fleet,
+        new TaskTracking(new Ownership(records), pendingReleases, stopRequests, backoff, adoption),
+        new TerminationEvidence(timings, tokens, stopRequests, termStart),
+        new DemandEstimator(records, pendingReleases, backoff, clock));
+  }
+}
--- a/src/main/java/io/cherryspool/controller/rounds/TerminationCollector.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TerminationCollector.java
@@ -34,6 +34,8 @@
   private final Set<String> machinesToExamine = new LinkedHashSet<>();
 
   /**
+   * Creates a collector with nothing to examine.
+   *
    * @param maxSilence after so long without a heartbeat time alone may prove that tasks are lost
    */
   TerminationCollector(TermState state, JobViewCache jobViews, Meters meters, Duration maxSilence) {
--- a/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
@@ -42,15 +42,16 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A leader in simulated time whose workers are reports that the test makes. Neither the cloud nor a
- * worker answers its calls.
+ * A leader in simulated time whose workers are heartbeats that the test makes. Neither the cloud
+ * nor a worker answers its calls.
  */
 final class LeaderTermFixture {
-  static final Duration REPORT = Duration.ofMillis(2500);
-  static final Duration ROUND_MAX = Duration.ofSeconds(1);
+  static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(2500);
+  static final Duration MAX_ROUND_INTERVAL = Duration.ofSeconds(1);
 
   private static final Endpoint ANYWHERE = new Endpoint("127.0.0.1", 1);
-  private static final Duration CALL = Duration.ofSeconds(1);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
+  private static final int MAX_TRANSACTION_CHANGES = 8;
   private static final long TERM = 5;
   private static final List<MachineType> TYPES =
       List.of(
@@ -61,72 +62,86 @@
   private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
   private final FencingTokenSource tokens = new FencingTokenSource(TERM);
   private final LeaderTerm term;
-  private int scheduled;
-  private int wallReadings;
+  private int scheduledTasks;
+  private int clockReadings;
   private long sequence;
 
   LeaderTermFixture() {
-    EventLoop loop = counting();
+    EventLoop loop = countingLoop();
     RateLimiter rateLimiter = new RateLimiter(loop, 1, 1000, 1000);
     StateStoreClient client =
         new StateStoreClient(
-            loop, rateLimiter, new ControlledTransport(time, state), ANYWHERE, CALL);
+            loop, rateLimiter, new ControlledTransport(time, state), ANYWHERE, CALL_TIMEOUT);
     Replica replica =
-        new Replica(loop, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+        new Replica(loop, client, rateLimiter, Duration.ofMillis(5), CALL_TIMEOUT.dividedBy(2));
     replica.start();
     run(Duration.ofMillis(50));
     assertTrue(replica.isLoaded());
-    Transport silent = (to, request, deadline) -> new CompletableFuture<Reply>();
+    RoundCommitter committer =
+        new RoundCommitter(loop, client, rateLimiter, MAX_TRANSACTION_CHANGES, 0);
     term =
         new LeaderTerm(
-            new LeaderTerm.Services(
-                loop,
-                this::clock,
-                replica,
-                new WorkerClient(silent, CALL),
-                new CloudClient(silent, ANYWHERE, CALL),
-                () -> TYPES,
-                new Meters()),
-            new LeaderTerm.TermSettings(
-                timings(),
-                new RoundLimits(
-                    ROUND_MAX,
-                    REPORT.multipliedBy(2),
-                    Duration.ofSeconds(8),
-                    Duration.ofSeconds(150),
-                    20,
-                    8,
-                    Map.of()),
-                new ProvisioningLimits(6, Duration.ofSeconds(6), Duration.ofSeconds(40)),
-                Map.of("red", new Team("red", 0, 0, 0, 0)),
-                Set.of()),
-            new LeaderTerm.Authority(
-                () -> true,
-                () -> false,
-                new FleetPermissions(
-                    () -> true,
-                    () -> true,
-                    zone -> false,
-                    ReachabilityFixture.reachability("node-0", List.of()).machineRule())),
+            services(loop, replica),
+            settings(),
+            authority(),
             new LeaderTerm.Findings(higher -> {}, Optional.empty()),
-            new RoundCommitter(loop, client, rateLimiter, 8, 0),
+            committer,
             TERM);
     replica.onChange(term::recordsChanged);
     term.start();
   }
 
+  private LeaderTerm.Services services(EventLoop loop, Replica replica) {
+    Transport unanswered = (to, request, deadline) -> new CompletableFuture<Reply>();
+    return new LeaderTerm.Services(
+        loop,
+        this::clock,
+        replica,
+        new WorkerClient(unanswered, CALL_TIMEOUT),
+        new CloudClient(unanswered, ANYWHERE, CALL_TIMEOUT),
+        () -> TYPES,
+        new Meters());
+  }
+
+  private static LeaderTerm.TermSettings settings() {
+    return new LeaderTerm.TermSettings(
+        timings(),
+        new RoundLimits(
+            MAX_ROUND_INTERVAL,
+            HEARTBEAT_INTERVAL.multipliedBy(2),
+            Duration.ofSeconds(8),
+            Duration.ofSeconds(150),
+            20,
+            MAX_TRANSACTION_CHANGES,
+            Map.of()),
+        new ProvisioningLimits(6, Duration.ofSeconds(6), Duration.ofSeconds(40)),
+        Map.of("red", new Team("red", 0, 0, 0, 0)),
+        Set.of());
+  }
+
+  private static LeaderTerm.Authority authority() {
+    return new LeaderTerm.Authority(
+        () -> true,
+        () -> false,
+        new FleetPermissions(
+            () -> true,
+            () -> true,
+            zone -> false,
+            ReachabilityFixture.reachability("node-0", List.of()).machineRule()));
+  }
+
   private static Timings timings() {
     return new Timings(
-        REPORT,
+        HEARTBEAT_INTERVAL,
         Duration.ofSeconds(12),
         Duration.ofSeconds(16),
         Duration.ofSeconds(4),
-        CALL,
-        CALL,
+        CALL_TIMEOUT,
+        CALL_TIMEOUT,
         Duration.ofSeconds(5));
   }
 
-  private EventLoop counting() {
+  private EventLoop countingLoop() {
     return new EventLoop() {
       @Override
       public Duration now() {
@@ -135,25 +150,25 @@
 
       @Override
       public Timer schedule(Duration delay, Runnable task) {
-        scheduled++;
+        scheduledTasks++;
         return time.schedule(delay, task);
       }
     };
   }
 
   private Instant clock() {
-    wallReadings++;
+    clockReadings++;
     return Instant.EPOCH.plus(time.now());
   }
 
   /** How many tasks the leader has put on its event loop. */
-  int scheduled() {
-    return scheduled;
+  int scheduledTasks() {
+    return scheduledTasks;
   }
 
   /** How often the wall clock was read: once a planned round while no job comes or ends. */
-  int wallReadings() {
-    return wallReadings;
+  int clockReadings() {
+    return clockReadings;
   }
 
   VirtualTime time() {
@@ -163,22 +178,22 @@
   void run(Duration length) {
     Duration end = time.now().plus(length);
     while (time.runNextEvent(end)) {
-      // Each step may schedule more.
+      // Each event may schedule more.
     }
   }
 
-  /** Some node accepts a job. */
+  /** Records a job as some node does that accepts it. */
   void accept(Job job) {
     StateStoreProtocol.Change change =
         new StateStoreProtocol.Change(Records.jobKey(job.id()), Records.encodeJob(job, 100), 0);
     state.handle(StateStoreProtocol.transactionRequest(Map.of(), List.of(change)));
   }
 
-  /** The next report of a machine that runs so many tasks, as its worker would write it. */
-  byte[] written(String machine, int tasks) {
-    StringBuilder pieces = new StringBuilder();
+  /** The next heartbeat of a machine that runs so many tasks, as its worker would encode it. */
+  byte[] nextHeartbeat(String machine, int tasks) {
+    StringBuilder taskList = new StringBuilder();
     for (int task = 0; task < tasks; task++) {
-      pieces
+      taskList
           .append(task == 0 ? "" : ",")
           .append("{\"piece\":\"req-000001/")
           .append(task)
@@ -189,14 +204,14 @@
             "{\"spindle\":\"%s\",\"endpoint\":\"127.0.0.1:1\",\"build\":\"box\",\"yard\":\"a\","
                 + "\"loaners\":false,\"shift\":1,\"tick\":%d,\"baton\":%d,\"warning_s\":null,"
                 + "\"pieces\":[%s]}",
-            machine, ++sequence, tokens.current(), pieces);
+            machine, ++sequence, tokens.current(), taskList);
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** The leader takes a report in, as it came over the wire, and answers it. */
-  byte[] report(byte[] written) {
+  /** Has the leader receive an encoded heartbeat; returns the encoded reply. */
+  byte[] send(byte[] heartbeat) {
     try {
-      return term.handleHeartbeat(WorkerProtocol.parseHeartbeat(Json.parseObject(written)));
+      return term.handleHeartbeat(WorkerProtocol.parseHeartbeat(Json.parseObject(heartbeat)));
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
