--- a/src/main/java/io/cherryspool/controller/leader/FailoverReconciliation.java
+++ b/src/main/java/io/cherryspool/controller/leader/FailoverReconciliation.java
@@ -66,7 +66,7 @@
   }
 
   /**
-   * After a loss of state tasks may run that no record tells of. Placing waits until every machine
+   * After a loss of state tasks may run that no record holds. Placing waits until every machine
    * that may run one has shown a token of this term, or its lease has surely expired.
    */
   void checkAdopted() {
--- a/src/main/java/io/cherryspool/controller/rounds/Adoption.java
+++ b/src/main/java/io/cherryspool/controller/rounds/Adoption.java
@@ -96,7 +96,7 @@
         && (isAdopting(job.job().id()) || records.heldJobs().contains(job.job().id()));
   }
 
-  /** Whether tasks of the job may still be found that no record tells of. */
+  /** Whether tasks of the job may still be found that no record holds. */
   private boolean isAdopting(String job) {
     return !records.isReconciled() || records.isUnknownJob(job);
   }
--- a/src/main/java/io/cherryspool/controller/rounds/RoundTransaction.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundTransaction.java
@@ -168,8 +168,8 @@
 
   /**
    * The job's outcome, which rests on the ends that are proved and not written yet. They need not
-   * be: a job that is done has no tasks left to tell of, so that one change ends it. Its progress
-   * records go when there is room. With four changes for each single task, of 25 a second,
+   * be: what is done of a job that has ended is of no interest, so that one change ends it. Its
+   * progress records go when there is room. With four changes for each single task, of 25 a second,
    * low-priority work alone took them all.
    */
   private static ChangeSet endOf(JobRecord job, Set<Integer> shards) {
