--- a/src/main/java/io/cherryspool/store/Incarnation.java
+++ b/src/main/java/io/cherryspool/store/Incarnation.java
@@ -2,22 +2,23 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.cherryspool.wire.Json;
+import io.cherryspool.wire.StateStoreProtocol;
 
 /**
  * The identity of the records: which cluster they belong to, and how often its state was rebuilt.
- * Every transaction names the version of the record that holds it, so that none of an earlier
- * incarnation is carried out after the next one was begun.
+ * Every transaction has the version of its record as a condition, so that none of an earlier
+ * incarnation is applied after the next one has begun.
  *
  * @param cluster chosen at the first installation, never changed
  * @param number 0 for the first installation, one more with each rebuild that was begun
  * @param nonce makes the key prefix of a rebuild unique; empty for number 0
- * @param phase whether the records under the prefix are whole
- * @param rebuilder the process that began the rebuild; empty for number 0
- * @param origin the history that the rebuild started from
- * @param isComplete whether the rebuilt picture holds every start that was ever ordered; if not,
- *     the next leaders take in what workers report before they place anything; while it is being
- *     rebuilt, whether the rebuilder remembers every start
- * @param manifest what a whole rebuild consists of, {@link Manifest#NONE} before it is whole
+ * @param phase whether the records under the prefix are complete
+ * @param rebuilder the node that began the rebuild; empty for number 0
+ * @param origin how far the history reached that the rebuild started from
+ * @param isComplete whether the rebuilt records hold every start of a task; if not, the next
+ *     leaders reconcile what workers run before they place anything. During the rebuild: whether
+ *     the rebuilder retains every start
+ * @param manifest the bundles of a finished rebuild, {@link Manifest#NONE} otherwise
  */
 public record Incarnation(
     String cluster,
@@ -31,14 +32,21 @@
 
   /** Whether the records may be read and changed. */
   public enum Phase {
+    /** They are complete. */
     SERVING,
+    /** A node is writing them. */
     REBUILDING
   }
 
-  /** A point of the history: how far a node's memory reaches. */
+  /**
+   * How far the records that a node retains reach.
+   *
+   * @param incarnationNumber the incarnation that they are of, -1 for none
+   * @param revision the revision of the state store within it
+   */
   public record HistoryPosition(long incarnationNumber, long revision)
       implements Comparable<HistoryPosition> {
-    /** Of a node that remembers nothing. */
+    /** Of a node that retains no records; before all others. */
     public static final HistoryPosition NONE = new HistoryPosition(-1, 0);
 
     @Override
@@ -48,14 +56,20 @@
     }
   }
 
-  /** How many bundles a rebuild wrote, and the digest of all of them in order. */
+  /**
+   * The bundles that a rebuild has written.
+   *
+   * @param digest {@link RecordsSnapshotCodec#digest} of the chunks in them, in order
+   */
   public record Manifest(int bundleCount, String digest) {
+    /** Of a rebuild that is not finished, and of a first installation. */
     public static final Manifest NONE = new Manifest(0, "");
   }
 
-  /** The key under which the record is kept, in every incarnation. */
+  /** The key of the identity record, in every incarnation. */
   public static final String KEY = "c/incarnation";
 
+  /** The incarnation that a cluster begins with. */
   public static Incarnation firstInstallation(String cluster) {
     return new Incarnation(
         cluster, 0, "", Phase.SERVING, "", HistoryPosition.NONE, true, Manifest.NONE);
@@ -64,7 +78,7 @@
   /**
    * A rebuild that begins.
    *
-   * @param led whether the rebuilder surely led when the state was lost
+   * @param retainsEveryStart whether the rebuilder was the sole leader when the state was lost
    */
   public static Incarnation newRebuild(
       String cluster,
@@ -72,27 +86,39 @@
       String nonce,
       String rebuilder,
       HistoryPosition origin,
-      boolean led) {
+      boolean retainsEveryStart) {
     return new Incarnation(
-        cluster, number, nonce, Phase.REBUILDING, rebuilder, origin, led, Manifest.NONE);
+        cluster,
+        number,
+        nonce,
+        Phase.REBUILDING,
+        rebuilder,
+        origin,
+        retainsEveryStart,
+        Manifest.NONE);
   }
 
-  /** The same rebuild once all is written. */
-  public Incarnation completed(boolean whole, Manifest written) {
+  /**
+   * The same rebuild once all is written.
+   *
+   * @param holdsEveryStart whether the written records hold every start of a task
+   */
+  public Incarnation completed(boolean holdsEveryStart, Manifest written) {
     return new Incarnation(
-        cluster, number, nonce, Phase.SERVING, rebuilder, origin, whole, written);
+        cluster, number, nonce, Phase.SERVING, rebuilder, origin, holdsEveryStart, written);
   }
 
-  /** What the keys of this incarnation's records begin with. */
+  /** The prefix of this incarnation's keys in the state store. */
   public String prefix() {
     return number == 0 ? Records.PREFIX : Records.PREFIX + "@" + number + "-" + nonce + "/";
   }
 
-  /** The key under which the service keeps a record of this incarnation. */
+  /** The key that the state store has for a key of {@link Records}. */
   public String toPhysical(String key) {
     return prefix() + key.substring(Records.PREFIX.length());
   }
 
+  /** The value of the identity record. */
   public JsonNode encode() {
     return Json.object()
         .put("cluster", cluster)
@@ -107,6 +133,12 @@
         .put("digest", manifest.digest);
   }
 
+  /** Whether an event is an identity record of a rebuild. */
+  static boolean isOfRebuild(StateStoreProtocol.Event event) {
+    return event.key().equals(KEY) && event.value() != null && decode(event.value()).number > 0;
+  }
+
+  /** Reads the value of the identity record; fields that are missing are empty or 0. */
   public static Incarnation decode(JsonNode node) {
     return new Incarnation(
         node.path("cluster").asText(),
--- a/src/main/java/io/cherryspool/store/IncarnationRecords.java
+++ b/src/main/java/io/cherryspool/store/IncarnationRecords.java
@@ -7,43 +7,46 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 
-/** What a reading of all keys says of one incarnation, before any of it is used. */
+/** The records of one incarnation among all keys that were read, before any of them is used. */
 final class IncarnationRecords {
-  private final KeySpace space;
+  private final KeySpace keySpace;
   private final List<StateStoreProtocol.Event> records = new ArrayList<>();
-  private final Map<String, Long> permanent = new HashMap<>();
+  private final Map<String, Long> immutableVersions = new HashMap<>();
   private final TreeMap<String, StateStoreProtocol.Event> bundles = new TreeMap<>();
-  private boolean superseded;
-  private boolean identified;
+  private boolean hasOtherIdentity;
+  private boolean hasIdentity;
   private LastChange lastChange;
 
-  private IncarnationRecords(KeySpace space) {
-    this.space = space;
+  private IncarnationRecords(KeySpace keySpace) {
+    this.keySpace = keySpace;
   }
 
-  static IncarnationRecords parse(Collection<StateStoreProtocol.Event> found, KeySpace space) {
-    IncarnationRecords result = new IncarnationRecords(space);
-    found.forEach(result::take);
+  /** Sorts keys, under the names that the state store has for them, by what they are. */
+  static IncarnationRecords parse(Collection<StateStoreProtocol.Event> entries, KeySpace keySpace) {
+    IncarnationRecords result = new IncarnationRecords(keySpace);
+    entries.forEach(result::add);
     return result;
   }
 
-  private void take(StateStoreProtocol.Event event) {
-    if (event.value() != null && (lastChange == null || event.version() > lastChange.version())) {
+  private void add(StateStoreProtocol.Event event) {
+    boolean isRemoved = event.value() == null;
+    if (!isRemoved && (lastChange == null || event.version() > lastChange.version())) {
       lastChange = new LastChange(event);
     }
     if (event.key().equals(Incarnation.KEY)) {
-      identified = true;
-      superseded = event.version() != space.incarnationVersion();
+      hasIdentity = true;
+      hasOtherIdentity = event.version() != keySpace.incarnationVersion();
       return;
     }
-    String key = space.toLogical(event.key());
+    String key = keySpace.toLogical(event.key());
     if (key == null) {
       return;
     }
-    if (Records.isImmutable(key) && event.value() != null) {
-      permanent.put(key, event.version());
+    if (Records.isImmutable(key) && !isRemoved) {
+      immutableVersions.put(key, event.version());
     }
     StateStoreProtocol.Event logical =
         new StateStoreProtocol.Event(key, event.value(), event.version());
@@ -54,40 +57,41 @@
     }
   }
 
-  /** Whether the incarnation's record is no longer the one that was entered. */
-  boolean superseded() {
-    // Of the first incarnation the record is among the keys; others have a prefix of their own.
-    return superseded || !identified && space.incarnation().number() == 0;
+  /** Whether the incarnation's identity record is no longer the one that was entered. */
+  boolean isSuperseded() {
+    // Only the first incarnation's prefix covers the identity record; after a rebuild it is among
+    // the keys only if it has changed meanwhile.
+    return hasOtherIdentity || !hasIdentity && keySpace.incarnation().number() == 0;
   }
 
-  /** The keys of the incarnation as {@link Records} names them, without its bundles. */
+  /** The records by their keys as {@link Records} names them, without the bundles. */
   List<StateStoreProtocol.Event> records() {
     return records;
   }
 
-  /** The versions of records that are never removed. */
-  Map<String, Long> permanent() {
-    return permanent;
+  /** The versions of the records that are never removed, by key. */
+  Map<String, Long> immutableVersions() {
+    return immutableVersions;
   }
 
-  /** The newest change seen, null if there was none. */
+  /** The newest change among all keys, null if there is none. */
   LastChange lastChange() {
     return lastChange;
   }
 
-  /** A record that was there and is not, or not the same; null if all are. */
-  String firstMissing(Map<String, Long> before) {
-    for (Map.Entry<String, Long> known : before.entrySet()) {
-      if (!known.getValue().equals(permanent.get(known.getKey()))) {
-        return known.getKey();
+  /** The key of a record that is missing here or has another version; empty if there is none. */
+  Optional<String> firstMissing(Map<String, Long> expectedVersions) {
+    for (Map.Entry<String, Long> expected : expectedVersions.entrySet()) {
+      if (!expected.getValue().equals(immutableVersions.get(expected.getKey()))) {
+        return Optional.of(expected.getKey());
       }
     }
-    return null;
+    return Optional.empty();
   }
 
-  /** Whether the bundles are all there, unchanged. */
-  boolean bundlesMatch() {
-    Incarnation.Manifest manifest = space.incarnation().manifest();
+  /** Whether the bundles are those that the incarnation's manifest describes. */
+  boolean hasMatchingBundles() {
+    Incarnation.Manifest manifest = keySpace.incarnation().manifest();
     if (bundles.size() != manifest.bundleCount()) {
       return false;
     }
@@ -104,7 +108,7 @@
   }
 
   /** The chunks of the bundles up to the first that is missing or can't be read. */
-  List<byte[]> firstChunks() {
+  List<byte[]> leadingChunks() {
     List<byte[]> chunks = new ArrayList<>();
     for (int i = 0; bundles.containsKey(Records.bundleKey(i)); i++) {
       try {
--- /dev/null
+++ b/src/main/java/io/cherryspool/store/JobIndex.java
@@ -0,0 +1,224 @@
+package io.cherryspool.store;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.cherryspool.model.Shard;
+import io.cherryspool.store.ClusterRecords.RecordsListener;
+import io.cherryspool.wire.MalformedMessageException;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The records of jobs as objects, and what is noted of jobs since a loss. */
+final class JobIndex {
+  private static final Logger LOG = LoggerFactory.getLogger(JobIndex.class);
+
+  private final KeySpace keySpace;
+  private final List<RecordsListener> listeners = new ArrayList<>();
+  private final Map<String, JobRecord> jobs = new HashMap<>();
+  private final Map<String, JobRecord> active = new HashMap<>();
+
+  /** Jobs of a rebuild. A node that had answered for one may have written its record again. */
+  private final Set<String> rebuilt = new HashSet<>();
+
+  private final Set<String> unknown = new HashSet<>();
+  private final Set<String> abandoned = new HashSet<>();
+  private final Set<String> held = new HashSet<>();
+
+  JobIndex(KeySpace keySpace) {
+    this.keySpace = keySpace;
+  }
+
+  void addListener(RecordsListener listener) {
+    listeners.add(listener);
+  }
+
+  void removeListener(RecordsListener listener) {
+    listeners.remove(listener);
+  }
+
+  /** See {@link ClusterRecords#job}. */
+  JobRecord job(String id) {
+    return jobs.get(id);
+  }
+
+  /** See {@link ClusterRecords#jobs}. */
+  Collection<JobRecord> all() {
+    return Collections.unmodifiableCollection(jobs.values());
+  }
+
+  int count() {
+    return jobs.size();
+  }
+
+  /** See {@link ClusterRecords#activeJobs}. */
+  Collection<JobRecord> active() {
+    return Collections.unmodifiableCollection(active.values());
+  }
+
+  /** See {@link ClusterRecords#unknownJobs}. */
+  Set<String> unknown() {
+    return Collections.unmodifiableSet(unknown);
+  }
+
+  /** See {@link ClusterRecords#isAbandoned}. */
+  boolean isAbandoned(String id) {
+    return abandoned.contains(id);
+  }
+
+  /** See {@link ClusterRecords#heldJobs}. */
+  Set<String> held() {
+    return Collections.unmodifiableSet(held);
+  }
+
+  /** See {@link ClusterRecords#isRebuilt}. */
+  boolean isRebuilt(String id) {
+    return rebuilt.contains(id);
+  }
+
+  /** Whether a job is unknown, abandoned or held. */
+  boolean hasOpenQuestions() {
+    return !unknown.isEmpty() || !abandoned.isEmpty() || !held.isEmpty();
+  }
+
+  /** The value of a job's or an outcome's record as it was written; null if there is none. */
+  JsonNode immutableRecord(String key) {
+    if (key.startsWith(Records.JOBS)) {
+      JobRecord job = jobs.get(key.substring(Records.JOBS.length()));
+      return job == null ? null : Records.encodeJob(job.job(), job.tasksPerShard());
+    }
+    if (key.startsWith(Records.OUTCOMES)) {
+      JobRecord job = jobs.get(key.substring(Records.OUTCOMES.length()));
+      return job == null || job.outcome() == null ? null : Records.encodeOutcome(job.outcome());
+    }
+    return null;
+  }
+
+  /** Drops everything but the listeners, and begins with the jobs of a rebuild. */
+  void replaceAll(Collection<RecordsSnapshot.JobSnapshot> rebuiltJobs) {
+    jobs.clear();
+    active.clear();
+    rebuilt.clear();
+    unknown.clear();
+    abandoned.clear();
+    held.clear();
+    rebuiltJobs.forEach(this::addRebuilt);
+  }
+
+  private void addRebuilt(RecordsSnapshot.JobSnapshot snapshot) {
+    String id = snapshot.job().id();
+    JobRecord job = JobRecord.fromSnapshot(snapshot);
+    jobs.put(id, job);
+    updateActive(job);
+    rebuilt.add(id);
+    snapshot
+        .shards()
+        .keySet()
+        .forEach(shard -> keySpace.addBundled(Records.progressKey(id, shard)));
+  }
+
+  void notifyReloaded() {
+    List.copyOf(listeners).forEach(RecordsListener::onReloaded);
+  }
+
+  /**
+   * Applies a record's new value, or with a null value its removal.
+   *
+   * @return whether the key is one of a job's record
+   */
+  boolean set(String key, JsonNode value, long version) {
+    if (key.startsWith(Records.PROGRESS)) {
+      setProgress(key.substring(Records.PROGRESS.length()), value, version);
+    } else if (key.startsWith(Records.JOBS)) {
+      setJob(key.substring(Records.JOBS.length()), value);
+    } else if (key.startsWith(Records.OUTCOMES)) {
+      setOutcome(key.substring(Records.OUTCOMES.length()), value);
+    } else if (key.startsWith(Records.UNKNOWN)) {
+      setUnknown(key.substring(Records.UNKNOWN.length()), value);
+    } else if (key.startsWith(Records.HELD)) {
+      setMember(held, key.substring(Records.HELD.length()), value != null);
+    } else {
+      return false;
+    }
+    return true;
+  }
+
+  private void setUnknown(String id, JsonNode value) {
+    boolean isGivenUp = value != null && Records.isAbandoned(value);
+    setMember(abandoned, id, isGivenUp);
+    setMember(unknown, id, value != null && !isGivenUp);
+  }
+
+  private void setMember(Set<String> ids, String id, boolean isMember) {
+    if (isMember) {
+      ids.add(id);
+    } else {
+      ids.remove(id);
+    }
+    JobRecord job = jobs.get(id);
+    if (job != null) {
+      notifyChanged(job);
+    }
+  }
+
+  private void setJob(String id, JsonNode value) {
+    if (value == null || rebuilt.contains(id)) {
+      return;
+    }
+    try {
+      JobRecord job = new JobRecord(Records.decodeJob(value), Records.decodeTasksPerShard(value));
+      jobs.put(id, job);
+      active.put(id, job);
+      notifyChanged(job);
+    } catch (MalformedMessageException e) {
+      LOG.error("unreadable record, job={}: {}", id, e.getMessage());
+    }
+  }
+
+  private void setOutcome(String id, JsonNode value) {
+    JobRecord job = jobs.get(id);
+    if (job != null && value != null) {
+      job.setOutcome(Records.decodeOutcome(value));
+      updateActive(job);
+      notifyChanged(job);
+    }
+  }
+
+  /**
+   * @param idAndShard the key without its prefix
+   */
+  private void setProgress(String idAndShard, JsonNode value, long version) {
+    int slash = idAndShard.lastIndexOf('/');
+    JobRecord job = slash < 0 ? null : jobs.get(idAndShard.substring(0, slash));
+    if (job == null) {
+      return;
+    }
+    int shard = Integer.parseInt(idAndShard.substring(slash + 1));
+    // The removal of a record that a bundle holds as well is written as an empty record.
+    boolean isRemoved = value == null || value.isEmpty();
+    JobRecord.VersionedShard record =
+        isRemoved ? null : new JobRecord.VersionedShard(Records.decodeShard(value), version);
+    Shard before = job.setShard(shard, record);
+    updateActive(job);
+    Shard after = record == null ? Shard.EMPTY : record.shard();
+    listeners.forEach(listener -> listener.onProgress(job, before, after));
+  }
+
+  private void notifyChanged(JobRecord job) {
+    listeners.forEach(listener -> listener.onJobChanged(job));
+  }
+
+  private void updateActive(JobRecord job) {
+    if (job.outcome() != null && job.shards().isEmpty()) {
+      active.remove(job.job().id());
+    } else {
+      active.put(job.job().id(), job);
+    }
+  }
+}
--- a/src/main/java/io/cherryspool/store/KeyScan.java
+++ b/src/main/java/io/cherryspool/store/KeyScan.java
@@ -8,71 +8,83 @@
 import java.util.function.Consumer;
 
 /**
- * Reads all keys with a prefix, page by page, as the service has them. Pages are of different
- * moments. Failures are retried until it succeeds or is cancelled.
+ * Reads all keys with a prefix, page by page, under the names that the state store has for them.
+ * Pages are of different revisions. Failures are retried until it succeeds or is cancelled.
+ *
+ * <p>An instance scans once. It is used on the event loop.
  */
 public final class KeyScan {
-  private static final Duration RETRY = Duration.ofMillis(300);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
   private final EventLoop loop;
   private final StateStoreClient client;
   private final RateLimiter rateLimiter;
   private final String prefix;
-  private final Consumer<ScanResult> done;
-  private final List<StateStoreProtocol.Event> found = new ArrayList<>();
+  private final Consumer<ScanResult> onScanned;
+  private final List<StateStoreProtocol.Event> entries = new ArrayList<>();
   private long firstRevision = -1;
-  private boolean cancelled;
+  private boolean isCancelled;
 
   /**
    * All keys that were found.
    *
+   * @param entries in the order of their keys
    * @param firstRevision the revision of the first page; changes since then may be missing
    */
   public record ScanResult(List<StateStoreProtocol.Event> entries, long firstRevision) {}
 
+  /**
+   * @param rateLimiter counts each page, but never delays one
+   * @param onScanned receives the result, unless the scan is cancelled before
+   */
   public KeyScan(
       EventLoop loop,
       StateStoreClient client,
       RateLimiter rateLimiter,
       String prefix,
-      Consumer<ScanResult> done) {
+      Consumer<ScanResult> onScanned) {
     this.loop = loop;
     this.client = client;
     this.rateLimiter = rateLimiter;
     this.prefix = prefix;
-    this.done = done;
+    this.onScanned = onScanned;
   }
 
+  /** Requests the first page. */
   public void start() {
-    read(null);
+    readPage(null);
   }
 
+  /** Ends the scan; no result is delivered after this. */
   public void cancel() {
-    cancelled = true;
+    isCancelled = true;
   }
 
-  private void read(String after) {
-    if (cancelled) {
+  /**
+   * @param after the last key of the page before, null for the first page
+   */
+  private void readPage(String after) {
+    if (isCancelled) {
       return;
     }
     rateLimiter.forceAcquire(0);
-    client.list(prefix, after).whenComplete((page, failure) -> take(after, page, failure));
+    client.list(prefix, after).whenComplete((page, failure) -> receive(after, page, failure));
   }
 
-  private void take(String after, StateStoreProtocol.KeyPage page, Throwable failure) {
-    if (cancelled) {
+  private void receive(String after, StateStoreProtocol.KeyPage page, Throwable failure) {
+    if (isCancelled) {
       return;
     }
     if (failure != null) {
-      loop.schedule(RETRY, () -> read(after));
+      loop.schedule(RETRY_DELAY, () -> readPage(after));
       return;
     }
     firstRevision = firstRevision < 0 ? page.revision() : firstRevision;
-    found.addAll(page.items());
+    entries.addAll(page.items());
     if (page.hasMore() && !page.items().isEmpty()) {
-      read(page.items().get(page.items().size() - 1).key());
+      readPage(page.items().get(page.items().size() - 1).key());
     } else {
-      done.accept(new ScanResult(found, firstRevision));
+      onScanned.accept(new ScanResult(entries, firstRevision));
     }
   }
 }
--- a/src/main/java/io/cherryspool/store/KeySpace.java
+++ b/src/main/java/io/cherryspool/store/KeySpace.java
@@ -11,55 +11,66 @@
 import java.util.Set;
 
 /**
- * Where the records of the present incarnation are in the state service. The rest of the program
- * knows keys as {@link Records} names them; here they get the incarnation's prefix, and each
- * transaction the condition that the incarnation is still the present one.
+ * Maps keys as {@link Records} names them (logical keys) to the keys of the present incarnation in
+ * the state store (physical keys), and fences transactions: each one gets the condition that the
+ * incarnation's identity record is unchanged.
+ *
+ * <p>Used on the event loop.
  */
 public final class KeySpace {
   private Incarnation incarnation;
   private long incarnationVersion;
   private String prefix = Records.PREFIX;
 
-  /** Progress records that are only in a bundle, so that their removal has to be written down. */
+  /** Keys of progress records that a bundle holds, where removing the key would not remove them. */
   private final Set<String> bundled = new HashSet<>();
 
-  /** Enters an incarnation, whose record has this version. */
-  public void enter(Incarnation present, long recordVersion) {
+  /**
+   * Enters an incarnation.
+   *
+   * @param version the version of its identity record
+   */
+  public void enter(Incarnation present, long version) {
     incarnation = present;
-    incarnationVersion = recordVersion;
+    incarnationVersion = version;
     prefix = present.prefix();
     bundled.clear();
   }
 
-  /** The incarnation whose records are used; null before one was entered. */
+  /**
+   * The incarnation whose records are used; null before one was entered, and always on a node
+   * without rollback detection.
+   */
   public Incarnation incarnation() {
     return incarnation;
   }
 
-  /** The version of the record of {@link #incarnation}. */
+  /** The version of the identity record of {@link #incarnation}; 0 before one was entered. */
   public long incarnationVersion() {
     return incarnationVersion;
   }
 
-  /** Whether transactions name the incarnation. */
+  /** Whether transactions have the incarnation as a condition. */
   boolean isFenced() {
     return incarnation != null;
   }
 
-  /** What the keys of all records of the present incarnation begin with. */
+  /** The prefix of the physical keys. */
   String prefix() {
     return prefix;
   }
 
+  /** Notes that a bundle holds the progress record with this logical key. */
   void addBundled(String progressKey) {
     bundled.add(progressKey);
   }
 
+  /** The physical key of a logical one. The identity record's key is both. */
   String toPhysical(String key) {
     return key.equals(Incarnation.KEY) ? key : prefix + key.substring(Records.PREFIX.length());
   }
 
-  /** The key as {@link Records} names it; null if it belongs to another incarnation. */
+  /** The logical key; null if the physical one is of another incarnation. */
   String toLogical(String physical) {
     if (physical.equals(Incarnation.KEY)) {
       return physical;
@@ -71,20 +82,21 @@
     return rest.startsWith("@") ? null : Records.PREFIX + rest;
   }
 
-  Request commit(Map<String, Long> conditions, List<StateStoreProtocol.Change> changes) {
-    Map<String, Long> named = new LinkedHashMap<>();
-    named.put(Incarnation.KEY, incarnationVersion);
-    conditions.forEach((key, value) -> named.put(toPhysical(key), value));
-    List<StateStoreProtocol.Change> mapped = new ArrayList<>();
+  /** A transaction with logical keys, fenced by the incarnation. */
+  Request fencedTransaction(Map<String, Long> conditions, List<StateStoreProtocol.Change> changes) {
+    Map<String, Long> physicalConditions = new LinkedHashMap<>();
+    physicalConditions.put(Incarnation.KEY, incarnationVersion);
+    conditions.forEach((key, value) -> physicalConditions.put(toPhysical(key), value));
+    List<StateStoreProtocol.Change> physicalChanges = new ArrayList<>();
     for (StateStoreProtocol.Change change : changes) {
-      // A bundle is never rewritten. A record that is only in one would be read again from there.
-      boolean tombstone = change.value() == null && bundled.contains(change.key());
-      mapped.add(
+      // A bundle is never rewritten, and the record in it would be valid again.
+      boolean needsTombstone = change.value() == null && bundled.contains(change.key());
+      physicalChanges.add(
           new StateStoreProtocol.Change(
               toPhysical(change.key()),
-              tombstone ? Json.object() : change.value(),
+              needsTombstone ? Json.object() : change.value(),
               change.leaseId()));
     }
-    return StateStoreProtocol.transactionRequest(named, mapped);
+    return StateStoreProtocol.transactionRequest(physicalConditions, physicalChanges);
   }
 }
--- a/src/main/java/io/cherryspool/store/LastChange.java
+++ b/src/main/java/io/cherryspool/store/LastChange.java
@@ -5,9 +5,9 @@
 import java.util.Objects;
 
 /**
- * The last change that a copy has taken in. A reading that covers it must show it, or a later one
- * of the same key. Revisions alone don't tell: after the service was set back a little, a node
- * without memory may write until they have passed what others know.
+ * The last change that a copy has applied. A read of changes that covers it has to show it, or a
+ * later one of the same key. Revisions alone don't prove that: after the state store was set back a
+ * little, a node that retains no records may write until they have passed those that others know.
  */
 record LastChange(String key, long version, JsonNode value) {
 
@@ -15,11 +15,12 @@
     this(event.key(), event.version(), event.value());
   }
 
-  /** After which revision to read, to see this change and everything after {@code revision}. */
+  /** The revision after which to read, to see this change and everything after {@code revision}. */
   long readFrom(long revision) {
     return Math.min(revision, version - 1);
   }
 
+  /** Whether the changes show this one, or a later one of the same key. */
   boolean isIn(StateStoreProtocol.WatchResult changes) {
     for (StateStoreProtocol.Event event : changes.events()) {
       if (event.key().equals(key)) {
--- a/src/main/java/io/cherryspool/store/ReplicaLoader.java
+++ b/src/main/java/io/cherryspool/store/ReplicaLoader.java
@@ -9,104 +9,109 @@
 import java.util.function.LongSupplier;
 
 /**
- * Reads all keys, page by page, then the changes since the first page. Pages are of different
- * moments, so that what was read is whole only after that catching up. Failures are retried until
- * it succeeds or is cancelled.
+ * Reads all keys of the present incarnation by a {@link KeyScan}, then the changes since its first
+ * page: pages are of different revisions, so that only both together are the state at one revision.
+ * Failures are retried until it succeeds or is cancelled.
  */
 final class ReplicaLoader {
-  private static final Duration RETRY = Duration.ofMillis(300);
+  /** In place of a revision: the changes since the first page are read. */
+  static final long SINCE_FIRST_PAGE = -1;
+
+  private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
   private final EventLoop loop;
   private final StateStoreClient client;
   private final RateLimiter rateLimiter;
-  private final LongSupplier atLeast;
+  private final LongSupplier minRevision;
   private final long since;
-  private final Consumer<Loaded> done;
-  private final Map<String, StateStoreProtocol.Event> found = new HashMap<>();
+  private final Consumer<Loaded> onLoaded;
+  private final Map<String, StateStoreProtocol.Event> entries = new HashMap<>();
   private KeyScan scan;
-  private boolean cancelled;
+  private boolean isCancelled;
 
   /**
    * All keys with their values at a revision.
    *
-   * @param sent when the reading that made it whole was sent
+   * @param entries the last event of each key; a removed key has one without a value
+   * @param sentAt when the last read was sent; all that was committed before is included
    */
-  record Loaded(Map<String, StateStoreProtocol.Event> found, long revision, Duration sent) {}
+  record Loaded(Map<String, StateStoreProtocol.Event> entries, long revision, Duration sentAt) {}
 
   /**
-   * @param atLeast the revision that the copy in use has reached; nothing older replaces it
-   * @param since changes since this revision are read as well, -1 for since the first page
+   * @param minRevision the revision that the copy in use has reached; nothing older replaces it
+   * @param since the revision since which changes are read, or {@link #SINCE_FIRST_PAGE}
+   * @param onLoaded receives the result, unless the load is cancelled before
    */
   ReplicaLoader(
       EventLoop loop,
       StateStoreClient client,
       RateLimiter rateLimiter,
-      LongSupplier atLeast,
+      LongSupplier minRevision,
       long since,
-      Consumer<Loaded> done) {
+      Consumer<Loaded> onLoaded) {
     this.loop = loop;
     this.client = client;
     this.rateLimiter = rateLimiter;
-    this.atLeast = atLeast;
+    this.minRevision = minRevision;
     this.since = since;
-    this.done = done;
+    this.onLoaded = onLoaded;
   }
 
   void start() {
-    if (cancelled) {
+    if (isCancelled) {
       return;
     }
-    found.clear();
-    scan = new KeyScan(loop, client, rateLimiter, client.keySpace().prefix(), this::scanned);
+    entries.clear();
+    scan = new KeyScan(loop, client, rateLimiter, client.keySpace().prefix(), this::receiveKeys);
     scan.start();
   }
 
   void cancel() {
-    cancelled = true;
+    isCancelled = true;
     scan.cancel();
   }
 
-  private void scanned(KeyScan.ScanResult all) {
-    all.entries().forEach(item -> found.put(item.key(), item));
-    catchUp(since < 0 ? all.firstRevision() : since);
+  private void receiveKeys(KeyScan.ScanResult all) {
+    all.entries().forEach(entry -> entries.put(entry.key(), entry));
+    readChanges(since == SINCE_FIRST_PAGE ? all.firstRevision() : since);
   }
 
-  private void catchUp(long from) {
-    if (cancelled) {
+  private void readChanges(long from) {
+    if (isCancelled) {
       return;
     }
     rateLimiter.forceAcquire(0);
-    Duration sent = loop.now();
+    Duration sentAt = loop.now();
     client
         .readChanges(Records.PREFIX, from, Duration.ZERO)
         .whenComplete(
             (changes, failure) -> {
               if (failure == null) {
-                take(changes, sent);
+                receiveChanges(changes, sentAt);
               } else if (StateStoreException.kindOf(failure) == StateStoreException.Kind.GONE) {
-                loop.schedule(RETRY, this::start);
+                loop.schedule(RETRY_DELAY, this::start);
               } else {
-                loop.schedule(RETRY, () -> catchUp(from));
+                loop.schedule(RETRY_DELAY, () -> readChanges(from));
               }
             });
   }
 
-  private void take(StateStoreProtocol.WatchResult changes, Duration sent) {
-    if (cancelled) {
+  private void receiveChanges(StateStoreProtocol.WatchResult changes, Duration sentAt) {
+    if (isCancelled) {
       return;
     }
     for (StateStoreProtocol.Event event : changes.events()) {
-      StateStoreProtocol.Event known = found.get(event.key());
+      StateStoreProtocol.Event known = entries.get(event.key());
       if (known == null || known.version() <= event.version()) {
-        found.put(event.key(), event);
+        entries.put(event.key(), event);
       }
     }
-    if (changes.revision() < atLeast.getAsLong()) {
-      // A reading from before was carried out later than this one and has been answered from the
-      // copy. What users were told must not be taken back.
-      catchUp(changes.revision());
+    if (changes.revision() < minRevision.getAsLong()) {
+      // A read that was sent before this one was carried out after it, and callers were answered
+      // from the copy that includes it. What they were told must not be taken back.
+      readChanges(changes.revision());
       return;
     }
-    done.accept(new Loaded(found, changes.revision(), sent));
+    onLoaded.accept(new Loaded(entries, changes.revision(), sentAt));
   }
 }
--- a/src/main/java/io/cherryspool/store/RollbackDetector.java
+++ b/src/main/java/io/cherryspool/store/RollbackDetector.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * Watches over the history that the state service tells: whether each answer belongs to the history
- * that this node knows. Told by {@link StateStoreClient} and {@link ClusterRecords}; called on the
- * event loop.
+ * Detects that the state store lost data or was set back to an earlier revision: checks that each
+ * answer continues the history that this node knows. {@link StateStoreClient} and {@link Replica}
+ * call it on the event loop; what shows a loss makes it suspend the replica.
  */
 public interface RollbackDetector {
 
-  /** How a loss of history shows. */
+  /** What proves a loss. Operators see the names of these constants. */
   enum Loss {
-    /** An answer is older than what was known when its request was sent. */
+    /** An answer has a lower revision than was known when its request was sent. */
     REVISION_WENT_BACK,
     /** The identity record is gone or older than before. */
     INCARNATION_GONE,
@@ -20,46 +20,50 @@
     RECORDS_GONE,
     /** The last change known is not part of the history. */
     CHANGE_MISSING,
-    /** The bundles of a rebuild are not those that its identity record names. */
+    /** The bundles of a rebuild do not match its manifest. */
     BUNDLES_DAMAGED,
-    /** A term that was given out is not recorded. */
+    /** A term that was begun is not recorded. */
     TERM_MISSING,
     /** A lease that was renewed in time is unknown. */
     LEASE_FORGOTTEN,
-    /** A worker has a task of which the records know no such start. */
+    /** A worker runs a task whose start is not recorded. */
     START_MISSING;
 
-    /** Whether somebody else may have led in what was lost, whoever led when it was noticed. */
+    /** Whether another node may have led in the lost part of the history. */
     public boolean showsAnotherLeader() {
       return this == TERM_MISSING || this == START_MISSING;
     }
   }
 
-  /** The least revision that an answer to a request sent now can tell. */
+  /** The lowest revision that the answer to a request sent now may have. */
   long minimumRevision();
 
   /**
-   * Takes in the revision of an answer.
+   * Checks the revision of an answer, and reports a loss if it is too low.
    *
-   * @param floor what {@link #minimumRevision} was when the request was sent, one more for a
-   *     transaction that was applied
-   * @return false if the answer belongs to another history, and must not be used
+   * @param minimum {@link #minimumRevision} when the request was sent, one more for a transaction
+   *     that was applied
+   * @return whether the answer continues the known history; it must not be used otherwise
    */
-  boolean verifyRevision(long floor, long revision);
+  boolean verifyRevision(long minimum, long revision);
 
-  /** The identity record has changed, or a transaction met another version of it. */
+  /** The identity record has changed, or a transaction found another version of it. */
   void onIncarnationChanged();
 
-  /** Something else proves that history was lost. */
+  /**
+   * Reports any other proof of a loss.
+   *
+   * @param detail for the log: what is missing
+   */
   void reportLoss(Loss loss, String detail);
 
-  /** The records of the present incarnation were read as a whole. */
+  /** All records of the present incarnation were read, and are consistent with what is known. */
   void onRecordsLoaded();
 
-  /** A transaction of this node was applied. */
+  /** A transaction of this node was applied at a revision; its keys are logical. */
   void onCommitApplied(List<StateStoreProtocol.Change> changes, long revision);
 
-  /** Of a node that does not look for losses. */
+  /** Detects nothing. */
   RollbackDetector DISABLED =
       new RollbackDetector() {
         @Override
@@ -68,28 +72,28 @@
         }
 
         @Override
-        public boolean verifyRevision(long floor, long revision) {
+        public boolean verifyRevision(long minimum, long revision) {
           return true;
         }
 
         @Override
         public void onIncarnationChanged() {
-          // There is no identity record.
+          // Without recovery there is no identity record.
         }
 
         @Override
         public void reportLoss(Loss loss, String detail) {
-          // Nothing looks for losses.
+          // Losses are not looked for.
         }
 
         @Override
         public void onRecordsLoaded() {
-          // Nothing waits for it.
+          // Nothing depends on it.
         }
 
         @Override
         public void onCommitApplied(List<StateStoreProtocol.Change> changes, long revision) {
-          // Nothing is remembered.
+          // Nothing is retained.
         }
       };
 }
--- a/src/main/java/io/cherryspool/store/SnapshotTracker.java
+++ b/src/main/java/io/cherryspool/store/SnapshotTracker.java
@@ -7,41 +7,41 @@
 import org.pcollections.PMap;
 
 /**
- * Keeps the jobs of a {@link RecordsSnapshot} up to date with the replica. A change is only noted;
- * taking the picture folds in what changed since the last one, and shares all else with it.
+ * Keeps the jobs of a {@link RecordsSnapshot} up to date with a {@link JobIndex}. A change only
+ * marks its job; the next snapshot copies the marked jobs, and shares all others with the last one.
  */
 final class SnapshotTracker implements ClusterRecords.RecordsListener {
-  private final RecordIndex index;
+  private final JobIndex index;
   private final Set<JobRecord> changed = new HashSet<>();
   private PMap<String, RecordsSnapshot.JobSnapshot> jobs = HashTreePMap.empty();
 
-  SnapshotTracker(RecordIndex index) {
+  SnapshotTracker(JobIndex index) {
     this.index = index;
   }
 
-  /** The jobs as the replica has them now. */
+  /** The jobs as the index holds them now. */
   PMap<String, RecordsSnapshot.JobSnapshot> jobs() {
-    for (JobRecord entry : changed) {
-      jobs = jobs.plus(entry.job().id(), RecordsSnapshot.JobSnapshot.copyOf(entry));
+    for (JobRecord job : changed) {
+      jobs = jobs.plus(job.job().id(), RecordsSnapshot.JobSnapshot.copyOf(job));
     }
     changed.clear();
     return jobs;
   }
 
   @Override
-  public void onProgress(JobRecord entry, Shard before, Shard after) {
-    changed.add(entry);
+  public void onProgress(JobRecord job, Shard before, Shard after) {
+    changed.add(job);
   }
 
   @Override
-  public void onJobChanged(JobRecord entry) {
-    changed.add(entry);
+  public void onJobChanged(JobRecord job) {
+    changed.add(job);
   }
 
   @Override
   public void onReloaded() {
     changed.clear();
     jobs = HashTreePMap.empty();
-    changed.addAll(index.jobs());
+    changed.addAll(index.all());
   }
 }
--- a/src/main/java/io/cherryspool/store/StateStoreClient.java
+++ b/src/main/java/io/cherryspool/store/StateStoreClient.java
@@ -16,13 +16,23 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** The state service's calls. Failures are {@link StateStoreException}s. */
+/**
+ * The calls to the state store. Each future fails with a {@link StateStoreException}, or with one
+ * that has it as its cause; {@link StateStoreException#kindOf} reads both.
+ *
+ * <p>An answer that does not continue the history known to the {@link RollbackDetector}, or that
+ * arrives after another incarnation was entered, fails as {@code OUTCOME_UNKNOWN}. Requests are not
+ * held back by the {@link RateLimiter}: callers acquire what they send.
+ */
 public final class StateStoreClient {
-  /** After this part of its deadline a transaction without an answer is sent once more. */
-  private static final int IMPATIENCE = 4;
+  /** A transaction is sent again after this fraction of its deadline. */
+  private static final int HEDGE_DIVISOR = 4;
 
-  /** The most keys that one answer may hold. */
-  private static final int PAGE = 1000;
+  /** The most keys that one page may hold. */
+  private static final int MAX_PAGE_KEYS = 1000;
+
+  private static final int OK = 200;
+  private static final int CONFLICT = 409;
 
   private final EventLoop loop;
   private final RateLimiter rateLimiter;
@@ -30,8 +40,12 @@
   private final Endpoint service;
   private final Duration deadline;
   private final KeySpace keySpace = new KeySpace();
-  private RollbackDetector setRollbackDetector = RollbackDetector.DISABLED;
+  private RollbackDetector detector = RollbackDetector.DISABLED;
 
+  /**
+   * @param rateLimiter counts the second copies of transactions
+   * @param deadline how long a request may take before it fails
+   */
   public StateStoreClient(
       EventLoop loop,
       RateLimiter rateLimiter,
@@ -45,68 +59,80 @@
     this.deadline = deadline;
   }
 
-  /** From now on answers are held against the history that is known. */
-  public void setRollbackDetector(RollbackDetector with) {
-    setRollbackDetector = with;
+  /** Checks answers against the known history from now on. */
+  public void setRollbackDetector(RollbackDetector rollbackDetector) {
+    detector = rollbackDetector;
   }
 
-  /** Where the records' keys are. */
+  /** The mapping of keys that the transactions of this client use. */
   public KeySpace keySpace() {
     return keySpace;
   }
 
-  /** What became of a transaction: applied, or the conditions that failed. */
+  /**
+   * The answer to a transaction.
+   *
+   * @param applied whether it was applied; if not, a condition failed
+   * @param failed the keys whose conditions failed, empty if it was applied
+   * @param revision the revision at which it was applied or refused
+   */
   public record CommitResult(boolean applied, Set<String> failed, long revision) {}
 
   /**
-   * Sends a transaction, and the same once more if there is no answer for a while: an answer may be
-   * lost, or the transaction held up for seconds, while others pass. Its conditions name what it
-   * replaces, so that one copy at most is applied; if the other says so, its conditions fail, and
-   * the caller reads what happened.
+   * Sends a compare-and-swap transaction with logical keys, fenced by the present incarnation if
+   * there is one. It may be sent twice, see {@link HedgedTransaction}: if the second copy is
+   * answered, the conditions fail although the first one was applied, and the records tell.
+   *
+   * @param conditions the versions that keys must have, 0 for a key that must be absent
    */
   public CompletableFuture<CommitResult> commit(
       Map<String, Long> conditions, List<StateStoreProtocol.Change> changes) {
     if (!keySpace.isFenced()) {
-      return send(StateStoreProtocol.transactionRequest(conditions, changes), changes.size());
+      return commitPhysical(conditions, changes);
     }
-    long floor = setRollbackDetector.minimumRevision();
-    Incarnation before = keySpace.incarnation();
-    return send(keySpace.commit(conditions, changes), changes.size())
-        .thenApply(result -> checked(result, floor, before, changes));
+    long minimum = detector.minimumRevision();
+    Incarnation sentIn = keySpace.incarnation();
+    return hedged(keySpace.fencedTransaction(conditions, changes), changes.size())
+        .thenApply(result -> verify(result, minimum, sentIn, changes));
   }
 
   /**
-   * Sends a transaction on keys as the service has them, whatever the incarnation; for what builds
-   * the next one.
+   * Sends a transaction with physical keys and without a fence, for writing the records of the next
+   * incarnation.
    */
   public CompletableFuture<CommitResult> commitPhysical(
       Map<String, Long> conditions, List<StateStoreProtocol.Change> changes) {
-    return send(StateStoreProtocol.transactionRequest(conditions, changes), changes.size());
+    return hedged(StateStoreProtocol.transactionRequest(conditions, changes), changes.size());
+  }
+
+  private CompletableFuture<CommitResult> hedged(Request request, int changeCount) {
+    return new HedgedTransaction(this, rateLimiter, request, changeCount)
+        .send(loop, deadline.dividedBy(HEDGE_DIVISOR));
   }
 
   /**
-   * An answer from another history, or to a transaction of an earlier incarnation, says nothing
-   * that a user may be told: what was applied may have been lost since.
+   * An answer from another history, or to a transaction of an earlier incarnation, must not reach a
+   * user: what was applied may have been lost since.
    */
-  private CommitResult checked(
+  private CommitResult verify(
       CommitResult result,
-      long floor,
-      Incarnation before,
+      long minimum,
+      Incarnation sentIn,
       List<StateStoreProtocol.Change> changes) {
-    if (keySpace.incarnation() != before) {
-      throw overtaken();
+    if (keySpace.incarnation() != sentIn) {
+      throw ofAnotherHistory();
     }
-    boolean known =
-        setRollbackDetector.verifyRevision(result.applied() ? floor + 1 : floor, result.revision());
+    boolean isOfKnownHistory =
+        detector.verifyRevision(result.applied() ? minimum + 1 : minimum, result.revision());
     if (result.failed().contains(Incarnation.KEY)) {
-      setRollbackDetector.onIncarnationChanged();
-      known = false;
+      detector.onIncarnationChanged();
+      isOfKnownHistory = false;
     }
-    if (!known) {
-      throw overtaken();
+    if (!isOfKnownHistory) {
+      throw ofAnotherHistory();
     }
     if (result.applied()) {
-      setRollbackDetector.onCommitApplied(changes, result.revision());
+      detector.onCommitApplied(changes, result.revision());
       return result;
     }
     Set<String> failed = new HashSet<>();
@@ -114,91 +140,49 @@
     return new CommitResult(false, failed, result.revision());
   }
 
-  private CompletableFuture<CommitResult> send(Request request, int changes) {
-    Transaction transaction = new Transaction(request);
-    transaction.send();
-    transaction.timer =
-        loop.schedule(
-            deadline.dividedBy(IMPATIENCE),
-            () -> {
-              if (!transaction.result.isDone()
-                  && rateLimiter.mayWrite(RateLimiter.WriteClass.CANCEL, 0, changes)) {
-                rateLimiter.forceAcquire(changes);
-                transaction.send();
-              }
-            });
-    return transaction.result;
-  }
-
-  /** A transaction with its copies; the first that is answered settles it. */
-  private final class Transaction {
-    private final Request request;
-    private final CompletableFuture<CommitResult> result = new CompletableFuture<>();
-    private Throwable failed;
-    private int open;
-    private EventLoop.Timer timer;
-
-    Transaction(Request request) {
-      this.request = request;
-    }
-
-    void send() {
-      open++;
-      once(request)
-          .whenComplete(
-              (outcome, failure) -> {
-                open--;
-                if (failure == null) {
-                  result.complete(outcome);
-                } else if (failed == null
-                    || StateStoreException.kindOf(failure)
-                        == StateStoreException.Kind.OUTCOME_UNKNOWN) {
-                  // One copy that was surely not carried out says nothing of the other.
-                  failed = failure;
-                }
-                if (open == 0 && failed != null) {
-                  result.completeExceptionally(failed);
-                }
-                if (result.isDone() && timer != null) {
-                  timer.cancel();
-                }
-              });
-    }
-  }
-
-  private CompletableFuture<CommitResult> once(Request request) {
+  /** Sends one copy of a transaction. */
+  CompletableFuture<CommitResult> sendTransaction(Request request) {
     return transport
         .send(service, request, deadline)
         .handle(
             (reply, failure) -> {
-              JsonNode body = body(reply, failure, 409);
+              JsonNode body = readBody(reply, failure, CONFLICT);
               try {
                 long revision = StateStoreProtocol.parseRevision(body);
-                return reply.status() == 200
+                return reply.status() == OK
                     ? new CommitResult(true, Set.of(), revision)
                     : new CommitResult(false, StateStoreProtocol.parseFailedKeys(body), revision);
               } catch (MalformedMessageException e) {
-                throw new StateStoreException(
-                    StateStoreException.Kind.OUTCOME_UNKNOWN, e.getMessage());
+                throw outcomeUnknown(e.getMessage());
               }
             });
   }
 
-  /** Keys as the service has them, from any incarnation. */
+  /**
+   * Reads one page of physical keys, of any incarnation.
+   *
+   * @param after the last key of the page before, null for the first page
+   */
   public CompletableFuture<StateStoreProtocol.KeyPage> list(String prefix, String after) {
-    long floor = setRollbackDetector.minimumRevision();
-    Incarnation before = keySpace.incarnation();
+    long minimum = detector.minimumRevision();
+    Incarnation sentIn = keySpace.incarnation();
     return call(
-            StateStoreProtocol.listRequest(prefix, after, PAGE),
+            StateStoreProtocol.listRequest(prefix, after, MAX_PAGE_KEYS),
             deadline,
             StateStoreProtocol::parsePage)
-        .thenApply(page -> known(page, before, floor, page.revision()));
+        .thenApply(page -> verify(page, sentIn, minimum, page.revision()));
   }
 
-  /** The identity record as it was read, with the revision of the reading. */
+  /**
+   * The identity record as it was read.
+   *
+   * @param incarnation null if there is no such record
+   * @param version the record's version, 0 if there is none
+   * @param revision the revision of the state store at that moment
+   */
   public record IncarnationReading(Incarnation incarnation, long version, long revision) {}
 
-  /** Reads the identity record; a null incarnation of version 0 where there is none. */
+  /** Reads the identity record. */
   public CompletableFuture<IncarnationReading> readIncarnation() {
     return list(Incarnation.KEY, null)
         .thenApply(
@@ -212,78 +196,87 @@
             });
   }
 
-  private <T> T known(T answer, Incarnation before, long floor, long revision) {
-    if (keySpace.incarnation() != before || !setRollbackDetector.verifyRevision(floor, revision)) {
-      throw overtaken();
+  private <T> T verify(T answer, Incarnation sentIn, long minimum, long revision) {
+    if (keySpace.incarnation() != sentIn || !detector.verifyRevision(minimum, revision)) {
+      throw ofAnotherHistory();
     }
     return answer;
   }
 
-  private static StateStoreException overtaken() {
-    return new StateStoreException(StateStoreException.Kind.OUTCOME_UNKNOWN, "of another history");
-  }
-
-  /** Changes after a revision, waiting up to {@code wait} for the first. */
+  /**
+   * Reads the changes of physical keys after a revision. Fails as {@code GONE} if the state store
+   * keeps no history that old.
+   *
+   * @param maxWait how long the state store waits for the first change before it answers without
+   */
   public CompletableFuture<StateStoreProtocol.WatchResult> readChanges(
-      String prefix, long after, Duration wait) {
-    long floor = setRollbackDetector.minimumRevision();
-    Incarnation before = keySpace.incarnation();
+      String prefix, long afterRevision, Duration maxWait) {
+    long minimum = detector.minimumRevision();
+    Incarnation sentIn = keySpace.incarnation();
     return call(
-            StateStoreProtocol.watchRequest(prefix, after, wait),
-            deadline.plus(wait),
+            StateStoreProtocol.watchRequest(prefix, afterRevision, maxWait),
+            deadline.plus(maxWait),
             StateStoreProtocol::parseChanges)
-        .thenApply(changes -> known(changes, before, floor, changes.revision()));
+        .thenApply(changes -> verify(changes, sentIn, minimum, changes.revision()));
   }
 
-  public CompletableFuture<Long> grantLease(Duration ttl) {
+  /** Requests a lease; completes with its id. */
+  public CompletableFuture<Long> grantLease(Duration timeToLive) {
     return call(
-        StateStoreProtocol.grantLeaseRequest(ttl), deadline, StateStoreProtocol::parseLeaseId);
+        StateStoreProtocol.grantLeaseRequest(timeToLive),
+        deadline,
+        StateStoreProtocol::parseLeaseId);
   }
 
-  public CompletableFuture<Void> renewLease(long lease) {
-    return call(StateStoreProtocol.renewLeaseRequest(lease), deadline, body -> null);
+  /** Renews a lease by its time to live. Fails as {@code GONE} if it has expired. */
+  public CompletableFuture<Void> renewLease(long leaseId) {
+    return call(StateStoreProtocol.renewLeaseRequest(leaseId), deadline, body -> null);
   }
 
-  public CompletableFuture<Void> revokeLease(long lease) {
-    return call(StateStoreProtocol.revokeLeaseRequest(lease), deadline, body -> null);
+  /** Ends a lease, and with it the keys attached to it. */
+  public CompletableFuture<Void> revokeLease(long leaseId) {
+    return call(StateStoreProtocol.revokeLeaseRequest(leaseId), deadline, body -> null);
   }
 
-  private <T> CompletableFuture<T> call(Request request, Duration limit, Parser<T> parser) {
+  private <T> CompletableFuture<T> call(Request request, Duration timeout, Parser<T> parser) {
     return transport
-        .send(service, request, limit)
+        .send(service, request, timeout)
         .handle(
             (reply, failure) -> {
-              JsonNode body = body(reply, failure, 200);
+              JsonNode body = readBody(reply, failure, OK);
               try {
                 return parser.parse(body);
               } catch (MalformedMessageException e) {
-                throw new StateStoreException(
-                    StateStoreException.Kind.OUTCOME_UNKNOWN, e.getMessage());
+                throw outcomeUnknown(e.getMessage());
               }
             });
   }
 
-  private static JsonNode body(Reply reply, Throwable failure, int alsoFine) {
+  /**
+   * @param acceptedStatus a status besides 200 whose body is an answer
+   */
+  private static JsonNode readBody(Reply reply, Throwable failure, int acceptedStatus) {
     if (failure != null) {
-      throw new StateStoreException(StateStoreException.Kind.OUTCOME_UNKNOWN, failure.toString());
+      throw outcomeUnknown(failure.toString());
     }
     int status = reply.status();
-    if (status == 200 || status == alsoFine) {
+    if (status == OK || status == acceptedStatus) {
       try {
         return reply.body().length == 0 ? Json.object() : Json.parseObject(reply.body());
       } catch (MalformedMessageException e) {
-        throw new StateStoreException(StateStoreException.Kind.OUTCOME_UNKNOWN, e.getMessage());
+        throw outcomeUnknown(e.getMessage());
       }
     }
     throw new StateStoreException(
-        switch (status) {
-          case 429 -> StateStoreException.Kind.RATE_LIMITED;
-          case 503 -> StateStoreException.Kind.NOT_EXECUTED;
-          case 404, 410 -> StateStoreException.Kind.GONE;
-          case 400 -> StateStoreException.Kind.INVALID_REQUEST;
-          default -> StateStoreException.Kind.OUTCOME_UNKNOWN;
-        },
-        "state service answered " + status);
+        StateStoreException.Kind.ofStatus(status), "the state store answered " + status);
+  }
+
+  private static StateStoreException outcomeUnknown(String message) {
+    return new StateStoreException(StateStoreException.Kind.OUTCOME_UNKNOWN, message);
+  }
+
+  private static StateStoreException ofAnotherHistory() {
+    return outcomeUnknown("the answer is of another history");
   }
 
   @FunctionalInterface
--- a/src/main/java/io/cherryspool/store/StateStoreException.java
+++ b/src/main/java/io/cherryspool/store/StateStoreException.java
@@ -2,36 +2,52 @@
 
 import java.util.concurrent.CompletionException;
 
-/** A request that the state service did not answer with success. */
+/** A request to the state store failed, or its answer must not be used. */
 public final class StateStoreException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   /** What is known of the request's effect. */
   public enum Kind {
-    /** It was not carried out, and may be tried again. */
+    /** It was not executed, and may be tried again. */
     NOT_EXECUTED,
-    /** It was not carried out, since the nodes together are at the service's limits. */
+    /** It was not executed, since all nodes together exceed the state store's limits. */
     RATE_LIMITED,
-    /** It may have been carried out, or may yet be. */
+    /** It may have been executed, or may still be. */
     OUTCOME_UNKNOWN,
-    /** What it names is gone: a lease that ran out, a history too old. */
+    /** What it names no longer exists: an expired lease, or history that was compacted. */
     GONE,
     /** It can't succeed as it is. */
-    INVALID_REQUEST
+    INVALID_REQUEST;
+
+    /** The meaning of an HTTP status that is not a success. */
+    static Kind ofStatus(int status) {
+      return switch (status) {
+        case 429 -> RATE_LIMITED;
+        case 503 -> NOT_EXECUTED;
+        case 404, 410 -> GONE;
+        case 400 -> INVALID_REQUEST;
+        default -> OUTCOME_UNKNOWN;
+      };
+    }
   }
 
   private final Kind kind;
 
+  /** A failure of this kind; the message says what failed. */
   public StateStoreException(Kind kind, String message) {
     super(message);
     this.kind = kind;
   }
 
+  /** What is known of the request's effect. */
   public Kind kind() {
     return kind;
   }
 
-  /** The kind of a failed future's cause; unknown for failures of the transport. */
+  /**
+   * The kind of a failure, also if it is wrapped in {@link CompletionException}s; {@link
+   * Kind#OUTCOME_UNKNOWN} for any other exception.
+   */
   public static Kind kindOf(Throwable failure) {
     Throwable cause = failure;
     while (cause instanceof CompletionException && cause.getCause() != null) {
--- a/src/test/java/io/cherryspool/store/StoredFormatsTest.java
+++ b/src/test/java/io/cherryspool/store/StoredFormatsTest.java
@@ -201,11 +201,11 @@
   void transactionsUnderTheConditionOfTheIncarnation() {
     KeySpace first = new KeySpace();
     first.enter(Incarnation.firstInstallation("cluster-1"), 1);
-    assertRecorded("transaction-first.http", first.commit(conditions(), changes()));
+    assertRecorded("transaction-first.http", first.fencedTransaction(conditions(), changes()));
     KeySpace rebuilt = new KeySpace();
     rebuilt.enter(REBUILT, 88);
     rebuilt.addBundled(Records.progressKey("req-000412", 2));
-    assertRecorded("transaction-rebuilt.http", rebuilt.commit(conditions(), changes()));
+    assertRecorded("transaction-rebuilt.http", rebuilt.fencedTransaction(conditions(), changes()));
   }
 
   private static Map<String, Long> conditions() {
