--- a/src/main/java/io/cherryspool/store/GroupCommit.java
+++ b/src/main/java/io/cherryspool/store/GroupCommit.java
@@ -15,63 +15,84 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Puts the single changes that users' requests make into shared transactions, within the write rate
- * limit. A change that can't be taken is refused at once, so that its user can be told when to come
- * back.
+ * Commits the single changes of users' requests in shared transactions, one at a time and within
+ * the write rate limit. A change that can't be committed soon is refused, so that its user can be
+ * asked to retry later.
+ *
+ * <p>Used on the event loop.
  */
 public final class GroupCommit {
-  private static final int MAX_BYTES = 60_000;
-  private static final Duration PAUSE = Duration.ofMillis(20);
+  /** The most bytes that the changes of one transaction may take, by their estimated sizes. */
+  private static final int MAX_TRANSACTION_BYTES = 60_000;
+
+  /** What a change takes in a request besides its value and three times its key. */
+  private static final int CHANGE_OVERHEAD_BYTES = 100;
+
+  /** How long to wait before the rate limiter is asked again. */
+  private static final Duration RATE_LIMIT_RETRY = Duration.ofMillis(20);
 
   private final EventLoop loop;
   private final StateStoreClient client;
   private final RateLimiter rateLimiter;
   private final int maxChanges;
-  private final int maxQueue;
-  private final Duration patience;
-  private final Deque<Item> cancels = new ArrayDeque<>();
-  private final Deque<Item> submissions = new ArrayDeque<>();
-  private boolean busy;
-  private EventLoop.Timer timer;
-
-  /** One user's change. */
-  private record Item(
+  private final int maxQueueLength;
+  private final Duration maxWait;
+  private final Deque<PendingChange> cancels = new ArrayDeque<>();
+  private final Deque<PendingChange> submissions = new ArrayDeque<>();
+  private boolean isCommitting;
+  private EventLoop.Timer rateLimitTimer;
+
+  /** One user's change, and who waits for it. */
+  private record PendingChange(
       Map<String, Long> conditions,
       StateStoreProtocol.Change change,
       int bytes,
-      Duration since,
+      Duration queuedAt,
       CompletableFuture<Boolean> result) {}
 
+  /**
+   * @param maxChanges the most changes in one transaction
+   * @param maxQueueLength the most changes that may wait, for cancels and submissions each
+   * @param maxWait how long a change may wait before it is refused
+   */
   public GroupCommit(
       EventLoop loop,
       StateStoreClient client,
       RateLimiter rateLimiter,
       int maxChanges,
-      int maxQueue,
-      Duration patience) {
+      int maxQueueLength,
+      Duration maxWait) {
     this.loop = loop;
     this.client = client;
     this.rateLimiter = rateLimiter;
     this.maxChanges = maxChanges;
-    this.maxQueue = maxQueue;
-    this.patience = patience;
+    this.maxQueueLength = maxQueueLength;
+    this.maxWait = maxWait;
   }
 
   /**
-   * Completes with whether the change was applied, false if a condition failed. The conditions
-   * include the version of the key that is changed, so that of two changes of it one is applied.
+   * Queues a change.
+   *
+   * @param writeClass cancels are committed before all others
+   * @param conditions as in {@link StateStoreClient#commit}; they include the version of the key
+   *     that is changed, so that of two changes of it only one is applied
+   * @return completes with whether the change was applied, false if a condition failed; fails with
+   *     a {@link StateStoreException} if it was refused or its outcome is unknown
    */
   public CompletableFuture<Boolean> submit(
-      RateLimiter.WriteClass use, Map<String, Long> conditions, StateStoreProtocol.Change change) {
-    CompletableFuture<Boolean> result = new CompletableFuture<>();
-    Deque<Item> queue = use == RateLimiter.WriteClass.CANCEL ? cancels : submissions;
-    if (queue.size() >= maxQueue) {
-      result.completeExceptionally(refused("too many changes wait"));
-      return result;
+      RateLimiter.WriteClass writeClass,
+      Map<String, Long> conditions,
+      StateStoreProtocol.Change change) {
+    Deque<PendingChange> queue =
+        writeClass == RateLimiter.WriteClass.CANCEL ? cancels : submissions;
+    if (queue.size() >= maxQueueLength) {
+      return CompletableFuture.failedFuture(refused("too many changes wait"));
     }
-    int bytes = Json.toBytes(change.value()).length + 3 * change.key().length() + 100;
-    queue.add(new Item(conditions, change, bytes, loop.now(), result));
-    pump();
+    CompletableFuture<Boolean> result = new CompletableFuture<>();
+    int bytes =
+        Json.toBytes(change.value()).length + 3 * change.key().length() + CHANGE_OVERHEAD_BYTES;
+    queue.add(new PendingChange(conditions, change, bytes, loop.now(), result));
+    commitNext();
     return result;
   }
 
@@ -80,127 +101,161 @@
     return cancels.size() + submissions.size();
   }
 
-  private void pump() {
-    if (busy || timer != null) {
+  /** Commits the next group, unless a transaction is outstanding or the rate limit is reached. */
+  private void commitNext() {
+    if (isCommitting || rateLimitTimer != null) {
       return;
     }
-    expire(cancels);
-    expire(submissions);
-    Deque<Item> queue = cancels.isEmpty() ? submissions : cancels;
+    refuseExpired(cancels);
+    refuseExpired(submissions);
+    Deque<PendingChange> queue = cancels.isEmpty() ? submissions : cancels;
     if (queue.isEmpty()) {
       return;
     }
-    RateLimiter.WriteClass use =
+    List<PendingChange> group = acquireGroup(queue);
+    if (group.isEmpty()) {
+      rateLimitTimer = loop.schedule(RATE_LIMIT_RETRY, this::retry);
+    } else {
+      commit(queue, group, removeWithDuplicates(queue, group));
+    }
+  }
+
+  private void retry() {
+    rateLimitTimer = null;
+    commitNext();
+  }
+
+  /** The first changes of the queue that fit one transaction, as many as the rate limit allows. */
+  private List<PendingChange> acquireGroup(Deque<PendingChange> queue) {
+    RateLimiter.WriteClass writeClass =
         queue == cancels ? RateLimiter.WriteClass.CANCEL : RateLimiter.WriteClass.SUBMIT;
-    List<Item> batch = new ArrayList<>();
+    int limit = Math.min(maxChanges, rateLimiter.maxTransactionChanges(writeClass));
+    List<PendingChange> group = new ArrayList<>();
     Set<String> keys = new HashSet<>();
     int bytes = 0;
-    int limit = Math.min(maxChanges, rateLimiter.maxTransactionChanges(use));
-    for (Item item : queue) {
-      if (keys.contains(item.change.key())) {
+    for (PendingChange pending : queue) {
+      if (keys.contains(pending.change.key())) {
         continue;
       }
-      if (batch.size() == limit || !batch.isEmpty() && bytes + item.bytes > MAX_BYTES) {
+      if (group.size() == limit
+          || !group.isEmpty() && bytes + pending.bytes > MAX_TRANSACTION_BYTES) {
         break;
       }
-      batch.add(item);
-      keys.add(item.change.key());
-      bytes += item.bytes;
+      group.add(pending);
+      keys.add(pending.change.key());
+      bytes += pending.bytes;
     }
-    while (!batch.isEmpty() && !rateLimiter.tryAcquireWrites(use, batch.size())) {
-      keys.remove(batch.remove(batch.size() - 1).change.key());
+    while (!group.isEmpty() && !rateLimiter.tryAcquireWrites(writeClass, group.size())) {
+      group.remove(group.size() - 1);
     }
-    if (batch.isEmpty()) {
-      timer = loop.schedule(PAUSE, this::resume);
-      return;
-    }
-    // A request repeated in a hurry shares the fate of the first: one transaction for each of them
-    // would fail, and everybody else's change with it.
-    List<Item> twins = new ArrayList<>();
+    return group;
+  }
+
+  /**
+   * Removes a group from its queue, and with it all later changes of the same keys. Such duplicates
+   * share the result of the first one: a transaction for each of them would fail, and with it the
+   * changes of all others in it.
+   *
+   * @return the duplicates
+   */
+  private static List<PendingChange> removeWithDuplicates(
+      Deque<PendingChange> queue, List<PendingChange> group) {
+    Set<String> keys = new HashSet<>();
+    group.forEach(pending -> keys.add(pending.change.key()));
+    List<PendingChange> duplicates = new ArrayList<>();
     queue.removeIf(
-        item -> {
-          boolean goes = keys.contains(item.change.key());
-          if (goes && !batch.contains(item)) {
-            twins.add(item);
+        pending -> {
+          boolean isIncluded = keys.contains(pending.change.key());
+          if (isIncluded && !group.contains(pending)) {
+            duplicates.add(pending);
           }
-          return goes;
+          return isIncluded;
         });
-    send(queue, batch, twins);
+    return duplicates;
   }
 
-  private void resume() {
-    timer = null;
-    pump();
-  }
-
-  private void send(Deque<Item> queue, List<Item> batch, List<Item> twins) {
-    busy = true;
+  private void commit(
+      Deque<PendingChange> queue, List<PendingChange> group, List<PendingChange> duplicates) {
+    isCommitting = true;
     Map<String, Long> conditions = new HashMap<>();
     List<StateStoreProtocol.Change> changes = new ArrayList<>();
-    for (Item item : batch) {
-      conditions.putAll(item.conditions);
-      changes.add(item.change);
+    for (PendingChange pending : group) {
+      conditions.putAll(pending.conditions);
+      changes.add(pending.change);
     }
-    List<Item> all = new ArrayList<>(batch);
-    all.addAll(twins);
     client
         .commit(conditions, changes)
         .whenComplete(
-            (outcome, failure) -> {
-              busy = false;
-              if (failure != null
-                  && StateStoreException.kindOf(failure) == StateStoreException.Kind.RATE_LIMITED) {
-                // The nodes' shares overlap, so that now and then they meet the limit together.
-                rateLimiter.drain();
-                again(queue, all);
-              } else if (failure != null) {
-                all.forEach(item -> item.result.completeExceptionally(failure));
-              } else if (outcome.applied()) {
-                batch.forEach(item -> item.result.complete(true));
-                twins.forEach(item -> item.result.complete(false));
-              } else {
-                retryOthers(queue, all, outcome);
-              }
-              pump();
+            (answer, failure) -> {
+              isCommitting = false;
+              receive(queue, group, duplicates, answer, failure);
+              commitNext();
             });
   }
 
-  /** One failed condition fails the whole transaction; the others go again without it. */
+  private void receive(
+      Deque<PendingChange> queue,
+      List<PendingChange> group,
+      List<PendingChange> duplicates,
+      StateStoreClient.CommitResult answer,
+      Throwable failure) {
+    List<PendingChange> all = new ArrayList<>(group);
+    all.addAll(duplicates);
+    if (failure != null
+        && StateStoreException.kindOf(failure) == StateStoreException.Kind.RATE_LIMITED) {
+      // The nodes' shares overlap, so that now and then they reach the limit together.
+      rateLimiter.drain();
+      requeue(queue, all);
+    } else if (failure != null) {
+      failAll(all, failure);
+    } else if (answer.applied()) {
+      group.forEach(pending -> pending.result.complete(true));
+      duplicates.forEach(pending -> pending.result.complete(false));
+    } else {
+      retryOthers(queue, all, answer);
+    }
+  }
+
+  /** One failed condition fails the whole transaction: the others are queued again without it. */
   private static void retryOthers(
-      Deque<Item> queue, List<Item> all, StateStoreClient.CommitResult outcome) {
-    List<Item> others = new ArrayList<>();
-    List<Item> failed = new ArrayList<>();
-    for (Item item : all) {
-      boolean named = item.conditions.keySet().stream().anyMatch(outcome.failed()::contains);
-      (named ? failed : others).add(item);
+      Deque<PendingChange> queue, List<PendingChange> all, StateStoreClient.CommitResult answer) {
+    List<PendingChange> others = new ArrayList<>();
+    List<PendingChange> failed = new ArrayList<>();
+    for (PendingChange pending : all) {
+      boolean isNamed = pending.conditions.keySet().stream().anyMatch(answer.failed()::contains);
+      (isNamed ? failed : others).add(pending);
     }
     if (failed.isEmpty()) {
-      // Sent again unchanged it would fail again, over and over, at the cost of all nodes' rate
-      // limit.
-      StateStoreException unclear =
+      // The same transaction would fail again and again, at the cost of all nodes' rate limit.
+      failAll(
+          all,
           new StateStoreException(
-              StateStoreException.Kind.OUTCOME_UNKNOWN, "a conflict that names no condition");
-      all.forEach(item -> item.result.completeExceptionally(unclear));
+              StateStoreException.Kind.OUTCOME_UNKNOWN, "a conflict that names no condition"));
       return;
     }
-    again(queue, others);
-    failed.forEach(item -> item.result.complete(false));
+    requeue(queue, others);
+    failed.forEach(pending -> pending.result.complete(false));
   }
 
-  private static void again(Deque<Item> queue, List<Item> items) {
-    for (int i = items.size() - 1; i >= 0; i--) {
-      queue.addFirst(items.get(i));
+  /** Puts changes back in front of the queue, in their order. */
+  private static void requeue(Deque<PendingChange> queue, List<PendingChange> changes) {
+    for (int i = changes.size() - 1; i >= 0; i--) {
+      queue.addFirst(changes.get(i));
     }
   }
 
-  private void expire(Deque<Item> queue) {
-    Duration limit = loop.now().minus(patience);
-    while (!queue.isEmpty() && queue.peekFirst().since.compareTo(limit) < 0) {
-      queue.removeFirst().result.completeExceptionally(refused("the write rate limit is spent"));
+  private void refuseExpired(Deque<PendingChange> queue) {
+    Duration oldest = loop.now().minus(maxWait);
+    while (!queue.isEmpty() && queue.peekFirst().queuedAt.compareTo(oldest) < 0) {
+      queue.removeFirst().result.completeExceptionally(refused("the write rate limit is reached"));
     }
   }
 
-  private static StateStoreException refused(String why) {
-    return new StateStoreException(StateStoreException.Kind.NOT_EXECUTED, why);
+  private static void failAll(List<PendingChange> changes, Throwable failure) {
+    changes.forEach(pending -> pending.result.completeExceptionally(failure));
+  }
+
+  private static StateStoreException refused(String reason) {
+    return new StateStoreException(StateStoreException.Kind.NOT_EXECUTED, reason);
   }
 }
--- a/src/main/java/io/cherryspool/store/IncarnationHistory.java
+++ b/src/main/java/io/cherryspool/store/IncarnationHistory.java
@@ -11,11 +11,11 @@
 import java.util.Optional;
 
 /**
- * What a copy remembers of the present incarnation's history besides the records' values: the last
+ * What a copy retains of the present incarnation's history besides the records' values: the last
  * change, and the versions of the records that are never removed. Answers that lack them show that
  * the state store lost data, which is reported to the {@link RollbackDetector}.
  *
- * <p>Until {@link #enable} it verifies and remembers nothing.
+ * <p>Until {@link #enable} it verifies and retains nothing.
  */
 final class IncarnationHistory {
   private final KeySpace keySpace;
@@ -95,7 +95,7 @@
 
   /**
    * Checks all records of the incarnation as they were read anew. If they are whole, their versions
-   * replace what was remembered; otherwise what is wrong is reported.
+   * replace those retained so far; otherwise what is wrong is reported.
    *
    * @return the jobs of the rebuild that the incarnation began with, or empty if the records must
    *     not be used
--- a/src/main/java/io/cherryspool/store/RecordIndex.java
+++ b/src/main/java/io/cherryspool/store/RecordIndex.java
@@ -31,7 +31,9 @@
   private JsonNode catalogRecord;
   private boolean isReconciled;
 
-  /** The key space is told which progress records are held by bundles only. */
+  /**
+   * @param keySpace where the progress records are noted that bundles hold
+   */
   RecordIndex(KeySpace keySpace) {
     jobs = new JobIndex(keySpace);
   }
--- a/src/main/java/io/cherryspool/store/Records.java
+++ b/src/main/java/io/cherryspool/store/Records.java
@@ -13,82 +13,110 @@
 import java.time.Instant;
 import java.util.Base64;
 
-/** The keys and values under which the service keeps its state. */
+/**
+ * The keys and values of all records in the state store. Keys are logical, see {@link KeySpace}.
+ * Nodes of other versions read the same records: neither may change.
+ */
 public final class Records {
+  /** The prefix of all keys. */
   public static final String PREFIX = "c/";
+
+  /** The term that was begun last. */
   public static final String TERM = "c/term";
+
+  /** The present {@link Leader}; attached to its lease. */
   public static final String LEADER = "c/leader";
+
+  /** The {@link Successor} to whom a leader handed leadership over. */
   public static final String SUCCESSOR = "c/successor";
+
+  /** The machine types. */
   public static final String CATALOG = "c/catalog";
 
-  /** Parts of the picture that a rebuild wrote; never changed. */
+  /** Prefix of the chunks of the snapshot that a rebuild wrote; never changed. */
   public static final String BUNDLES = "c/bundles/";
 
-  /** Present once a leader has taken in what ran when the state was lost. */
+  /** Present once a leader has reconciled the tasks that ran when the state was lost. */
   public static final String RECONCILED = "c/settled";
 
-  /** Jobs that workers report and that nobody has described since the state was lost. */
+  /** Prefix of markers: workers run the job, and nobody has submitted it again since a loss. */
   static final String UNKNOWN = "c/unknown/";
 
-  /** Jobs that wait for an operator, since their tasks may have ended unseen. */
+  /** Prefix of markers: the job waits for an operator, its tasks may have ended unobserved. */
   static final String HELD = "c/held/";
 
   static final String JOBS = "c/jobs/";
   static final String OUTCOMES = "c/outcomes/";
   static final String PROGRESS = "c/progress/";
 
-  /** An owned task with its history takes about this much, with the longest machine names seen. */
+  /** What an owned task with its history takes, with the longest machine names seen. */
   private static final int BYTES_PER_TASK = 80;
 
   private static final String ABANDONED = "abandoned";
 
-  private static final int BUNDLE_OVERHEAD = 32;
+  /** What the value of a bundle takes besides its Base64 text. */
+  private static final int BUNDLE_OVERHEAD_BYTES = 32;
 
   private Records() {}
 
-  /** Who leads: the process, not only the node, since a restarted node is another process. */
+  /**
+   * The leader of a term.
+   *
+   * @param processId the process, since a restarted node is no longer the leader
+   * @param leaseId the lease that the record is attached to
+   */
   public record Leader(long term, String node, String processId, long leaseId) {}
 
-  /** Whom the leader of the term has made way for, and who that leader was. */
+  /**
+   * A handover of leadership.
+   *
+   * @param term the term of the node that handed over
+   * @param node the node that should lead next
+   * @param predecessor the node that handed over
+   */
   public record Successor(long term, String node, String predecessor) {}
 
+  /** The key of a job's description. */
   public static String jobKey(String id) {
     return JOBS + id;
   }
 
+  /** The key of a job's outcome. */
   public static String outcomeKey(String id) {
     return OUTCOMES + id;
   }
 
+  /** The key of one of a job's progress records. */
   public static String progressKey(String id, int shard) {
     return PROGRESS + id + "/" + shard;
   }
 
-  /** A part of a rebuilt picture; keys in their order are parts in their order. */
+  /** The key of a chunk of a rebuild; the order of the keys is that of the chunks. */
   public static String bundleKey(int number) {
     return String.format("%s%08d", BUNDLES, number);
   }
 
-  /** The note that workers report a job which nobody has described. */
+  /** The key of the marker of an unknown job. */
   public static String unknownJobKey(String id) {
     return UNKNOWN + id;
   }
 
-  /** The note that the job waits for an operator. */
+  /** The key of the marker of a held job. */
   public static String heldJobKey(String id) {
     return HELD + id;
   }
 
-  /** Whether a record with this key is never removed nor written again. */
+  /** Whether a record with this key is never removed nor changed. */
   public static boolean isImmutable(String key) {
     return key.startsWith(JOBS) || key.startsWith(OUTCOMES) || key.startsWith(BUNDLES);
   }
 
-  /** How many tasks one progress record may cover within the service's limit on a value. */
+  /** How many tasks one progress record may cover so that a value stays within this limit. */
   public static int tasksPerShard(int valueBytes) {
     return Math.max(1, valueBytes / BYTES_PER_TASK);
   }
 
+  /** The value of a bundle with this chunk. */
   public static JsonNode encodeBundle(byte[] chunk) {
     return Json.object().put("z", Base64.getEncoder().encodeToString(chunk));
   }
@@ -101,17 +129,17 @@
     }
   }
 
-  /** The largest chunk whose bundle surely fits within the service's limit on a value. */
+  /** The size of the largest chunk whose bundle fits a value of at most so many bytes. */
   public static int maxChunkBytes(int valueBytes) {
-    return (valueBytes - BUNDLE_OVERHEAD) / 4 * 3;
+    return (valueBytes - BUNDLE_OVERHEAD_BYTES) / 4 * 3;
   }
 
-  /** A record that only has to be there. */
+  /** The value of a record that only has to exist. */
   public static JsonNode presenceMarker() {
     return Json.object();
   }
 
-  /** The note of an unknown job that an operator has given up. */
+  /** The value of an unknown job's marker once an operator has given the job up. */
   public static JsonNode abandonedMarker() {
     return Json.object().put(ABANDONED, true);
   }
@@ -120,6 +148,7 @@
     return node.path(ABANDONED).asBoolean(false);
   }
 
+  /** The value of {@link #TERM}. */
   public static JsonNode encodeTerm(long term) {
     return Json.object().put("term", term);
   }
@@ -128,6 +157,7 @@
     return node.path("term").longValue();
   }
 
+  /** The value of {@link #LEADER}. */
   public static JsonNode encodeLeader(Leader leader) {
     return Json.object()
         .put("term", leader.term())
@@ -144,6 +174,7 @@
         node.path("lease").longValue());
   }
 
+  /** The value of {@link #SUCCESSOR}. */
   public static JsonNode encodeSuccessor(Successor successor) {
     return Json.object()
         .put("term", successor.term())
@@ -156,6 +187,7 @@
         node.path("term").longValue(), node.path("node").asText(), node.path("by").asText());
   }
 
+  /** The value of a job's description. */
   public static JsonNode encodeJob(Job job, int tasksPerShard) {
     ObjectNode node = Json.object();
     node.set("job", UserProtocol.encodeJob(job));
@@ -173,6 +205,7 @@
     return Math.max(1, node.path("per").intValue());
   }
 
+  /** The value of a job's outcome. */
   public static JsonNode encodeOutcome(Outcome outcome) {
     return Json.object().put("end", outcome == Outcome.DONE ? "done" : "cancelled");
   }
@@ -181,6 +214,7 @@
     return "done".equals(node.path("end").asText()) ? Outcome.DONE : Outcome.CANCELLED;
   }
 
+  /** The value of a progress record. */
   public static JsonNode encodeShard(Shard shard) {
     ObjectNode node = Json.object();
     ArrayNode done = node.putArray("done");
@@ -213,7 +247,7 @@
     return node;
   }
 
-  /** At most so many bytes of JSON, without writing it. */
+  /** An upper bound of the size of {@link #encodeShard}'s JSON, without writing it. */
   public static int maxEncodedBytes(Shard shard) {
     int bytes = 40 + shard.histories().size() * 24;
     for (Attempt attempt : shard.ownedAttempts().values()) {
--- a/src/main/java/io/cherryspool/store/RecordsSnapshotCodec.java
+++ b/src/main/java/io/cherryspool/store/RecordsSnapshotCodec.java
@@ -8,6 +8,7 @@
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.MalformedMessageException;
 import java.io.ByteArrayOutputStream;
+import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -22,8 +23,8 @@
 
 /**
  * Writes the jobs of a {@link RecordsSnapshot} as compressed chunks of bounded size, and reads them
- * again. A chunk holds whole units: a job's description, its end, or one of its progress records.
- * Units of one job may be in different chunks, and the chunks are read in order.
+ * again. A chunk holds whole units: a job's description with its outcome, or one of its progress
+ * records. Units of one job may be in different chunks, which are read in order.
  */
 public final class RecordsSnapshotCodec {
   private static final String UNITS = "units";
@@ -33,39 +34,41 @@
   private static final String SHARD = "shard";
   private static final String PROGRESS = "progress";
 
-  /** JSON of records shrinks to less than this part; a guess that a smaller chunk corrects. */
-  private static final int EXPECTED_RATIO = 8;
+  /**
+   * How many times smaller compression makes the text of records, as an estimate. A chunk that
+   * turns out too large is divided.
+   */
+  private static final int EXPECTED_COMPRESSION = 8;
 
-  /** No chunk that this program writes is as large once it is read. */
-  private static final int MAX_TEXT = 64 << 20;
+  /** The most bytes of text that are read from one chunk; those written hold far less. */
+  private static final int MAX_TEXT_BYTES = 64 << 20;
 
-  private static final int BUFFER = 16 * 1024;
+  private static final int BUFFER_BYTES = 16 * 1024;
 
   private RecordsSnapshotCodec() {}
 
   /**
-   * The jobs as chunks of at most so many bytes each.
+   * Writes jobs as chunks of at most so many bytes each. Equal jobs give equal chunks.
    *
    * @throws IllegalArgumentException if a single record does not fit
    */
   public static List<byte[]> encode(PMap<String, RecordsSnapshot.JobSnapshot> jobs, int maxBytes) {
     List<JsonNode> units = new ArrayList<>();
-    // In order of their ids, so that equal pictures have equal chunks.
     jobs.entrySet().stream()
         .sorted(Map.Entry.comparingByKey())
-        .forEach(item -> addUnits(item.getKey(), item.getValue(), units));
+        .forEach(entry -> addUnits(entry.getKey(), entry.getValue(), units));
     List<byte[]> chunks = new ArrayList<>();
     List<JsonNode> batch = new ArrayList<>();
-    int text = 0;
+    int textBytes = 0;
     for (JsonNode unit : units) {
-      int size = Json.toBytes(unit).length;
-      if (text + size > EXPECTED_RATIO * maxBytes && !batch.isEmpty()) {
+      int unitBytes = Json.toBytes(unit).length;
+      if (textBytes + unitBytes > EXPECTED_COMPRESSION * maxBytes && !batch.isEmpty()) {
         addChunks(batch, maxBytes, chunks);
         batch = new ArrayList<>();
-        text = 0;
+        textBytes = 0;
       }
       batch.add(unit);
-      text += size;
+      textBytes += unitBytes;
     }
     if (!batch.isEmpty()) {
       addChunks(batch, maxBytes, chunks);
@@ -107,19 +110,23 @@
     addChunks(units.subList(half, units.size()), maxBytes, chunks);
   }
 
-  /** Reads chunks that {@link #encode} wrote. */
+  /**
+   * Reads the chunks that {@link #encode} wrote, in their order.
+   *
+   * @throws MalformedMessageException if one is damaged, or the description of a job is missing
+   */
   public static PMap<String, RecordsSnapshot.JobSnapshot> decode(List<byte[]> chunks)
       throws MalformedMessageException {
     Map<String, RecordsSnapshot.JobSnapshot> jobs = new HashMap<>();
     for (byte[] chunk : chunks) {
       for (JsonNode unit : Json.parseObject(inflate(chunk)).path(UNITS)) {
-        take(unit, jobs);
+        readUnit(unit, jobs);
       }
     }
     return HashTreePMap.from(jobs);
   }
 
-  private static void take(JsonNode unit, Map<String, RecordsSnapshot.JobSnapshot> jobs)
+  private static void readUnit(JsonNode unit, Map<String, RecordsSnapshot.JobSnapshot> jobs)
       throws MalformedMessageException {
     String id = unit.path(ID).asText();
     if (unit.has(JOB)) {
@@ -140,7 +147,7 @@
     jobs.put(id, job.withShard(unit.path(SHARD).intValue(), shard));
   }
 
-  /** A digest of all chunks in their order. */
+  /** A digest of all chunks in their order, as hexadecimal text. */
   public static String digest(List<byte[]> chunks) {
     long[] sum = new long[2];
     for (byte[] chunk : chunks) {
@@ -148,8 +155,7 @@
       sum[0] = sum[0] * 31 + hash[0];
       sum[1] = sum[1] * 31 + hash[1];
     }
-    return Hex.encodeHexString(
-        java.nio.ByteBuffer.allocate(16).putLong(sum[0]).putLong(sum[1]).array());
+    return Hex.encodeHexString(ByteBuffer.allocate(16).putLong(sum[0]).putLong(sum[1]).array());
   }
 
   private static byte[] deflate(byte[] text) {
@@ -158,7 +164,7 @@
       deflater.setInput(text);
       deflater.finish();
       ByteArrayOutputStream out = new ByteArrayOutputStream(text.length / 4 + 64);
-      byte[] buffer = new byte[BUFFER];
+      byte[] buffer = new byte[BUFFER_BYTES];
       while (!deflater.finished()) {
         out.write(buffer, 0, deflater.deflate(buffer));
       }
@@ -173,15 +179,15 @@
     try {
       inflater.setInput(chunk);
       ByteArrayOutputStream out = new ByteArrayOutputStream(chunk.length * 4 + 64);
-      byte[] buffer = new byte[BUFFER];
+      byte[] buffer = new byte[BUFFER_BYTES];
       while (!inflater.finished()) {
         int count = inflater.inflate(buffer);
         if (count == 0 && (inflater.needsInput() || inflater.needsDictionary())) {
           throw new MalformedMessageException("a chunk that ends too early");
         }
         out.write(buffer, 0, count);
-        if (out.size() > MAX_TEXT) {
-          throw new MalformedMessageException("a chunk of more than " + MAX_TEXT + " bytes");
+        if (out.size() > MAX_TEXT_BYTES) {
+          throw new MalformedMessageException("a chunk of more than " + MAX_TEXT_BYTES + " bytes");
         }
       }
       return out.toByteArray();
--- a/src/main/java/io/cherryspool/store/ReplicaLoader.java
+++ b/src/main/java/io/cherryspool/store/ReplicaLoader.java
@@ -108,7 +108,7 @@
     }
     if (changes.revision() < minRevision.getAsLong()) {
       // A read that was sent before this one was carried out after it, and callers were answered
-      // from the copy that includes it. What they were told must not be taken back.
+      // from the copy that includes it. Those answers must stay true.
       readChanges(changes.revision());
       return;
     }
--- a/src/main/java/io/cherryspool/store/StateStoreClient.java
+++ b/src/main/java/io/cherryspool/store/StateStoreClient.java
@@ -81,7 +81,7 @@
   /**
    * Sends a compare-and-swap transaction with logical keys, fenced by the present incarnation if
    * there is one. It may be sent twice, see {@link HedgedTransaction}: if the second copy is
-   * answered, the conditions fail although the first one was applied, and the records tell.
+   * answered, the conditions fail although the first one was applied, and only the records show it.
    *
    * @param conditions the versions that keys must have, 0 for a key that must be absent
    */
--- a/src/test/java/io/cherryspool/store/GroupCommitTest.java
+++ b/src/test/java/io/cherryspool/store/GroupCommitTest.java
@@ -27,17 +27,17 @@
 class GroupCommitTest {
   private final VirtualTime time = new VirtualTime();
   private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
-  private final List<Request> swallowed = new ArrayList<>();
-  private boolean swallow;
+  private final List<Request> droppedRequests = new ArrayList<>();
+  private boolean dropsNext;
   private final StateStoreClient client =
       new StateStoreClient(
           time,
           new RateLimiter(time, 1, 1000, 1000),
           (to, request, deadline) -> {
             CompletableFuture<Reply> result = new CompletableFuture<>();
-            if (swallow) {
-              swallow = false;
-              swallowed.add(request);
+            if (dropsNext) {
+              dropsNext = false;
+              droppedRequests.add(request);
               return result;
             }
             time.schedule(
@@ -52,15 +52,15 @@
     return new GroupCommit(time, client, rateLimiter, 8, maxQueue, Duration.ofSeconds(1));
   }
 
-  private final ControlledTransport line = new ControlledTransport(time, state);
+  private final ControlledTransport transport = new ControlledTransport(time, state);
 
-  /** On a line of which single messages can be decided on. */
-  private GroupCommit lined() {
+  /** Commits over the transport that holds or replaces single messages. */
+  private GroupCommit commitsOverTransport() {
     RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
     Endpoint service = new Endpoint("127.0.0.1", 1);
-    StateStoreClient to =
-        new StateStoreClient(time, rateLimiter, line, service, Duration.ofSeconds(1));
-    return new GroupCommit(time, to, rateLimiter, 8, 100, Duration.ofSeconds(1));
+    StateStoreClient client =
+        new StateStoreClient(time, rateLimiter, transport, service, Duration.ofSeconds(1));
+    return new GroupCommit(time, client, rateLimiter, 8, 100, Duration.ofSeconds(1));
   }
 
   private List<CompletableFuture<Boolean>> putAll(GroupCommit commits, String... keys) {
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void oneKnownKeyDoesNotFailTheOthers() {
+  void anExistingKeyDoesNotFailTheOtherChanges() {
     GroupCommit commits = commits(1000, 100);
     put(commits, "c/a");
     run(1);
@@ -99,9 +99,9 @@
         List.of(true, false, true, false), results.stream().map(f -> f.getNow(null)).toList());
   }
 
-  /** Users are told to come back at once rather than held until their deadline. */
+  /** Users are refused early rather than kept waiting until their deadline. */
   @Test
-  void whatTheRateLimiterCantTakeIsRefusedWithinASecond() {
+  void changesBeyondTheRateLimitAreRefusedWithinASecond() {
     GroupCommit commits = commits(5, 20);
     List<CompletableFuture<Boolean>> results = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
@@ -114,51 +114,51 @@
     assertTrue(taken >= 4 && taken <= 15, "taken " + taken);
   }
 
-  /** Every third transaction held up for seconds cost each user a second and a try. */
+  /** Without it, transactions that the service delays by seconds cost their users a retry each. */
   @Test
-  void aTransactionThatIsHeldUpGoesOnceMoreAndItsLateCopyChangesNothing() {
+  void aDelayedTransactionIsSentAgainAndItsLateCopyChangesNothing() {
     GroupCommit commits = commits(1000, 100);
-    swallow = true;
+    dropsNext = true;
     CompletableFuture<Boolean> result = put(commits, "c/a");
     run(0.3);
     assertEquals(true, result.getNow(null));
-    state.handle(swallowed.get(0)).thenAccept(late -> assertEquals(409, late.status()));
-    assertEquals(1, swallowed.size());
+    state.handle(droppedRequests.get(0)).thenAccept(late -> assertEquals(409, late.status()));
+    assertEquals(1, droppedRequests.size());
   }
 
-  /** The second copy meets what the first has written; the callers then read what is there. */
+  /** The second copy conflicts with what the first has written; callers then read the records. */
   @Test
-  void aGroupAppliedByACopyWithoutAnswerCountsAsConflictForEachOfIt() {
-    GroupCommit commits = lined();
+  void aGroupAppliedWithoutAnAnswerIsAConflictForEachChange() {
+    GroupCommit commits = commitsOverTransport();
     CompletableFuture<Boolean> first = put(commits, "c/first");
     List<CompletableFuture<Boolean>> group = putAll(commits, "c/a", "c/b", "c/c");
-    line.interceptNext(ControlledTransport.COMMIT, Fate.LOSE_ANSWER);
+    transport.interceptNext(ControlledTransport.COMMIT, Fate.LOSE_ANSWER);
     run(0.01);
     assertEquals(true, first.getNow(null));
     run(0.5);
     assertEquals(List.of(false, false, false), known(group));
     assertNotNull(state.value("c/c"));
-    assertEquals(3, line.sentCount(ControlledTransport.COMMIT));
+    assertEquals(3, transport.sentCount(ControlledTransport.COMMIT));
   }
 
   @Test
-  void severalConflictsInAGroupLeaveTheRestToOneMoreTransaction() {
-    GroupCommit commits = lined();
+  void changesBesideConflictsAreCommittedByOneMoreTransaction() {
+    GroupCommit commits = commitsOverTransport();
     putAll(commits, "c/a", "c/b");
     run(0.1);
-    long before = line.sentCount(ControlledTransport.COMMIT);
+    long before = transport.sentCount(ControlledTransport.COMMIT);
     CompletableFuture<Boolean> first = put(commits, "c/first");
     List<CompletableFuture<Boolean>> group = putAll(commits, "c/a", "c/c", "c/b", "c/d");
     run(0.1);
     assertEquals(true, first.getNow(null));
     assertEquals(List.of(false, true, false, true), known(group));
-    assertEquals(before + 3, line.sentCount(ControlledTransport.COMMIT));
+    assertEquals(before + 3, transport.sentCount(ControlledTransport.COMMIT));
   }
 
-  /** A user that repeats a request in a hurry cost the others a transaction for each. */
+  /** Without it, each repetition of a request costs all others one more transaction. */
   @Test
-  void repeatedChangesSettleWithTheFirstOfThem() {
-    GroupCommit commits = lined();
+  void duplicatesShareTheTransactionOfTheFirst() {
+    GroupCommit commits = commitsOverTransport();
     CompletableFuture<Boolean> first = put(commits, "c/first");
     List<CompletableFuture<Boolean>> group =
         putAll(commits, "c/a", "c/a", "c/b", "c/a", "c/a", "c/a", "c/c", "c/first", "c/a", "c/a");
@@ -168,34 +168,34 @@
         List.of(true, false, true, false, false, false, true, false, false, false), known(group));
     assertEquals(
         3,
-        line.sentCount(ControlledTransport.COMMIT),
+        transport.sentCount(ControlledTransport.COMMIT),
         "the first, the group, and the group without what conflicts");
   }
 
   @Test
-  void repeatedChangesThatMeetTheLimitGoAgain() {
-    GroupCommit commits = lined();
+  void rateLimitedChangesAndTheirDuplicatesAreSentAgain() {
+    GroupCommit commits = commitsOverTransport();
     CompletableFuture<Boolean> first = put(commits, "c/first");
-    line.replyNext(ControlledTransport.COMMIT, 429, "{}");
+    transport.replyNext(ControlledTransport.COMMIT, 429, "{}");
     List<CompletableFuture<Boolean>> group = putAll(commits, "c/a", "c/b", "c/a");
     run(0.1);
-    line.release(ControlledTransport.COMMIT);
+    transport.release(ControlledTransport.COMMIT);
     run(0.3);
     assertEquals(true, first.getNow(null));
     assertEquals(List.of(true, true, false), known(group));
   }
 
-  /** It can't be told what failed, and the same would be sent over and over. */
+  /** What failed is unknown, and the same transaction would be sent again and again. */
   @ParameterizedTest
   @ValueSource(strings = {"[]", "[\"c/other\"]"})
-  void aConflictThatNamesNoneOfTheGroupIsNoAnswerToAnyOfThem(String failed) {
-    GroupCommit commits = lined();
-    line.replyNext(ControlledTransport.COMMIT, 409, "{\"failed\":" + failed + ",\"epoch\":1}");
+  void aConflictThatNamesNoConditionFailsAllChanges(String failed) {
+    GroupCommit commits = commitsOverTransport();
+    transport.replyNext(ControlledTransport.COMMIT, 409, "{\"failed\":" + failed + ",\"epoch\":1}");
     CompletableFuture<Boolean> result = put(commits, "c/a");
     run(0.1);
-    line.release(ControlledTransport.COMMIT);
+    transport.release(ControlledTransport.COMMIT);
     run(0.1);
     assertTrue(result.isCompletedExceptionally());
-    assertEquals(1, line.sentCount(ControlledTransport.COMMIT));
+    assertEquals(1, transport.sentCount(ControlledTransport.COMMIT));
   }
 }
--- a/src/test/java/io/cherryspool/store/JobRecordFixture.java
+++ b/src/test/java/io/cherryspool/store/JobRecordFixture.java
@@ -14,27 +14,27 @@
 
   /** All tasks up to the given number run on one machine, by a record of version 7. */
   public static JobRecord running(Job job, int tasks, String machine) {
-    JobRecord entry = accepted(job);
+    JobRecord record = accepted(job);
     Shard.Editor editor = Shard.EMPTY.edit();
     for (int task = 0; task < tasks; task++) {
       editor.assign(task, machine, 1, 5);
     }
-    entry.setShard(0, new JobRecord.VersionedShard(editor.build(), 7));
-    return entry;
+    record.setShard(0, new JobRecord.VersionedShard(editor.build(), 7));
+    return record;
   }
 
   /** Tasks that were tried as often as they failed, and wait. */
   public static JobRecord failed(Job job, int... failures) {
-    JobRecord entry = accepted(job);
+    JobRecord record = accepted(job);
     Shard.Editor editor = Shard.EMPTY.edit();
     for (int task = 0; task < failures.length; task++) {
       editor.putHistory(task, new Shard.History(failures[task] + 1, failures[task]));
     }
-    entry.setShard(0, new JobRecord.VersionedShard(editor.build(), 7));
-    return entry;
+    record.setShard(0, new JobRecord.VersionedShard(editor.build(), 7));
+    return record;
   }
 
-  public static void end(JobRecord entry, Outcome outcome) {
-    entry.setOutcome(outcome);
+  public static void end(JobRecord record, Outcome outcome) {
+    record.setOutcome(outcome);
   }
 }
--- a/src/test/java/io/cherryspool/store/RateLimiterTest.java
+++ b/src/test/java/io/cherryspool/store/RateLimiterTest.java
@@ -12,7 +12,7 @@
 class RateLimiterTest {
   private final VirtualTime time = new VirtualTime();
 
-  private void pass(int millis) {
+  private void advance(int millis) {
     Duration end = time.now().plusMillis(millis);
     time.schedule(Duration.ofMillis(millis), () -> {});
     time.runNextEvent(end);
@@ -21,7 +21,7 @@
   private RateLimiter rateLimiter(int nodes, double writes, boolean leader) {
     RateLimiter rateLimiter = new RateLimiter(time, nodes, 200, writes);
     rateLimiter.setLeader(leader);
-    pass(3000);
+    advance(3000);
     return rateLimiter;
   }
 
@@ -29,7 +29,7 @@
     while (rateLimiter.tryAcquireWrites(RateLimiter.WriteClass.CANCEL, 1)) {}
     int count = 0;
     for (int i = 0; i < 100; i++) {
-      pass(100);
+      advance(100);
       while (rateLimiter.tryAcquireWrites(use, 1)) {
         count++;
       }
@@ -39,7 +39,7 @@
 
   /** With five nodes 2.4 a second were left to each, however little the leader wrote. */
   @Test
-  void theLeaderLeavesToTheOthersWhatTheyUse() {
+  void theLeaderLeavesTheOthersWhatTheyReport() {
     assertEquals(4, perSecond(rateLimiter(5, 25, false), RateLimiter.WriteClass.SUBMIT));
     RateLimiter leader = rateLimiter(5, 25, true);
     leader.setOtherNodesWriteRates(5, 5, 5, 5);
@@ -52,34 +52,34 @@
   }
 
   @Test
-  void whatANodeHasUsedIsToldAndFades() {
+  void recentWritesAreAveragedAndDecay() {
     RateLimiter rateLimiter = rateLimiter(3, 60, false);
     for (int i = 0; i < 50; i++) {
-      pass(200);
+      advance(200);
       assertTrue(rateLimiter.tryAcquireWrites(RateLimiter.WriteClass.SUBMIT, 1));
     }
     assertEquals(5, rateLimiter.recentWritesPerSecond(), 0.5);
-    pass(10000);
+    advance(10000);
     assertEquals(0, rateLimiter.recentWritesPerSecond(), 0.1);
   }
 
   /** A job that ended with more shards than a round is ever left would never have ended. */
   @Test
-  void noSizeAndNoUseWaitsForGood() {
+  void noClassAndNoSizeOfTransactionWaitsForever() {
     RateLimiter leader = rateLimiter(3, 60, true);
     for (RateLimiter.WriteClass use : RateLimiter.WriteClass.values()) {
       for (int count : new int[] {1, 20, 48}) {
-        pass(3000);
+        advance(3000);
         assertTrue(leader.tryAcquireWrites(use, count), use + " " + count);
       }
     }
-    pass(3000);
+    advance(3000);
     assertFalse(
         leader.mayWrite(RateLimiter.WriteClass.IDLE, 20, 10), "nor may it take that bit by bit");
     leader.forceAcquire(40);
     assertFalse(
         leader.mayWrite(RateLimiter.WriteClass.IDLE, 0, 1), "idle work leaves room for the others");
-    pass(400);
+    advance(400);
     assertTrue(leader.mayWrite(RateLimiter.WriteClass.ROUND, 0, 1));
     assertFalse(leader.mayWrite(RateLimiter.WriteClass.DEFERRABLE, 0, 1));
   }
--- a/src/test/java/io/cherryspool/store/RecordsSnapshotCodecTest.java
+++ b/src/test/java/io/cherryspool/store/RecordsSnapshotCodecTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.pcollections.HashTreePMap;
 
-/** That a picture survives being written in parts, and that damaged parts are seen. */
+/** Snapshots in chunks: read back unchanged, and refused if a chunk is damaged. */
 class RecordsSnapshotCodecTest {
   private static final int VALUE_BYTES = 16 * 1024;
 
@@ -24,14 +24,14 @@
   }
 
   @Test
-  void whatIsWrittenIsReadAgain() throws MalformedMessageException {
+  void aSnapshotInSeveralChunksIsReadBackUnchanged() throws MalformedMessageException {
     for (long seed = 1; seed <= 20; seed++) {
-      RecordsSnapshot picture = RecordsSnapshotFixture.history(seed, 200).get(199);
-      List<byte[]> chunks = RecordsSnapshotCodec.encode(picture.jobs(), 600);
-      assertTrue(chunks.size() > 1, "in several parts");
+      RecordsSnapshot snapshot = RecordsSnapshotFixture.history(seed, 200).get(199);
+      List<byte[]> chunks = RecordsSnapshotCodec.encode(snapshot.jobs(), 600);
+      assertTrue(chunks.size() > 1, "several chunks");
       assertTrue(chunks.stream().allMatch(chunk -> chunk.length <= 600));
       assertEquals(
-          RecordsSnapshotFixture.text(picture), RecordsSnapshotFixture.text(decoded(chunks)));
+          RecordsSnapshotFixture.text(snapshot), RecordsSnapshotFixture.text(decoded(chunks)));
     }
   }
 
@@ -42,26 +42,26 @@
     RecordsSnapshot.JobSnapshot job =
         RecordsSnapshotFixture.running(
             JobFixture.job("req-000001", Priority.NORMAL, 100_000, 1), perShard);
-    RecordsSnapshot picture =
+    RecordsSnapshot snapshot =
         RecordsSnapshot.EMPTY.withJobs(HashTreePMap.singleton("req-000001", job));
     List<byte[]> chunks =
-        RecordsSnapshotCodec.encode(picture.jobs(), Records.maxChunkBytes(VALUE_BYTES));
+        RecordsSnapshotCodec.encode(snapshot.jobs(), Records.maxChunkBytes(VALUE_BYTES));
     for (byte[] chunk : chunks) {
       assertTrue(Json.toBytes(Records.encodeBundle(chunk)).length <= VALUE_BYTES);
     }
     // At 60 changes a second these are written within a few seconds, of a lease of 16.
     assertTrue(chunks.size() <= 180, chunks.size() + " bundles");
     assertEquals(
-        RecordsSnapshotFixture.text(picture), RecordsSnapshotFixture.text(decoded(chunks)));
+        RecordsSnapshotFixture.text(snapshot), RecordsSnapshotFixture.text(decoded(chunks)));
   }
 
   @Test
-  void equalPicturesHaveEqualDigestsAndChangedOnesHaveOthers() {
-    RecordsSnapshot picture = RecordsSnapshotFixture.history(3, 200).get(199);
-    List<byte[]> chunks = RecordsSnapshotCodec.encode(picture.jobs(), 600);
+  void equalSnapshotsHaveEqualDigestsAndChangedOnesHaveOthers() {
+    RecordsSnapshot snapshot = RecordsSnapshotFixture.history(3, 200).get(199);
+    List<byte[]> chunks = RecordsSnapshotCodec.encode(snapshot.jobs(), 600);
     String digest = RecordsSnapshotCodec.digest(chunks);
     assertEquals(
-        digest, RecordsSnapshotCodec.digest(RecordsSnapshotCodec.encode(picture.jobs(), 600)));
+        digest, RecordsSnapshotCodec.digest(RecordsSnapshotCodec.encode(snapshot.jobs(), 600)));
     List<byte[]> swapped = new ArrayList<>(chunks);
     Collections.swap(swapped, 0, 1);
     assertNotEquals(digest, RecordsSnapshotCodec.digest(swapped));
@@ -74,22 +74,23 @@
   }
 
   @Test
-  void partsThatAreCutShortAreRefused() {
-    RecordsSnapshot picture = RecordsSnapshotFixture.history(4, 200).get(199);
-    List<byte[]> chunks = RecordsSnapshotCodec.encode(picture.jobs(), 100_000);
-    byte[] torn = java.util.Arrays.copyOf(chunks.get(0), chunks.get(0).length / 2);
-    assertThrows(MalformedMessageException.class, () -> RecordsSnapshotCodec.decode(List.of(torn)));
+  void truncatedChunksAreRefused() {
+    RecordsSnapshot snapshot = RecordsSnapshotFixture.history(4, 200).get(199);
+    List<byte[]> chunks = RecordsSnapshotCodec.encode(snapshot.jobs(), 100_000);
+    byte[] truncated = java.util.Arrays.copyOf(chunks.get(0), chunks.get(0).length / 2);
+    assertThrows(
+        MalformedMessageException.class, () -> RecordsSnapshotCodec.decode(List.of(truncated)));
     assertThrows(
         MalformedMessageException.class,
         () -> RecordsSnapshotCodec.decode(List.of(new byte[] {1, 2, 3})));
   }
 
   @Test
-  void aRecordThatCannotFitIsRefusedByName() {
-    RecordsSnapshot picture = RecordsSnapshotFixture.history(4, 20).get(19);
+  void aRecordLargerThanAChunkIsRefusedByItsJobsId() {
+    RecordsSnapshot snapshot = RecordsSnapshotFixture.history(4, 20).get(19);
     IllegalArgumentException refused =
         assertThrows(
-            IllegalArgumentException.class, () -> RecordsSnapshotCodec.encode(picture.jobs(), 20));
+            IllegalArgumentException.class, () -> RecordsSnapshotCodec.encode(snapshot.jobs(), 20));
     assertTrue(refused.getMessage().contains("req-"), refused.getMessage());
   }
 }
--- a/src/test/java/io/cherryspool/store/RecordsSnapshotFixture.java
+++ b/src/test/java/io/cherryspool/store/RecordsSnapshotFixture.java
@@ -14,14 +14,14 @@
 import org.pcollections.PSortedMap;
 import org.pcollections.TreePMap;
 
-/** Pictures as nodes may remember them. */
+/** Snapshots as the nodes of a cluster may retain them. */
 public final class RecordsSnapshotFixture {
   private static final int TASKS_PER_SHARD = 8;
   private static final int MACHINES = 6;
 
   private RecordsSnapshotFixture() {}
 
-  /** A cluster's history of so many steps; a picture is what it was after each of them. */
+  /** A cluster's history of so many steps, with a snapshot after each of them. */
   public static List<RecordsSnapshot> history(long seed, int steps) {
     SplittableRandom random = new SplittableRandom(seed);
     List<RecordsSnapshot> history = new ArrayList<>();
@@ -60,12 +60,13 @@
     int task = random.nextInt(job.job().taskCount());
     int index = task / TASKS_PER_SHARD;
     Shard shard = job.shards().getOrDefault(index, Shard.EMPTY);
-    RecordsSnapshot.JobSnapshot next = job.withShard(index, moved(shard, task, random, step));
+    RecordsSnapshot.JobSnapshot next =
+        job.withShard(index, nextProgress(shard, task, random, step));
     return jobs.plus(id, isDone(next) ? next.withOutcome(Outcome.DONE) : next);
   }
 
-  /** One of the moves that records allow. */
-  private static Shard moved(Shard shard, int task, SplittableRandom random, long token) {
+  /** One of the changes of a task that records may show. */
+  private static Shard nextProgress(Shard shard, int task, SplittableRandom random, long token) {
     if (shard.isDone(task)) {
       return shard;
     }
@@ -96,13 +97,13 @@
   }
 
   /** The jobs as text, for comparing. */
-  public static String text(RecordsSnapshot picture) {
+  public static String text(RecordsSnapshot snapshot) {
     StringBuilder text = new StringBuilder();
-    picture.jobs().keySet().stream()
+    snapshot.jobs().keySet().stream()
         .sorted()
         .forEach(
             id -> {
-              RecordsSnapshot.JobSnapshot job = picture.jobs().get(id);
+              RecordsSnapshot.JobSnapshot job = snapshot.jobs().get(id);
               text.append(id).append(' ').append(job.outcome()).append('\n');
               job.shards()
                   .forEach(
--- a/src/test/java/io/cherryspool/store/ReplicaCostTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaCostTest.java
@@ -23,7 +23,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** What a node that only follows may use for the changes of the others. Bytes are counted. */
+/** What a follower may allocate for changes of other nodes, and keep of ended jobs, in bytes. */
 class ReplicaCostTest {
   private static final String JOB = "req-000001";
   private static final int TASKS = 100;
@@ -31,9 +31,9 @@
   private static final Duration CALL = Duration.ofSeconds(1);
   private static final int WARM_UP = 3000;
   private static final int EVENTS = 1000;
-  private static final long MOST_ALLOCATED_PER_EVENT = 15_000;
+  private static final long MAX_ALLOCATED_BYTES_PER_EVENT = 15_000;
   private static final int JOBS = 20_000;
-  private static final long MOST_KEPT_PER_JOB = 900;
+  private static final long MAX_KEPT_BYTES_PER_JOB = 900;
 
   private final VirtualTime time = new VirtualTime();
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
@@ -69,7 +69,7 @@
   }
 
   /** The watch is answered, and opened again. */
-  private void tell(Reply reply) {
+  private void answerWatch(Reply reply) {
     watch.complete(reply);
     reopen();
   }
@@ -106,16 +106,16 @@
   @Test
   void aChangeOfProgressAllocatesLittle() {
     replica.start();
-    tell(accepted(JOB));
-    progress(WARM_UP).forEach(this::tell);
+    answerWatch(accepted(JOB));
+    progress(WARM_UP).forEach(this::answerWatch);
     long bytes = 0;
     for (Reply reply : progress(EVENTS)) {
       bytes += HeapMeter.allocatedBytes(() -> watch.complete(reply));
       reopen();
     }
-    assertEquals(OWNED, replica.job(JOB).ownedCount(), "the changes are taken in");
+    assertEquals(OWNED, replica.job(JOB).ownedCount(), "the changes are applied");
     long each = bytes / EVENTS;
-    assertTrue(each <= MOST_ALLOCATED_PER_EVENT, each + " bytes an event");
+    assertTrue(each <= MAX_ALLOCATED_BYTES_PER_EVENT, each + " bytes an event");
   }
 
   @Test
@@ -124,14 +124,14 @@
     long bytes = HeapMeter.retainedBytes(this::endedJobs) / JOBS;
     assertEquals(JOBS, replica.jobCount());
     assertEquals(0, replica.activeJobs().size());
-    assertTrue(bytes <= MOST_KEPT_PER_JOB, bytes + " bytes a job");
+    assertTrue(bytes <= MAX_KEPT_BYTES_PER_JOB, bytes + " bytes a job");
   }
 
   private Object endedJobs() {
     for (int i = 0; i < JOBS; i++) {
       String id = String.format("req-%06d", i);
-      tell(accepted(id));
-      tell(put(Records.outcomeKey(id), Records.encodeOutcome(Outcome.DONE)));
+      answerWatch(accepted(id));
+      answerWatch(put(Records.outcomeKey(id), Records.encodeOutcome(Outcome.DONE)));
     }
     return replica;
   }
--- a/src/test/java/io/cherryspool/store/ReplicaTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaTest.java
@@ -22,17 +22,17 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** What the copy may be read for, and when. */
+/** When reads of the copy are linearizable, and when they are refused. */
 class ReplicaTest {
   private static final String JOB = "req-000001";
   private static final Duration CALL = Duration.ofSeconds(1);
 
   private final VirtualTime time = new VirtualTime();
   private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
-  private final ControlledTransport line = new ControlledTransport(time, state);
+  private final ControlledTransport transport = new ControlledTransport(time, state);
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
   private final StateStoreClient client =
-      new StateStoreClient(time, rateLimiter, line, new Endpoint("127.0.0.1", 1), CALL);
+      new StateStoreClient(time, rateLimiter, transport, new Endpoint("127.0.0.1", 1), CALL);
   private final Replica replica =
       new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
 
@@ -62,9 +62,9 @@
                     Records.outcomeKey(id), Records.encodeOutcome(Outcome.CANCELLED), 0))));
   }
 
-  /** Loaded, with a watch open that will tell that the history is gone. */
+  /** Loads, with a watch open whose answer will be that the history is gone. */
   private void load() {
-    line.replyNext(ControlledTransport.WATCH, 410, "{}");
+    transport.replyNext(ControlledTransport.WATCH, 410, "{}");
     replica.start();
     run(0.05);
     assertTrue(replica.isLoaded());
@@ -75,103 +75,103 @@
   }
 
   @Test
-  void aRequestIsNotAnsweredByAReadingThatWasSentBeforeIt() {
+  void aCallerIsNotAnsweredByAReadThatWasSentBeforeItsCall() {
     load();
-    line.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
+    transport.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
     CompletableFuture<Void> before = replica.refresh();
     run(0.05);
     CompletableFuture<Void> after = replica.refresh();
     accept(JOB);
-    line.interceptNext(ControlledTransport.READ, Fate.HOLD_REQUEST);
-    line.release(ControlledTransport.READ);
+    transport.interceptNext(ControlledTransport.READ, Fate.HOLD_REQUEST);
+    transport.release(ControlledTransport.READ);
     run(0.05);
     assertTrue(succeeded(before));
     assertNull(replica.job(JOB), "carried out before the job was accepted");
     assertFalse(after.isDone(), "its own reading is still under way");
-    line.release(ControlledTransport.READ);
+    transport.release(ControlledTransport.READ);
     run(0.05);
     assertTrue(succeeded(after));
     assertNotNull(replica.job(JOB));
   }
 
   @Test
-  void whileAllKeysAreReadAgainRequestsAreRefusedAtOnce() {
+  void callersAreRefusedAtOnceDuringAReload() {
     load();
-    line.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
+    transport.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
     CompletableFuture<Void> sent = replica.refresh();
     run(0.05);
     CompletableFuture<Void> waits = replica.refresh();
-    line.interceptNext("/keys", Fate.HOLD_REQUEST);
-    line.release(ControlledTransport.WATCH);
+    transport.interceptNext("/keys", Fate.HOLD_REQUEST);
+    transport.release(ControlledTransport.WATCH);
     assertFalse(replica.isLoaded());
     assertTrue(waits.isCompletedExceptionally(), "its reading would have been sent from a gap");
     assertTrue(replica.refresh().isCompletedExceptionally());
-    line.release(ControlledTransport.READ);
+    transport.release(ControlledTransport.READ);
     assertTrue(succeeded(sent), "what was read before holds in the copy that is still there");
-    line.release("/keys");
+    transport.release("/keys");
     run(0.05);
     CompletableFuture<Void> later = replica.refresh();
     run(0.05);
     assertTrue(succeeded(later));
   }
 
-  /** What a reading carried out after the reload's own has told users must not be taken back. */
+  /** Callers may have been answered from a read that was executed after that of the reload. */
   @Test
-  void aReloadNeverTakesTheCopyBack() {
+  void aReloadNeverSetsTheCopyBack() {
     load();
-    line.interceptNext(ControlledTransport.READ, Fate.HOLD_REQUEST);
+    transport.interceptNext(ControlledTransport.READ, Fate.HOLD_REQUEST);
     CompletableFuture<Void> reading = replica.refresh();
     run(0.05);
-    line.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
-    line.release(ControlledTransport.WATCH);
+    transport.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
+    transport.release(ControlledTransport.WATCH);
     run(0.05);
     accept(JOB);
-    line.release(ControlledTransport.READ);
+    transport.release(ControlledTransport.READ);
     run(0.05);
     assertTrue(succeeded(reading));
-    assertNotNull(replica.job(JOB), "a user may have been told so");
+    assertNotNull(replica.job(JOB), "a caller may have been answered so");
     assertFalse(replica.isLoaded());
-    line.release(ControlledTransport.READ);
+    transport.release(ControlledTransport.READ);
     assertNotNull(replica.job(JOB));
     run(0.05);
     assertTrue(replica.isLoaded());
     assertNotNull(replica.job(JOB));
   }
 
-  /** It tells of the job without its end, which must not be taken back. */
+  /** It shows the job without its outcome, which the reload has read already. */
   @Test
-  void aReadingThatReturnsAfterTheReloadChangesNothing() {
+  void aReadThatReturnsAfterAReloadChangesNothing() {
     load();
     accept(JOB);
-    line.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
+    transport.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
     CompletableFuture<Void> reading = replica.refresh();
     run(0.05);
     cancel(JOB);
-    line.release(ControlledTransport.WATCH);
+    transport.release(ControlledTransport.WATCH);
     run(0.05);
     assertEquals(Outcome.CANCELLED, replica.job(JOB).outcome());
     Duration confirmed = replica.lastConfirmedAt();
-    line.release(ControlledTransport.READ);
+    transport.release(ControlledTransport.READ);
     assertTrue(succeeded(reading));
     assertEquals(Outcome.CANCELLED, replica.job(JOB).outcome());
     assertEquals(confirmed, replica.lastConfirmedAt(), "read earlier than the copy");
   }
 
-  /** Its users would be refused for another while, for a gap that has been closed. */
+  /** A second reload would refuse users again, for a gap that is closed. */
   @Test
-  void aReadingFromBeforeTheReloadThatFindsTheHistoryGoneBeginsNoOther() {
+  void aReadFromBeforeAReloadThatFindsTheHistoryGoneStartsNoOther() {
     load();
     accept(JOB);
-    line.replyNext(ControlledTransport.READ, 410, "{}");
+    transport.replyNext(ControlledTransport.READ, 410, "{}");
     CompletableFuture<Void> reading = replica.refresh();
     run(0.05);
-    line.release(ControlledTransport.WATCH);
+    transport.release(ControlledTransport.WATCH);
     run(0.05);
     assertTrue(replica.isLoaded());
-    line.release(ControlledTransport.READ);
+    transport.release(ControlledTransport.READ);
     assertTrue(reading.isCompletedExceptionally());
     assertTrue(replica.isLoaded());
     run(0.05);
-    assertEquals(2, line.sentCount("/keys"));
+    assertEquals(2, transport.sentCount("/keys"));
   }
 }
