--- a/src/main/java/io/cherryspool/store/GroupCommit.java
+++ b/src/main/java/io/cherryspool/store/GroupCommit.java
@@ -51,6 +51,8 @@
       CompletableFuture<Boolean> result) {}
 
   /**
+   * Creates an empty queue.
+   *
    * @param maxChanges the most changes in one transaction
    * @param maxQueueLength the most changes that may wait, for cancels and submissions each
    * @param maxWait how long a change may wait before it is refused
--- a/src/main/java/io/cherryspool/store/HedgedTransaction.java
+++ b/src/main/java/io/cherryspool/store/HedgedTransaction.java
@@ -21,6 +21,8 @@
   private EventLoop.Timer hedgeTimer;
 
   /**
+   * Creates a transaction that is not sent yet.
+   *
    * @param changeCount how many changes the request holds, for the rate limit
    */
   HedgedTransaction(
--- a/src/main/java/io/cherryspool/store/Incarnation.java
+++ b/src/main/java/io/cherryspool/store/Incarnation.java
@@ -9,6 +9,9 @@
  * Every transaction has the version of its record as a condition, so that none of an earlier
  * incarnation is applied after the next one has begun.
  *
+ * <p>Its eight components are the fields of one stored record, which is read and written as a
+ * whole.
+ *
  * @param cluster chosen at the first installation, never changed
  * @param number 0 for the first installation, one more with each rebuild that was begun
  * @param nonce makes the key prefix of a rebuild unique; empty for number 0
--- a/src/main/java/io/cherryspool/store/JobIndex.java
+++ b/src/main/java/io/cherryspool/store/JobIndex.java
@@ -191,6 +191,8 @@
   }
 
   /**
+   * Applies a progress record.
+   *
    * @param idAndShard the key without its prefix
    */
   private void setProgress(String idAndShard, JsonNode value, long version) {
--- a/src/main/java/io/cherryspool/store/KeyScan.java
+++ b/src/main/java/io/cherryspool/store/KeyScan.java
@@ -34,6 +34,8 @@
   public record ScanResult(List<StateStoreProtocol.Event> entries, long firstRevision) {}
 
   /**
+   * Creates a scan that is not started yet.
+   *
    * @param rateLimiter counts each page, but never delays one
    * @param onScanned receives the result, unless the scan is cancelled before
    */
@@ -61,6 +63,8 @@
   }
 
   /**
+   * Requests the page after a key.
+   *
    * @param after the last key of the page before, null for the first page
    */
   private void readPage(String after) {
--- a/src/main/java/io/cherryspool/store/LinearizableReads.java
+++ b/src/main/java/io/cherryspool/store/LinearizableReads.java
@@ -48,6 +48,8 @@
       LastChange expected) {}
 
   /**
+   * Creates reads that apply their answers to a replica.
+   *
    * @param minInterval the least time between the sending of two reads
    * @param overdueAfter how long a read may be unanswered before callers are refused at once
    */
--- a/src/main/java/io/cherryspool/store/RateLimiter.java
+++ b/src/main/java/io/cherryspool/store/RateLimiter.java
@@ -72,6 +72,8 @@
   private Duration refilledAt;
 
   /**
+   * Creates a limiter with full buckets and a follower's share.
+   *
    * @param nodes how many nodes share the limits
    * @param requestsPerSecond the limit on requests of all nodes together
    * @param changesPerSecond the limit on changes of all nodes together
--- a/src/main/java/io/cherryspool/store/RecordIndex.java
+++ b/src/main/java/io/cherryspool/store/RecordIndex.java
@@ -32,6 +32,8 @@
   private boolean isReconciled;
 
   /**
+   * Creates an empty index.
+   *
    * @param keySpace where the progress records are noted that bundles hold
    */
   RecordIndex(KeySpace keySpace) {
--- a/src/main/java/io/cherryspool/store/Replica.java
+++ b/src/main/java/io/cherryspool/store/Replica.java
@@ -53,6 +53,8 @@
   private int generation;
 
   /**
+   * Creates a copy that reads nothing before {@link #start}.
+   *
    * @param minReadInterval the least time between two reads for {@link #refresh}
    * @param readOverdueAfter how long such a read may be unanswered before callers are refused
    */
--- a/src/main/java/io/cherryspool/store/ReplicaLoader.java
+++ b/src/main/java/io/cherryspool/store/ReplicaLoader.java
@@ -38,6 +38,8 @@
   record Loaded(Map<String, StateStoreProtocol.Event> entries, long revision, Duration sentAt) {}
 
   /**
+   * Creates a load that is not started yet.
+   *
    * @param minRevision the revision that the copy in use has reached; nothing older replaces it
    * @param since the revision since which changes are read, or {@link #SINCE_FIRST_PAGE}
    * @param onLoaded receives the result, unless the load is cancelled before
--- a/src/main/java/io/cherryspool/store/StateStoreClient.java
+++ b/src/main/java/io/cherryspool/store/StateStoreClient.java
@@ -43,6 +43,8 @@
   private RollbackDetector detector = RollbackDetector.DISABLED;
 
   /**
+   * Creates a client without rollback detection.
+   *
    * @param rateLimiter counts the second copies of transactions
    * @param deadline how long a request may take before it fails
    */
@@ -253,6 +255,8 @@
   }
 
   /**
+   * Reads the body of an answer, or throws what is known of the effect of a failed request.
+   *
    * @param acceptedStatus a status besides 200 whose body is an answer
    */
   private static JsonNode readBody(Reply reply, Throwable failure, int acceptedStatus) {
