--- a/src/main/java/io/cherryspool/wire/CloudProtocol.java
+++ b/src/main/java/io/cherryspool/wire/CloudProtocol.java
@@ -6,39 +6,40 @@
 import io.cherryspool.http.Request;
 import io.cherryspool.model.Instance;
 import io.cherryspool.model.MachineType;
-import io.cherryspool.model.Resources;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 
-/** The cloud's requests and answers. */
+/** Encodes requests to the cloud and decodes its responses. */
 public final class CloudProtocol {
+  /** The cloud answers 503 with this error when an offering is out of capacity. */
+  private static final String NO_CAPACITY = "no capacity";
+
   private CloudProtocol() {}
 
-  /** One page of the machine list. */
+  /**
+   * One page of the instance list, in the order of the instances' names.
+   *
+   * @param hasMore whether another page follows, which begins after the last name of this one
+   */
   public record InstancePage(List<Instance> instances, boolean hasMore) {}
 
+  /** The request for the machine types and their current prices. */
   public static Request catalogRequest() {
     return Request.get("/catalog");
   }
 
+  /**
+   * Decodes the catalog, also in the stored form of {@link #encodeCatalog}.
+   *
+   * @return the machine types in the cloud's order; immutable and not empty
+   * @throws MalformedMessageException if a type lacks a field, or there is no type
+   */
   public static List<MachineType> parseCatalog(JsonNode node) throws MalformedMessageException {
     List<MachineType> types = new ArrayList<>();
-    for (JsonNode build : node.path("builds")) {
-      types.add(
-          new MachineType(
-              Json.text(build, "name"),
-              new Resources(
-                  Json.amount(build, "vcpus"),
-                  Json.amount(build, "gpus"),
-                  Json.amount(build, "mem_gb")),
-              Json.amount(build, "local_gb"),
-              Json.amount(build, "fetch_gb_per_s"),
-              Json.amount(build, "rate"),
-              Json.amount(build, "market_price"),
-              Json.seconds(build, "startup_s"),
-              List.copyOf(Json.texts(build, "yards"))));
+    for (JsonNode item : node.path(ProtocolFields.MACHINE_TYPES)) {
+      types.add(parseType(item));
     }
     if (types.isEmpty()) {
       throw new MalformedMessageException("the catalog is empty");
@@ -46,76 +47,117 @@
     return List.copyOf(types);
   }
 
+  private static MachineType parseType(JsonNode node) throws MalformedMessageException {
+    return new MachineType(
+        Json.requiredText(node, ProtocolFields.NAME),
+        Json.requiredResources(node),
+        Json.requiredAmount(node, ProtocolFields.IMAGE_CACHE_GB),
+        Json.requiredAmount(node, ProtocolFields.FETCH_GB_PER_SECOND),
+        Json.requiredAmount(node, ProtocolFields.ON_DEMAND_PRICE),
+        Json.requiredAmount(node, ProtocolFields.SPOT_PRICE),
+        Json.requiredSeconds(node, ProtocolFields.BOOT_TIME),
+        List.copyOf(Json.requiredTexts(node, ProtocolFields.ZONES)));
+  }
+
+  /** Encodes the catalog in the cloud's form, in which the state store keeps it. */
   public static ObjectNode encodeCatalog(List<MachineType> types) {
     ObjectNode node = Json.object();
-    ArrayNode builds = node.putArray("builds");
+    ArrayNode list = node.putArray(ProtocolFields.MACHINE_TYPES);
     for (MachineType type : types) {
-      ObjectNode build = builds.addObject();
-      build.put("name", type.name());
-      build.put("vcpus", type.capacity().cpus());
-      build.put("gpus", type.capacity().gpus());
-      build.put("mem_gb", type.capacity().memoryGb());
-      build.put("local_gb", type.imageCacheGb());
-      build.put("fetch_gb_per_s", type.fetchGbPerSecond());
-      build.put("rate", type.hourlyPrice());
-      build.put("market_price", type.spotPrice());
-      build.put("startup_s", Json.toSeconds(type.bootTime()));
-      ArrayNode zones = build.putArray("yards");
+      ObjectNode item = list.addObject();
+      item.put(ProtocolFields.NAME, type.name());
+      Json.putResources(item, type.capacity());
+      item.put(ProtocolFields.IMAGE_CACHE_GB, type.imageCacheGb());
+      item.put(ProtocolFields.FETCH_GB_PER_SECOND, type.fetchGbPerSecond());
+      item.put(ProtocolFields.ON_DEMAND_PRICE, type.onDemandPrice());
+      item.put(ProtocolFields.SPOT_PRICE, type.spotPrice());
+      item.put(ProtocolFields.BOOT_TIME, Json.toSeconds(type.bootTime()));
+      ArrayNode zones = item.putArray(ProtocolFields.ZONES);
       type.zones().forEach(zones::add);
     }
     return node;
   }
 
+  /**
+   * The request for new instances of one offering. It is idempotent by its name.
+   *
+   * @param name the request's name, which must never have been used for another request
+   * @param count how many instances, at most 50; the cloud may grant fewer
+   */
   public static Request instanceRequest(
-      String name, String type, String zone, boolean spot, int count) {
-    ObjectNode node = Json.object().put("hire", name).put("build", type).put("yard", zone);
-    node.put("loaners", spot).put("how_many", count);
+      String name, String type, String zone, boolean isSpot, int count) {
+    ObjectNode node = Json.object();
+    node.put(ProtocolFields.REQUEST_NAME, name);
+    node.put(ProtocolFields.MACHINE_TYPE, type);
+    node.put(ProtocolFields.ZONE, zone);
+    node.put(ProtocolFields.SPOT, isSpot);
+    node.put(ProtocolFields.COUNT, count);
     return Request.post("/machines", Json.toBytes(node));
   }
 
-  /** Tells a sold-out type from an outage, which has the same status. */
+  /**
+   * Whether the body of a 503 says that the offering is out of capacity. An outage of the cloud has
+   * the same status.
+   */
   public static boolean isNoCapacity(byte[] body) {
     try {
-      return "no capacity".equals(Json.parseObject(body).path("error").asText());
+      return NO_CAPACITY.equals(Json.parseObject(body).path(ProtocolFields.ERROR).asText());
     } catch (MalformedMessageException e) {
       return false;
     }
   }
 
+  /**
+   * Decodes the response to an instance request.
+   *
+   * @return the names of the instances granted, fewer than requested or none
+   */
   public static List<String> parseInstanceNames(JsonNode node) throws MalformedMessageException {
-    return Json.texts(node, "spindles");
+    return Json.requiredTexts(node, ProtocolFields.MACHINES);
   }
 
+  /**
+   * The request to delete instances. The cloud ignores unknown names.
+   *
+   * @param machines the instances' names, at most 100
+   */
   public static Request deleteRequest(List<String> machines) {
     ObjectNode node = Json.object();
-    ArrayNode names = node.putArray("spindles");
+    ArrayNode names = node.putArray(ProtocolFields.MACHINES);
     machines.forEach(names::add);
     return Request.post("/machines/delete", Json.toBytes(node));
   }
 
+  /**
+   * The request for one page of the instance list.
+   *
+   * @param after the last name of the page before, null for the first page
+   * @param limit the most instances in the page, at most 500
+   */
   public static Request listRequest(String after, int limit) {
     String from =
         after == null ? "" : "from=" + URLEncoder.encode(after, StandardCharsets.UTF_8) + "&";
     return Request.get("/machines?" + from + "limit=" + limit);
   }
 
+  /** Decodes one page of the instance list. */
   public static InstancePage parsePage(JsonNode node) throws MalformedMessageException {
-    List<Instance> machines = new ArrayList<>();
-    for (JsonNode item : node.path("spindles")) {
-      machines.add(
+    List<Instance> instances = new ArrayList<>();
+    for (JsonNode item : node.path(ProtocolFields.MACHINES)) {
+      instances.add(
           new Instance(
-              Json.text(item, "ref"),
-              Json.textOrNull(item, "endpoint"),
-              Json.text(item, "build"),
-              Json.text(item, "yard"),
-              Json.flag(item, "loaners"),
-              status(Json.text(item, "status")),
-              Json.seconds(item, "held_s")));
+              Json.requiredText(item, ProtocolFields.ID),
+              Json.textOrNull(item, ProtocolFields.ADDRESS),
+              Json.requiredText(item, ProtocolFields.MACHINE_TYPE),
+              Json.requiredText(item, ProtocolFields.ZONE),
+              Json.requiredBoolean(item, ProtocolFields.SPOT),
+              parseStatus(Json.requiredText(item, ProtocolFields.STATUS)),
+              Json.requiredSeconds(item, ProtocolFields.AGE)));
     }
-    return new InstancePage(machines, node.path("has_next").asBoolean(false));
+    return new InstancePage(instances, node.path(ProtocolFields.HAS_MORE).asBoolean(false));
   }
 
-  private static Instance.Status status(String word) throws MalformedMessageException {
+  private static Instance.Status parseStatus(String word) throws MalformedMessageException {
     return switch (word) {
       case "booting" -> Instance.Status.BOOTING;
       case "running" -> Instance.Status.RUNNING;
--- a/src/main/java/io/cherryspool/wire/Json.java
+++ b/src/main/java/io/cherryspool/wire/Json.java
@@ -4,24 +4,36 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.cherryspool.model.Resources;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reading and writing JSON trees, with checks that name the field. */
+/**
+ * Creates, reads and writes JSON trees. A field that is missing or has the wrong type or range
+ * causes a {@link MalformedMessageException} that names it.
+ */
 public final class Json {
+  /** Bound on amounts and on durations in seconds; it keeps durations in nanoseconds in range. */
+  private static final double MAX_AMOUNT = 1e9;
+
+  private static final double NANOS_PER_SECOND = 1e9;
+
   private Json() {}
 
+  /** A new empty object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
+  /** A new empty array. */
   public static ArrayNode array() {
     return JsonNodeFactory.instance.arrayNode();
   }
 
+  /** Writes the tree as UTF-8. */
   public static byte[] toBytes(JsonNode node) {
     try {
       return JsonTree.write(node);
@@ -30,7 +42,11 @@
     }
   }
 
-  /** Reads one object and nothing after it. */
+  /**
+   * Reads one object with nothing after it.
+   *
+   * @throws MalformedMessageException if the body is not JSON, or not one object
+   */
   public static JsonNode parseObject(byte[] body) throws MalformedMessageException {
     JsonNode node;
     try {
@@ -44,19 +60,21 @@
     return node;
   }
 
-  static String text(JsonNode node, String field) throws MalformedMessageException {
+  static String requiredText(JsonNode node, String field) throws MalformedMessageException {
     JsonNode found = node.path(field);
     if (!found.isTextual() || found.textValue().isEmpty()) {
       throw new MalformedMessageException(field + " must be a non-empty string");
     }
-    return writable(found, field);
+    return encodableText(found, field);
   }
 
   /**
-   * An escape may name half a character, which can be read and not be written again. Hardly any
-   * text has surrogates, and every report is full of texts, so that only those are looked at.
+   * The node's text, checked to be encodable: an escape may name half of a surrogate pair, which
+   * can be read but not written again. Few texts have surrogates, and each heartbeat has many
+   * texts, so that an encoder is made for those few only.
    */
-  private static String writable(JsonNode node, String field) throws MalformedMessageException {
+  private static String encodableText(JsonNode node, String field)
+      throws MalformedMessageException {
     String text = node.textValue();
     if (hasSurrogate(text) && !StandardCharsets.UTF_8.newEncoder().canEncode(text)) {
       throw new MalformedMessageException(field + " holds half a character");
@@ -73,16 +91,18 @@
     return false;
   }
 
+  /** The field's text, or null if the field is missing or null. */
   static String textOrNull(JsonNode node, String field) throws MalformedMessageException {
-    return absent(node, field) ? null : text(node, field);
+    return isAbsent(node, field) ? null : requiredText(node, field);
   }
 
-  static boolean absent(JsonNode node, String field) {
+  /** Whether the field is missing or null, which mean the same in all protocols. */
+  static boolean isAbsent(JsonNode node, String field) {
     JsonNode found = node.path(field);
     return found.isMissingNode() || found.isNull();
   }
 
-  static boolean flag(JsonNode node, String field) throws MalformedMessageException {
+  static boolean requiredBoolean(JsonNode node, String field) throws MalformedMessageException {
     JsonNode found = node.path(field);
     if (!found.isBoolean()) {
       throw new MalformedMessageException(field + " must be true or false");
@@ -90,7 +110,7 @@
     return found.booleanValue();
   }
 
-  static long integer(JsonNode node, String field, long min, long max)
+  static long requiredInteger(JsonNode node, String field, long min, long max)
       throws MalformedMessageException {
     JsonNode found = node.path(field);
     if (!found.isIntegralNumber()
@@ -102,20 +122,41 @@
     return found.longValue();
   }
 
-  static double amount(JsonNode node, String field) throws MalformedMessageException {
+  /** The field's number, from 0 to {@value #MAX_AMOUNT}. */
+  static double requiredAmount(JsonNode node, String field) throws MalformedMessageException {
     JsonNode found = node.path(field);
     double value = found.doubleValue();
-    if (!found.isNumber() || !(value >= 0) || value > 1e9) {
+    if (!found.isNumber() || !(value >= 0) || value > MAX_AMOUNT) {
       throw new MalformedMessageException(field + " must be a number of at least 0");
     }
     return value;
   }
 
-  static Duration seconds(JsonNode node, String field) throws MalformedMessageException {
-    return Duration.ofNanos(Math.round(amount(node, field) * 1e9));
+  /** The field's duration, given as a decimal number of seconds. */
+  static Duration requiredSeconds(JsonNode node, String field) throws MalformedMessageException {
+    return Duration.ofNanos(Math.round(requiredAmount(node, field) * NANOS_PER_SECOND));
+  }
+
+  static double toSeconds(Duration duration) {
+    return duration.toNanos() / NANOS_PER_SECOND;
   }
 
-  static List<String> texts(JsonNode node, String field) throws MalformedMessageException {
+  /** The resources of a task or machine, which have a field each. */
+  static Resources requiredResources(JsonNode node) throws MalformedMessageException {
+    return new Resources(
+        requiredAmount(node, ProtocolFields.CPUS),
+        requiredAmount(node, ProtocolFields.GPUS),
+        requiredAmount(node, ProtocolFields.MEMORY_GB));
+  }
+
+  static void putResources(ObjectNode node, Resources resources) {
+    node.put(ProtocolFields.CPUS, resources.cpus());
+    node.put(ProtocolFields.GPUS, resources.gpus());
+    node.put(ProtocolFields.MEMORY_GB, resources.memoryGb());
+  }
+
+  /** The field's list of strings, which may be empty. */
+  static List<String> requiredTexts(JsonNode node, String field) throws MalformedMessageException {
     JsonNode found = node.path(field);
     if (!found.isArray()) {
       throw new MalformedMessageException(field + " must be a list of strings");
@@ -125,12 +166,8 @@
       if (!item.isTextual()) {
         throw new MalformedMessageException(field + " must be a list of strings");
       }
-      result.add(writable(item, field));
+      result.add(encodableText(item, field));
     }
     return result;
   }
-
-  static double toSeconds(Duration duration) {
-    return duration.toNanos() / 1e9;
-  }
 }
--- a/src/main/java/io/cherryspool/wire/JsonTree.java
+++ b/src/main/java/io/cherryspool/wire/JsonTree.java
@@ -24,7 +24,7 @@
  * a starting node takes.
  */
 public final class JsonTree {
-  /** Most answers are smaller. */
+  /** Initial size of the output buffer, which most messages fit into. */
   private static final int INITIAL_OUTPUT_BYTES = 256;
 
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
@@ -74,7 +74,7 @@
     };
   }
 
-  /** Of a field that is named twice the last value counts. */
+  /** Reads an object; of a field that appears twice the last value counts, as in Jackson. */
   private static JsonNode readObject(JsonParser parser) throws IOException {
     ObjectNode object = NODES.objectNode();
     String name = parser.nextFieldName();
@@ -94,7 +94,11 @@
     return array;
   }
 
-  /** Writes the tree as UTF-8. */
+  /**
+   * Writes the tree as UTF-8.
+   *
+   * @throws IOException if the tree has a node that JSON cannot express
+   */
   public static byte[] write(JsonNode node) throws IOException {
     ByteArrayOutputStream output = new ByteArrayOutputStream(INITIAL_OUTPUT_BYTES);
     try (JsonGenerator generator = FACTORY.createGenerator(output, JsonEncoding.UTF8)) {
--- a/src/main/java/io/cherryspool/wire/UserProtocol.java
+++ b/src/main/java/io/cherryspool/wire/UserProtocol.java
@@ -5,25 +5,31 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.cherryspool.model.Job;
 import io.cherryspool.model.Priority;
-import io.cherryspool.model.Resources;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** Jobs as users write them, and what users are told of them. */
+/** Decodes the jobs that users submit, and encodes the responses to users. */
 public final class UserProtocol {
-  private static final Pattern ID = Pattern.compile("req-[0-9]{6,18}");
+  private static final Pattern JOB_ID = Pattern.compile("req-[0-9]{6,18}");
   private static final int MAX_TASKS = 100_000;
 
+  /** The only kind of job that the protocol has: independent tasks, each run to completion. */
+  private static final String ARRAY_JOB = "array";
+
   private UserProtocol() {}
 
-  /** What a user may be told of a job. */
+  /** The state of a job in a response to its user. */
   public enum JobStatus {
+    /** No task runs. */
     PENDING("pending"),
+    /** At least one task runs. */
     RUNNING("running"),
+    /** All tasks are done; final. */
     DONE("done"),
+    /** Cancelled by its user; final. */
     CANCELLED("withdrawn");
 
     private final String word;
@@ -33,101 +39,126 @@
     }
   }
 
+  /** Whether the text has the form of a job id, such as {@code req-000412}. */
   public static boolean isJobId(String text) {
-    return ID.matcher(text).matches();
+    return JOB_ID.matcher(text).matches();
   }
 
   /** The job id that a submission names, whatever else is wrong with it; empty if it has none. */
   public static Optional<String> findJobId(JsonNode node) {
-    String text = node.path("ref").asText();
+    String text = node.path(ProtocolFields.ID).asText();
     return isJobId(text) ? Optional.of(text) : Optional.empty();
   }
 
-  public static Job parseJob(JsonNode node, Instant submitted) throws MalformedMessageException {
-    String id = Json.text(node, "ref");
+  /**
+   * Decodes a submission, which is also the stored form of {@link #encodeJob}.
+   *
+   * @param submittedAt the job's time of submission, which the description does not carry
+   * @throws MalformedMessageException if a field is missing or invalid
+   */
+  public static Job parseJob(JsonNode node, Instant submittedAt) throws MalformedMessageException {
+    String id = Json.requiredText(node, ProtocolFields.ID);
     if (!isJobId(id)) {
       throw new MalformedMessageException("ref is not of the form req-000412");
     }
-    if (!"array".equals(Json.text(node, "shape"))) {
+    if (!ARRAY_JOB.equals(Json.requiredText(node, ProtocolFields.JOB_KIND))) {
       throw new MalformedMessageException("shape must be array");
     }
-    List<String> types = Json.absent(node, "builds") ? null : Json.texts(node, "builds");
-    Duration deadline = Json.absent(node, "due_s") ? null : Json.seconds(node, "due_s");
+    List<String> allowedTypes =
+        Json.isAbsent(node, ProtocolFields.MACHINE_TYPES)
+            ? null
+            : Json.requiredTexts(node, ProtocolFields.MACHINE_TYPES);
+    Duration deadline =
+        Json.isAbsent(node, ProtocolFields.DEADLINE)
+            ? null
+            : Json.requiredSeconds(node, ProtocolFields.DEADLINE);
     return new Job(
         id,
-        Json.text(node, "lane"),
-        Json.text(node, "owner"),
-        priority(Json.text(node, "urgency")),
-        (int) Json.integer(node, "pieces", 1, MAX_TASKS),
-        new Resources(
-            Json.amount(node, "vcpus"), Json.amount(node, "gpus"), Json.amount(node, "mem_gb")),
-        Json.text(node, "bundle"),
-        Json.amount(node, "size_gb"),
-        types,
-        Json.textOrNull(node, "yard"),
-        Json.flag(node, "together"),
-        Json.flag(node, "scatter"),
-        Json.flag(node, "loaners"),
-        Json.seconds(node, "expect_s"),
-        Json.seconds(node, "bookmark_s"),
-        Json.seconds(node, "stash_s"),
+        Json.requiredText(node, ProtocolFields.JOB_CLASS),
+        Json.requiredText(node, ProtocolFields.TEAM),
+        parsePriority(Json.requiredText(node, ProtocolFields.PRIORITY)),
+        (int) Json.requiredInteger(node, ProtocolFields.TASK_COUNT, 1, MAX_TASKS),
+        Json.requiredResources(node),
+        Json.requiredText(node, ProtocolFields.IMAGE),
+        Json.requiredAmount(node, ProtocolFields.IMAGE_GB),
+        allowedTypes,
+        Json.textOrNull(node, ProtocolFields.ZONE),
+        Json.requiredBoolean(node, ProtocolFields.REQUIRES_SINGLE_ZONE),
+        Json.requiredBoolean(node, ProtocolFields.REQUIRES_ZONE_SPREAD),
+        Json.requiredBoolean(node, ProtocolFields.SPOT),
+        Json.requiredSeconds(node, ProtocolFields.ESTIMATED_RUN_TIME),
+        Json.requiredSeconds(node, ProtocolFields.CHECKPOINT_INTERVAL),
+        Json.requiredSeconds(node, ProtocolFields.CHECKPOINT_DURATION),
         deadline,
-        submitted);
+        submittedAt);
   }
 
-  /** The job in the users' own form, which is also how it is kept. */
+  /**
+   * Encodes the job in the users' form, in which the state store keeps it. Its time of submission
+   * is left out.
+   */
   public static ObjectNode encodeJob(Job job) {
     ObjectNode node = Json.object();
-    node.put("ref", job.id());
-    node.put("shape", "array");
-    node.put("lane", job.jobClass());
-    node.put("owner", job.team());
-    node.put("urgency", word(job.priority()));
-    node.put("pieces", job.taskCount());
-    node.put("vcpus", job.perTask().cpus());
-    node.put("gpus", job.perTask().gpus());
-    node.put("mem_gb", job.perTask().memoryGb());
-    node.put("bundle", job.image());
-    node.put("size_gb", job.imageGb());
+    node.put(ProtocolFields.ID, job.id());
+    node.put(ProtocolFields.JOB_KIND, ARRAY_JOB);
+    node.put(ProtocolFields.JOB_CLASS, job.jobClass());
+    node.put(ProtocolFields.TEAM, job.team());
+    node.put(ProtocolFields.PRIORITY, encodePriority(job.priority()));
+    node.put(ProtocolFields.TASK_COUNT, job.taskCount());
+    Json.putResources(node, job.perTask());
+    node.put(ProtocolFields.IMAGE, job.image());
+    node.put(ProtocolFields.IMAGE_GB, job.imageGb());
     if (job.allowedTypes() != null) {
-      ArrayNode types = node.putArray("builds");
+      ArrayNode types = node.putArray(ProtocolFields.MACHINE_TYPES);
       job.allowedTypes().forEach(types::add);
     }
     if (job.requiredZone() != null) {
-      node.put("yard", job.requiredZone());
+      node.put(ProtocolFields.ZONE, job.requiredZone());
     }
-    node.put("together", job.requiresSingleZone());
-    node.put("scatter", job.requiresZoneSpread());
-    node.put("loaners", job.allowsSpot());
-    node.put("expect_s", Json.toSeconds(job.estimatedRunTime()));
-    node.put("bookmark_s", Json.toSeconds(job.checkpointInterval()));
-    node.put("stash_s", Json.toSeconds(job.checkpointDuration()));
+    node.put(ProtocolFields.REQUIRES_SINGLE_ZONE, job.requiresSingleZone());
+    node.put(ProtocolFields.REQUIRES_ZONE_SPREAD, job.requiresZoneSpread());
+    node.put(ProtocolFields.SPOT, job.allowsSpot());
+    node.put(ProtocolFields.ESTIMATED_RUN_TIME, Json.toSeconds(job.estimatedRunTime()));
+    node.put(ProtocolFields.CHECKPOINT_INTERVAL, Json.toSeconds(job.checkpointInterval()));
+    node.put(ProtocolFields.CHECKPOINT_DURATION, Json.toSeconds(job.checkpointDuration()));
     if (job.deadline() != null) {
-      node.put("due_s", Json.toSeconds(job.deadline()));
+      node.put(ProtocolFields.DEADLINE, Json.toSeconds(job.deadline()));
     }
     return node;
   }
 
+  /** The body of the response to a submission or a cancellation. */
   public static byte[] encodeStatus(String id, JobStatus status) {
-    return Json.toBytes(Json.object().put("ref", id).put("status", status.word));
+    return Json.toBytes(statusOf(id, status));
   }
 
-  /** The answer to a poll; a job with tasks past the failure cap carries {@code failing}. */
+  /**
+   * The body of the response to a query.
+   *
+   * @param done tasks that are done
+   * @param running tasks that run
+   * @param failing tasks beyond the failure cap; the field is left out if there are none
+   */
   public static byte[] encodeStatus(
       String id, JobStatus status, int done, int running, int failing) {
-    ObjectNode node = Json.object().put("ref", id).put("status", status.word);
-    node.put("done", done).put("running", running);
+    ObjectNode node = statusOf(id, status);
+    node.put(ProtocolFields.DONE_TASKS, done).put(ProtocolFields.RUNNING_TASKS, running);
     if (failing > 0) {
-      node.put("failing", failing);
+      node.put(ProtocolFields.FAILING_TASKS, failing);
     }
     return Json.toBytes(node);
   }
 
+  private static ObjectNode statusOf(String id, JobStatus status) {
+    return Json.object().put(ProtocolFields.ID, id).put(ProtocolFields.STATUS, status.word);
+  }
+
+  /** The body of a response that refuses a request, with the reason. */
   public static byte[] encodeError(String message) {
-    return Json.toBytes(Json.object().put("error", message));
+    return Json.toBytes(Json.object().put(ProtocolFields.ERROR, message));
   }
 
-  private static Priority priority(String word) throws MalformedMessageException {
+  private static Priority parsePriority(String word) throws MalformedMessageException {
     return switch (word) {
       case "production" -> Priority.PRODUCTION;
       case "urgent" -> Priority.HIGH;
@@ -137,7 +168,7 @@
     };
   }
 
-  private static String word(Priority priority) {
+  private static String encodePriority(Priority priority) {
     return switch (priority) {
       case PRODUCTION -> "production";
       case HIGH -> "urgent";
--- a/src/main/java/io/cherryspool/wire/WorkerProtocol.java
+++ b/src/main/java/io/cherryspool/wire/WorkerProtocol.java
@@ -10,38 +10,53 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Workers' reports, and the answers and commands to them. */
+/** Decodes the heartbeats of workers, and encodes the responses and commands to them. */
 public final class WorkerProtocol {
   private WorkerProtocol() {}
 
+  /**
+   * Decodes a heartbeat, or the same message as the response to a direct call.
+   *
+   * @throws MalformedMessageException if a field is missing or invalid
+   */
   public static WorkerHeartbeat parseHeartbeat(JsonNode node) throws MalformedMessageException {
-    List<WorkerHeartbeat.TaskStatus> tasks = new ArrayList<>();
-    JsonNode pieces = node.path("pieces");
-    if (!pieces.isArray() && !Json.absent(node, "pieces")) {
+    JsonNode items = node.path(ProtocolFields.TASKS);
+    if (!items.isArray() && !Json.isAbsent(node, ProtocolFields.TASKS)) {
       throw new MalformedMessageException("pieces must be a list");
     }
-    for (JsonNode piece : pieces) {
-      TaskId id = parseTaskId(Json.text(piece, "piece"));
-      int attempt = (int) Json.integer(piece, "try", 0, Integer.MAX_VALUE);
-      WorkerHeartbeat.TaskState state = state(Json.text(piece, "status"));
-      WorkerHeartbeat.ExitCause cause =
-          state == WorkerHeartbeat.TaskState.EXITED ? cause(Json.textOrNull(piece, "cause")) : null;
-      tasks.add(new WorkerHeartbeat.TaskStatus(id, attempt, state, cause));
+    List<WorkerHeartbeat.TaskStatus> tasks = new ArrayList<>();
+    for (JsonNode item : items) {
+      tasks.add(parseTask(item));
     }
-    Duration notice = Json.absent(node, "warning_s") ? null : Json.seconds(node, "warning_s");
+    Duration preemptionNotice =
+        Json.isAbsent(node, ProtocolFields.PREEMPTION_NOTICE)
+            ? null
+            : Json.requiredSeconds(node, ProtocolFields.PREEMPTION_NOTICE);
     return new WorkerHeartbeat(
-        Json.text(node, "spindle"),
-        Json.text(node, "endpoint"),
-        Json.text(node, "build"),
-        Json.text(node, "yard"),
-        Json.flag(node, "loaners"),
-        Json.integer(node, "shift", 0, Long.MAX_VALUE),
-        Json.integer(node, "tick", 0, Long.MAX_VALUE),
-        Json.integer(node, "baton", 0, Long.MAX_VALUE),
-        notice,
+        Json.requiredText(node, ProtocolFields.MACHINE),
+        Json.requiredText(node, ProtocolFields.ADDRESS),
+        Json.requiredText(node, ProtocolFields.MACHINE_TYPE),
+        Json.requiredText(node, ProtocolFields.ZONE),
+        Json.requiredBoolean(node, ProtocolFields.SPOT),
+        Json.requiredInteger(node, ProtocolFields.AGENT_EPOCH, 0, Long.MAX_VALUE),
+        Json.requiredInteger(node, ProtocolFields.SEQUENCE, 0, Long.MAX_VALUE),
+        Json.requiredInteger(node, ProtocolFields.FENCING_TOKEN, 0, Long.MAX_VALUE),
+        preemptionNotice,
         List.copyOf(tasks));
   }
 
+  private static WorkerHeartbeat.TaskStatus parseTask(JsonNode node)
+      throws MalformedMessageException {
+    TaskId id = parseTaskId(Json.requiredText(node, ProtocolFields.TASK));
+    int attempt = (int) Json.requiredInteger(node, ProtocolFields.ATTEMPT, 0, Integer.MAX_VALUE);
+    WorkerHeartbeat.TaskState state = parseState(Json.requiredText(node, ProtocolFields.STATUS));
+    WorkerHeartbeat.ExitCause cause =
+        state == WorkerHeartbeat.TaskState.EXITED
+            ? parseCause(Json.textOrNull(node, ProtocolFields.EXIT_CAUSE))
+            : null;
+    return new WorkerHeartbeat.TaskStatus(id, attempt, state, cause);
+  }
+
   private static TaskId parseTaskId(String text) throws MalformedMessageException {
     try {
       return TaskId.parse(text);
@@ -50,50 +65,69 @@
     }
   }
 
-  public static byte[] encodeHeartbeatReply(long token, List<WorkerCommand> orders) {
-    ObjectNode node = Json.object().put("baton", token);
-    node.set("orders", orders(orders));
+  /**
+   * The body of the 200 to a heartbeat. It renews the worker's lease and carries commands, which
+   * the worker executes in order.
+   *
+   * @param fencingToken the leader's token; the worker drops the response if it has seen a higher
+   */
+  public static byte[] encodeHeartbeatReply(long fencingToken, List<WorkerCommand> commands) {
+    ObjectNode node = Json.object().put(ProtocolFields.FENCING_TOKEN, fencingToken);
+    node.set(ProtocolFields.COMMANDS, encodeList(commands));
     return Json.toBytes(node);
   }
 
-  public static byte[] encodeCommands(long token, long session, List<WorkerCommand> orders) {
-    ObjectNode node = Json.object().put("baton", token).put("shift", session);
-    node.set("orders", orders(orders));
+  /**
+   * The body of a direct call with commands, which renews no lease.
+   *
+   * @param agentEpoch the epoch that the commands are meant for; the worker refuses them in another
+   */
+  public static byte[] encodeCommands(
+      long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
+    ObjectNode node = Json.object();
+    node.put(ProtocolFields.FENCING_TOKEN, fencingToken);
+    node.put(ProtocolFields.AGENT_EPOCH, agentEpoch);
+    node.set(ProtocolFields.COMMANDS, encodeList(commands));
     return Json.toBytes(node);
   }
 
-  /** The body that sends a worker to another node; a null leader names none. */
+  /**
+   * The body of the 421 that sends a worker to another node.
+   *
+   * @param leader the node to report to, null if it is not known
+   */
   public static byte[] encodeRedirect(String leader) {
     ObjectNode node = Json.object();
     if (leader != null) {
-      node.put("foreman", leader);
+      node.put(ProtocolFields.LEADER, leader);
     }
     return Json.toBytes(node);
   }
 
-  private static ArrayNode orders(List<WorkerCommand> orders) {
+  private static ArrayNode encodeList(List<WorkerCommand> commands) {
     ArrayNode list = Json.array();
-    for (WorkerCommand order : orders) {
+    for (WorkerCommand command : commands) {
       ObjectNode node = list.addObject();
-      node.put("verb", verb(order.action()));
-      node.put("piece", order.task().toString());
-      node.put("try", order.attempt());
-      if (order.action() == WorkerCommand.Action.STOP) {
-        node.put("leeway_s", Json.toSeconds(order.gracePeriod()));
+      node.put(ProtocolFields.ACTION, encodeAction(command.action()));
+      node.put(ProtocolFields.TASK, command.task().toString());
+      node.put(ProtocolFields.ATTEMPT, command.attempt());
+      if (command.action() == WorkerCommand.Action.STOP) {
+        node.put(ProtocolFields.GRACE_PERIOD, Json.toSeconds(command.gracePeriod()));
       }
     }
     return list;
   }
 
-  private static String verb(WorkerCommand.Action verb) {
-    return switch (verb) {
+  private static String encodeAction(WorkerCommand.Action action) {
+    return switch (action) {
       case START -> "launch";
       case STOP -> "halt";
       case ACKNOWLEDGE -> "forget";
     };
   }
 
-  private static WorkerHeartbeat.TaskState state(String word) throws MalformedMessageException {
+  private static WorkerHeartbeat.TaskState parseState(String word)
+      throws MalformedMessageException {
     return switch (word) {
       case "pulling" -> WorkerHeartbeat.TaskState.FETCHING;
       case "running" -> WorkerHeartbeat.TaskState.RUNNING;
@@ -103,8 +137,8 @@
     };
   }
 
-  /** An exit of a kind not documented yet is counted as an error, never as done. */
-  private static WorkerHeartbeat.ExitCause cause(String word) {
+  /** A cause that is missing or not documented counts as an error, never as done. */
+  private static WorkerHeartbeat.ExitCause parseCause(String word) {
     if (word == null) {
       return WorkerHeartbeat.ExitCause.ERROR;
     }
--- a/src/test/java/io/cherryspool/wire/MessageFormatsTest.java
+++ b/src/test/java/io/cherryspool/wire/MessageFormatsTest.java
@@ -20,12 +20,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * That what this version sends to users, workers, the cloud and the state service is what version
+ * That what this version sends to users, workers, the cloud and the state store is what version
  * 0.1.0 sent, and that it reads their messages as that version did.
  */
 class MessageFormatsTest {
   private static final TaskId TASK = new TaskId("req-000412", 3);
-  private static final List<WorkerCommand> ORDERS =
+  private static final List<WorkerCommand> COMMANDS =
       List.of(
           WorkerCommand.start(TASK, 1),
           WorkerCommand.stop(new TaskId("req-000412", 4), 2, Duration.ofMillis(2500)),
@@ -33,10 +33,10 @@
           WorkerCommand.acknowledge(new TaskId("req-000007", 0), 7));
 
   @Test
-  void answersAndCommandsToWorkers() {
-    assertRecorded("worker-reply.json", WorkerProtocol.encodeHeartbeatReply(1L << 33, ORDERS));
+  void responsesAndCommandsToWorkers() {
+    assertRecorded("worker-reply.json", WorkerProtocol.encodeHeartbeatReply(1L << 33, COMMANDS));
     assertRecorded("worker-reply-empty.json", WorkerProtocol.encodeHeartbeatReply(5, List.of()));
-    assertRecorded("worker-commands.json", WorkerProtocol.encodeCommands(1L << 33, 2, ORDERS));
+    assertRecorded("worker-commands.json", WorkerProtocol.encodeCommands(1L << 33, 2, COMMANDS));
     assertRecorded("worker-redirect.json", WorkerProtocol.encodeRedirect("node-1"));
     assertRecorded("worker-redirect-nowhere.json", WorkerProtocol.encodeRedirect(null));
   }
@@ -44,16 +44,16 @@
   /** The recorded one has a task in each status and with each cause that the protocol names. */
   @Test
   void heartbeatsOfWorkers() throws MalformedMessageException {
-    WorkerHeartbeat report = WorkerProtocol.parseHeartbeat(readJson("worker-report.json"));
-    assertEquals("host-000003", report.machine());
-    assertEquals("10.1.0.3:9000", report.address());
-    assertEquals("box", report.type());
-    assertEquals("zone-a", report.zone());
-    assertTrue(report.isSpot());
-    assertEquals(2, report.agentEpoch());
-    assertEquals(17, report.sequence());
-    assertEquals(1L << 33, report.highestFencingToken());
-    assertEquals(Duration.ofMillis(45_500), report.preemptionNotice());
+    WorkerHeartbeat heartbeat = WorkerProtocol.parseHeartbeat(readJson("worker-report.json"));
+    assertEquals("host-000003", heartbeat.machine());
+    assertEquals("10.1.0.3:9000", heartbeat.address());
+    assertEquals("box", heartbeat.type());
+    assertEquals("zone-a", heartbeat.zone());
+    assertTrue(heartbeat.isSpot());
+    assertEquals(2, heartbeat.agentEpoch());
+    assertEquals(17, heartbeat.sequence());
+    assertEquals(1L << 33, heartbeat.highestFencingToken());
+    assertEquals(Duration.ofMillis(45_500), heartbeat.preemptionNotice());
     List<WorkerHeartbeat.TaskStatus> expected =
         List.of(
             task(0, WorkerHeartbeat.TaskState.FETCHING, null),
@@ -72,7 +72,7 @@
                 WorkerHeartbeat.ExitCause.OTHER_ATTEMPT_PRESENT),
             task(8, WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.UNKNOWN_JOB),
             task(9, WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR));
-    assertEquals(expected, report.tasks());
+    assertEquals(expected, heartbeat.tasks());
   }
 
   private static WorkerHeartbeat.TaskStatus task(
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void answersOfTheCloud() throws MalformedMessageException {
+  void responsesOfTheCloud() throws MalformedMessageException {
     CloudProtocol.InstancePage page = CloudProtocol.parsePage(readJson("cloud-machines.json"));
     assertTrue(page.hasMore());
     assertEquals(
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void requestsToTheStateService() {
+  void requestsToTheStateStore() {
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put("c/term", 40L);
     conditions.put("c/jobs/req-000412", 0L);
@@ -135,7 +135,7 @@
   }
 
   @Test
-  void answersOfTheStateService() throws MalformedMessageException {
+  void responsesOfTheStateStore() throws MalformedMessageException {
     assertEquals(1L << 40, StateStoreProtocol.parseRevision(readJson("state-conflict.json")));
     assertEquals(
         Set.of("c/term", "c/leader"),
--- a/src/test/java/io/cherryspool/wire/UserProtocolTest.java
+++ b/src/test/java/io/cherryspool/wire/UserProtocolTest.java
@@ -5,34 +5,45 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.cherryspool.model.Job;
 import java.nio.charset.StandardCharsets;
 import java.time.Instant;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Submissions are read as they are written, and one that is invalid names the field. */
 class UserProtocolTest {
-  private static final String GOOD =
+  private static final String SUBMISSION =
       "{\"ref\":\"req-000412\",\"lane\":\"train\",\"owner\":\"vision\",\"shape\":\"array\","
           + "\"urgency\":\"urgent\",\"pieces\":16,\"vcpus\":8.0,\"gpus\":1.0,\"mem_gb\":64.0,"
           + "\"bundle\":\"img-07\",\"size_gb\":6.2,\"builds\":[\"g8\"],\"yard\":null,"
           + "\"together\":true,\"scatter\":false,\"loaners\":true,\"expect_s\":240.0,"
           + "\"bookmark_s\":30.0,\"stash_s\":4.0,\"due_s\":900.0,\"new_field\":[1]}";
 
-  private static ObjectNode good() throws MalformedMessageException {
-    return (ObjectNode) Json.parseObject(GOOD.getBytes(StandardCharsets.UTF_8));
+  private static ObjectNode parse(String json) throws MalformedMessageException {
+    return (ObjectNode) Json.parseObject(json.getBytes(StandardCharsets.UTF_8));
+  }
+
+  private static Job parseJob(ObjectNode node) throws MalformedMessageException {
+    return UserProtocol.parseJob(node, Instant.EPOCH);
+  }
+
+  @Test
+  void aJobIsReadAsItIsWritten() throws MalformedMessageException {
+    Job job = parseJob(parse(SUBMISSION));
+    assertEquals(job, parseJob(UserProtocol.encodeJob(job)));
   }
 
   @Test
-  void readsWhatItWrites() throws MalformedMessageException {
-    var job = UserProtocol.parseJob(good(), Instant.EPOCH);
-    assertEquals(job, UserProtocol.parseJob(UserProtocol.encodeJob(job), Instant.EPOCH));
-    ObjectNode nulls = good();
-    nulls.remove("builds");
-    nulls.remove("yard");
-    nulls.putNull("due_s");
-    var open = UserProtocol.parseJob(nulls, Instant.EPOCH);
-    assertEquals(open, UserProtocol.parseJob(UserProtocol.encodeJob(open), Instant.EPOCH));
+  void aJobWithoutOptionalFieldsIsReadAsItIsWritten() throws MalformedMessageException {
+    ObjectNode node = parse(SUBMISSION);
+    node.remove("builds");
+    node.remove("yard");
+    node.putNull("due_s");
+    Job job = parseJob(node);
+    assertEquals(job, parseJob(UserProtocol.encodeJob(job)));
   }
 
   @ParameterizedTest
@@ -69,22 +80,28 @@
         "pieces|99999999999999999999",
         "vcpus|1e300"
       })
-  void namesTheFieldThatIsWrong(String field, String value) throws MalformedMessageException {
-    ObjectNode node = good();
-    node.set(
-        field,
-        Json.parseObject(("{\"v\":" + value + "}").getBytes(StandardCharsets.UTF_8)).get("v"));
-    MalformedMessageException e =
-        assertThrows(
-            MalformedMessageException.class, () -> UserProtocol.parseJob(node, Instant.EPOCH));
-    assertTrue(e.getMessage().contains(field), e.getMessage());
+  void anInvalidFieldIsNamed(String field, String value) throws MalformedMessageException {
+    ObjectNode node = parse(SUBMISSION);
+    node.set(field, parse("{\"v\":" + value + "}").get("v"));
+    MalformedMessageException failure =
+        assertThrows(MalformedMessageException.class, () -> parseJob(node));
+    assertTrue(failure.getMessage().contains(field), failure.getMessage());
+  }
+
+  @Test
+  void theJobIdIsFoundInAnInvalidSubmission() throws MalformedMessageException {
+    assertEquals(
+        Optional.of("req-000412"), UserProtocol.findJobId(parse("{\"ref\":\"req-000412\"}")));
+    assertEquals(Optional.empty(), UserProtocol.findJobId(parse("{\"ref\":\"job-1\"}")));
+    assertEquals(Optional.empty(), UserProtocol.findJobId(parse("{\"ref\":7}")));
+    assertEquals(Optional.empty(), UserProtocol.findJobId(parse("{}")));
   }
 
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
       value = {"''", "[]", "nul", "{\"a\":1", "{} {}", "{\"a\":NaN}", "7"})
-  void refusesWhatIsNoObject(String text) {
+  void aBodyThatIsNotOneObjectIsRefused(String text) {
     assertThrows(
         MalformedMessageException.class,
         () -> Json.parseObject(text.getBytes(StandardCharsets.UTF_8)));
