--- a/src/main/java/io/cherryspool/model/Attempt.java
+++ b/src/main/java/io/cherryspool/model/Attempt.java
@@ -1,8 +1,13 @@
 package io.cherryspool.model;
 
 /**
- * A task's committed assignment. Until its end is proved, the task belongs to this machine, session
- * and attempt, whatever else is seen.
+ * A task's committed assignment. Until the attempt's end is proved, the task belongs to this
+ * machine, agent epoch and attempt, whatever else is observed.
+ *
+ * @param machine the machine's name
+ * @param agentEpoch the epoch of the machine's agent in which the attempt was started
+ * @param number counts the task's attempts from 1
+ * @param fencingToken the token under which the attempt was started
  */
 public record Attempt(
     int taskIndex, String machine, long agentEpoch, int number, long fencingToken) {
--- a/src/main/java/io/cherryspool/model/MachineType.java
+++ b/src/main/java/io/cherryspool/model/MachineType.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * A machine type of the cloud's catalog.
+ * A machine type of the cloud's catalog, with a component for each field of the catalog's entry.
  *
  * @param capacity the resources that tasks on one machine share
  * @param imageCacheGb the size of the machine's image cache
--- a/src/main/java/io/cherryspool/model/Priority.java
+++ b/src/main/java/io/cherryspool/model/Priority.java
@@ -1,9 +1,13 @@
 package io.cherryspool.model;
 
-/** From least to most pressing, so that the natural order is the order of importance. */
+/** A job's priority, from the lowest to the highest: queue ranks are computed from the ordinal. */
 public enum Priority {
+  /** Runs when nothing else needs the machines. */
   LOW,
+  /** The usual priority. */
   NORMAL,
+  /** Preempts usual work. */
   HIGH,
+  /** Preempts all other work. */
   PRODUCTION
 }
--- a/src/main/java/io/cherryspool/model/Resources.java
+++ b/src/main/java/io/cherryspool/model/Resources.java
@@ -1,11 +1,12 @@
 package io.cherryspool.model;
 
-/** What a task takes of a machine, or what a machine has. */
+/** Amounts of resources: a task's demand, or a machine's capacity. Components may be fractions. */
 public record Resources(double cpus, double gpus, double memoryGb) {
+  /** No resources at all. */
   public static final Resources NONE = new Resources(0, 0, 0);
 
-  /** Decimal amounts are summed in floating point; this much is rounding, not demand. */
-  private static final double EPSILON = 1e-6;
+  /** Sums of decimal amounts in floating point may be off by this much; it is not demand. */
+  static final double EPSILON = 1e-6;
 
   // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
   @Override
@@ -21,36 +22,40 @@
     return 31 * (31 * Double.hashCode(cpus) + Double.hashCode(gpus)) + Double.hashCode(memoryGb);
   }
 
+  /** The sum by component. */
   public Resources plus(Resources other) {
     return new Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb);
   }
 
+  /** The difference by component, which may be negative. */
   public Resources minus(Resources other) {
     return new Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb);
   }
 
+  /** The product by component. */
   public Resources times(int count) {
     return new Resources(cpus * count, gpus * count, memoryGb * count);
   }
 
-  /** How many such amounts fit into the room, at most {@code wanted}. */
-  public int countFittingIn(Resources room, int wanted) {
-    double count = wanted;
+  /** How many demands like this one fit into the capacity together, from 0 to {@code max}. */
+  public int countFittingIn(Resources capacity, int max) {
+    double count = max;
     if (cpus > 0) {
-      count = Math.min(count, Math.floor((room.cpus + EPSILON) / cpus));
+      count = Math.min(count, Math.floor((capacity.cpus + EPSILON) / cpus));
     }
     if (gpus > 0) {
-      count = Math.min(count, Math.floor((room.gpus + EPSILON) / gpus));
+      count = Math.min(count, Math.floor((capacity.gpus + EPSILON) / gpus));
     }
     if (memoryGb > 0) {
-      count = Math.min(count, Math.floor((room.memoryGb + EPSILON) / memoryGb));
+      count = Math.min(count, Math.floor((capacity.memoryGb + EPSILON) / memoryGb));
     }
     return (int) Math.max(0, count);
   }
 
-  public boolean fitsIn(Resources room) {
-    return cpus <= room.cpus + EPSILON
-        && gpus <= room.gpus + EPSILON
-        && memoryGb <= room.memoryGb + EPSILON;
+  /** Whether this demand fits into the capacity. */
+  public boolean fitsIn(Resources capacity) {
+    return cpus <= capacity.cpus + EPSILON
+        && gpus <= capacity.gpus + EPSILON
+        && memoryGb <= capacity.memoryGb + EPSILON;
   }
 }
--- a/src/main/java/io/cherryspool/model/Team.java
+++ b/src/main/java/io/cherryspool/model/Team.java
@@ -1,31 +1,48 @@
 package io.cherryspool.model;
 
-/** A team's guarantee and its limit; a limit of 0 in the settings means that there is none. */
+/**
+ * A team's quotas. It may use more than its guaranteed quota while no other team needs it, but
+ * never more than its quota.
+ *
+ * @param guaranteedCpus the guaranteed CPU quota
+ * @param cpuQuota the CPU quota; 0 for no bound
+ * @param guaranteedGpus the guaranteed GPU quota
+ * @param gpuQuota the GPU quota; 0 for no bound
+ */
 public record Team(
     String name, double guaranteedCpus, double cpuQuota, double guaranteedGpus, double gpuQuota) {
 
+  /** Whether such a use of the whole team lies within its quota. */
   public boolean isWithinQuota(Resources use) {
-    return within(use.cpus(), cpuQuota) && within(use.gpus(), gpuQuota);
+    return isWithin(use.cpus(), cpuQuota) && isWithin(use.gpus(), gpuQuota);
   }
 
-  /** How many more such tasks the limit allows beside the use, at most {@code wanted}. */
-  public int countWithinQuota(Resources use, Resources each, int wanted) {
-    double count = wanted;
-    if (cpuQuota > 0 && each.cpus() > 0) {
-      count = Math.min(count, Math.floor((cpuQuota + 1e-6 - use.cpus()) / each.cpus()));
+  /**
+   * How many more tasks the quota allows, from 0 to {@code max}.
+   *
+   * @param use the team's use without them
+   * @param perTask what each of them takes
+   */
+  public int countWithinQuota(Resources use, Resources perTask, int max) {
+    double count = max;
+    if (cpuQuota > 0 && perTask.cpus() > 0) {
+      count =
+          Math.min(count, Math.floor((cpuQuota + Resources.EPSILON - use.cpus()) / perTask.cpus()));
     }
-    if (gpuQuota > 0 && each.gpus() > 0) {
-      count = Math.min(count, Math.floor((gpuQuota + 1e-6 - use.gpus()) / each.gpus()));
+    if (gpuQuota > 0 && perTask.gpus() > 0) {
+      count =
+          Math.min(count, Math.floor((gpuQuota + Resources.EPSILON - use.gpus()) / perTask.gpus()));
     }
     return (int) Math.max(0, count);
   }
 
-  /** Whether such a use lies within what the team is guaranteed. */
+  /** Whether such a use of the whole team lies within its guaranteed quota. */
   public boolean isWithinGuaranteedQuota(Resources use) {
-    return use.cpus() <= guaranteedCpus + 1e-6 && use.gpus() <= guaranteedGpus + 1e-6;
+    return use.cpus() <= guaranteedCpus + Resources.EPSILON
+        && use.gpus() <= guaranteedGpus + Resources.EPSILON;
   }
 
-  private static boolean within(double use, double max) {
-    return max <= 0 || use <= max + 1e-6;
+  private static boolean isWithin(double use, double quota) {
+    return quota <= 0 || use <= quota + Resources.EPSILON;
   }
 }
--- a/src/main/java/io/cherryspool/model/WorkerCommand.java
+++ b/src/main/java/io/cherryspool/model/WorkerCommand.java
@@ -2,24 +2,36 @@
 
 import java.time.Duration;
 
-/** A command to a worker; {@code grace} counts for a stop only. */
+/**
+ * A command to a worker about one attempt. Commands are idempotent, with one exception: a START
+ * repeated after an ACKNOWLEDGE starts the attempt again.
+ *
+ * @param gracePeriod the time that a stopped task may use to save a checkpoint; zero for the other
+ *     actions
+ */
 public record WorkerCommand(Action action, TaskId task, int attempt, Duration gracePeriod) {
 
-  /** What the worker is to do with the attempt. */
+  /** What the worker has to do with the attempt. */
   public enum Action {
+    /** Fetch the task's image and run the task. */
     START,
+    /** Stop the task; one with checkpoints saves first if the grace period is long enough. */
     STOP,
+    /** Remove the exited task from the heartbeats, since its end is recorded. */
     ACKNOWLEDGE
   }
 
+  /** The command that starts an attempt. */
   public static WorkerCommand start(TaskId task, int attempt) {
     return new WorkerCommand(Action.START, task, attempt, Duration.ZERO);
   }
 
+  /** The command that stops an attempt, which may save for so long. */
   public static WorkerCommand stop(TaskId task, int attempt, Duration grace) {
     return new WorkerCommand(Action.STOP, task, attempt, grace);
   }
 
+  /** The command that removes an exited attempt from the worker's heartbeats. */
   public static WorkerCommand acknowledge(TaskId task, int attempt) {
     return new WorkerCommand(Action.ACKNOWLEDGE, task, attempt, Duration.ZERO);
   }
--- a/src/main/java/io/cherryspool/model/WorkerHeartbeat.java
+++ b/src/main/java/io/cherryspool/model/WorkerHeartbeat.java
@@ -3,7 +3,19 @@
 import java.time.Duration;
 import java.util.List;
 
-/** What a worker says of itself. The one with the larger (session, sequence) is the newer. */
+/**
+ * The state of a worker, as it sends it in each heartbeat and in each response to a direct call,
+ * with a component for each field of the message.
+ *
+ * @param machine the machine's name
+ * @param address host and port of the machine's agent
+ * @param agentEpoch counts the agent's lives from 1: an agent whose lease has expired kills all its
+ *     tasks and begins the next epoch
+ * @param sequence increases with each message of an epoch
+ * @param highestFencingToken the highest fencing token that the agent has received
+ * @param preemptionNotice the time until the cloud takes the machine away, null without a notice
+ * @param tasks all tasks on the machine, exited ones until they are acknowledged
+ */
 public record WorkerHeartbeat(
     String machine,
     String address,
@@ -16,25 +28,40 @@
     Duration preemptionNotice,
     List<TaskStatus> tasks) {
 
-  /** Where a task stands on its machine. */
+  /** The state of a task on its machine. */
   public enum TaskState {
+    /** Waits for its image. */
     FETCHING,
+    /** Has its image and runs. */
     RUNNING,
+    /** Was stopped and saves a checkpoint. */
     CHECKPOINTING,
+    /** Ended for the {@link ExitCause}, or was refused. */
     EXITED
   }
 
   /** Why a task exited. */
   public enum ExitCause {
+    /** Ran to completion. */
     DONE,
+    /** Stopped by command. */
     STOPPED,
+    /** Failed, mostly through a fault of the machine. */
     ERROR,
+    /** The start was refused: the machine's free resources do not suffice. */
     INSUFFICIENT_RESOURCES,
+    /** The start was refused: the task is on this machine with another attempt. */
     OTHER_ATTEMPT_PRESENT,
+    /** The start was refused: no such job or task is submitted. */
     UNKNOWN_JOB
   }
 
-  /** One task on the machine; {@code cause} is null until it has exited. */
+  /**
+   * One task on the machine.
+   *
+   * @param attempt the number of the task's attempt
+   * @param cause why the task exited, null until it has
+   */
   public record TaskStatus(TaskId task, int attempt, TaskState state, ExitCause cause) {
 
     // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
@@ -53,16 +80,18 @@
     }
   }
 
+  /** Whether this message of the same machine was sent after the other. */
   public boolean isNewerThan(WorkerHeartbeat other) {
     return agentEpoch > other.agentEpoch
         || agentEpoch == other.agentEpoch && sequence > other.sequence;
   }
 
   /**
-   * Whether this says anything else than the one before, beside its sequence and token. Most
-   * reports of a thousand machines do not.
+   * Whether this message differs from the one before in more than its sequence and token: in the
+   * epoch, in the tasks, or in whether there is a preemption notice. Most heartbeats do not, which
+   * saves most of the work on them.
    *
-   * @param before the report before this one, null if there was none
+   * @param before the message before this one, null if there was none
    */
   public boolean hasChangedSince(WorkerHeartbeat before) {
     return before == null
--- a/src/main/java/io/cherryspool/model/package-info.java
+++ b/src/main/java/io/cherryspool/model/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The terms of the scheduler as immutable values: jobs, tasks and attempts, resources, machines,
- * reports and orders, tokens.
+ * The domain model as immutable values: jobs, tasks and attempts, teams and resources, machines,
+ * heartbeats and commands, fencing tokens.
  *
  * <p>Depends on nothing but the JDK and its collections library.
  *
--- a/src/test/java/io/cherryspool/model/RecordEqualityTest.java
+++ b/src/test/java/io/cherryspool/model/RecordEqualityTest.java
@@ -4,6 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
 import io.cherryspool.http.Endpoint;
+import io.cherryspool.model.WorkerHeartbeat.ExitCause;
+import io.cherryspool.model.WorkerHeartbeat.TaskState;
+import io.cherryspool.model.WorkerHeartbeat.TaskStatus;
 import io.cherryspool.scheduler.ScalingPlan;
 import java.time.Duration;
 import java.util.List;
@@ -13,7 +16,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Records whose equality is written out compare every component, also one that is added later. */
+/** Records with hand-written equality compare every component, also one that is added later. */
 class RecordEqualityTest {
   private static final TaskId TASK = new TaskId("req-000001", 3);
   private static final Resources SIZE = new Resources(4, 0, 8);
@@ -28,12 +31,8 @@
     return Arguments.of(original, List.of(variants));
   }
 
-  private static Stream<Arguments> records() {
+  private static Stream<Arguments> tasksAndCommands() {
     return Stream.of(
-        record(
-            () -> new Endpoint("10.0.0.1", 80),
-            new Endpoint("10.0.0.2", 80),
-            new Endpoint("10.0.0.1", 81)),
         record(
             () -> new TaskId("req-000001", 3),
             new TaskId("req-000002", 3),
@@ -52,19 +51,19 @@
             new Attempt(1, "m", 2, 9, 4),
             new Attempt(1, "m", 2, 3, 9)),
         record(
-            () ->
-                new WorkerHeartbeat.TaskStatus(
-                    TASK, 1, WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.DONE),
-            new WorkerHeartbeat.TaskStatus(
-                new TaskId("req-000001", 4),
-                1,
-                WorkerHeartbeat.TaskState.EXITED,
-                WorkerHeartbeat.ExitCause.DONE),
-            new WorkerHeartbeat.TaskStatus(
-                TASK, 2, WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.DONE),
-            new WorkerHeartbeat.TaskStatus(
-                TASK, 1, WorkerHeartbeat.TaskState.RUNNING, WorkerHeartbeat.ExitCause.DONE),
-            new WorkerHeartbeat.TaskStatus(TASK, 1, WorkerHeartbeat.TaskState.EXITED, null)),
+            () -> new TaskStatus(TASK, 1, TaskState.EXITED, ExitCause.DONE),
+            new TaskStatus(new TaskId("req-000001", 4), 1, TaskState.EXITED, ExitCause.DONE),
+            new TaskStatus(TASK, 2, TaskState.EXITED, ExitCause.DONE),
+            new TaskStatus(TASK, 1, TaskState.RUNNING, ExitCause.DONE),
+            new TaskStatus(TASK, 1, TaskState.EXITED, null)));
+  }
+
+  private static Stream<Arguments> machinesAndAddresses() {
+    return Stream.of(
+        record(
+            () -> new Endpoint("10.0.0.1", 80),
+            new Endpoint("10.0.0.2", 80),
+            new Endpoint("10.0.0.1", 81)),
         record(
             () -> new Resources(4, 0, 8),
             new Resources(5, 0, 8),
@@ -88,7 +87,7 @@
   }
 
   @ParameterizedTest
-  @MethodSource("records")
+  @MethodSource({"tasksAndCommands", "machinesAndAddresses"})
   void comparesEveryComponent(Supplier<Record> original, List<Record> variants) {
     Record first = original.get();
     assertEquals(first, original.get());
