--- a/src/main/java/io/cherryspool/controller/fleet/MachineContact.java
+++ b/src/main/java/io/cherryspool/controller/fleet/MachineContact.java
@@ -71,7 +71,7 @@
   public boolean recordReply(WorkerHeartbeat heartbeat, long token, Duration now) {
     boolean isCopy =
         heartbeat.agentEpoch() < repliedEpoch
-            || heartbeat.agentEpoch() == repliedEpoch && heartbeat.sequence() <= repliedSequence;
+            || (heartbeat.agentEpoch() == repliedEpoch && heartbeat.sequence() <= repliedSequence);
     if (isCopy) {
       return false;
     }
@@ -165,9 +165,9 @@
    * first heartbeat.
    */
   public Duration lastKeptAliveAt() {
-    return lastReplyAt == null || epochSince != null && epochSince.compareTo(lastReplyAt) > 0
-        ? epochSince
-        : lastReplyAt;
+    boolean isEpochNewer =
+        lastReplyAt == null || (epochSince != null && epochSince.compareTo(lastReplyAt) > 0);
+    return isEpochNewer ? epochSince : lastReplyAt;
   }
 
   /**
--- a/src/main/java/io/cherryspool/controller/fleet/MachineEligibility.java
+++ b/src/main/java/io/cherryspool/controller/fleet/MachineEligibility.java
@@ -13,6 +13,6 @@
 
   /** Whether a round may do more with the machine after the change than before. */
   public boolean isImprovedBy(MachineEligibility after) {
-    return !schedulable && after.schedulable || !commandsFenced && after.commandsFenced;
+    return (!schedulable && after.schedulable) || (!commandsFenced && after.commandsFenced);
   }
 }
--- a/src/main/java/io/cherryspool/controller/provisioning/MachineTypeCatalog.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/MachineTypeCatalog.java
@@ -94,7 +94,10 @@
 
   private void recordIfChanged() {
     List<MachineType> recorded = records.catalog();
-    if (!isLeader.getAsBoolean() || recorded != null && areSameButPrices(recorded, fetched)) {
+    if (!isLeader.getAsBoolean()) {
+      return;
+    }
+    if (recorded != null && areSameButPrices(recorded, fetched)) {
       return;
     }
     Map<String, Long> conditions =
--- a/src/main/java/io/cherryspool/controller/release/CrashLoopBackoff.java
+++ b/src/main/java/io/cherryspool/controller/release/CrashLoopBackoff.java
@@ -111,7 +111,7 @@
    */
   public boolean isCrashLooping(JobRecord entry) {
     CrashLoop loop = loops.get(entry.job().id());
-    return loop != null && loop.isEstablished() || isCrashLoopingByRecords(entry);
+    return (loop != null && loop.isEstablished()) || isCrashLoopingByRecords(entry);
   }
 
   /** When the job may be tried again, which may be in the past; now, if nothing is known of it. */
--- a/src/test/java/io/cherryspool/controller/fleet/MachineContactTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/MachineContactTest.java
@@ -10,56 +10,58 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What a machine's reports show of the answers to them, and what a late copy shows: nothing. */
+/** What a machine's heartbeats show of the replies to them; a late copy shows nothing. */
 class MachineContactTest {
   private final MachineContact contact = new MachineContact();
 
-  private static WorkerHeartbeat report(long session, long sequence, long token) {
+  private static WorkerHeartbeat heartbeat(long agentEpoch, long sequence, long token) {
     return new WorkerHeartbeat(
-        "host-1", "127.0.0.1:1", "box", "a", false, session, sequence, token, null, List.of());
+        "host-1", "127.0.0.1:1", "box", "a", false, agentEpoch, sequence, token, null, List.of());
   }
 
-  private boolean reports(long session, long sequence, long token, int at) {
-    WorkerHeartbeat report = report(session, sequence, token);
-    contact.accept(report, Duration.ofSeconds(at));
-    return contact.recordReply(report, 50 + at, Duration.ofSeconds(at));
+  /** A heartbeat comes and is answered at that second; false if it was answered before. */
+  private boolean exchange(long agentEpoch, long sequence, long token, int second) {
+    WorkerHeartbeat heartbeat = heartbeat(agentEpoch, sequence, token);
+    contact.accept(heartbeat, Duration.ofSeconds(second));
+    return contact.recordReply(heartbeat, 50 + second, Duration.ofSeconds(second));
   }
 
-  /** It kept reporting and was given work lease after lease. */
+  /** Such a machine kept sending heartbeats and was given work lease after lease. */
   @Test
-  void answersThatDoNotShowInTheNextReportCountUntilOneDoes() {
-    reports(1, 1, 0, 1);
-    assertEquals(0, contact.ignoredReplies(), "nothing was told to it before");
-    reports(1, 2, 51, 3);
-    assertEquals(0, contact.ignoredReplies(), "merely between reports");
-    reports(1, 3, 51, 6);
-    reports(1, 4, 51, 9);
+  void repliesWithoutEffectOnTheNextHeartbeatCountUntilOneHasIt() {
+    exchange(1, 1, 0, 1);
+    assertEquals(0, contact.ignoredReplies(), "it had no reply before");
+    exchange(1, 2, 51, 3);
+    assertEquals(0, contact.ignoredReplies(), "merely between heartbeats");
+    exchange(1, 3, 51, 6);
+    exchange(1, 4, 51, 9);
     assertEquals(2, contact.ignoredReplies());
     assertEquals(
         Optional.of(Duration.ofSeconds(4)), contact.notReceivingFor(Duration.ofSeconds(10)));
-    reports(2, 5, 51, 20);
-    assertEquals(3, contact.ignoredReplies(), "a new session is no sign that it hears");
-    contact.accept(report(2, 6, 70), Duration.ofSeconds(21));
-    assertEquals(0, contact.ignoredReplies(), "an acknowledged token newer than the sending is");
+    exchange(2, 5, 51, 20);
+    assertEquals(
+        3, contact.ignoredReplies(), "a new agent epoch is no sign that it receives replies");
+    contact.accept(heartbeat(2, 6, 70), Duration.ofSeconds(21));
+    assertEquals(0, contact.ignoredReplies(), "an acknowledged token of a later reply is one");
   }
 
   @Test
   void aLateCopyIsNotAnsweredAgainAndRenewsNothing() {
-    assertTrue(reports(1, 1, 0, 1));
-    assertTrue(reports(1, 2, 51, 3));
-    Duration heard = contact.lastHeartbeatAt();
-    assertFalse(reports(1, 1, 0, 30), "a copy of the first");
-    assertFalse(reports(1, 2, 51, 40), "a copy of the newest");
-    assertEquals(heard, contact.lastHeartbeatAt());
+    assertTrue(exchange(1, 1, 0, 1));
+    assertTrue(exchange(1, 2, 51, 3));
+    Duration before = contact.lastHeartbeatAt();
+    assertFalse(exchange(1, 1, 0, 30), "a copy of the first");
+    assertFalse(exchange(1, 2, 51, 40), "a copy of the newest");
+    assertEquals(before, contact.lastHeartbeatAt());
     assertEquals(Optional.of(Duration.ofSeconds(3)), contact.lastReplyAt());
-    assertEquals(0, contact.ignoredReplies(), "nor does it make the machine deaf");
+    assertEquals(0, contact.ignoredReplies(), "nor does it count as an ignored reply");
   }
 
-  /** The worker waits for the answer to a report that a direct call's answer has overtaken. */
+  /** The worker waits for the reply to a heartbeat that a direct call's answer has overtaken. */
   @Test
-  void aReportOvertakenByADirectAnswerStillCountsAsAnswered() {
-    contact.accept(report(1, 8, 60), Duration.ofSeconds(5));
-    assertTrue(reports(1, 7, 50, 6));
+  void aHeartbeatOvertakenByADirectAnswerStillCountsAsAnswered() {
+    contact.accept(heartbeat(1, 8, 60), Duration.ofSeconds(5));
+    assertTrue(exchange(1, 7, 50, 6));
     assertEquals(Optional.of(Duration.ofSeconds(6)), contact.lastReplyAt());
   }
 }
--- a/src/test/java/io/cherryspool/controller/fleet/ZonePartitionTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/ZonePartitionTest.java
@@ -15,7 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A zone cut off for 20 s lost 208 machines, deleted one by one as they came to count as silent.
+ * That the partition of a zone is recognised before its machines are deleted. A zone partitioned
+ * for 20 s lost 208 machines, deleted one by one as they came to count as silent.
  */
 class ZonePartitionTest {
   private static final Duration LATE = Duration.ofSeconds(11);
@@ -23,21 +24,21 @@
   private final List<MachineState> fleet = new ArrayList<>();
   private final Set<String> listed = new HashSet<>();
 
-  private void machine(String zone, double heardAt) {
+  private void addMachine(String zone, double heartbeatSecond) {
     String name = "host-" + fleet.size();
     MachineState machine = new MachineState(name, "box", zone, false, Duration.ZERO);
-    WorkerHeartbeat report =
+    WorkerHeartbeat heartbeat =
         new WorkerHeartbeat(name, "127.0.0.1:1", "box", zone, false, 1, 1, 0, null, List.of());
-    machine.contact().accept(report, Duration.ofMillis((long) (heardAt * 1000)));
+    machine.contact().accept(heartbeat, Duration.ofMillis((long) (heartbeatSecond * 1000)));
     fleet.add(machine);
     listed.add(name);
   }
 
-  private Set<String> cutAt(double second) {
-    return cutAt(Duration.ofMillis((long) (second * 1000)), LATE);
+  private Set<String> partitionedAt(double second) {
+    return partitionedAt(Duration.ofMillis((long) (second * 1000)), LATE);
   }
 
-  private Set<String> cutAt(Duration now, Duration late) {
+  private Set<String> partitionedAt(Duration now, Duration late) {
     FleetReachability.Builder view = new FleetReachability.Builder();
     Set<String> zones = new HashSet<>();
     for (MachineState machine : fleet) {
@@ -54,40 +55,43 @@
   @Test
   void isKnownBeforeTheFirstOfItsMachinesCountsAsSilent() {
     for (int i = 0; i < 60; i++) {
-      machine("a", 100 + i * 5.0 / 60);
-      machine("b", 116 + i * 5.0 / 60);
+      addMachine("a", 100 + i * 5.0 / 60);
+      addMachine("b", 116 + i * 5.0 / 60);
     }
-    assertEquals(Set.of(), cutAt(110));
-    assertEquals(Set.of("a"), cutAt(117), "silent since 100, and deleted from 117 on");
+    assertEquals(Set.of(), partitionedAt(110));
+    assertEquals(Set.of("a"), partitionedAt(117), "silent since 100, and deleted from 117 on");
   }
 
-  /** A dead machine that owns tasks is deleted after two reports' time, if a call finds it mute. */
+  /**
+   * A dead machine that owns tasks is deleted after two heartbeat intervals, if a probe finds it
+   * unresponsive.
+   */
   @Test
-  void isKnownBeforeTheFirstOfItsMachinesCountsAsMute() {
-    Duration report = Duration.ofSeconds(4);
+  void isKnownBeforeTheFirstOfItsMachinesCountsAsUnresponsive() {
+    Duration heartbeatInterval = Duration.ofSeconds(4);
     for (int i = 0; i < 60; i++) {
-      machine("a", 100 + i * 4.0 / 60);
-      machine("b", 104 + i * 4.0 / 60);
+      addMachine("a", 100 + i * 4.0 / 60);
+      addMachine("b", 104 + i * 4.0 / 60);
     }
-    Duration late = report.multipliedBy(5).dividedBy(4).plusMillis(250);
-    Duration first = Duration.ofSeconds(100).plus(report.multipliedBy(2));
-    assertEquals(Set.of("a"), cutAt(first, late));
+    Duration late = heartbeatInterval.multipliedBy(5).dividedBy(4).plusMillis(250);
+    Duration first = Duration.ofSeconds(100).plus(heartbeatInterval.multipliedBy(2));
+    assertEquals(Set.of("a"), partitionedAt(first, late));
   }
 
   @Test
-  void machinesThatDieTogetherAreNoCut() {
+  void machinesThatDieTogetherAreNoPartition() {
     for (int i = 0; i < 40; i++) {
-      machine("a", i < 13 ? 100 : 118);
+      addMachine("a", i < 13 ? 100 : 118);
     }
-    assertEquals(Set.of(), cutAt(119));
+    assertEquals(Set.of(), partitionedAt(119));
   }
 
   @Test
-  void machinesTakenBackAreNotListedAndNoCut() {
+  void machinesThatTheCloudTookBackAreNotListedAndNoPartition() {
     for (int i = 0; i < 40; i++) {
-      machine("a", i < 20 ? 100 : 118);
+      addMachine("a", i < 20 ? 100 : 118);
     }
     fleet.subList(0, 20).forEach(machine -> listed.remove(machine.name()));
-    assertEquals(Set.of(), cutAt(119));
+    assertEquals(Set.of(), partitionedAt(119));
   }
 }
--- a/src/test/java/io/cherryspool/controller/ownership/OwnershipTest.java
+++ b/src/test/java/io/cherryspool/controller/ownership/OwnershipTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Who owns what, as the records change. */
+/** Which attempts own tasks as the records change. */
 class OwnershipTest {
   private final List<Integer> released = new ArrayList<>();
   private final Ownership ownership = new Ownership(null);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void aCancelledOneOwnsItsTasksUntilTheirEndsAreProved() {
+  void aCancelledJobOwnsItsTasksUntilTheirEndsAreProved() {
     listen();
     JobRecordFixture.end(entry, Outcome.CANCELLED);
     ownership.onJobChanged(entry);
--- a/src/test/java/io/cherryspool/controller/release/CrashLoopBackoffTest.java
+++ b/src/test/java/io/cherryspool/controller/release/CrashLoopBackoffTest.java
@@ -24,9 +24,10 @@
     return new MachineState("host-" + number, "box", "a", false, Duration.ZERO);
   }
 
-  private boolean fails(boolean succeeded, int machine, double at) {
+  /** A task of the job fails on the machine; returns whether the machine is to blame. */
+  private boolean recordFailure(boolean succeeded, int machine, double second) {
     return backoff.recordFailure(
-        entry, succeeded, machine(machine), Duration.ofMillis((long) (at * 1000)));
+        entry, succeeded, machine(machine), Duration.ofMillis((long) (second * 1000)));
   }
 
   private static JobRecord recorded(int... failures) {
@@ -34,20 +35,21 @@
   }
 
   @Test
-  void whatFailsOnSeveralMachinesAndNeverSucceedsIsHeldBackAndNoMachineBlamedForIt() {
-    assertTrue(fails(false, 1, 0), "it may be the machine");
-    assertFalse(fails(false, 1, 0), "which is not three times as bad for three tasks of one job");
-    assertFalse(fails(false, 1, 0));
-    assertTrue(fails(false, 2, 0));
+  void aJobThatFailsOnSeveralMachinesAndNeverSucceedsIsToBlameAndNotTheMachines() {
+    assertTrue(recordFailure(false, 1, 0), "it may be the machine");
+    assertFalse(
+        recordFailure(false, 1, 0), "which is not three times as bad for three tasks of one job");
+    assertFalse(recordFailure(false, 1, 0));
+    assertTrue(recordFailure(false, 2, 0));
     assertFalse(backoff.isCrashLooping(entry));
-    assertFalse(fails(false, 3, 0));
+    assertFalse(recordFailure(false, 3, 0));
     assertTrue(backoff.isCrashLooping(entry));
   }
 
   @Test
   void aJobThatHasSucceededBlamesTheMachineEachTime() {
     for (int i = 0; i < 5; i++) {
-      assertTrue(fails(true, 1, i));
+      assertTrue(recordFailure(true, 1, i));
     }
     assertFalse(backoff.isCrashLooping(entry));
   }
@@ -56,7 +58,7 @@
   void triesGrowRarerAndASuccessEndsTheBackoff() {
     double at = 0;
     for (int i = 0; i < 3; i++) {
-      fails(false, i, at);
+      recordFailure(false, i, at);
     }
     double pause = 0;
     for (int i = 0; i < 12; i++) {
@@ -65,8 +67,8 @@
       assertTrue(next >= pause, next + " after " + pause);
       pause = next;
       at += pause;
-      fails(false, i, at);
-      fails(false, i + 1, at + 0.01);
+      recordFailure(false, i, at);
+      recordFailure(false, i + 1, at + 0.01);
       at += 0.01;
     }
     assertEquals(30, pause);
@@ -76,7 +78,7 @@
 
   /** A new leader has only the records, in which lapses count as failures as well. */
   @Test
-  void aNewLeaderHoldsBackWhatHasFailedInAllItsTries() {
+  void aNewLeaderTakesWhatFailedInAllItsTriesForACrashLoop() {
     assertTrue(backoff.isCrashLooping(recorded(1, 1, 1)));
     assertTrue(backoff.isCrashLooping(recorded(4, 0, 3)), "two of its tasks may be under way");
     assertFalse(backoff.isCrashLooping(recorded(1, 1)));
@@ -84,7 +86,7 @@
   }
 
   @Test
-  void itsUserHearsOfTheTasksThatFail() {
+  void theUserIsShownTheTasksThatFail() {
     assertEquals(0, recorded(1, 1, 1).failingTaskCount(CAP), "so far it may be chance");
     assertEquals(4, recorded(7, 5, 5, 5).failingTaskCount(CAP), "nothing of it succeeds");
     assertEquals(1, recorded(20, 0, 0, 0).failingTaskCount(CAP), "one task is past the cap");
--- a/src/test/java/io/cherryspool/controller/timing/TimingsTest.java
+++ b/src/test/java/io/cherryspool/controller/timing/TimingsTest.java
@@ -37,14 +37,15 @@
         100);
   }
 
-  private static Duration seconds(double value) {
-    return Duration.ofMillis((long) (value * 1000));
+  private static Duration seconds(double seconds) {
+    return Duration.ofMillis((long) (seconds * 1000));
   }
 
   /** The authority was raised to the state lease where it was the shorter one. */
   @ParameterizedTest
   @CsvSource({"16,36,4", "16,36,60", "16,24,4", "30,37,10", "24,54,1"})
-  void theStateLeaseGivesWayAndNotTheAuthority(double lease, double cancel, double stateLease) {
+  void theStateStoreLeaseIsShortenedRatherThanTheAuthorityRaised(
+      double lease, double cancel, double stateLease) {
     OperatorSettings defaults = OperatorSettings.DEFAULTS;
     Settings settings = settings(lease, cancel);
     Timings timings =
