--- a/src/main/java/io/cherryspool/cli/ClassDataTraining.java
+++ b/src/main/java/io/cherryspool/cli/ClassDataTraining.java
@@ -29,28 +29,31 @@
 import java.util.jar.JarFile;
 
 /**
- * Runs a whole node once among {@link TrainingServices}, from reading its settings to its shutdown,
- * so that the class-data archive made on exit holds what a node loads that starts, takes over and
- * serves, lambdas included: only those that were in use are kept. Starting on a fraction of a core
- * takes seconds otherwise.
+ * The training run for the class-data archive: a whole node among {@link TrainingServices}, from
+ * reading its settings to its shutdown. The archive that the JDK writes at exit then holds the
+ * classes and lambdas of a node that starts, becomes leader and serves; only what was in use is
+ * archived. Without it a start on a fraction of a core takes seconds.
  */
 final class ClassDataTraining {
-  private static final Duration LIMIT = Duration.ofSeconds(2);
-  private static final int SOCKETS = 16;
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
+  private static final int MAX_SOCKETS = 16;
 
-  /** It takes a second and a half to lead and to have heard of the machine. */
-  private static final int STEPS = 100;
+  /** Bounds each wait; the node leads and knows the machine after a second and a half. */
+  private static final int MAX_POLLS = 100;
 
-  private static final int STEP_MS = 50;
+  private static final int POLL_INTERVAL_MS = 50;
   private static final String HOST = "127.0.0.1";
 
+  /** The status of a request that was not answered. */
+  private static final int NO_ANSWER = 0;
+
   private final NettyEventLoop loop = new NettyEventLoop();
-  private final NettyHttpClient client = new NettyHttpClient(loop, SOCKETS);
+  private final NettyHttpClient client = new NettyHttpClient(loop, MAX_SOCKETS);
   private final Endpoint node = new Endpoint(HOST, freePort());
   private final TrainingServices services;
 
   private ClassDataTraining() throws IOException, InterruptedException {
-    NettyHttpServer server = new NettyHttpServer(loop, this::handle, SOCKETS);
+    NettyHttpServer server = new NettyHttpServer(loop, this::handle, MAX_SOCKETS);
     server.bind(new Endpoint(HOST, 0));
     services = new TrainingServices(new Endpoint(HOST, server.port()));
   }
@@ -60,16 +63,16 @@
   }
 
   /**
-   * Runs the node and uses it. The node goes on until the caller ends the process, as a platform
-   * would, so that its shutdown is rehearsed too.
+   * Runs the node and uses it. The node still runs afterwards: the caller ends the process, so that
+   * the shutdown is part of the training too.
    */
   static void run() throws Exception {
-    ClassDataTraining rehearsal = new ClassDataTraining();
-    Path settings = Files.createTempFile("rehearsal", ".json");
+    ClassDataTraining training = new ClassDataTraining();
+    Path settings = Files.createTempFile("training", ".json");
     try {
-      Files.write(settings, Json.toBytes(rehearsal.settings()));
+      Files.write(settings, Json.toBytes(training.settings()));
       new Thread(() -> serve(settings), "node").start();
-      rehearsal.play();
+      training.useNode();
       loadOwnClasses();
     } finally {
       Files.delete(settings);
@@ -78,7 +81,7 @@
 
   private static void serve(Path settings) {
     try {
-      NodeLauncher.serve(settings, Path.of(NodeLauncher.OPERATORS_FILE));
+      NodeLauncher.serve(settings, Path.of(LoadedSettings.OPERATORS_FILE));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -90,59 +93,69 @@
     }
   }
 
-  private Reply ask(Request request) throws Exception {
+  private Reply send(Request request) throws Exception {
     CompletableFuture<Reply> answer = new CompletableFuture<>();
     loop.execute(
         () ->
             client
-                .send(node, request, LIMIT)
+                .send(node, request, REQUEST_TIMEOUT)
                 .whenComplete(
                     (reply, failure) ->
-                        answer.complete(reply == null ? Reply.json(0, new byte[0]) : reply)));
-    return answer.get(2 * LIMIT.toMillis(), TimeUnit.MILLISECONDS);
+                        answer.complete(
+                            reply == null ? Reply.json(NO_ANSWER, new byte[0]) : reply)));
+    return answer.get(2 * REQUEST_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /** A job is submitted, placed, done and asked about; another is cancelled. */
-  private void play() throws Exception {
-    Job first = job("req-000001");
-    Job second = job("req-000002");
-    boolean submitted = false;
-    for (int i = 0; i < STEPS; i++) {
-      Reply told = ask(Request.post("/v1/report", Json.toBytes(services.workerHeartbeat())));
-      if (told.status() == 200) {
-        services.receiveToken(Json.parseObject(told.body()));
-        if (!submitted) {
-          submitted = true;
-          ask(Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(first))));
-        } else if (services.completeTasks()) {
-          break;
-        }
-      }
-      Thread.sleep(STEP_MS);
-    }
-    ask(Request.post("/v1/report", Json.toBytes(services.workerHeartbeat())));
-    awaitDone(first);
+  /** A job is submitted, placed, completed and polled; another is cancelled. */
+  private void useNode() throws Exception {
+    Job completed = job("req-000001");
+    Job cancelled = job("req-000002");
+    runToCompletion(completed);
     for (Request request :
         List.of(
             Request.get("/ready"),
             Request.get("/metrics"),
-            Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(second))),
+            Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(cancelled))),
             Request.post("/api/jobs", new byte[] {'x'}),
-            Request.post("/api/jobs/" + second.id() + "/withdraw", new byte[0]),
-            Request.get("/api/jobs/" + second.id()),
-            Request.get("/api/jobs/" + first.id()))) {
-      ask(request);
+            Request.post("/api/jobs/" + cancelled.id() + "/withdraw", new byte[0]),
+            Request.get("/api/jobs/" + cancelled.id()),
+            Request.get("/api/jobs/" + completed.id()))) {
+      send(request);
     }
-    Thread.sleep(STEP_MS);
+    Thread.sleep(POLL_INTERVAL_MS);
+  }
+
+  /** Sends the worker's heartbeats until the node has placed the job and recorded its end. */
+  private void runToCompletion(Job job) throws Exception {
+    boolean isSubmitted = false;
+    for (int i = 0; i < MAX_POLLS; i++) {
+      Reply reply = sendHeartbeat();
+      if (reply.status() == 200) {
+        services.receiveToken(Json.parseObject(reply.body()));
+        if (!isSubmitted) {
+          isSubmitted = true;
+          send(Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(job))));
+        } else if (services.completeTasks()) {
+          break;
+        }
+      }
+      Thread.sleep(POLL_INTERVAL_MS);
+    }
+    sendHeartbeat();
+    awaitCompletion(job);
+  }
+
+  private Reply sendHeartbeat() throws Exception {
+    return send(Request.post("/v1/report", Json.toBytes(services.workerHeartbeat())));
   }
 
-  private void awaitDone(Job job) throws Exception {
-    for (int i = 0; i < STEPS; i++) {
-      Reply told = ask(Request.get("/api/jobs/" + job.id()));
-      if (told.status() == 200 && Json.parseObject(told.body()).path("done").intValue() > 0) {
+  private void awaitCompletion(Job job) throws Exception {
+    for (int i = 0; i < MAX_POLLS; i++) {
+      Reply reply = send(Request.get("/api/jobs/" + job.id()));
+      if (reply.status() == 200 && Json.parseObject(reply.body()).path("done").intValue() > 0) {
         return;
       }
-      Thread.sleep(STEP_MS);
+      Thread.sleep(POLL_INTERVAL_MS);
     }
   }
 
@@ -161,17 +174,17 @@
         false,
         false,
         true,
-        LIMIT,
+        REQUEST_TIMEOUT,
         Duration.ZERO,
         Duration.ZERO,
-        LIMIT,
+        REQUEST_TIMEOUT,
         Instant.EPOCH);
   }
 
-  /** As the platform writes them; the node's own mesh address stands for its peer's as well. */
+  /** Settings as the platform writes them. The node is its own peer: nothing else listens. */
   private ObjectNode settings() throws IOException {
     String mesh = new Endpoint(HOST, freePort()).toString();
-    ObjectNode root = Json.object().put("host_name", "rehearsal");
+    ObjectNode root = Json.object().put("host_name", "training");
     root.put("site", TrainingServices.ZONE);
     root.put("client_listen", node.toString());
     root.put("mesh_addr", mesh);
@@ -203,6 +216,7 @@
     return root;
   }
 
+  /** Loads the program's classes that the run did not use, where it runs from its jar. */
   private static void loadOwnClasses()
       throws IOException, URISyntaxException, ClassNotFoundException {
     Path home =
--- a/src/main/java/io/cherryspool/cli/JsonText.java
+++ b/src/main/java/io/cherryspool/cli/JsonText.java
@@ -5,14 +5,14 @@
 import com.fasterxml.jackson.databind.SerializationFeature;
 import java.io.IOException;
 
-/** JSON as people read it. */
+/** Reads and lays out the JSON of nodes' answers for printing. */
 final class JsonText {
   private static final ObjectMapper MAPPER =
       new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
   private JsonText() {}
 
-  /** The same text on several lines; as it is if it is not JSON. */
+  /** The same JSON over several lines; the text as it is if it is not JSON. */
   static String indented(String text) {
     try {
       return MAPPER.writeValueAsString(MAPPER.readTree(text));
@@ -21,7 +21,7 @@
     }
   }
 
-  /** The text as JSON; an empty object if it is none. */
+  /** The text as JSON; an empty object if it is not JSON. */
   static JsonNode parse(String text) {
     try {
       return MAPPER.readTree(text);
@@ -30,13 +30,9 @@
     }
   }
 
-  /** A field of an object; the whole text if there is none. */
+  /** The value of a text field of an object; the whole text if there is no such field. */
   static String field(String text, String name) {
-    try {
-      JsonNode found = MAPPER.readTree(text).path(name);
-      return found.isTextual() ? found.textValue() : text;
-    } catch (IOException e) {
-      return text;
-    }
+    JsonNode found = parse(text).path(name);
+    return found.isTextual() ? found.textValue() : text;
   }
 }
--- a/src/main/java/io/cherryspool/cli/LinksCommand.java
+++ b/src/main/java/io/cherryspool/cli/LinksCommand.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.Callable;
-import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Shows how the controllers hear one another, the services and the workers. */
+/** Shows the links between the controllers, and from them to the services and the workers. */
 @Command(
     name = "links",
     mixinStandardHelpOptions = true,
@@ -24,88 +24,97 @@
       "2:wrong use"
     })
 final class LinksCommand implements Callable<Integer> {
+  /** The exit status when the node answers and a link is not up. */
   private static final int NOT_ALL_UP = 1;
-  private static final double MILLIS = 1000;
+
+  private static final double MILLIS_PER_SECOND = 1000;
 
   @Spec private CommandSpec spec;
-  @CommandLine.Mixin private NodeAddress node;
+  @Mixin private NodeAddress node;
 
   @Option(names = "--json", description = "Prints what the node answers, for programs.")
-  private boolean json;
+  private boolean isJsonWanted;
 
   @Override
   public Integer call() throws InterruptedException {
-    Optional<NodeClient.Answer> answer =
-        NodeClient.ask(spec.commandLine(), node, HttpRequest.newBuilder().GET(), "/links");
-    if (answer.isEmpty()) {
+    Optional<NodeClient.Answer> received =
+        NodeClient.send(spec.commandLine(), node, HttpRequest.newBuilder().GET(), "/links");
+    if (received.isEmpty()) {
       return NodeClient.REFUSED;
     }
-    if (answer.get().status() != 200) {
-      System.err.println("cherryspool: " + answer.get().address() + " does not tell of its links");
+    NodeClient.Answer answer = received.get();
+    if (answer.status() != NodeClient.OK) {
+      System.err.println("cherryspool: " + answer.address() + " does not tell of its links");
       return NodeClient.REFUSED;
     }
-    JsonNode root = JsonText.parse(answer.get().body());
-    if (json) {
-      System.out.println(JsonText.indented(answer.get().body()));
+    JsonNode root = JsonText.parse(answer.body());
+    if (isJsonWanted) {
+      System.out.println(JsonText.indented(answer.body()));
     } else {
-      lines(root).forEach(System.out::println);
+      describe(root).forEach(System.out::println);
     }
     return root.path("all_up").asBoolean() ? 0 : NOT_ALL_UP;
   }
 
-  /** What a node answered, for people. */
-  static List<String> lines(JsonNode root) {
+  /** The lines that are printed for people, from a node's answer. */
+  private static List<String> describe(JsonNode root) {
     List<String> lines = new ArrayList<>();
     lines.add("as " + root.path("node").asText() + " knows it:");
-    for (JsonNode item : root.path("nodes")) {
-      describe(item, lines);
+    for (JsonNode controller : root.path("nodes")) {
+      describeController(controller, lines);
     }
     return lines;
   }
 
-  private static void describe(JsonNode item, List<String> lines) {
-    String name = item.path("node").asText();
-    long age = item.path("heard_ms").longValue();
+  private static void describeController(JsonNode controller, List<String> lines) {
+    String name = controller.path("node").asText();
+    long age = controller.path("heard_ms").longValue();
     if (age < 0) {
       lines.add(name + ": was never heard, can't be reached");
       return;
     }
-    String leading = item.path("leading").asBoolean() ? ", leads" : "";
-    String doubtful = item.path("doubtful").asBoolean() ? ", was too slow to tell" : "";
+    String leading = controller.path("leading").asBoolean() ? ", leads" : "";
+    String doubtful = controller.path("doubtful").asBoolean() ? ", was too slow to tell" : "";
     lines.add(name + " (" + age(age) + ")" + leading + doubtful);
-    lines.add("  " + item.path("verdict").asText());
+    lines.add("  " + controller.path("verdict").asText());
     lines.add(
         "  state service "
-            + item.path("state").asText()
+            + controller.path("state").asText()
             + ", cloud "
-            + item.path("cloud").asText());
-    for (JsonNode peer : item.path("peers")) {
-      lines.add(
-          "  hears "
-              + peer.path("node").asText()
-              + ": "
-              + peer.path("link").asText()
-              + " ("
-              + age(peer.path("heard_ms").longValue())
-              + ")");
+            + controller.path("cloud").asText());
+    for (JsonNode peer : controller.path("peers")) {
+      lines.add(describePeer(peer));
     }
-    for (JsonNode zone : item.path("zones")) {
-      lines.add(
-          "  workers of "
-              + zone.path("zone").asText()
-              + ": "
-              + zone.path("link").asText()
-              + ", "
-              + zone.path("missing").asInt()
-              + " of "
-              + zone.path("machines").asInt()
-              + " missing, "
-              + zone.path("redirected").asInt()
-              + " sent on");
+    for (JsonNode zone : controller.path("zones")) {
+      lines.add(describeZone(zone));
     }
   }
 
+  private static String describePeer(JsonNode peer) {
+    return "  hears "
+        + peer.path("node").asText()
+        + ": "
+        + peer.path("link").asText()
+        + " ("
+        + age(peer.path("heard_ms").longValue())
+        + ")";
+  }
+
+  private static String describeZone(JsonNode zone) {
+    return "  workers of "
+        + zone.path("zone").asText()
+        + ": "
+        + zone.path("link").asText()
+        + ", "
+        + zone.path("missing").asInt()
+        + " of "
+        + zone.path("machines").asInt()
+        + " missing, "
+        + zone.path("redirected").asInt()
+        + " sent on";
+  }
+
   private static String age(long millis) {
-    return millis < 0 ? "never" : String.format("%.1f s ago", millis / MILLIS);
+    return millis < 0 ? "never" : String.format("%.1f s ago", millis / MILLIS_PER_SECOND);
   }
 }
--- a/src/main/java/io/cherryspool/cli/MetricsExport.java
+++ b/src/main/java/io/cherryspool/cli/MetricsExport.java
@@ -7,19 +7,19 @@
 import java.util.List;
 
 /**
- * A node's meters as Prometheus text. The registry is made when the metrics are first asked for,
- * since a starting node on a small processor has no time for it; meters keep their own values.
+ * Writes a node's meters as Prometheus text. The registry is made at the first scrape, to keep its
+ * classes out of a node's start-up; meters keep their own values until then.
  */
 final class MetricsExport {
   private final List<MeterBinder> meters = new ArrayList<>();
   private PrometheusMeterRegistry registry;
 
-  /** Called before the metrics are first asked for. */
+  /** Adds meters. Has no effect after the first scrape. */
   void add(MeterBinder binder) {
     meters.add(binder);
   }
 
-  /** The present values in the Prometheus text format. Called on the event loop only. */
+  /** The current values in the Prometheus text format. Called on the event loop only. */
   String scrape() {
     if (registry == null) {
       registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
--- a/src/main/java/io/cherryspool/cli/NodeClient.java
+++ b/src/main/java/io/cherryspool/cli/NodeClient.java
@@ -11,37 +11,49 @@
 import picocli.CommandLine;
 import picocli.CommandLine.ParameterException;
 
-/** Asks a running node on behalf of an operator. Troubles are one line on standard error. */
+/** Sends an operator's request to a running node and waits for the answer. */
 final class NodeClient {
   /** The exit status when the node refuses, or can't be reached. */
   static final int REFUSED = 1;
 
-  private static final Duration PATIENCE = Duration.ofSeconds(5);
+  /** The HTTP status of a request that was carried out. */
+  static final int OK = 200;
+
+  /** The HTTP status of a resource that the node does not serve with its settings. */
+  static final int NOT_FOUND = 404;
+
+  private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
   private NodeClient() {}
 
-  /** A node's answer, and the address that gave it. */
+  /**
+   * What a node answered.
+   *
+   * @param address the node's address, as HOST:PORT
+   * @param status the HTTP status
+   */
   record Answer(String address, int status, String body) {}
 
-  /** The answer; empty if there is none, which has been said then. */
-  static Optional<Answer> ask(
+  /**
+   * Sends the request. If there is no answer, the reason is printed to standard error.
+   *
+   * @param command the command whose usage is shown if the address is wrong
+   * @return the answer, whatever its status; empty if there is none
+   * @throws ParameterException if the address, or the settings that hold it, can't be read
+   */
+  static Optional<Answer> send(
       CommandLine command, NodeAddress node, HttpRequest.Builder request, String path)
       throws InterruptedException {
-    String address;
-    try {
-      address = node.text();
-    } catch (ConfigException e) {
-      throw new ParameterException(command, e.getMessage());
-    }
+    String address = resolve(command, node);
     try {
-      request.uri(URI.create("http://" + address + path)).timeout(PATIENCE);
+      request.uri(URI.create("http://" + address + path)).timeout(TIMEOUT);
     } catch (IllegalArgumentException e) {
       throw new ParameterException(command, "not an address: " + address);
     }
     try {
       HttpResponse<String> answer =
           HttpClient.newBuilder()
-              .connectTimeout(PATIENCE)
+              .connectTimeout(TIMEOUT)
               .build()
               .send(request.build(), HttpResponse.BodyHandlers.ofString());
       return Optional.of(new Answer(address, answer.statusCode(), answer.body()));
@@ -50,4 +62,12 @@
       return Optional.empty();
     }
   }
+
+  private static String resolve(CommandLine command, NodeAddress node) {
+    try {
+      return node.resolve();
+    } catch (ConfigException e) {
+      throw new ParameterException(command, e.getMessage());
+    }
+  }
 }
--- a/src/main/java/io/cherryspool/cli/NodeLauncher.java
+++ b/src/main/java/io/cherryspool/cli/NodeLauncher.java
@@ -1,6 +1,5 @@
 package io.cherryspool.cli;
 
-import io.cherryspool.config.ConfigException;
 import io.cherryspool.config.OperatorSettings;
 import io.cherryspool.config.RecoverySettings;
 import io.cherryspool.config.Settings;
@@ -26,96 +25,118 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Wires the parts of a node on real sockets and clocks. */
+/**
+ * Wires the modules of a node on real sockets and clocks, and runs it. A launcher runs one node,
+ * from the main thread; the node itself lives on its event loop.
+ */
 final class NodeLauncher {
-  private static final Logger LOG = LoggerFactory.getLogger(NodeLauncher.class);
-
-  /** Sockets kept for the calls to the state service, the cloud, the workers and the mesh. */
-  private static final double OWN_SOCKETS = 0.25;
-
-  /** Of those, the part for calls; the mesh, files and connections just closing have the rest. */
-  private static final double OWN_CALLS = 0.8;
-
-  /** So long a starting node reads the records before it listens without them. */
-  private static final Duration UNLOADED = Duration.ofSeconds(6);
-
   /** The exit status when the settings hold a mistake. */
   static final int BAD_SETTINGS = 2;
 
-  /** Where the operators' settings are if nobody says otherwise. */
-  static final String OPERATORS_FILE = "deploy/cherryspool.xml";
+  private static final Logger LOG = LoggerFactory.getLogger(NodeLauncher.class);
 
-  private NodeLauncher() {}
+  /** The exit status when a port can't be bound. */
+  private static final int CANNOT_LISTEN = 1;
 
-  /** Runs a node until it is ended; returns the exit status. */
-  static int serve(Path config, Path operators) throws InterruptedException {
-    Optional<LoadedSettings> settings = load(config, operators);
-    return settings.isPresent() ? run(settings.get()) : BAD_SETTINGS;
-  }
+  /**
+   * The fraction of all sockets that is kept for the node's own calls: to the state store, the
+   * cloud, the workers and the other nodes.
+   */
+  private static final double OWN_SOCKETS_FRACTION = 0.25;
 
-  /** Both settings, checked. */
-  record LoadedSettings(Settings platform, OperatorSettings operators) {}
+  /**
+   * The fraction of those that HTTP calls may use; the mesh, files and connections that are being
+   * closed have the rest.
+   */
+  private static final double HTTP_CALLS_FRACTION = 0.8;
 
-  /** Reads the settings; a mistake is one line on standard error. */
-  static Optional<LoadedSettings> load(Path config, Path operators) {
-    try {
-      return Optional.of(
-          new LoadedSettings(Settings.load(config), OperatorSettings.load(operators)));
-    } catch (ConfigException e) {
-      System.err.println("cherryspool: " + e.getMessage());
-      return Optional.empty();
-    }
-  }
+  /** How long a starting node waits for the records before it listens without them. */
+  private static final Duration MAX_LOAD_WAIT = Duration.ofSeconds(6);
+
+  private final Settings platform;
+  private final NettyEventLoop loop = new NettyEventLoop();
+  private final MetricsExport metrics = new MetricsExport();
+  private final NettyMesh mesh;
+  private final Controller controller;
+  private final NettyHttpServer server;
 
-  private static int run(LoadedSettings settings) throws InterruptedException {
-    Settings platform = settings.platform();
-    NettyEventLoop loop = new NettyEventLoop();
-    Controller[] controller = new Controller[1];
-    NettyMesh mesh =
+  private NodeLauncher(LoadedSettings settings) {
+    platform = settings.platform();
+    mesh =
         new NettyMesh(
             loop,
             platform.peers().stream().map(Settings.Peer::endpoint).toList(),
-            heartbeat -> controller[0].receive(heartbeat));
-    MetricsExport metrics = new MetricsExport();
-    controller[0] = controller(platform, settings.operators(), loop, mesh, metrics);
-    int connections = (int) (platform.fdLimit() * (1 - OWN_SOCKETS));
-    NettyHttpServer server = new NettyHttpServer(loop, controller[0], connections);
-    metrics.add(controller[0]);
+            this::receiveHeartbeat);
+    controller = controller(platform, settings.operators(), loop, mesh, metrics);
+    int maxConnections = (int) (platform.fdLimit() * (1 - OWN_SOCKETS_FRACTION));
+    server = new NettyHttpServer(loop, controller, maxConnections);
+    metrics.add(controller);
     metrics.add(
         registry ->
             Gauge.builder("cherryspool.connections", server::connectionCount).register(registry));
-    List<Runnable> stops = List.of(controller[0]::stop, mesh::stop, loop::shutdown);
-    Runtime.getRuntime()
-        .addShutdownHook(new Thread(() -> stops.forEach(loop::execute), "shutdown"));
-    CountDownLatch loaded = new CountDownLatch(1);
+  }
+
+  /**
+   * Runs a node until it is ended.
+   *
+   * @param config the platform's settings file
+   * @param operators the operators' settings file, which may be absent
+   * @return the exit status
+   */
+  static int serve(Path config, Path operators) throws InterruptedException {
+    Optional<LoadedSettings> settings = LoadedSettings.load(config, operators);
+    return settings.isPresent() ? run(settings.get()) : BAD_SETTINGS;
+  }
+
+  /** Runs a node until it is ended; returns the exit status. */
+  static int run(LoadedSettings settings) throws InterruptedException {
+    NodeLauncher node = new NodeLauncher(settings);
+    node.stopOnShutdown();
     try {
-      mesh.bind(platform.meshAddress());
-      loop.execute(mesh::start);
-      loop.execute(() -> controller[0].onRecordsLoaded(loaded::countDown));
-      loop.execute(controller[0]::start);
-      // Until then the node could only turn away who comes. After a restart of all, a thousand
-      // workers come at once, and each refused connection costs it next to nothing.
-      boolean early = !loaded.await(UNLOADED.toMillis(), TimeUnit.MILLISECONDS);
-      server.bind(platform.clientAddress());
-      LOG.info(
-          "{} in {} listens on {}{}",
-          platform.name(),
-          platform.zone(),
-          platform.clientAddress(),
-          early ? ", with no records read yet" : "");
+      node.start();
     } catch (InterruptedException e) {
       throw e;
     } catch (Exception e) {
       // Netty throws the checked BindException without declaring it.
       System.err.println("cherryspool: " + e.getMessage());
-      return 1;
+      return CANNOT_LISTEN;
     }
-    loop.awaitTermination();
+    node.loop.awaitTermination();
     return 0;
   }
 
-  /** A controller on the loop's sockets and the machine's clocks. */
-  static Controller controller(
+  private void receiveHeartbeat(Mesh.PeerHeartbeat heartbeat) {
+    controller.receive(heartbeat);
+  }
+
+  /** The hook only enqueues the stops: they run on the event loop, in this order. */
+  private void stopOnShutdown() {
+    List<Runnable> stops = List.of(controller::stop, mesh::stop, loop::shutdown);
+    Runtime.getRuntime()
+        .addShutdownHook(new Thread(() -> stops.forEach(loop::execute), "shutdown"));
+  }
+
+  /** Starts the node, and returns once it listens for requests. */
+  private void start() throws InterruptedException {
+    CountDownLatch loaded = new CountDownLatch(1);
+    mesh.bind(platform.meshAddress());
+    loop.execute(mesh::start);
+    loop.execute(() -> controller.onRecordsLoaded(loaded::countDown));
+    loop.execute(controller::start);
+    // Without the records every request would be refused. After a restart of all nodes a thousand
+    // workers connect at once, and a connection refused by the system costs next to nothing.
+    boolean isLoaded = loaded.await(MAX_LOAD_WAIT.toMillis(), TimeUnit.MILLISECONDS);
+    server.bind(platform.clientAddress());
+    LOG.info(
+        "{} in {} listens on {}{}",
+        platform.name(),
+        platform.zone(),
+        platform.clientAddress(),
+        isLoaded ? "" : ", with no records read yet");
+  }
+
+  /** A controller on the loop's sockets and the machine's clock. */
+  private static Controller controller(
       Settings platform,
       OperatorSettings operators,
       NettyEventLoop loop,
@@ -127,7 +148,8 @@
         operators,
         new Controller.Dependencies(
             loop,
-            new NettyHttpClient(loop, (int) (platform.fdLimit() * OWN_SOCKETS * OWN_CALLS)),
+            new NettyHttpClient(
+                loop, (int) (platform.fdLimit() * OWN_SOCKETS_FRACTION * HTTP_CALLS_FRACTION)),
             mesh,
             new SplittableRandom(entropy[0]),
             Instant::now,
@@ -140,7 +162,7 @@
             Optional.empty()));
   }
 
-  /** Snapshots are written by a thread of their own, which ends with the process. */
+  /** Snapshots are written by a daemon thread of their own, since files block. */
   private static Controller.SnapshotTarget snapshots(Path directory) {
     ExecutorService writer =
         Executors.newSingleThreadExecutor(
--- a/src/main/java/io/cherryspool/cli/SystemEntropy.java
+++ b/src/main/java/io/cherryspool/cli/SystemEntropy.java
@@ -7,7 +7,7 @@
 import java.security.SecureRandom;
 
 /**
- * Random numbers from the operating system, for the name of a process and the seed of its jitter.
+ * Random numbers from the operating system, for a process's id and the seed of its jitter.
  *
  * <p>The kernel's device is read directly where there is one: it is what {@link SecureRandom} reads
  * too, but that first loads the security providers, which a node needs for nothing else.
@@ -17,7 +17,7 @@
 
   private SystemEntropy() {}
 
-  /** So many random numbers. */
+  /** Reads {@code count} random numbers, each of all 64 bits. */
   static long[] read(int count) {
     long[] numbers = new long[count];
     try (DataInputStream device = new DataInputStream(Files.newInputStream(DEVICE))) {
--- a/src/main/java/io/cherryspool/cli/TrainingServices.java
+++ b/src/main/java/io/cherryspool/cli/TrainingServices.java
@@ -18,10 +18,12 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What a rehearsing node meets: a state service that grants everything, a cloud with one machine,
- * and the worker on it. It is as much as a node needs to lead, place a task and see it done.
+ * Fakes of the services that a node needs in its training run: a state store that grants every
+ * transaction, a cloud with one instance, and the worker on it. They speak the wire's words. Used
+ * on one event loop and, between its requests, by the thread that drives the run.
  */
 final class TrainingServices implements RequestHandler {
+  /** The zone of the one instance. */
   static final String ZONE = "none";
 
   private static final List<MachineType> TYPES =
@@ -37,10 +39,12 @@
   private long sequence;
   private long token;
 
+  /** Makes services that all listen at {@code self}. */
   TrainingServices(Endpoint self) {
     this.self = self;
   }
 
+  /** Where all of the services listen. */
   Endpoint endpoint() {
     return self;
   }
@@ -64,7 +68,7 @@
     }
   }
 
-  /** The worker's next report. */
+  /** The worker's next heartbeat. */
   ObjectNode workerHeartbeat() {
     ObjectNode node = Json.object().put("spindle", "host-000001").put("endpoint", self.toString());
     node.put("build", "box").put("yard", ZONE).put("loaners", false);
@@ -73,12 +77,12 @@
     return node;
   }
 
-  /** The worker takes in the token of an answer. */
+  /** Keeps the fencing token of a reply to the worker, unless it knows a later one. */
   void receiveToken(JsonNode answer) {
     token = Math.max(token, answer.path("baton").longValue());
   }
 
-  /** All that the worker has is done; false if it has nothing yet. */
+  /** Marks all tasks of the worker as completed; false if it has none yet. */
   boolean completeTasks() {
     for (JsonNode piece : pieces) {
       ((ObjectNode) piece).put("status", "ended").put("cause", "done");
@@ -119,7 +123,7 @@
     return watch;
   }
 
-  /** Everything from the start, of which a node takes what it does not have. */
+  /** All changes since the start; a node skips those that it has applied. */
   private ObjectNode changes() {
     ObjectNode changes = Json.object().put("epoch", revision);
     changes.set("events", events.deepCopy());
--- a/src/test/java/io/cherryspool/cli/LinksCommandTest.java
+++ b/src/test/java/io/cherryspool/cli/LinksCommandTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the command prints of a node's answer, and how it ends. */
+/** What the links command prints of a node's answer, and its exit statuses. */
 class LinksCommandTest extends CommandFixture {
-  private static final String PICTURE =
+  private static final String LINKS =
       "{\"node\":\"n-0\",\"nodes\":["
           + "{\"node\":\"n-0\",\"heard_ms\":0,\"leading\":true,\"doubtful\":false,"
           + "\"verdict\":\"hold-zones b: many machines of a zone are not heard at once\","
@@ -22,41 +22,48 @@
           + "{\"node\":\"n-1\",\"heard_ms\":9300,\"state\":\"up\",\"cloud\":\"up\"},"
           + "{\"node\":\"n-2\",\"heard_ms\":-1}],\"all_up\":%s}";
 
-  private volatile boolean allUp;
+  private volatile boolean isAllUp;
 
   @Override
   Reply answer(Request request) {
-    return json(200, String.format(PICTURE, allUp));
+    return json(200, String.format(LINKS, isAllUp));
   }
 
   @Test
-  void tellsOfEachNodeAndEndsWithOneUnlessAllLinksAreUp() {
+  void describesEachNodeAndExitsWithOneUnlessAllLinksAreUp() {
     assertEquals(1, run("links", "--node", node));
     assertTrue(printed().contains("n-0 (0.0 s ago), leads"), printed());
     assertTrue(printed().contains("  hears n-1: down (9.3 s ago)"), printed());
     assertTrue(printed().contains("  workers of b: down, 38 of 40 missing, 0 sent on"), printed());
     assertTrue(printed().contains("n-2: was never heard, can't be reached"), printed());
-    allUp = true;
+    isAllUp = true;
     assertEquals(0, run("links", "--node", node));
   }
 
   @Test
-  void printsJsonForPrograms() {
-    allUp = true;
+  void printsTheAnswerAsJson() {
+    isAllUp = true;
     assertEquals(0, run("links", "--json", "--node", node));
     assertTrue(JsonText.parse(printed()).path("all_up").asBoolean(), printed());
   }
 
   @Test
-  void aNodeThatIsNotThereAndWrongUseAreToldApart(@TempDir Path folder) {
+  void anUnreachableNodeHasExitStatusOne() {
     assertEquals(1, run("links", "--node", "127.0.0.1:1"));
-    assertTrue(complaints().contains("can't be reached"));
+    assertTrue(errors().contains("can't be reached"));
+  }
+
+  @Test
+  void wrongUseHasExitStatusTwo() {
     assertEquals(2, run("links"));
     assertEquals(2, run("links", "--node", node, "--config", "x"));
-    complaints();
-    String none = folder.resolve("none.json").toString();
-    assertEquals(2, run("links", "--config", none));
-    String message = complaints();
-    assertTrue(message.contains(none + ": there is no such file"), message);
+  }
+
+  @Test
+  void missingSettingsAreWrongUse(@TempDir Path folder) {
+    String missing = folder.resolve("none.json").toString();
+    assertEquals(2, run("links", "--config", missing));
+    String message = errors();
+    assertTrue(message.contains(missing + ": there is no such file"), message);
   }
 }
--- a/src/test/java/io/cherryspool/cli/MetricsExportTest.java
+++ b/src/test/java/io/cherryspool/cli/MetricsExportTest.java
@@ -6,9 +6,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
+/**
+ * That a scrape shows the values of meters as they are, also those from before the first scrape.
+ */
 class MetricsExportTest {
   @Test
-  void showsWhatHappenedBeforeTheMetricsWereFirstAskedFor() {
+  void showsValuesFromBeforeTheFirstScrape() {
     AtomicLong events = new AtomicLong();
     MetricsExport metrics = new MetricsExport();
     metrics.add(
