--- /dev/null
+++ b/src/main/java/io/cherryspool/config/OperatorSettingsParser.java
@@ -0,0 +1,85 @@
+package io.cherryspool.config;
+
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+
+/** Turns the operators' XML into {@link OperatorSettings}. */
+final class OperatorSettingsParser {
+  private static final List<String> RECOVERY_ELEMENTS =
+      List.of("recovery-gather", "recovery-hold", "snapshot-directory", "snapshot-interval");
+
+  private static final int SECONDS_PER_DAY = 86_400;
+
+  private final XmlSettingsReader reader;
+
+  private OperatorSettingsParser(XmlSettingsReader reader) {
+    this.reader = reader;
+  }
+
+  /** See {@link OperatorSettings#load}. */
+  static OperatorSettings parse(Path file) throws ConfigException {
+    XmlSettingsReader reader = XmlSettingsReader.read(file, "cherryspool");
+    OperatorSettings settings = new OperatorSettingsParser(reader).settings();
+    reader.checkNoneLeft();
+    return settings;
+  }
+
+  private OperatorSettings settings() throws ConfigException {
+    OperatorSettings defaults = OperatorSettings.DEFAULTS;
+    return new OperatorSettings(
+        reader.duration("round-max", defaults.roundMax(), 0.05, 10),
+        reader.duration("state-lease", defaults.stateLease(), 1, 60),
+        (int) reader.number("failure-cap", defaults.failureCap(), 1, 1_000_000),
+        reader.duration("idle-keep", defaults.idleKeep(), 0, SECONDS_PER_DAY),
+        reader.duration("begin-within", defaults.beginWithin(), 1, SECONDS_PER_DAY),
+        recovery(),
+        partitions());
+  }
+
+  private Optional<RecoverySettings> recovery() throws ConfigException {
+    if (!reader.isOn("recovery", false)) {
+      for (String name : RECOVERY_ELEMENTS) {
+        if (reader.has(name)) {
+          throw reader.invalid(name, "needs <recovery>on</recovery>");
+        }
+      }
+      return Optional.empty();
+    }
+    RecoverySettings defaults = RecoverySettings.DEFAULTS;
+    Duration gatherDuration =
+        reader.duration("recovery-gather", defaults.gatherDuration(), 0.5, 60);
+    boolean hasInterval = reader.has("snapshot-interval");
+    Duration snapshotInterval =
+        reader.duration("snapshot-interval", defaults.snapshotInterval(), 1, SECONDS_PER_DAY);
+    Optional<String> directory = reader.take("snapshot-directory");
+    if (directory.isEmpty() && hasInterval) {
+      throw reader.invalid("snapshot-interval", "needs <snapshot-directory>");
+    }
+    if (directory.isPresent() && directory.get().isEmpty()) {
+      throw reader.invalid("snapshot-directory", "must name a directory");
+    }
+    return Optional.of(
+        new RecoverySettings(
+            gatherDuration, directory.map(Path::of), snapshotInterval, heldClasses()));
+  }
+
+  private Set<String> heldClasses() {
+    String names = reader.take("recovery-hold").orElse("");
+    return names.isEmpty() ? Set.of() : Set.of(names.split("\\s+"));
+  }
+
+  private PartitionSettings partitions() throws ConfigException {
+    PartitionSettings defaults = PartitionSettings.DEFAULTS;
+    boolean dampsFlapping = reader.isOn("flap-damping", defaults.dampsFlapping());
+    if (!dampsFlapping && reader.has("flap-half-life")) {
+      throw reader.invalid("flap-half-life", "needs <flap-damping>on</flap-damping>");
+    }
+    return new PartitionSettings(
+        dampsFlapping,
+        reader.duration("flap-half-life", defaults.flapHalfLife(), 5, 3600),
+        reader.isOn("request-forwarding", defaults.forwardsRequests()));
+  }
+}
--- /dev/null
+++ b/src/main/java/io/cherryspool/config/SettingsParser.java
@@ -0,0 +1,139 @@
+package io.cherryspool.config;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.cherryspool.model.Team;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Turns the platform's JSON into {@link Settings}, and checks that a node can run with them. */
+final class SettingsParser {
+  /** The node's own calls, the mesh, files and a few workers and users need that many sockets. */
+  private static final int MIN_SOCKETS = 64;
+
+  /** A leader with less authority than this would hardly ever be allowed to act. */
+  private static final Duration MIN_AUTHORITY = Duration.ofSeconds(1);
+
+  private static final int BYTES_PER_KB = 1024;
+
+  private final JsonSettingsReader root;
+  private final JsonSettingsReader facts;
+  private final JsonSettingsReader workers;
+  private final JsonSettingsReader stateStore;
+  private final JsonSettingsReader cloud;
+  private final JsonSettingsReader services;
+
+  private SettingsParser(JsonSettingsReader root) throws ConfigException {
+    this.root = root;
+    facts = root.object("facts");
+    workers = facts.object("workers");
+    stateStore = facts.object("state");
+    cloud = facts.object("cloud");
+    services = root.object("services");
+  }
+
+  /** See {@link Settings#parse}. */
+  static Settings parse(JsonNode root, String origin) throws ConfigException {
+    return new SettingsParser(new JsonSettingsReader(origin, "", root)).settings();
+  }
+
+  private Settings settings() throws ConfigException {
+    List<Settings.Peer> peers = peers();
+    List<Team> teams = teams();
+    Map<String, List<Double>> deadlineMultiples = deadlineMultiples();
+    Duration workerLease = workers.seconds("lease_s");
+    Duration cancelLimit = workers.seconds("cancel_s");
+    checkAuthority(workerLease, cancelLimit);
+    Duration heartbeatInterval = workers.seconds("report_s");
+    checkHeartbeats(workerLease, heartbeatInterval);
+    int fdLimit = fdLimit();
+    return new Settings(
+        root.text("host_name"),
+        root.text("site"),
+        root.endpoint("client_listen"),
+        root.endpoint("mesh_addr"),
+        peers,
+        services.endpoint("cloud"),
+        services.endpoint("state"),
+        teams,
+        deadlineMultiples,
+        heartbeatInterval,
+        workerLease,
+        cancelLimit,
+        stateStoreLimits(),
+        cloud.positive("rps"),
+        cloud.seconds("list_lag_s"),
+        fdLimit);
+  }
+
+  private List<Settings.Peer> peers() throws ConfigException {
+    List<Settings.Peer> peers = new ArrayList<>();
+    for (JsonSettingsReader peer : root.list("known")) {
+      peers.add(new Settings.Peer(peer.text("host_name"), peer.endpoint("endpoint")));
+    }
+    return List.copyOf(peers);
+  }
+
+  private List<Team> teams() throws ConfigException {
+    List<Team> teams = new ArrayList<>();
+    for (JsonSettingsReader team : facts.list("teams")) {
+      teams.add(
+          new Team(
+              team.text("name"),
+              team.number("cpus", 0),
+              team.number("cpus_max", 0),
+              team.number("gpus", 0),
+              team.number("gpus_max", 0)));
+    }
+    return List.copyOf(teams);
+  }
+
+  private Map<String, List<Double>> deadlineMultiples() throws ConfigException {
+    Map<String, List<Double>> multiples = new HashMap<>();
+    for (JsonSettingsReader objective : facts.optionalList("objectives")) {
+      if ("deadline".equals(objective.text("kind"))) {
+        multiples
+            .computeIfAbsent(objective.text("class"), key -> new ArrayList<>())
+            .add(objective.positive("times"));
+      }
+    }
+    multiples.values().forEach(Collections::sort);
+    return multiples;
+  }
+
+  private void checkAuthority(Duration workerLease, Duration cancelLimit) throws ConfigException {
+    if (Settings.authority(workerLease, cancelLimit).compareTo(MIN_AUTHORITY) < 0) {
+      throw workers.unusable(
+          "cancel_s",
+          "is too short for facts.workers.lease_s: a cancelled task that only a cut-off leader"
+              + " keeps alive would outlast it");
+    }
+  }
+
+  private void checkHeartbeats(Duration workerLease, Duration heartbeatInterval)
+      throws ConfigException {
+    if (workerLease.compareTo(heartbeatInterval.multipliedBy(2)) < 0) {
+      throw workers.unusable("lease_s", "must be at least twice facts.workers.report_s");
+    }
+  }
+
+  private int fdLimit() throws ConfigException {
+    JsonSettingsReader resources = facts.object("resources");
+    int limit = (int) resources.positive("fd_limit");
+    if (limit < MIN_SOCKETS) {
+      throw resources.unusable("fd_limit", "must be at least " + MIN_SOCKETS);
+    }
+    return limit;
+  }
+
+  private Settings.StateStoreLimits stateStoreLimits() throws ConfigException {
+    return new Settings.StateStoreLimits(
+        stateStore.positive("rps"),
+        stateStore.positive("write_rps"),
+        (int) (stateStore.positive("value_kb") * BYTES_PER_KB),
+        (int) stateStore.positive("txn_ops"));
+  }
+}
--- /dev/null
+++ b/src/main/java/io/cherryspool/config/XmlSettingsReader.java
@@ -0,0 +1,146 @@
+package io.cherryspool.config;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import javax.xml.XMLConstants;
+import javax.xml.parsers.DocumentBuilder;
+import javax.xml.parsers.DocumentBuilderFactory;
+import javax.xml.parsers.ParserConfigurationException;
+import org.w3c.dom.Element;
+import org.w3c.dom.Node;
+import org.xml.sax.ErrorHandler;
+import org.xml.sax.SAXException;
+import org.xml.sax.SAXParseException;
+
+/**
+ * Reads a flat XML file of settings: one element for each, with text in it. Each element is taken
+ * out as it is read, so that the unknown ones are left at the end. An element that is wrong is a
+ * {@link ConfigException} with its name.
+ */
+final class XmlSettingsReader {
+  private static final String NO_DOCTYPE = "http://apache.org/xml/features/disallow-doctype-decl";
+  private static final double NANOS_PER_SECOND = 1e9;
+
+  private final Path file;
+  private final Map<String, String> values = new HashMap<>();
+
+  private XmlSettingsReader(Path file) {
+    this.file = file;
+  }
+
+  /** Reads a file whose root element has the given name. */
+  static XmlSettingsReader read(Path file, String rootName) throws ConfigException {
+    Element root = parse(file);
+    if (!root.getTagName().equals(rootName)) {
+      throw ConfigException.ofFile(file, "the root element must be <" + rootName + ">");
+    }
+    XmlSettingsReader reader = new XmlSettingsReader(file);
+    for (Node child = root.getFirstChild(); child != null; child = child.getNextSibling()) {
+      if (child instanceof Element element) {
+        reader.put(element);
+      }
+    }
+    return reader;
+  }
+
+  private static Element parse(Path file) throws ConfigException {
+    try {
+      DocumentBuilderFactory factory = DocumentBuilderFactory.newInstance();
+      factory.setFeature(XMLConstants.FEATURE_SECURE_PROCESSING, true);
+      factory.setFeature(NO_DOCTYPE, true);
+      DocumentBuilder builder = factory.newDocumentBuilder();
+      builder.setErrorHandler(new ThrowingErrorHandler());
+      return builder.parse(file.toFile()).getDocumentElement();
+    } catch (ParserConfigurationException | SAXException | IOException e) {
+      throw ConfigException.ofFile(file, e.getMessage());
+    }
+  }
+
+  private void put(Element element) throws ConfigException {
+    String name = element.getTagName();
+    if (values.put(name, element.getTextContent().trim()) != null) {
+      throw invalid(name, "appears twice");
+    }
+  }
+
+  /** The error of an element that is there and can't be used. */
+  ConfigException invalid(String name, String problem) {
+    return ConfigException.ofSetting(file, name, "<" + name + "> " + problem);
+  }
+
+  /** Whether the element is there and was not read yet. */
+  boolean has(String name) {
+    return values.containsKey(name);
+  }
+
+  /** Takes an element's text out; empty if there is no such element. */
+  Optional<String> take(String name) {
+    return Optional.ofNullable(values.remove(name));
+  }
+
+  /** Takes a switch out; {@code defaultValue} if there is no such element. */
+  boolean isOn(String name, boolean defaultValue) throws ConfigException {
+    Optional<String> word = take(name);
+    if (word.isEmpty()) {
+      return defaultValue;
+    }
+    return switch (word.get()) {
+      case "on" -> true;
+      case "off" -> false;
+      default -> throw invalid(name, "must be on or off, not " + word.get());
+    };
+  }
+
+  /** Takes a duration in seconds out, within bounds; {@code defaultValue} if there is none. */
+  Duration duration(String name, Duration defaultValue, double min, double max)
+      throws ConfigException {
+    double seconds = number(name, defaultValue.toNanos() / NANOS_PER_SECOND, min, max);
+    return Duration.ofNanos(Math.round(seconds * NANOS_PER_SECOND));
+  }
+
+  /** Takes a number out, within bounds; {@code defaultValue} if there is no such element. */
+  double number(String name, double defaultValue, double min, double max) throws ConfigException {
+    Optional<String> text = take(name);
+    if (text.isEmpty()) {
+      return defaultValue;
+    }
+    try {
+      double value = Double.parseDouble(text.get());
+      if (value >= min && value <= max) {
+        return value;
+      }
+    } catch (NumberFormatException e) {
+      // The error below names the range as well.
+    }
+    throw invalid(name, "must be a number from " + min + " to " + max + ", not " + text.get());
+  }
+
+  /** Fails if there are elements that nobody has read. */
+  void checkNoneLeft() throws ConfigException {
+    if (!values.isEmpty()) {
+      String name = values.keySet().iterator().next();
+      throw ConfigException.ofSetting(file, name, "unknown element <" + name + ">");
+    }
+  }
+
+  /** Throws errors, which the default handler prints to standard error. */
+  private static final class ThrowingErrorHandler implements ErrorHandler {
+    /** A warning changes no setting. */
+    @Override
+    public void warning(SAXParseException e) {}
+
+    @Override
+    public void error(SAXParseException e) throws SAXException {
+      throw e;
+    }
+
+    @Override
+    public void fatalError(SAXParseException e) throws SAXException {
+      throw e;
+    }
+  }
+}
