--- a/src/main/java/io/cherryspool/http/Endpoint.java
+++ b/src/main/java/io/cherryspool/http/Endpoint.java
@@ -1,9 +1,13 @@
 package io.cherryspool.http;
 
-/** A TCP address; hosts are IP numbers, since the machines have no name service. */
+/** A TCP address. Hosts are IP addresses: the machines have no name service. */
 public record Endpoint(String host, int port) {
 
-  /** Reads {@code host:port}. */
+  /**
+   * Reads {@code host:port}.
+   *
+   * @throws IllegalArgumentException if the text has another form, or the port is out of range
+   */
   public static Endpoint parse(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0) {
--- a/src/main/java/io/cherryspool/http/NettyEventLoop.java
+++ b/src/main/java/io/cherryspool/http/NettyEventLoop.java
@@ -10,21 +10,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The node's event loop: one Netty NIO thread, since the machine is a fraction of a core. */
+/** The node's event loop on Netty: one NIO thread, since the machine is a fraction of a core. */
 public final class NettyEventLoop implements EventLoop {
   private static final Logger LOG = LoggerFactory.getLogger(NettyEventLoop.class);
+
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final long origin = System.nanoTime();
+  private final long startNanos = System.nanoTime();
 
-  /** The Netty side of the loop, for the parts that open channels on it. */
+  /** The loop as Netty knows it, to open channels on. */
   public EventLoopGroup group() {
     return group;
   }
 
   @Override
   public Duration now() {
-    return Duration.ofNanos(System.nanoTime() - origin);
+    return Duration.ofNanos(System.nanoTime() - startNanos);
   }
 
   @Override
@@ -34,21 +35,22 @@
     return () -> future.cancel(false);
   }
 
-  /** Runs the task on the loop as soon as it is free. */
+  /** Runs the task on the loop as soon as it is free. May be called from any thread. */
   public void execute(Runnable task) {
     group.execute(() -> runLogged(task));
   }
 
-  /** Waits until the loop has ended. */
+  /** Blocks until the loop has ended; must not be called on the loop. */
   public void awaitTermination() throws InterruptedException {
     group.terminationFuture().await();
   }
 
+  /** Begins to end the loop, which takes at most a second. May be called from any thread. */
   public void shutdown() {
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  /** A defect in one task must not silently end the loop's thread, nor the process. */
+  /** A defect in one task must end neither the loop's thread, silently, nor the process. */
   private static void runLogged(Runnable task) {
     try {
       task.run();
--- a/src/main/java/io/cherryspool/http/NettyHttpClient.java
+++ b/src/main/java/io/cherryspool/http/NettyHttpClient.java
@@ -31,21 +31,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * HTTP client on the node's loop: kept connections per address, a deadline on every call. Sockets
- * are bounded, since a leader calls a thousand workers: an idle connection makes way for a new one,
- * the longest unused first, and a call beyond the bound fails at once.
+ * HTTP client on the node's event loop: persistent connections for each address, and a deadline on
+ * every call. Sockets are bounded, since a leader calls a thousand workers: a new connection evicts
+ * the idle one that was unused longest, and a call beyond the bound fails at once. Used on the
+ * event loop only.
  */
 public final class NettyHttpClient implements Transport {
-  private static final int MAX_REPLY = 64 << 20;
-  private static final int MAX_IDLE = 4;
-  private static final Duration CONNECT = Duration.ofSeconds(2);
+  private static final int MAX_REPLY_BYTES = 64 << 20;
+  private static final int MAX_IDLE_PER_ENDPOINT = 4;
+  private static final Duration MAX_CONNECT_TIME = Duration.ofSeconds(2);
 
   private final NettyEventLoop loop;
   private final int maxSockets;
-  private final Map<Endpoint, Deque<Exchange>> idle = new HashMap<>();
-  private final LinkedHashSet<Exchange> unused = new LinkedHashSet<>();
-  private int open;
+  private final Map<Endpoint, Deque<Connection>> idleByEndpoint = new HashMap<>();
 
+  /** All idle connections, the one that was unused longest first. */
+  private final LinkedHashSet<Connection> idle = new LinkedHashSet<>();
+
+  private int openSockets;
+
+  /** Makes a client that has at most {@code maxSockets} connections open at a time. */
   public NettyHttpClient(NettyEventLoop loop, int maxSockets) {
     this.loop = loop;
     this.maxSockets = maxSockets;
@@ -53,42 +58,58 @@
 
   @Override
   public CompletableFuture<Reply> send(Endpoint to, Request request, Duration deadline) {
-    Deque<Exchange> kept = idle.get(to);
-    Exchange exchange = null;
-    while (kept != null && !kept.isEmpty() && exchange == null) {
-      Exchange candidate = kept.pollLast();
-      unused.remove(candidate);
-      exchange = candidate.channel.isActive() ? candidate : null;
-    }
-    if (exchange == null) {
-      if (open >= maxSockets && !unused.isEmpty()) {
-        Exchange oldest = unused.iterator().next();
-        unused.remove(oldest);
-        oldest.channel.close();
+    Connection connection = takeIdle(to);
+    if (connection == null) {
+      if (openSockets >= maxSockets) {
+        evictIdle();
       }
-      if (open >= maxSockets) {
+      if (openSockets >= maxSockets) {
         return CompletableFuture.failedFuture(new IOException("no socket is free for " + to));
       }
-      exchange = new Exchange(to);
-      exchange.connect(deadline);
+      connection = new Connection(to);
+      connection.connect(deadline);
+    }
+    return connection.send(request, deadline);
+  }
+
+  /** The idle connection that was used last; null if there is none. */
+  private Connection takeIdle(Endpoint to) {
+    Deque<Connection> candidates = idleByEndpoint.get(to);
+    while (candidates != null && !candidates.isEmpty()) {
+      Connection candidate = candidates.pollLast();
+      idle.remove(candidate);
+      if (candidate.channel.isActive()) {
+        return candidate;
+      }
+    }
+    return null;
+  }
+
+  private void evictIdle() {
+    if (!idle.isEmpty()) {
+      Connection oldest = idle.iterator().next();
+      idle.remove(oldest);
+      oldest.channel.close();
     }
-    return exchange.begin(request, deadline);
   }
 
-  /** The routine of one outgoing connection. */
-  private final class Exchange extends SimpleChannelInboundHandler<FullHttpResponse> {
+  /** One outgoing connection, with at most one request on it at a time. */
+  private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final Endpoint to;
     private ChannelFuture connecting;
     private Channel channel;
+
+    /** The answer that is awaited; null while the connection is idle. */
     private CompletableFuture<Reply> pending;
-    private Future<?> timer;
 
-    Exchange(Endpoint to) {
+    private Future<?> deadlineTimer;
+
+    Connection(Endpoint to) {
       this.to = to;
     }
 
     void connect(Duration deadline) {
-      Duration limit = deadline.compareTo(CONNECT) < 0 ? deadline : CONNECT;
+      Duration limit = deadline.compareTo(MAX_CONNECT_TIME) < 0 ? deadline : MAX_CONNECT_TIME;
       connecting =
           new Bootstrap()
               .group(loop.group())
@@ -102,20 +123,20 @@
                       created
                           .pipeline()
                           .addLast(new HttpClientCodec())
-                          .addLast(new HttpObjectAggregator(MAX_REPLY))
-                          .addLast(Exchange.this);
+                          .addLast(new HttpObjectAggregator(MAX_REPLY_BYTES))
+                          .addLast(Connection.this);
                     }
                   })
               .connect(new InetSocketAddress(to.host(), to.port()));
       channel = connecting.channel();
-      open++;
-      channel.closeFuture().addListener(closed -> open--);
+      openSockets++;
+      channel.closeFuture().addListener(closed -> openSockets--);
     }
 
-    CompletableFuture<Reply> begin(Request request, Duration deadline) {
+    CompletableFuture<Reply> send(Request request, Duration deadline) {
       CompletableFuture<Reply> result = new CompletableFuture<>();
       pending = result;
-      timer =
+      deadlineTimer =
           loop.group()
               .schedule(
                   () -> fail(new IOException("no answer from " + to + " in " + deadline)),
@@ -156,7 +177,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-      CompletableFuture<Reply> result = settle();
+      CompletableFuture<Reply> result = takePending();
       if (result == null || response.decoderResult().isFailure()) {
         ctx.close();
         if (result != null) {
@@ -165,28 +186,29 @@
         return;
       }
       Reply reply = Reply.json(response.status().code(), ByteBufUtil.getBytes(response.content()));
-      Deque<Exchange> kept = idle.computeIfAbsent(to, key -> new ArrayDeque<>());
-      if (HttpUtil.isKeepAlive(response) && kept.size() < MAX_IDLE) {
-        kept.addLast(this);
-        unused.add(this);
+      Deque<Connection> idleThere = idleByEndpoint.computeIfAbsent(to, key -> new ArrayDeque<>());
+      if (HttpUtil.isKeepAlive(response) && idleThere.size() < MAX_IDLE_PER_ENDPOINT) {
+        idleThere.addLast(this);
+        idle.add(this);
       } else {
         ctx.close();
       }
       result.complete(reply);
     }
 
-    private CompletableFuture<Reply> settle() {
+    /** Ends the wait for the answer, and returns its future; null if none is awaited. */
+    private CompletableFuture<Reply> takePending() {
       CompletableFuture<Reply> result = pending;
       pending = null;
-      if (timer != null) {
-        timer.cancel(false);
-        timer = null;
+      if (deadlineTimer != null) {
+        deadlineTimer.cancel(false);
+        deadlineTimer = null;
       }
       return result;
     }
 
     private void fail(Throwable cause) {
-      CompletableFuture<Reply> result = settle();
+      CompletableFuture<Reply> result = takePending();
       channel.close();
       if (result != null) {
         result.completeExceptionally(cause);
@@ -195,12 +217,12 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      unused.remove(this);
-      Deque<Exchange> kept = idle.get(to);
-      if (kept != null) {
-        kept.remove(this);
-        if (kept.isEmpty()) {
-          idle.remove(to);
+      idle.remove(this);
+      Deque<Connection> idleThere = idleByEndpoint.get(to);
+      if (idleThere != null) {
+        idleThere.remove(this);
+        if (idleThere.isEmpty()) {
+          idleByEndpoint.remove(to);
         }
       }
       fail(new IOException("connection to " + to + " closed"));
--- a/src/main/java/io/cherryspool/http/NettyHttpServer.java
+++ b/src/main/java/io/cherryspool/http/NettyHttpServer.java
@@ -5,6 +5,7 @@
 import io.netty.buffer.Unpooled;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
@@ -30,51 +31,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves HTTP on the node's loop. Connections are bounded, so that sockets remain for the calls the
- * node makes itself, and a peer that sends nothing complete for a while is dropped.
+ * Serves HTTP on the node's event loop. Connections are bounded, so that sockets remain for the
+ * node's own calls, and one on which no complete request arrives for a while is closed.
  *
- * <p>There may be more workers than connections, and each is heard of only every few seconds. So
- * well before the bound, answers ask their peers to close: a peer that is told so comes back when
- * it has something to say, while one that is turned away would take this node for dead. At the
- * bound the connection that was unused longest makes way; by then it is most likely a dead peer's.
+ * <p>There may be more workers than connections, and each sends only every few seconds. So well
+ * before the bound, responses ask their clients to close: such a client reconnects when it has a
+ * request, while one whose connection is refused would take this node for dead. At the bound the
+ * connection that was idle longest is evicted; by then it most likely belongs to a dead client.
  */
 public final class NettyHttpServer {
   private static final Logger LOG = LoggerFactory.getLogger(NettyHttpServer.class);
-  private static final int MAX_BODY = 64 * 1024;
+  private static final int MAX_REQUEST_LINE_BYTES = 4096;
+  private static final int MAX_HEADER_BYTES = 8192;
+  private static final int MAX_CHUNK_BYTES = 8192;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** Reads of one connection at a time, as Netty's own bound is. */
-  private static final int MAX_READS = 16;
+  /** Bounds the reads of one connection before another's turn; Netty's own default. */
+  private static final int MAX_READS_PER_TURN = 16;
 
-  private static final Duration QUIET = Duration.ofSeconds(60);
+  private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
 
-  /** Who connects has something to say; one that has not said it by then never will. */
-  private static final Duration FIRST = Duration.ofSeconds(10);
+  /** Shorter than the idle timeout: clients connect because they have a request. */
+  private static final Duration FIRST_REQUEST_TIMEOUT = Duration.ofSeconds(10);
 
-  /** Connections that wait to be accepted hold sockets as well, so that this can't be large. */
+  /** Bounds the connections that wait to be accepted, which hold sockets as well. */
   private static final int BACKLOG = 256;
 
-  /** From this part of the bound on, answers ask their peers to close. */
-  private static final double CROWDED = 0.875;
+  /** The fraction of the bound from which on responses ask their clients to close. */
+  private static final double CROWDED_FRACTION = 0.875;
 
-  private static final byte[] BROKEN =
+  private static final byte[] INTERNAL_ERROR =
       "{\"error\":\"internal error\"}".getBytes(StandardCharsets.UTF_8);
 
+  private static final byte[] MALFORMED_REQUEST =
+      "{\"error\":\"malformed\"}".getBytes(StandardCharsets.UTF_8);
+
   private final NettyEventLoop loop;
   private final RequestHandler handler;
   private final int maxConnections;
-  private final int crowd;
-  private final LinkedHashSet<Connection> unused = new LinkedHashSet<>();
-  private int open;
+  private final int crowdedConnections;
+
+  /** The counted connections without a request, the one that was idle longest first. */
+  private final LinkedHashSet<Connection> idle = new LinkedHashSet<>();
+
+  private int connectionCount;
   private Channel listener;
 
+  /** Makes a server that does not listen yet, and serves at most that many connections. */
   public NettyHttpServer(NettyEventLoop loop, RequestHandler handler, int maxConnections) {
     this.loop = loop;
     this.handler = handler;
     this.maxConnections = maxConnections;
-    this.crowd = (int) (maxConnections * CROWDED);
+    this.crowdedConnections = (int) (maxConnections * CROWDED_FRACTION);
   }
 
-  /** Binds, waiting for the outcome; called once, from outside the loop. */
+  /**
+   * Begins to listen; port 0 stands for any that is free. Called once, from outside the loop, and
+   * blocks. Fails with {@link java.net.BindException}, which Netty does not declare, if the port is
+   * taken.
+   */
   public void bind(Endpoint at) throws InterruptedException {
     listener =
         new ServerBootstrap()
@@ -83,7 +98,7 @@
             .option(ChannelOption.SO_BACKLOG, BACKLOG)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, readToTheEnd())
+            .childOption(ChannelOption.RECVBUF_ALLOCATOR, readUntilEmpty())
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
@@ -91,8 +106,10 @@
                     channel
                         .pipeline()
                         .addLast(new AbandonedRequestFilter())
-                        .addLast(new HttpServerCodec(4096, 8192, 8192))
-                        .addLast(new HttpObjectAggregator(MAX_BODY))
+                        .addLast(
+                            new HttpServerCodec(
+                                MAX_REQUEST_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES))
+                        .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
                         .addLast(new Connection());
                   }
                 })
@@ -101,74 +118,82 @@
             .channel();
   }
 
-  /**
-   * A read goes on until nothing is left, so that a connection's end is seen with its last bytes.
-   */
-  private static RecvByteBufAllocator readToTheEnd() {
+  /** Reads go on until nothing is left, so that a connection's end is read with its last bytes. */
+  private static RecvByteBufAllocator readUntilEmpty() {
     return new AdaptiveRecvByteBufAllocator()
         .respectMaybeMoreData(false)
-        .maxMessagesPerRead(MAX_READS);
+        .maxMessagesPerRead(MAX_READS_PER_TURN);
   }
 
-  /** The port bound, for a listener that asked for any. */
+  /** The port that the server listens on, where {@link #bind} was asked for any. */
   public int port() {
     return ((InetSocketAddress) listener.localAddress()).getPort();
   }
 
+  /** How many connections are open and not evicted. Exact on the event loop only. */
   public int connectionCount() {
-    return open;
+    return connectionCount;
+  }
+
+  /** What a connection is doing. */
+  private enum Phase {
+    /** Not accepted yet, turned away, evicted or closed. */
+    NOT_COUNTED,
+    /** Counted, and without a request: it may be evicted. */
+    IDLE,
+    /** Counted, and its request is being answered. */
+    ANSWERING
   }
 
-  /** The routine of one connection. */
+  /** One incoming connection. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private long lastNanos = System.nanoTime();
-    private Duration patience = FIRST;
-    private boolean counted;
-    private boolean answering;
+    private long lastUseNanos = System.nanoTime();
+    private Duration timeout = FIRST_REQUEST_TIMEOUT;
+    private Phase phase = Phase.NOT_COUNTED;
     private Channel channel;
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
       channel = ctx.channel();
-      if (open >= maxConnections && !unused.isEmpty()) {
-        Connection oldest = unused.iterator().next();
+      if (connectionCount >= maxConnections && !idle.isEmpty()) {
+        Connection oldest = idle.iterator().next();
         oldest.leave();
         oldest.channel.close();
       }
-      if (open >= maxConnections) {
+      if (connectionCount >= maxConnections) {
         ctx.close();
         return;
       }
-      open++;
-      counted = true;
-      unused.add(this);
-      watch(ctx);
+      connectionCount++;
+      phase = Phase.IDLE;
+      idle.add(this);
+      scheduleTimeoutCheck(ctx);
     }
 
-    /** Not counted any more, whether or not the socket is closed yet. */
+    /** Takes it out of the count, whether or not the socket is closed yet. */
     private void leave() {
-      unused.remove(this);
-      if (counted) {
-        counted = false;
-        open--;
+      idle.remove(this);
+      if (phase != Phase.NOT_COUNTED) {
+        phase = Phase.NOT_COUNTED;
+        connectionCount--;
       }
     }
 
-    private void watch(ChannelHandlerContext ctx) {
+    private void scheduleTimeoutCheck(ChannelHandlerContext ctx) {
       ctx.executor()
           .schedule(
-              () -> {
-                if (!ctx.channel().isActive()) {
-                  return;
-                }
-                if (!answering && System.nanoTime() - lastNanos > patience.toNanos()) {
-                  ctx.close();
-                } else {
-                  watch(ctx);
-                }
-              },
-              FIRST.toMillis(),
-              TimeUnit.MILLISECONDS);
+              () -> closeIfTimedOut(ctx), FIRST_REQUEST_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+    }
+
+    private void closeIfTimedOut(ChannelHandlerContext ctx) {
+      if (!ctx.channel().isActive()) {
+        return;
+      }
+      if (phase != Phase.ANSWERING && System.nanoTime() - lastUseNanos > timeout.toNanos()) {
+        ctx.close();
+      } else {
+        scheduleTimeoutCheck(ctx);
+      }
     }
 
     @Override
@@ -178,35 +203,31 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest message) {
-      lastNanos = System.nanoTime();
-      patience = QUIET;
+      lastUseNanos = System.nanoTime();
+      timeout = IDLE_TIMEOUT;
       if (message.decoderResult().isFailure()) {
-        write(
-            ctx,
-            false,
-            Reply.json(400, "{\"error\":\"malformed\"}".getBytes(StandardCharsets.UTF_8)));
+        write(ctx, false, Reply.json(400, MALFORMED_REQUEST));
         return;
       }
-      boolean keep = HttpUtil.isKeepAlive(message);
+      boolean isPersistent = HttpUtil.isKeepAlive(message);
       Request request =
           new Request(
               message.method().name(), message.uri(), ByteBufUtil.getBytes(message.content()));
-      answering = true;
-      unused.remove(this);
+      moveTo(Phase.ANSWERING);
       handle(request)
-          .whenComplete(
-              (reply, failure) -> {
-                answering = false;
-                lastNanos = System.nanoTime();
-                if (counted) {
-                  unused.add(this);
-                }
-                if (failure != null) {
-                  LOG.error("answering {} {} failed", request.method(), request.path(), failure);
-                }
-                Reply answer = failure == null ? reply : Reply.withRetryAfter(503, BROKEN, 1);
-                write(ctx, keep && open <= crowd && !answer.closesConnection(), answer);
-              });
+          .whenComplete((reply, failure) -> answer(ctx, isPersistent, request, reply, failure));
+    }
+
+    /** Changes the phase, unless the connection is not counted any more. */
+    private void moveTo(Phase next) {
+      if (phase != Phase.NOT_COUNTED) {
+        phase = next;
+        if (next == Phase.IDLE) {
+          idle.add(this);
+        } else {
+          idle.remove(this);
+        }
+      }
     }
 
     private CompletableFuture<Reply> handle(Request request) {
@@ -217,7 +238,23 @@
       }
     }
 
-    private void write(ChannelHandlerContext ctx, boolean keep, Reply reply) {
+    private void answer(
+        ChannelHandlerContext ctx,
+        boolean isPersistent,
+        Request request,
+        Reply reply,
+        Throwable failure) {
+      lastUseNanos = System.nanoTime();
+      moveTo(Phase.IDLE);
+      if (failure != null) {
+        LOG.error("request failed: method={} path={}", request.method(), request.path(), failure);
+      }
+      Reply sent = failure == null ? reply : Reply.withRetryAfter(503, INTERNAL_ERROR, 1);
+      boolean isCrowded = connectionCount > crowdedConnections;
+      write(ctx, isPersistent && !isCrowded && !sent.closesConnection(), sent);
+    }
+
+    private void write(ChannelHandlerContext ctx, boolean isPersistent, Reply reply) {
       DefaultFullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
@@ -228,18 +265,19 @@
       if (reply.retryAfterSeconds() > 0) {
         response.headers().setInt(HttpHeaderNames.RETRY_AFTER, reply.retryAfterSeconds());
       }
-      if (!keep) {
+      if (!isPersistent) {
         response.headers().set(HttpHeaderNames.CONNECTION, "close");
       }
-      var written = ctx.writeAndFlush(response);
-      if (!keep) {
+      ChannelFuture written = ctx.writeAndFlush(response);
+      if (!isPersistent) {
         written.addListener(ChannelFutureListener.CLOSE);
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      LOG.debug("connection from {} dropped: {}", ctx.channel().remoteAddress(), cause.toString());
+      LOG.debug(
+          "connection closed: peer={} cause={}", ctx.channel().remoteAddress(), cause.toString());
       ctx.close();
     }
   }
--- a/src/main/java/io/cherryspool/http/Reply.java
+++ b/src/main/java/io/cherryspool/http/Reply.java
@@ -1,21 +1,29 @@
 package io.cherryspool.http;
 
 /**
- * One HTTP response; {@code retryAfterS} of 0 leaves the header out. After one that is {@code last}
- * the connection is closed, so that the peer comes back by another.
+ * One HTTP response.
+ *
+ * @param body the content, which is not to be changed
+ * @param retryAfterSeconds the value of the Retry-After header; 0 leaves it out
+ * @param closesConnection whether the server closes the connection after it, so that the client's
+ *     next request comes by a new one
  */
 public record Reply(
     int status, byte[] body, int retryAfterSeconds, String contentType, boolean closesConnection) {
+  /** The content type of JSON. */
   public static final String JSON = "application/json";
 
+  /** A response with a JSON body. */
   public static Reply json(int status, byte[] body) {
     return new Reply(status, body, 0, JSON, false);
   }
 
-  public static Reply withRetryAfter(int status, byte[] body, int retryAfterS) {
-    return new Reply(status, body, retryAfterS, JSON, false);
+  /** A response with a JSON body that says when to send the request again. */
+  public static Reply withRetryAfter(int status, byte[] body, int retryAfterSeconds) {
+    return new Reply(status, body, retryAfterSeconds, JSON, false);
   }
 
+  /** The same response, after which the server closes the connection. */
   public Reply closingConnection() {
     return new Reply(status, body, retryAfterSeconds, contentType, true);
   }
--- a/src/main/java/io/cherryspool/http/RequestHandler.java
+++ b/src/main/java/io/cherryspool/http/RequestHandler.java
@@ -2,8 +2,13 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Answers requests. The future completes on the event loop. */
+/** Answers requests. */
 @FunctionalInterface
 public interface RequestHandler {
+  /**
+   * Answers one request; called on the event loop, and must not block.
+   *
+   * @return the answer, completed on the event loop; a failure is answered as an internal error
+   */
   CompletableFuture<Reply> handle(Request request);
 }
--- a/src/test/java/io/cherryspool/http/AbandonedRequestFilterTest.java
+++ b/src/test/java/io/cherryspool/http/AbandonedRequestFilterTest.java
@@ -9,18 +9,19 @@
 import io.netty.channel.embedded.EmbeddedChannel;
 import org.junit.jupiter.api.Test;
 
+/** What the filter passes on, discards and buffers. */
 class AbandonedRequestFilterTest {
   private static final int SMALL = 100;
   private static final int LARGE = 5000;
 
-  /** The channel's own close runs what is pending first, as does its read. */
-  private boolean closed;
+  /** Set instead of closing the channel, which would run the pending check first. */
+  private boolean isClosed;
 
   private final EmbeddedChannel channel =
       new EmbeddedChannel(new AbandonedRequestFilter()) {
         @Override
         public boolean isActive() {
-          return !closed && super.isActive();
+          return !isClosed && super.isActive();
         }
       };
 
@@ -34,7 +35,7 @@
   void passesOnInOrderOnceTheReadIsComplete() {
     ByteBuf first = read(SMALL);
     ByteBuf second = read(SMALL);
-    assertNull(channel.readInbound(), "held until then");
+    assertNull(channel.readInbound(), "buffered until then");
     channel.pipeline().fireChannelReadComplete();
     channel.runPendingTasks();
     assertSame(first, channel.readInbound());
@@ -43,23 +44,23 @@
   }
 
   @Test
-  void releasesWhatAClosedPeerHasSent() {
+  void releasesWhatAClosedConnectionHasSent() {
     ByteBuf buffer = read(SMALL);
-    closed = true;
+    isClosed = true;
     channel.pipeline().fireChannelReadComplete();
     channel.runPendingTasks();
     assertNull(channel.readInbound());
     assertEquals(0, buffer.refCnt());
   }
 
-  /** Fifty connections that each send a megabyte would hold all of the buffers' memory. */
+  /** Fifty connections that each send a megabyte would exhaust the memory for buffers. */
   @Test
-  void holdsNoMoreThanSmallRequests() {
+  void buffersNoMoreThanSmallRequests() {
     read(LARGE);
     assertNull(channel.readInbound());
     ByteBuf second = read(LARGE);
     channel.<ByteBuf>readInbound().release();
-    assertSame(second, channel.readInbound(), "nothing is held any more");
+    assertSame(second, channel.readInbound(), "nothing is buffered any more");
     second.release();
     channel.finishAndReleaseAll();
   }
