--- a/src/main/java/io/cherryspool/mesh/LinkSummaryCodec.java
+++ b/src/main/java/io/cherryspool/mesh/LinkSummaryCodec.java
@@ -6,36 +6,40 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** A link report as MessagePack. A field that a later version adds comes last, and is ignored. */
+/**
+ * Reads and writes a {@link LinkSummary} as MessagePack. Fields that a later version adds come
+ * last, and are skipped.
+ */
 final class LinkSummaryCodec {
   private static final int FIELDS = 9;
   private static final int PEER_FIELDS = 3;
   private static final int ZONE_FIELDS = 5;
 
-  /** So that a heartbeat stays within a frame; a node names the first so many of its zones. */
-  private static final int MOST_ZONES = 40;
+  /** Bounds the zones that are sent, the first ones, so that a heartbeat fits into a frame. */
+  private static final int MAX_ZONES = 40;
 
   private LinkSummaryCodec() {}
 
-  static void pack(MessagePacker packer, LinkSummary report) throws IOException {
+  /** Appends a summary to a message. */
+  static void pack(MessagePacker packer, LinkSummary summary) throws IOException {
     packer.packArrayHeader(FIELDS);
-    packer.packBoolean(report.isLeading());
-    packer.packString(report.address());
-    packer.packInt(report.stateStore().ordinal());
-    packer.packInt(report.cloud().ordinal());
-    packer.packBoolean(report.wasStalled());
-    packer.packInt(report.leadershipPenalty());
-    packer.packString(report.verdict());
-    packer.packArrayHeader(report.peers().size());
-    for (LinkSummary.PeerLink peer : report.peers()) {
+    packer.packBoolean(summary.isLeading());
+    packer.packString(summary.address());
+    packer.packInt(summary.stateStore().ordinal());
+    packer.packInt(summary.cloud().ordinal());
+    packer.packBoolean(summary.wasStalled());
+    packer.packInt(summary.leadershipPenalty());
+    packer.packString(summary.verdict());
+    packer.packArrayHeader(summary.peers().size());
+    for (LinkSummary.PeerLink peer : summary.peers()) {
       packer.packArrayHeader(PEER_FIELDS);
       packer.packString(peer.node());
       packer.packInt(peer.state().ordinal());
       packer.packInt(peer.heartbeatAgeMillis());
     }
-    int zones = Math.min(MOST_ZONES, report.zones().size());
+    int zones = Math.min(MAX_ZONES, summary.zones().size());
     packer.packArrayHeader(zones);
-    for (LinkSummary.ZoneLink zone : report.zones().subList(0, zones)) {
+    for (LinkSummary.ZoneLink zone : summary.zones().subList(0, zones)) {
       packer.packArrayHeader(ZONE_FIELDS);
       packer.packString(zone.zone());
       packer.packInt(zone.state().ordinal());
@@ -45,44 +49,52 @@
     }
   }
 
+  /**
+   * Reads a summary from a message.
+   *
+   * @throws IOException if it has too few fields, or one of another type
+   */
   static LinkSummary unpack(MessageUnpacker unpacker) throws IOException {
-    int fields = header(unpacker, FIELDS);
-    LinkSummary report =
+    int fields = unpackFieldCount(unpacker, FIELDS);
+    LinkSummary summary =
         new LinkSummary(
             unpacker.unpackBoolean(),
             unpacker.unpackString(),
-            state(unpacker),
-            state(unpacker),
+            unpackState(unpacker),
+            unpackState(unpacker),
             unpacker.unpackBoolean(),
             unpacker.unpackInt(),
             unpacker.unpackString(),
-            peers(unpacker),
-            zones(unpacker));
+            unpackPeers(unpacker),
+            unpackZones(unpacker));
     unpacker.skipValue(fields - FIELDS);
-    return report;
+    return summary;
   }
 
-  private static List<LinkSummary.PeerLink> peers(MessageUnpacker unpacker) throws IOException {
+  private static List<LinkSummary.PeerLink> unpackPeers(MessageUnpacker unpacker)
+      throws IOException {
     int count = unpacker.unpackArrayHeader();
     List<LinkSummary.PeerLink> result = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      int fields = header(unpacker, PEER_FIELDS);
+      int fields = unpackFieldCount(unpacker, PEER_FIELDS);
       result.add(
-          new LinkSummary.PeerLink(unpacker.unpackString(), state(unpacker), unpacker.unpackInt()));
+          new LinkSummary.PeerLink(
+              unpacker.unpackString(), unpackState(unpacker), unpacker.unpackInt()));
       unpacker.skipValue(fields - PEER_FIELDS);
     }
     return result;
   }
 
-  private static List<LinkSummary.ZoneLink> zones(MessageUnpacker unpacker) throws IOException {
+  private static List<LinkSummary.ZoneLink> unpackZones(MessageUnpacker unpacker)
+      throws IOException {
     int count = unpacker.unpackArrayHeader();
     List<LinkSummary.ZoneLink> result = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      int fields = header(unpacker, ZONE_FIELDS);
+      int fields = unpackFieldCount(unpacker, ZONE_FIELDS);
       result.add(
           new LinkSummary.ZoneLink(
               unpacker.unpackString(),
-              state(unpacker),
+              unpackState(unpacker),
               unpacker.unpackInt(),
               unpacker.unpackInt(),
               unpacker.unpackInt()));
@@ -91,20 +103,20 @@
     return result;
   }
 
-  private static int header(MessageUnpacker unpacker, int least) throws IOException {
+  private static int unpackFieldCount(MessageUnpacker unpacker, int minFields) throws IOException {
     int fields = unpacker.unpackArrayHeader();
-    if (fields < least) {
-      throw new IOException("a link report that is too short");
+    if (fields < minFields) {
+      throw new IOException("a link summary with too few fields");
     }
     return fields;
   }
 
-  private static LinkState state(MessageUnpacker unpacker) throws IOException {
-    int number = unpacker.unpackInt();
-    LinkState[] all = LinkState.values();
-    if (number < 0 || number >= all.length) {
-      throw new IOException("no state of a link: " + number);
+  private static LinkState unpackState(MessageUnpacker unpacker) throws IOException {
+    int ordinal = unpacker.unpackInt();
+    LinkState[] states = LinkState.values();
+    if (ordinal < 0 || ordinal >= states.length) {
+      throw new IOException("unknown link state: " + ordinal);
     }
-    return all[number];
+    return states[ordinal];
   }
 }
--- a/src/main/java/io/cherryspool/mesh/Mesh.java
+++ b/src/main/java/io/cherryspool/mesh/Mesh.java
@@ -1,7 +1,8 @@
 package io.cherryspool.mesh;
 
 /**
- * Sends heartbeats to the other controller nodes; nothing that matters depends on their arrival.
+ * Sends heartbeats to the other controller nodes. Delivery is best-effort: no decision that must be
+ * right depends on it.
  */
 @FunctionalInterface
 public interface Mesh {
@@ -9,15 +10,17 @@
   /**
    * How a node is, for the others.
    *
-   * @param term the highest term it knows
-   * @param isStateStoreReachable whether it reaches the state service
-   * @param stateReadAgeMillis how long ago it sent its last reading of the state that succeeded, in
-   *     ms
-   * @param redirectedWorkers how many workers have lately come to it although it told them who
-   *     leads
-   * @param writeRateTenths how many changes of records it has lately made, in tenths for a second
-   * @param retainedRecords what it remembers of the records
-   * @param links what it makes of its links
+   * <p>It has more components than seven, one for each field of the message.
+   *
+   * @param node the sender's name
+   * @param term the highest term that it knows
+   * @param isStateStoreReachable whether it reaches the state store
+   * @param stateReadAgeMillis how long ago it sent its last read of the state store that succeeded
+   * @param redirectedWorkers how many workers lately sent it heartbeats although it had redirected
+   *     them to the leader
+   * @param writeRateTenths how many changes of records it lately wrote, in tenths a second
+   * @param retainedRecords what it retains of the records
+   * @param links the state of its links
    */
   record PeerHeartbeat(
       String node,
@@ -30,14 +33,14 @@
       LinkSummary links) {}
 
   /**
-   * What a node remembers of the records, for rebuilding them.
+   * What a node retains of the records, for rebuilding them.
    *
-   * @param recoveryPhase what it does about a loss, by a number that the recovery gives it
-   * @param incarnation the incarnation that it remembers, -1 for none
-   * @param nonce of that incarnation
-   * @param revision how far it remembers
-   * @param wasLeader whether it surely led when it saw a loss
-   * @param contributedRebuild the rebuild to which it has added what it knew
+   * @param recoveryPhase what it does about a loss, by the number that {@code recovery} gives it
+   * @param incarnation the number of the incarnation that it retains; -1 for none
+   * @param nonce the nonce of that incarnation
+   * @param revision up to which revision it retains the records
+   * @param wasLeader whether it surely led when it detected a loss
+   * @param contributedRebuild the rebuild to which it has contributed its records
    */
   record RetainedRecordsSummary(
       int recoveryPhase,
@@ -46,11 +49,11 @@
       long revision,
       boolean wasLeader,
       long contributedRebuild) {
-    /** Of a node that does not look for losses. */
+    /** The summary of a node that does not look for losses. */
     public static final RetainedRecordsSummary NONE =
         new RetainedRecordsSummary(0, -1, "", 0, false, 0);
   }
 
-  /** Sends the heartbeat to all other nodes, where they can be reached now. */
+  /** Sends the heartbeat to all other nodes that can be reached now; called on the event loop. */
   void broadcast(PeerHeartbeat heartbeat);
 }
--- a/src/main/java/io/cherryspool/mesh/NettyMesh.java
+++ b/src/main/java/io/cherryspool/mesh/NettyMesh.java
@@ -12,6 +12,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
+import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
@@ -24,46 +25,52 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.msgpack.core.MessageBufferPacker;
-import org.msgpack.core.MessagePack;
-import org.msgpack.core.MessageUnpacker;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Heartbeats between the nodes, as MessagePack arrays in length-prefixed frames. Each node keeps
- * one connection to each other for its own. A heartbeat that can't go out now is dropped, since the
- * next one says more.
+ * Heartbeats between the nodes over TCP, in length-prefixed frames. Each node opens one connection
+ * to each other and sends only on those. A heartbeat that can't be sent now is dropped, since the
+ * next one supersedes it. Used on the event loop, except for {@link #bind}.
  */
 public final class NettyMesh implements Mesh, Lifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(NettyMesh.class);
-  private static final int MAX_FRAME = 4096;
-  private static final int FIELDS = 6;
+  private static final int MAX_FRAME_BYTES = 4096;
 
-  /** With the memory's, which earlier versions do not send. */
-  private static final int MEMORY_FIELDS = 12;
+  /** The length that precedes each frame. */
+  private static final int LENGTH_FIELD_BYTES = 4;
 
-  /** With the links'. */
-  private static final int ALL_FIELDS = 13;
+  private static final int CONNECT_TIMEOUT_MS = 1000;
 
-  private static final int CONNECT_MS = 1000;
-  private static final int QUIET_S = 30;
-  private static final int MAX_UNSENT = 16 * 1024;
+  /** Longer than several heartbeat intervals: the connection's sender is gone by then. */
+  private static final int READ_TIMEOUT_S = 30;
+
+  /** Bounds what waits in a connection that is not read; beyond it the connection is closed. */
+  private static final int MAX_UNSENT_BYTES = 16 * 1024;
 
   private final NettyEventLoop loop;
   private final List<Endpoint> peers;
-  private final Consumer<PeerHeartbeat> sink;
-  private final Map<Endpoint, Channel> links = new HashMap<>();
+  private final Consumer<PeerHeartbeat> receiver;
+  private final Map<Endpoint, Channel> outbound = new HashMap<>();
   private Channel listener;
-  private boolean stopped;
-
-  public NettyMesh(NettyEventLoop loop, List<Endpoint> peers, Consumer<PeerHeartbeat> sink) {
+  private boolean isStopped;
+
+  /**
+   * Makes a mesh that does not listen yet.
+   *
+   * @param peers where the other nodes take heartbeats
+   * @param receiver receives the heartbeats of other nodes, on the event loop
+   */
+  public NettyMesh(NettyEventLoop loop, List<Endpoint> peers, Consumer<PeerHeartbeat> receiver) {
     this.loop = loop;
     this.peers = peers;
-    this.sink = sink;
+    this.receiver = receiver;
   }
 
-  /** Binds, waiting for the outcome; called once, from outside the loop. */
+  /**
+   * Begins to listen. Called once, from outside the loop, and blocks. Fails with {@link
+   * java.net.BindException}, which Netty does not declare, if the port is taken.
+   */
   public void bind(Endpoint at) throws InterruptedException {
     listener =
         new ServerBootstrap()
@@ -76,8 +83,10 @@
                   protected void initChannel(Channel channel) {
                     channel
                         .pipeline()
-                        .addLast(new ReadTimeoutHandler(QUIET_S))
-                        .addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME, 0, 4, 0, 4))
+                        .addLast(new ReadTimeoutHandler(READ_TIMEOUT_S))
+                        .addLast(
+                            new LengthFieldBasedFrameDecoder(
+                                MAX_FRAME_BYTES, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES))
                         .addLast(new Inbound());
                   }
                 })
@@ -88,15 +97,15 @@
 
   @Override
   public void start() {
-    stopped = false;
+    isStopped = false;
   }
 
   @Override
   public void stop() {
-    stopped = true;
-    // Closing a channel takes it out of the map.
-    List.copyOf(links.values()).forEach(Channel::close);
-    links.clear();
+    isStopped = true;
+    // A copy, since closing a channel removes it from the map.
+    List.copyOf(outbound.values()).forEach(Channel::close);
+    outbound.clear();
     if (listener != null) {
       listener.close();
     }
@@ -104,106 +113,62 @@
 
   @Override
   public void broadcast(PeerHeartbeat heartbeat) {
-    if (stopped) {
+    if (isStopped) {
       return;
     }
-    byte[] frame = encode(heartbeat);
+    byte[] frame = PeerHeartbeatCodec.encode(heartbeat);
     for (Endpoint peer : peers) {
-      Channel link = links.get(peer);
-      if (link == null) {
+      Channel channel = outbound.get(peer);
+      if (channel == null) {
         connect(peer);
-      } else if (link.isActive()) {
-        if (link.unsafe().outboundBuffer() != null
-            && link.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_UNSENT) {
-          link.close();
-        } else {
-          link.writeAndFlush(Unpooled.wrappedBuffer(frame));
-        }
+      } else if (channel.isActive()) {
+        send(channel, frame);
       }
     }
   }
 
+  private static void send(Channel channel, byte[] frame) {
+    ChannelOutboundBuffer unsent = channel.unsafe().outboundBuffer();
+    if (unsent != null && unsent.totalPendingWriteBytes() > MAX_UNSENT_BYTES) {
+      channel.close();
+    } else {
+      channel.writeAndFlush(Unpooled.wrappedBuffer(frame));
+    }
+  }
+
   private void connect(Endpoint peer) {
     Channel channel =
         new Bootstrap()
             .group(loop.group())
             .channelFactory(NioSocketChannel::new)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel created) {
-                    created.pipeline().addLast(new LengthFieldPrepender(4));
+                    created.pipeline().addLast(new LengthFieldPrepender(LENGTH_FIELD_BYTES));
                   }
                 })
             .connect(new InetSocketAddress(peer.host(), peer.port()))
             .channel();
-    links.put(peer, channel);
-    channel.closeFuture().addListener(closed -> links.remove(peer, channel));
-  }
-
-  static byte[] encode(PeerHeartbeat heartbeat) {
-    try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-      packer.packArrayHeader(ALL_FIELDS);
-      packer.packString(heartbeat.node());
-      packer.packLong(heartbeat.term());
-      packer.packBoolean(heartbeat.isStateStoreReachable());
-      packer.packInt(heartbeat.stateReadAgeMillis());
-      packer.packInt(heartbeat.redirectedWorkers());
-      packer.packInt(heartbeat.writeRateTenths());
-      packer.packInt(heartbeat.retainedRecords().recoveryPhase());
-      packer.packLong(heartbeat.retainedRecords().incarnation());
-      packer.packString(heartbeat.retainedRecords().nonce());
-      packer.packLong(heartbeat.retainedRecords().revision());
-      packer.packBoolean(heartbeat.retainedRecords().wasLeader());
-      packer.packLong(heartbeat.retainedRecords().contributedRebuild());
-      LinkSummaryCodec.pack(packer, heartbeat.links());
-      return packer.toByteArray();
-    } catch (IOException e) {
-      throw new IllegalStateException("packing into memory", e);
-    }
-  }
-
-  /** Reads a heartbeat; fields that a later version adds are ignored. */
-  static PeerHeartbeat decode(byte[] frame) throws IOException {
-    try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(frame)) {
-      int fields = unpacker.unpackArrayHeader();
-      if (fields < FIELDS) {
-        throw new IOException("a heartbeat that is too short");
-      }
-      return new PeerHeartbeat(
-          unpacker.unpackString(),
-          unpacker.unpackLong(),
-          unpacker.unpackBoolean(),
-          unpacker.unpackInt(),
-          unpacker.unpackInt(),
-          unpacker.unpackInt(),
-          fields < MEMORY_FIELDS ? RetainedRecordsSummary.NONE : decodeMemory(unpacker),
-          fields < ALL_FIELDS ? LinkSummary.NONE : LinkSummaryCodec.unpack(unpacker));
-    }
-  }
-
-  private static RetainedRecordsSummary decodeMemory(MessageUnpacker unpacker) throws IOException {
-    return new RetainedRecordsSummary(
-        unpacker.unpackInt(),
-        unpacker.unpackLong(),
-        unpacker.unpackString(),
-        unpacker.unpackLong(),
-        unpacker.unpackBoolean(),
-        unpacker.unpackLong());
+    outbound.put(peer, channel);
+    channel.closeFuture().addListener(closed -> outbound.remove(peer, channel));
   }
 
-  /** The routine of one connection from another node. */
+  /** One connection from another node. */
   private final class Inbound extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws IOException {
-      sink.accept(decode(ByteBufUtil.getBytes(frame)));
+      receiver.accept(PeerHeartbeatCodec.decode(ByteBufUtil.getBytes(frame)));
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      LOG.debug("a node's connection is dropped: {}", cause.toString());
+      LOG.debug(
+          "mesh connection closed: peer={} cause={}",
+          ctx.channel().remoteAddress(),
+          cause.toString());
       ctx.close();
     }
   }
--- a/src/test/java/io/cherryspool/mesh/HeartbeatFormatTest.java
+++ b/src/test/java/io/cherryspool/mesh/HeartbeatFormatTest.java
@@ -48,9 +48,9 @@
   }
 
   private static void check(String name, Mesh.PeerHeartbeat expected) throws IOException {
-    assertRecorded(name, NettyMesh.encode(expected));
-    Mesh.PeerHeartbeat read = NettyMesh.decode(RecordedBytes.read(name));
+    assertRecorded(name, PeerHeartbeatCodec.encode(expected));
+    Mesh.PeerHeartbeat read = PeerHeartbeatCodec.decode(RecordedBytes.read(name));
     assertEquals(expected, read);
-    assertRecorded(name, NettyMesh.encode(read));
+    assertRecorded(name, PeerHeartbeatCodec.encode(read));
   }
 }
--- a/src/test/java/io/cherryspool/mesh/NettyMeshTest.java
+++ b/src/test/java/io/cherryspool/mesh/NettyMeshTest.java
@@ -15,26 +15,27 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
+/** The mesh over real sockets. */
 class NettyMeshTest {
-  private static final long LIMIT_S = 10;
-  private static final Mesh.PeerHeartbeat WORD =
+  private static final long TIMEOUT_S = 10;
+  private static final Mesh.PeerHeartbeat HEARTBEAT =
       new Mesh.PeerHeartbeat(
           "node", 1, true, 0, 0, 0, Mesh.RetainedRecordsSummary.NONE, LinkSummary.NONE);
 
-  /** Closing the links while walking over them failed, so that the listener stayed open. */
+  /** Closing a connection removes it from those that are being closed. */
   @Test
-  void stopsWithLinksOpen() throws Exception {
+  void stopClosesTheListenerAlsoWithConnectionsOpen() throws Exception {
     NettyEventLoop loop = new NettyEventLoop();
     Endpoint own = freeEndpoint();
     CountDownLatch received = new CountDownLatch(2);
-    NettyMesh mesh = new NettyMesh(loop, List.of(own), word -> received.countDown());
+    NettyMesh mesh = new NettyMesh(loop, List.of(own), heartbeat -> received.countDown());
     mesh.bind(own);
     loop.execute(mesh::start);
     for (int i = 0; i < 200 && received.getCount() > 0; i++) {
-      loop.execute(() -> mesh.broadcast(WORD));
+      loop.execute(() -> mesh.broadcast(HEARTBEAT));
       received.await(50, TimeUnit.MILLISECONDS);
     }
-    assertTrue(received.await(0, TimeUnit.SECONDS), "no link came about");
+    assertTrue(received.await(0, TimeUnit.SECONDS), "no heartbeat arrived");
     CompletableFuture<Void> stopped = new CompletableFuture<>();
     loop.execute(
         () -> {
@@ -45,7 +46,7 @@
             stopped.completeExceptionally(e);
           }
         });
-    stopped.get(LIMIT_S, TimeUnit.SECONDS);
+    stopped.get(TIMEOUT_S, TimeUnit.SECONDS);
     assertTrue(refuses(own), "the listener is still open");
     loop.shutdown();
     loop.awaitTermination();
--- a/src/test/java/io/cherryspool/mesh/PeerHeartbeatCodecTest.java
+++ b/src/test/java/io/cherryspool/mesh/PeerHeartbeatCodecTest.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** That heartbeats survive their encoding, also between versions, and fit into a frame. */
 class PeerHeartbeatCodecTest {
   private static final LinkSummary LINKS =
       new LinkSummary(
@@ -25,31 +26,34 @@
           List.of(new LinkSummary.ZoneLink("a", LinkState.DOWN, 900, 870, 12)));
 
   @Test
-  void readsWhatItWritesAndRefusesTheRest() throws IOException {
-    Mesh.RetainedRecordsSummary memory =
+  void readsWhatItWrites() throws IOException {
+    Mesh.RetainedRecordsSummary retained =
         new Mesh.RetainedRecordsSummary(2, 3, "9f", 1L << 50, true, 4);
     Mesh.PeerHeartbeat heartbeat =
-        new Mesh.PeerHeartbeat("node-1", 1L << 40, true, 40, 1650, 237, memory, LINKS);
-    assertEquals(heartbeat, NettyMesh.decode(NettyMesh.encode(heartbeat)));
-    assertThrows(IOException.class, () -> NettyMesh.decode(new byte[] {(byte) 0x91, 1}));
+        new Mesh.PeerHeartbeat("node-1", 1L << 40, true, 40, 1650, 237, retained, LINKS);
+    assertEquals(heartbeat, PeerHeartbeatCodec.decode(PeerHeartbeatCodec.encode(heartbeat)));
   }
 
-  /** Nodes are replaced one at a time, so that both forms are about. */
   @Test
-  void readsHeartbeatsOfNodesThatTellNoMemory() throws IOException {
+  void refusesAHeartbeatWithTooFewFields() {
+    assertThrows(IOException.class, () -> PeerHeartbeatCodec.decode(new byte[] {(byte) 0x91, 1}));
+  }
+
+  /** Nodes are replaced one at a time, so that versions meet. */
+  @Test
+  void readsHeartbeatsWithoutRetainedRecords() throws IOException {
     Mesh.PeerHeartbeat expected =
         new Mesh.PeerHeartbeat(
             "n", 7, true, 1, 2, 3, Mesh.RetainedRecordsSummary.NONE, LinkSummary.NONE);
     byte[] old = {(byte) 0x96, (byte) 0xa1, 'n', 7, (byte) 0xc3, 1, 2, 3};
-    assertEquals(expected, NettyMesh.decode(old));
+    assertEquals(expected, PeerHeartbeatCodec.decode(old));
   }
 
-  /** Nodes of the version before tell what they remember, and nothing of their links. */
   @Test
-  void readsHeartbeatsOfNodesThatTellNothingOfTheirLinks() throws IOException {
-    Mesh.RetainedRecordsSummary memory = new Mesh.RetainedRecordsSummary(1, 2, "9f", 3, false, 4);
+  void readsHeartbeatsWithoutLinks() throws IOException {
+    Mesh.RetainedRecordsSummary retained = new Mesh.RetainedRecordsSummary(1, 2, "9f", 3, false, 4);
     Mesh.PeerHeartbeat expected =
-        new Mesh.PeerHeartbeat("n", 7, true, 1, 2, 3, memory, LinkSummary.NONE);
+        new Mesh.PeerHeartbeat("n", 7, true, 1, 2, 3, retained, LinkSummary.NONE);
     byte[] old = {
       (byte) 0x9c,
       (byte) 0xa1,
@@ -68,7 +72,7 @@
       (byte) 0xc2,
       4
     };
-    assertEquals(expected, NettyMesh.decode(old));
+    assertEquals(expected, PeerHeartbeatCodec.decode(old));
   }
 
   /** A frame holds 4,096 bytes, however many machines there are. */
@@ -84,8 +88,8 @@
             true, "10.0.0.1:8080", LinkState.UP, LinkState.UP, false, 0, "", List.of(), zones);
     Mesh.PeerHeartbeat heartbeat =
         new Mesh.PeerHeartbeat("node-1", 1, true, 0, 0, 0, Mesh.RetainedRecordsSummary.NONE, links);
-    byte[] frame = NettyMesh.encode(heartbeat);
+    byte[] frame = PeerHeartbeatCodec.encode(heartbeat);
     assertTrue(frame.length <= 4096, frame.length + " bytes");
-    assertEquals(40, NettyMesh.decode(frame).links().zones().size());
+    assertEquals(40, PeerHeartbeatCodec.decode(frame).links().zones().size());
   }
 }
