--- a/src/main/java/io/cherryspool/cloud/package-info.java
+++ b/src/main/java/io/cherryspool/cloud/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The client of the cloud that rents machines: the catalog, the list of machines, rentals and
- * deletions.
+ * The client of the cloud that provides instances: the catalog of machine types, the list of
+ * instances, requests for new ones and deletions.
  *
  * <p>May depend on {@code http}, {@code wire} and {@code model}.
  *
--- a/src/main/java/io/cherryspool/config/Settings.java
+++ b/src/main/java/io/cherryspool/config/Settings.java
@@ -65,7 +65,7 @@
    * What the state store accepts from all nodes together.
    *
    * @param requestsPerSecond bounds all requests
-   * @param writesPerSecond bounds those of them that write
+   * @param writesPerSecond bounds the puts and deletes in them
    * @param maxValueBytes bounds one value
    * @param maxTransactionOperations bounds the changes of one transaction
    */
--- a/src/main/java/io/cherryspool/lifecycle/Lifecycle.java
+++ b/src/main/java/io/cherryspool/lifecycle/Lifecycle.java
@@ -1,11 +1,11 @@
 package io.cherryspool.lifecycle;
 
-/**
- * A long-lived activity of a node. Both calls come on the event loop; stop leaves no timer behind.
- */
+/** A long-lived activity of a node. It is started and stopped on the event loop. */
 public interface Lifecycle {
 
+  /** Begins the activity. */
   void start();
 
+  /** Ends the activity; leaves no timer behind. */
   void stop();
 }
--- a/src/main/java/io/cherryspool/lifecycle/package-info.java
+++ b/src/main/java/io/cherryspool/lifecycle/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What every long-lived part of a node shares: the event loop on which it runs, and that it can be
- * started and stopped.
+ * What every long-lived activity of a node shares: the event loop on which it runs, and that it can
+ * be started and stopped.
  *
  * <p>Depends on nothing; every other package may depend on it.
  *
--- a/src/main/java/io/cherryspool/worker/package-info.java
+++ b/src/main/java/io/cherryspool/worker/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The client of the workers on the machines: it sends commands and reads the reports that answer
+ * The client of the workers on the machines: it sends commands and reads the heartbeats that answer
  * them.
  *
  * <p>May depend on {@code http}, {@code wire} and {@code model}.
