--- a/src/main/java/io/cherryspool/cli/ClassDataTraining.java
+++ b/src/main/java/io/cherryspool/cli/ClassDataTraining.java
@@ -88,7 +88,7 @@
   }
 
   private static int freePort() throws IOException {
-    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST))) {
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return socket.getLocalPort();
     }
   }
--- a/src/main/java/io/cherryspool/cli/TrainingServices.java
+++ b/src/main/java/io/cherryspool/cli/TrainingServices.java
@@ -58,7 +58,7 @@
         case "/follow" -> follow(request.target());
         case "/commit" -> commit(Json.parseObject(request.body()));
         case "/catalog" -> done(CloudProtocol.encodeCatalog(TYPES));
-        case "/machines" -> done(request.method().equals("GET") ? machines() : rented());
+        case "/machines" -> done(request.method().equals("GET") ? instances() : noInstances());
         case "/commands" -> commands(Json.parseObject(request.body()));
         case "/inspect" -> done(workerHeartbeat());
         default -> done(Json.object().put("tenancy", 1));
@@ -96,11 +96,11 @@
     return page;
   }
 
-  private static ObjectNode rented() {
+  private static ObjectNode noInstances() {
     return page("spindles");
   }
 
-  private ObjectNode machines() {
+  private ObjectNode instances() {
     ObjectNode page = page("spindles");
     ((ArrayNode) page.path("spindles"))
         .addObject()
--- a/src/test/java/io/cherryspool/cli/LinksCommandTest.java
+++ b/src/test/java/io/cherryspool/cli/LinksCommandTest.java
@@ -11,22 +11,25 @@
 
 /** What the links command prints of a node's answer, and its exit statuses. */
 class LinksCommandTest extends CommandFixture {
-  private static final String LINKS =
-      "{\"node\":\"n-0\",\"nodes\":["
-          + "{\"node\":\"n-0\",\"heard_ms\":0,\"leading\":true,\"doubtful\":false,"
-          + "\"verdict\":\"hold-zones b: many machines of a zone are not heard at once\","
-          + "\"state\":\"up\",\"cloud\":\"up\","
-          + "\"peers\":[{\"node\":\"n-1\",\"link\":\"down\",\"heard_ms\":9300}],"
-          + "\"zones\":[{\"zone\":\"b\",\"link\":\"down\",\"machines\":40,\"missing\":38,"
-          + "\"redirected\":0}]},"
-          + "{\"node\":\"n-1\",\"heard_ms\":9300,\"state\":\"up\",\"cloud\":\"up\"},"
-          + "{\"node\":\"n-2\",\"heard_ms\":-1}],\"all_up\":%s}";
-
   private volatile boolean isAllUp;
 
   @Override
   Reply answer(Request request) {
-    return json(200, String.format(LINKS, isAllUp));
+    return json(200, links());
+  }
+
+  private String links() {
+    return "{\"node\":\"n-0\",\"nodes\":["
+        + "{\"node\":\"n-0\",\"heard_ms\":0,\"leading\":true,\"doubtful\":false,"
+        + "\"verdict\":\"hold-zones b: many machines of a zone are not heard at once\","
+        + "\"state\":\"up\",\"cloud\":\"up\","
+        + "\"peers\":[{\"node\":\"n-1\",\"link\":\"down\",\"heard_ms\":9300}],"
+        + "\"zones\":[{\"zone\":\"b\",\"link\":\"down\",\"machines\":40,\"missing\":38,"
+        + "\"redirected\":0}]},"
+        + "{\"node\":\"n-1\",\"heard_ms\":9300,\"state\":\"up\",\"cloud\":\"up\"},"
+        + "{\"node\":\"n-2\",\"heard_ms\":-1}],\"all_up\":"
+        + isAllUp
+        + "}";
   }
 
   @Test
