--- a/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
+++ b/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
@@ -55,7 +55,8 @@
    */
   public boolean isBehindPeers() {
     Duration own = replica.lastConfirmedAt();
-    Duration others = reachability.matrix().latestStateRead(timings.stateStoreLease(), loop.now());
+    Duration others =
+        reachability.matrix().latestStateRead(timings.stateStoreLease(), loop.now()).orElse(null);
     return own == null || others != null && others.minus(own).compareTo(timings.staleReadLag()) > 0;
   }
 
--- a/src/main/java/io/cherryspool/controller/metrics/RecoveryMeters.java
+++ b/src/main/java/io/cherryspool/controller/metrics/RecoveryMeters.java
@@ -44,7 +44,7 @@
   }
 
   private double written(ToDoubleFunction<SnapshotRepository.WriteResult> figure) {
-    SnapshotRepository.WriteResult last = snapshots.lastResult();
+    SnapshotRepository.WriteResult last = snapshots.lastResult().orElse(null);
     return last == null ? 0 : figure.applyAsDouble(last);
   }
 
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
@@ -80,8 +80,8 @@
     root.put("settled", recovery.isServing() && replica.isReconciled());
     root.put("foreign_cluster", recovery.statistics().hasFoundOtherCluster());
     root.put("losses", recovery.statistics().losses());
-    if (recovery.statistics().lastLoss() != null) {
-      root.put("last_loss", recovery.statistics().lastLoss().name().toLowerCase(Locale.ROOT));
+    if (recovery.statistics().lastLoss().isPresent()) {
+      root.put("last_loss", recovery.statistics().lastLoss().get().name().toLowerCase(Locale.ROOT));
     }
     root.put("rebuilds", recovery.statistics().rebuilds());
     root.put("added_after_rebuild", recovery.statistics().addedRecords());
@@ -103,15 +103,16 @@
   }
 
   private JsonNode snapshot() {
-    SnapshotRepository.WriteResult last = snapshots == null ? null : snapshots.lastResult();
+    SnapshotRepository.WriteResult last =
+        snapshots == null ? null : snapshots.lastResult().orElse(null);
     if (last == null) {
       return Json.object().put("taken", false);
     }
-    ObjectNode result = Json.object().put("taken", last.failure() == null);
+    ObjectNode result = Json.object().put("taken", last.failure().isEmpty());
     result.put("name", last.name()).put("bytes", last.bytes());
     result.put("took_ms", last.durationNanos() / 1e6).put("age_s", snapshots.ageSeconds());
-    if (last.failure() != null) {
-      result.put("failure", last.failure());
+    if (last.failure().isPresent()) {
+      result.put("failure", last.failure().get());
     }
     return result;
   }
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
@@ -11,6 +11,7 @@
 import io.cherryspool.model.FencingToken;
 import io.cherryspool.model.WorkerHeartbeat;
 import io.cherryspool.recovery.Recovery;
+import io.cherryspool.recovery.RecoveryStore;
 import io.cherryspool.recovery.RecoveryTimings;
 import io.cherryspool.recovery.RetainedRecords;
 import io.cherryspool.recovery.SnapshotFile;
@@ -71,8 +72,7 @@
     recovery =
         new Recovery(
             shared.loop(),
-            shared.client(),
-            shared.rateLimiter(),
+            new RecoveryStore(shared.loop(), shared.client(), shared.rateLimiter()),
             shared.replica(),
             shared.random(),
             timings,
@@ -141,7 +141,7 @@
 
   /** When the last request that succeeded while not serving was sent; null if none was. */
   public Duration lastAnsweredRequestSentAt() {
-    return recovery.lastAnsweredRequestSentAt();
+    return recovery.lastAnsweredRequestSentAt().orElse(null);
   }
 
   public void observeTerm(long term) {
--- a/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
+++ b/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
@@ -54,9 +54,9 @@
 
   /**
    * When the latest reading of the state was sent by any of them, as far as their heartbeats are
-   * fresh; null if none tells of one.
+   * fresh; empty if none tells of one.
    */
-  public Duration latestStateRead(Duration limit, Duration now) {
+  public Optional<Duration> latestStateRead(Duration limit, Duration now) {
     Duration last = null;
     for (Row row : rows.values()) {
       boolean fresh =
@@ -64,6 +64,6 @@
       Duration at = row.receivedAt.minusMillis(row.heartbeat.stateReadAgeMillis());
       last = fresh && (last == null || at.compareTo(last) > 0) ? at : last;
     }
-    return last;
+    return Optional.ofNullable(last);
   }
 }
--- a/src/main/java/io/cherryspool/recovery/Recovery.java
+++ b/src/main/java/io/cherryspool/recovery/Recovery.java
@@ -13,6 +13,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -61,16 +62,15 @@
    */
   public Recovery(
       EventLoop loop,
-      StateStoreClient client,
-      RateLimiter rateLimiter,
+      RecoveryStore store,
       ClusterRecords replica,
       RandomGenerator random,
       RecoveryTimings timings,
       ClusterNode node,
       RecordsSnapshot snapshot) {
     this.loop = loop;
-    this.client = client;
-    this.rateLimiter = rateLimiter;
+    this.client = store.client();
+    this.rateLimiter = store.rateLimiter();
     this.replica = replica;
     this.random = random;
     this.timings = timings;
@@ -119,9 +119,9 @@
     return phase == RetainedRecords.Phase.SERVING;
   }
 
-  /** When the last request that succeeded while not serving was sent; null if none was. */
-  public Duration lastAnsweredRequestSentAt() {
-    return lastAnsweredRequestSentAt;
+  /** When the last request that succeeded while not serving was sent; empty if none was. */
+  public Optional<Duration> lastAnsweredRequestSentAt() {
+    return Optional.ofNullable(lastAnsweredRequestSentAt);
   }
 
   /** What has happened since the node started. */
--- a/src/main/java/io/cherryspool/recovery/RecoveryStatistics.java
+++ b/src/main/java/io/cherryspool/recovery/RecoveryStatistics.java
@@ -2,6 +2,7 @@
 
 import io.cherryspool.store.RollbackDetector;
 import java.time.Duration;
+import java.util.Optional;
 
 /** Counts of what a node's recovery has seen and done, for metrics and the status. */
 public final class RecoveryStatistics {
@@ -49,9 +50,9 @@
     return addedRecords;
   }
 
-  /** How the last loss showed, null if there was none. */
-  public RollbackDetector.Loss lastLoss() {
-    return lastLoss;
+  /** How the last loss showed, empty if there was none. */
+  public Optional<RollbackDetector.Loss> lastLoss() {
+    return Optional.ofNullable(lastLoss);
   }
 
   /** How long this node did not serve when it last did not. */
--- a/src/main/java/io/cherryspool/recovery/SnapshotRepository.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotRepository.java
@@ -24,8 +24,8 @@
     this.store = store;
   }
 
-  /** What a snapshot cost, or why there is none. */
-  public record WriteResult(String name, int bytes, long durationNanos, String failure) {}
+  /** What a snapshot cost, or why there is none; empty if there is one. */
+  public record WriteResult(String name, int bytes, long durationNanos, Optional<String> failure) {}
 
   /** Writes a snapshot and drops the oldest; a failure leaves those that are there. */
   public WriteResult write(RecordsSnapshot picture, Instant now) {
@@ -38,10 +38,10 @@
       for (int i = KEPT; i < names.size(); i++) {
         store.delete(names.get(i));
       }
-      return new WriteResult(name, bytes.length, System.nanoTime() - begun, null);
+      return new WriteResult(name, bytes.length, System.nanoTime() - begun, Optional.empty());
     } catch (IOException | RuntimeException e) {
       LOG.error("snapshot {} can't be written to {}: {}", name, store, e.toString());
-      return new WriteResult(name, 0, System.nanoTime() - begun, e.toString());
+      return new WriteResult(name, 0, System.nanoTime() - begun, Optional.of(e.toString()));
     }
   }
 
--- a/src/main/java/io/cherryspool/recovery/SnapshotWriter.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotWriter.java
@@ -8,6 +8,7 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
+import java.util.Optional;
 import java.util.concurrent.Executor;
 import java.util.function.BooleanSupplier;
 
@@ -76,9 +77,9 @@
     }
   }
 
-  /** What the last snapshot cost, null before the first. */
-  public SnapshotRepository.WriteResult lastResult() {
-    return lastResult;
+  /** What the last snapshot cost, empty before the first. */
+  public Optional<SnapshotRepository.WriteResult> lastResult() {
+    return Optional.ofNullable(lastResult);
   }
 
   /** How old what is kept is, in seconds; -1 before the first. */
--- a/src/test/java/io/cherryspool/recovery/RecoveryTest.java
+++ b/src/test/java/io/cherryspool/recovery/RecoveryTest.java
@@ -27,6 +27,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
@@ -57,8 +58,7 @@
       recovery =
           new Recovery(
               time,
-              client,
-              rateLimiter,
+              new RecoveryStore(time, client, rateLimiter),
               replica,
               new SplittableRandom(7),
               new RecoveryTimings(Duration.ofMillis(1500), Duration.ofSeconds(5), 16_384, 12, 100),
@@ -201,7 +201,7 @@
     state.loseAllData();
     node.replica.refresh();
     run(0.1);
-    assertEquals(Loss.REVISION_WENT_BACK, node.recovery.statistics().lastLoss());
+    assertEquals(Optional.of(Loss.REVISION_WENT_BACK), node.recovery.statistics().lastLoss());
     assertFalse(node.recovery.isServing());
     run(15);
     assertTrue(node.recovery.isServing());
@@ -232,7 +232,7 @@
     run(0.05);
     assertTrue(told.isCompletedExceptionally(), "its user is told to come back");
     assertTrue(before > 3);
-    assertEquals(Loss.REVISION_WENT_BACK, node.recovery.statistics().lastLoss());
+    assertEquals(Optional.of(Loss.REVISION_WENT_BACK), node.recovery.statistics().lastLoss());
   }
 
   /** Set back by one change, and written on by a node without memory until nothing looks older. */
@@ -250,7 +250,7 @@
     CompletableFuture<Void> reading = node.replica.refresh();
     run(0.1);
     assertTrue(reading.isCompletedExceptionally(), "nobody is answered from it");
-    assertEquals(Loss.CHANGE_MISSING, node.recovery.statistics().lastLoss());
+    assertEquals(Optional.of(Loss.CHANGE_MISSING), node.recovery.statistics().lastLoss());
     run(15);
     assertNotNull(node.replica.job("req-000002"), "it is written back");
   }
@@ -276,7 +276,7 @@
     run(0.01);
     node.line.release(ControlledTransport.READ);
     run(0.5);
-    assertEquals(Loss.RECORDS_GONE, node.recovery.statistics().lastLoss());
+    assertEquals(Optional.of(Loss.RECORDS_GONE), node.recovery.statistics().lastLoss());
     run(15);
     assertNotNull(node.replica.job("req-000002"));
   }
@@ -298,7 +298,7 @@
     run(0.5);
     node.replica.refresh();
     run(0.1);
-    assertEquals(Loss.REVISION_WENT_BACK, node.recovery.statistics().lastLoss());
+    assertEquals(Optional.of(Loss.REVISION_WENT_BACK), node.recovery.statistics().lastLoss());
     // That one remembers more, so that it rebuilds.
     run(3);
     assertEquals(0, node.recovery.statistics().rebuilds());
@@ -309,7 +309,7 @@
     Node node = serving();
     node.recovery.observeTerm(5);
     run(0.1);
-    assertEquals(Loss.TERM_MISSING, node.recovery.statistics().lastLoss());
+    assertEquals(Optional.of(Loss.TERM_MISSING), node.recovery.statistics().lastLoss());
     node.knownTerm = 5;
     run(15);
     assertEquals(5, node.replica.term());
@@ -376,7 +376,7 @@
         StateStoreProtocol.transactionRequest(
             Map.of(), List.of(new StateStoreProtocol.Change(Incarnation.KEY, half.encode(), 0))));
     run(0.8);
-    assertEquals(Loss.BUNDLES_DAMAGED, node.recovery.statistics().lastLoss());
+    assertEquals(Optional.of(Loss.BUNDLES_DAMAGED), node.recovery.statistics().lastLoss());
     run(15);
     assertTrue(node.recovery.isServing());
     assertEquals(2, node.recovery.retainedRecords().position().incarnationNumber());
@@ -400,7 +400,7 @@
     }
     Node node = new Node(snapshot);
     run(2);
-    assertEquals(Loss.RECORDS_GONE, node.recovery.statistics().lastLoss());
+    assertEquals(Optional.of(Loss.RECORDS_GONE), node.recovery.statistics().lastLoss());
     run(15);
     assertNotNull(node.replica.job(JOB));
   }
--- a/src/test/java/io/cherryspool/recovery/SnapshotFileTest.java
+++ b/src/test/java/io/cherryspool/recovery/SnapshotFileTest.java
@@ -1,7 +1,6 @@
 package io.cherryspool.recovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,6 +12,7 @@
 import java.time.Instant;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -72,7 +72,7 @@
     assertTrue(snapshots.readNewest().isEmpty(), "there is none yet");
     List<RecordsSnapshot> history = RecordsSnapshotFixture.history(5, 200);
     for (int step = 10; step < 200; step += 30) {
-      assertNull(snapshots.write(history.get(step), NOW).failure());
+      assertEquals(Optional.empty(), snapshots.write(history.get(step), NOW).failure());
     }
     List<String> names = new DirectorySnapshotStore(directory).names();
     assertEquals(3, names.size());
@@ -89,7 +89,7 @@
     Path file = Files.writeString(folder.resolve("file"), "x");
     SnapshotRepository snapshots =
         new SnapshotRepository(new DirectorySnapshotStore(file.resolve("below")));
-    assertTrue(snapshots.write(picture, NOW).failure() != null);
+    assertTrue(snapshots.write(picture, NOW).failure().isPresent());
     assertTrue(snapshots.readNewest().isEmpty());
   }
 }
--- a/src/test/java/io/cherryspool/recovery/SnapshotFormatTest.java
+++ b/src/test/java/io/cherryspool/recovery/SnapshotFormatTest.java
@@ -2,7 +2,6 @@
 
 import static io.cherryspool.compatibility.RecordedBytes.assertRecorded;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 
 import io.cherryspool.compatibility.RecordedBytes;
 import io.cherryspool.compatibility.SampleRecords;
@@ -14,6 +13,7 @@
 import java.nio.file.Path;
 import java.time.Instant;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -48,7 +48,8 @@
   void namesSortByIncarnationAndRevision(@TempDir Path folder)
       throws IOException, MalformedMessageException {
     DirectorySnapshotStore directory = new DirectorySnapshotStore(folder);
-    assertNull(new SnapshotRepository(directory).write(PICTURE, TAKEN).failure());
+    assertEquals(
+        Optional.empty(), new SnapshotRepository(directory).write(PICTURE, TAKEN).failure());
     assertEquals(List.of("0000000003-0000000123456790-1764693000456.snapshot"), directory.names());
   }
 
