--- a/src/main/java/io/cherryspool/reachability/ContactState.java
+++ b/src/main/java/io/cherryspool/reachability/ContactState.java
@@ -2,20 +2,20 @@
 
 /** How a leader stands with one machine that it has not given up. */
 public enum ContactState {
-  /** The machine's reports come, and it heeds the answers. */
+  /** The machine's heartbeats arrive, and it follows the answers. */
   REACHABLE,
-  /** Its reports come late, but it answers direct calls, or did so lately. */
+  /** Its heartbeats are late, but it answers direct calls, or did so lately. */
   LATE,
-  /** Its reports come, and it takes in no answer. */
+  /** Its heartbeats arrive, and it receives no answer. */
   NOT_RECEIVING,
-  /** Nothing has come from it for longer than a report is late. */
+  /** Nothing has arrived from it for longer than a heartbeat may be late. */
   SILENT,
-  /** The cloud has listed it as running for longer than that, and this term has not heard it. */
+  /** The cloud has listed it as running for longer than that, and nothing arrived in this term. */
   NEVER_SEEN,
-  /** It was not heard yet, and need not have been. */
+  /** Nothing has arrived from it yet, and nothing needs to have. */
   NEW;
 
-  /** Whether its reports and their answers do not get through. */
+  /** Whether its heartbeats and their answers do not get through. */
   boolean isMissing() {
     return this == LATE || isUnreachable();
   }
--- a/src/main/java/io/cherryspool/reachability/FleetReachability.java
+++ b/src/main/java/io/cherryspool/reachability/FleetReachability.java
@@ -5,10 +5,11 @@
 import java.util.TreeMap;
 
 /**
- * How a leader hears its machines, in numbers for each zone.
+ * How well a leader reaches its machines, in numbers for each zone. Immutable.
  *
- * @param known machines that were heard in this term, or ought to have been
- * @param missing those whose reports and answers do not get through
+ * @param known machines that have sent a heartbeat in this term, or ought to have
+ * @param missing those of them whose heartbeats and answers do not get through
+ * @param zones the same by zone, in the order of names
  */
 public record FleetReachability(int known, int missing, Map<String, Zone> zones) {
   /** Of a node that does not lead. */
@@ -17,12 +18,14 @@
   /**
    * The machines of one zone.
    *
+   * @param known as for the fleet
+   * @param missing as for the fleet
    * @param listed those that the cloud lists
-   * @param unreachable those of the listed ones that are not heard, or do not hear
+   * @param unreachable those of the listed ones to or from which nothing gets through
    */
   public record Zone(int known, int missing, int listed, int unreachable) {}
 
-  /** Counts machines one by one, thousands of them twice a second. */
+  /** Counts machines one by one, thousands of them twice a second. Confined to one thread. */
   public static final class Builder {
     private final Map<String, Counts> zones = new TreeMap<>();
 
@@ -30,22 +33,23 @@
       private int known;
       private int missing;
       private int listed;
-      private int unheard;
+      private int unreachable;
     }
 
     /**
-     * Counts a machine that is not gone. One that the cloud does not list was taken back, or is too
-     * new for the list; it says nothing of its zone.
+     * Counts a machine that is not deleted. One that the cloud does not list was taken back, or is
+     * too new for the list; it tells nothing of its zone.
      */
-    public void addMachine(String zone, boolean listed, ContactState contact) {
+    public void addMachine(String zone, boolean isListed, ContactState contact) {
       Counts counts = zones.computeIfAbsent(zone, key -> new Counts());
-      if (contact != ContactState.NEW && (listed || contact != ContactState.NEVER_SEEN)) {
+      boolean isExpected = isListed || contact != ContactState.NEVER_SEEN;
+      if (contact != ContactState.NEW && isExpected) {
         counts.known++;
         counts.missing += contact.isMissing() ? 1 : 0;
       }
-      if (listed) {
+      if (isListed) {
         counts.listed++;
-        counts.unheard += contact.isUnreachable() ? 1 : 0;
+        counts.unreachable += contact.isUnreachable() ? 1 : 0;
       }
     }
 
@@ -59,7 +63,8 @@
         known += counts.known;
         missing += counts.missing;
         result.put(
-            entry.getKey(), new Zone(counts.known, counts.missing, counts.listed, counts.unheard));
+            entry.getKey(),
+            new Zone(counts.known, counts.missing, counts.listed, counts.unreachable));
       }
       return new FleetReachability(known, missing, Collections.unmodifiableMap(result));
     }
--- a/src/main/java/io/cherryspool/reachability/LeaseLength.java
+++ b/src/main/java/io/cherryspool/reachability/LeaseLength.java
@@ -3,28 +3,39 @@
 import java.time.Duration;
 
 /**
- * How long a leader's lease is to be. Where leaders that live lose their lease again and again,
- * since their links flap, the next one takes a longer lease, which outlasts the flaps. The first
- * loss, and a second one well after it, cost what they always did. No lease is longer than the time
- * for which a leader may answer workers without the state service anyway.
+ * How long a leader's lease is to be. Where leaders whose processes live on lose their lease again
+ * and again, because their links flap, the next one takes a longer lease, which outlasts the flaps.
+ * The first loss, and a second one well after it, change nothing. No lease is longer than the time
+ * for which a leader may answer workers without the state store anyway. Confined to the event loop.
  */
 final class LeaseLength {
-  private static final double TWICE_FROM = 1.5;
-  private static final double LONGEST_FROM = 2.5;
+  /** From this penalty on the lease is twice as long. */
+  private static final double DOUBLE_FROM_PENALTY = 1.5;
 
-  /** A penalty must fall so far below a threshold before the lease becomes shorter again. */
+  /** From this penalty on it is as long as it may be. */
+  private static final double LONGEST_FROM_PENALTY = 2.5;
+
+  /** So far below a threshold a penalty must fall before the lease becomes shorter again. */
   private static final double HYSTERESIS = 0.5;
 
   private final Duration shortest;
   private final Duration longest;
+
+  /** 0 for the shortest length, 1 for twice that, 2 for the longest. */
   private int level;
 
+  /**
+   * Lengths between two bounds, at first the shortest.
+   *
+   * @param shortest the length while leaders do not change often
+   * @param longest the bound on every length
+   */
   LeaseLength(Duration shortest, Duration longest) {
     this.shortest = shortest;
     this.longest = longest;
   }
 
-  /** The length for the penalty as it is now. */
+  /** The length for the penalty as it is now; hysteresis makes it depend on earlier calls. */
   Duration forPenalty(double penalty) {
     level = Math.max(level(penalty), Math.min(level, level(penalty + HYSTERESIS)));
     Duration wanted =
@@ -37,6 +48,9 @@
   }
 
   private static int level(double penalty) {
-    return penalty < TWICE_FROM ? 0 : penalty < LONGEST_FROM ? 1 : 2;
+    if (penalty < DOUBLE_FROM_PENALTY) {
+      return 0;
+    }
+    return penalty < LONGEST_FROM_PENALTY ? 1 : 2;
   }
 }
--- a/src/main/java/io/cherryspool/reachability/LocalHealth.java
+++ b/src/main/java/io/cherryspool/reachability/LocalHealth.java
@@ -3,40 +3,42 @@
 import java.time.Duration;
 
 /**
- * Whether this node itself kept up. What it did not hear while it stood still or was behind is
- * nobody's silence: it may wait in its sockets, unread.
+ * Whether this node itself kept up. What it did not receive while it stood still or was behind is
+ * nobody's silence: it may wait in its sockets, unread. Confined to the event loop.
  */
 public final class LocalHealth {
   private final Duration tolerance;
-  private Duration due;
+  private Duration nextStepDue;
   private Duration steadySince;
 
   /**
-   * @param tolerance how late a step may come
+   * The health of a node that has run no step yet.
+   *
+   * @param tolerance how late a step may be
    */
   public LocalHealth(Duration tolerance) {
     this.tolerance = tolerance;
   }
 
-  /** A step runs now; the next one is due after this pause. */
-  public void recordStep(Duration now, Duration pause) {
-    if (due == null || now.minus(due).compareTo(tolerance) > 0) {
+  /** Records that a step runs now; the next one is due after the interval. */
+  public void recordStep(Duration now, Duration interval) {
+    if (nextStepDue == null || now.minus(nextStepDue).compareTo(tolerance) > 0) {
       steadySince = now;
     }
-    due = now.plus(pause);
+    nextStepDue = now.plus(interval);
   }
 
-  /** The next step will come after this pause, counted from now, instead of when it was due. */
-  public void postpone(Duration now, Duration pause) {
-    due = now.plus(pause);
+  /** Moves the next step to this interval from now, instead of when it was due. */
+  public void postpone(Duration now, Duration interval) {
+    nextStepDue = now.plus(interval);
   }
 
-  /** What was heard until now tells nothing of the links, for another reason. */
+  /** Counts the steady time from now, because what was received before tells nothing of links. */
   public void reset(Duration now) {
     steadySince = now;
   }
 
-  /** For how long all steps came in time. */
+  /** For how long all steps have run in time; zero before the first. */
   public Duration steadyFor(Duration now) {
     return steadySince == null ? Duration.ZERO : now.minus(steadySince);
   }
--- a/src/main/java/io/cherryspool/reachability/MachineEvictionRule.java
+++ b/src/main/java/io/cherryspool/reachability/MachineEvictionRule.java
@@ -5,29 +5,43 @@
 import java.util.Optional;
 
 /**
- * When a leader gives up a single machine that it does not hear, or that does not hear it. Only the
- * confirmed deletion that follows is proof of anything.
+ * When a leader gives up a single machine to or from which nothing gets through. Only the confirmed
+ * deletion that follows proves anything. Immutable.
  */
 public final class MachineEvictionRule {
-  private final Duration usual;
-  private final Duration mute;
-  private final Duration lapse;
-  private final Duration cutOff;
+  /** So many heartbeats in a row are missing from a machine that is given up. */
+  private static final int MAX_MISSED_HEARTBEATS = 3;
+
+  /** The same for a machine that owns tasks and does not answer a direct call either. */
+  private static final int MAX_MISSED_HEARTBEATS_IF_UNRESPONSIVE = 2;
+
+  /** For what a heartbeat may be late. */
+  private static final Duration HEARTBEAT_GRACE = Duration.ofSeconds(2);
+
+  /** A machine in a zone that is rather unreachable than dead is given up after so many leases. */
+  private static final int UNREACHABLE_ZONE_LEASES = 2;
+
+  private final Duration silenceTimeout;
+  private final Duration unresponsiveTimeout;
+  private final Duration leaseExpiry;
+  private final Duration unreachableZoneTimeout;
 
   /** Why a machine is given up. */
   public enum Fault {
+    /** Nothing arrives from it. */
     SILENT,
+    /** Its heartbeats arrive, and it receives no answer. */
     NOT_RECEIVING
   }
 
   /**
    * What is known of a machine.
    *
-   * @param silentFor how long ago its last message came
-   * @param notReceivingFor for how long answers have gone unheeded; empty while they are heeded
+   * @param silentFor how long ago its last message arrived
+   * @param notReceivingFor for how long it has ignored answers; empty while it follows them
    * @param ownsTasks whether it owns tasks
-   * @param isUnresponsive whether it has not answered a direct call, and nothing was heard since
-   * @param isZoneEvictionSuspended whether its zone is rather cut off
+   * @param isUnresponsive whether it has not answered a direct call, and nothing arrived since
+   * @param isZoneEvictionSuspended whether its zone is rather unreachable than dead
    */
   public record Observation(
       Duration silentFor,
@@ -36,39 +50,43 @@
       boolean isUnresponsive,
       boolean isZoneEvictionSuspended) {}
 
+  /** A rule with the deployment's times. */
   public MachineEvictionRule(ReachabilityTimings timings) {
-    usual = Durations.multiply(timings.workerHeartbeatInterval(), 3).plusSeconds(2);
-    mute = Durations.multiply(timings.workerHeartbeatInterval(), 2);
-    lapse = timings.taskLeaseExpiry();
-    cutOff = Durations.multiply(lapse, 2);
+    Duration interval = timings.workerHeartbeatInterval();
+    silenceTimeout = Durations.multiply(interval, MAX_MISSED_HEARTBEATS).plus(HEARTBEAT_GRACE);
+    unresponsiveTimeout = Durations.multiply(interval, MAX_MISSED_HEARTBEATS_IF_UNRESPONSIVE);
+    leaseExpiry = timings.taskLeaseExpiry();
+    unreachableZoneTimeout = Durations.multiply(leaseExpiry, UNREACHABLE_ZONE_LEASES);
   }
 
   /**
-   * @param listeningFor for how long this node has kept up; a longer silence may be its own
+   * Why the machine is to be given up; empty while it is not.
+   *
+   * @param steadyFor for how long this node has kept up; a longer silence may be its own
    */
-  public Optional<Fault> judge(Observation signs, Duration listeningFor) {
-    Duration patience = silencePatience(signs);
-    if (signs.silentFor().compareTo(patience) > 0 && listeningFor.compareTo(patience) > 0) {
+  public Optional<Fault> judge(Observation machine, Duration steadyFor) {
+    Duration timeout = silenceTimeout(machine);
+    if (machine.silentFor().compareTo(timeout) > 0 && steadyFor.compareTo(timeout) > 0) {
       return Optional.of(Fault.SILENT);
     }
-    if (signs.notReceivingFor().isPresent()
-        && signs.notReceivingFor().get().compareTo(deafPatience(signs)) > 0) {
+    if (machine.notReceivingFor().isPresent()
+        && machine.notReceivingFor().get().compareTo(notReceivingTimeout(machine)) > 0) {
       return Optional.of(Fault.NOT_RECEIVING);
     }
     return Optional.empty();
   }
 
-  private Duration silencePatience(Observation signs) {
-    if (signs.isZoneEvictionSuspended()) {
-      return cutOff;
+  private Duration silenceTimeout(Observation machine) {
+    if (machine.isZoneEvictionSuspended()) {
+      return unreachableZoneTimeout;
     }
-    return signs.ownsTasks() && signs.isUnresponsive() ? mute : usual;
+    return machine.ownsTasks() && machine.isUnresponsive() ? unresponsiveTimeout : silenceTimeout;
   }
 
-  private Duration deafPatience(Observation signs) {
-    if (signs.isZoneEvictionSuspended()) {
-      return cutOff;
+  private Duration notReceivingTimeout(Observation machine) {
+    if (machine.isZoneEvictionSuspended()) {
+      return unreachableZoneTimeout;
     }
-    return signs.ownsTasks() ? lapse : usual;
+    return machine.ownsTasks() ? leaseExpiry : silenceTimeout;
   }
 }
--- a/src/main/java/io/cherryspool/reachability/PartitionRule.java
+++ b/src/main/java/io/cherryspool/reachability/PartitionRule.java
@@ -1,35 +1,43 @@
 package io.cherryspool.reachability;
 
 import io.cherryspool.mesh.LinkState;
-import io.cherryspool.mesh.LinkSummary;
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.model.Durations;
 import java.time.Duration;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * The judgement that nodes obey.
+ * The rule by which nodes judge their links. Immutable.
  *
- * <p>A leader that loses its workers, but neither the state service nor the other nodes, would stay
- * leader while its workers go round the nodes, are sent back to it each time, and lose all their
- * tasks when their leases run out. The others hear those workers, and say so. Both must agree: many
- * machines have stopped reporting here, and about as many come to the others. Machines that died,
- * hang or are cut off with their zone come to nobody.
+ * <p>A leader that loses its workers, but neither the state store nor the other nodes, would stay
+ * leader while its workers try the nodes in turn, are redirected to it each time, and lose all
+ * their tasks when their leases expire. The others count those workers in their heartbeats. Both
+ * must agree: many machines have stopped reporting here, and about as many come to the others.
+ * Machines that died, hang or are cut off with their zone come to no node.
  */
 public final class PartitionRule implements VerdictRule {
-  /** Fewer than these, or a smaller part of the fleet, are worth no change of the leader. */
-  private static final int LEAST_MISSING = 3;
+  /** Fewer missing machines are worth no change of the leader. */
+  private static final int MIN_MISSING_MACHINES = 3;
 
-  private static final int MISSING_PART = 6;
+  /** With fewer than one machine of so many missing, neither. */
+  private static final int MISSING_FRACTION = 6;
 
   /** Each recent change of the leader doubles what a further one must be worth. */
   private static final int COST_GROWTH = 2;
 
   /** Penalties below this are a single change some time ago. */
-  private static final double RECENT_CHANGES = 1.5;
+  private static final double RECENT_CHANGES_PENALTY = 1.5;
+
+  /** A node that flaps stands after this part of a lease. */
+  private static final int FLAPPING_DELAY_DIVISOR = 2;
+
+  /** A node that is not the successor stands after this part of a lease. */
+  private static final int NOT_SUCCESSOR_DELAY_DIVISOR = 4;
 
   private final ReachabilityTimings timings;
 
+  /** A rule with the deployment's times. */
   public PartitionRule(ReachabilityTimings timings) {
     this.timings = timings;
   }
@@ -39,27 +47,27 @@
     return switch (view.role()) {
       case LEADER -> judgeLeader(view);
       case CANDIDATE -> judgeCandidate(view);
-      case FOLLOWER ->
-          view.stateLink() == LinkState.DOWN
-              ? new Verdict.ForwardRequests(Reason.STATE_UNREACHABLE)
-              : new Verdict.Serve();
+      case FOLLOWER -> judgeFollower(view);
     };
   }
 
+  private static Verdict judgeFollower(NodeView view) {
+    return view.stateLink() == LinkState.DOWN
+        ? new Verdict.ForwardRequests(Reason.STATE_UNREACHABLE)
+        : new Verdict.Serve();
+  }
+
   private Verdict judgeLeader(NodeView view) {
-    if (worthAChange(view)) {
-      Verdict transfer = transfer(view);
-      if (transfer != null) {
-        return transfer;
+    if (isHandoverWorthwhile(view)) {
+      Optional<Verdict> handover = handOver(view);
+      if (handover.isPresent()) {
+        return handover.get();
       }
     }
     if (view.stateLink() == LinkState.DOWN) {
       return new Verdict.SuspendPlacement(Reason.STATE_UNREACHABLE);
     }
-    // Longer than that, what they ran is free for others, and needs machines.
-    if (view.fleetUnreachableFor()
-        .filter(length -> length.compareTo(timings.taskLeaseExpiry()) < 0)
-        .isPresent()) {
+    if (mayMachinesStillOwnTasks(view)) {
       return new Verdict.SuspendFleetChanges(Reason.FLEET_UNREACHABLE);
     }
     if (!view.unreachableZones().isEmpty()) {
@@ -69,76 +77,100 @@
   }
 
   /**
-   * Reports that were late because this node stood still, or is behind, are nobody's absence, nor
-   * are those that it could not answer: after an outage of the state service all workers come from
-   * the other nodes at once.
+   * Whether much of the fleet is unreachable, for no longer than its tasks' leases last. Later what
+   * it ran is free for other machines, so that the fleet may have to grow.
+   */
+  private boolean mayMachinesStillOwnTasks(NodeView view) {
+    Optional<Duration> unreachableFor = view.fleetUnreachableFor();
+    return unreachableFor.isPresent()
+        && unreachableFor.get().compareTo(timings.taskLeaseExpiry()) < 0;
+  }
+
+  /**
+   * Whether enough machines are missing. Heartbeats that were late because this node stood still,
+   * or is behind, are nobody's absence, nor are those that it could not answer: after an outage of
+   * the state store all workers come from the other nodes at once.
    *
-   * <p>Nor are those that a busy node answers too late, so that their workers go round the others.
-   * The next leader is no larger, and has the take-over to pay besides: three controllers with 7.6%
-   * of a core handed their work on every 10 to 20 s and lost thousands of tasks. A leader that its
+   * <p>Nor are those that a busy node answers too late, so that their workers try the others. The
+   * next leader is no larger, and has the failover to pay besides: three controllers with 7.6% of a
+   * core handed leadership over every 10 to 20 s and lost thousands of tasks. A leader that its
    * workers do not reach has little to do.
    */
-  private boolean worthAChange(NodeView view) {
+  private boolean isHandoverWorthwhile(NodeView view) {
     int missing = view.fleet().missing();
-    if (missing < LEAST_MISSING
-        || view.steadyFor().compareTo(Durations.multiply(timings.workerHeartbeatOverdueAfter(), 2))
-            < 0) {
+    if (missing < MIN_MISSING_MACHINES || !isSteady(view)) {
       return false;
     }
-    int cost = view.leadershipPenalty() < RECENT_CHANGES ? 1 : COST_GROWTH;
-    return missing * MISSING_PART >= view.fleet().known() * cost;
+    int cost = view.leadershipPenalty() < RECENT_CHANGES_PENALTY ? 1 : COST_GROWTH;
+    return missing * MISSING_FRACTION >= view.fleet().known() * cost;
+  }
+
+  private boolean isSteady(NodeView view) {
+    Duration required = Durations.multiply(timings.workerHeartbeatOverdueAfter(), 2);
+    return view.steadyFor().compareTo(required) >= 0;
   }
 
-  /** The hand-over to the node that hears most of the missing workers; null if nobody does. */
-  private Verdict transfer(NodeView view) {
+  /** The handover to the node to which most of the missing workers come; empty if to none. */
+  private Optional<Verdict> handOver(NodeView view) {
     List<Mesh.PeerHeartbeat> heartbeats =
         view.matrix().freshHeartbeats(timings.peerHeartbeatTimeout(), view.now());
-    int missing = view.fleet().missing();
-    if (heartbeats.isEmpty()) {
-      // It can't know where its workers are; if it misses half of them, any other node is the
-      // better guess.
-      boolean half = missing * 2 >= view.fleet().known();
-      return half && view.matrix().hasReceivedAny()
-          ? new Verdict.HandOverLeadership(
-              Verdict.HandOverLeadership.ANY_NODE, Reason.NO_PEERS_AND_WORKERS_MISSING)
-          : null;
-    }
-    Mesh.PeerHeartbeat best = null;
-    int redirected = 0;
+    return heartbeats.isEmpty() ? handOverWithoutPeers(view) : handOver(view, heartbeats);
+  }
+
+  /**
+   * A leader that receives no heartbeats can't know where its workers are; if it misses half of
+   * them, any other node is the better guess.
+   */
+  private static Optional<Verdict> handOverWithoutPeers(NodeView view) {
+    boolean isHalfMissing = view.fleet().missing() * 2 >= view.fleet().known();
+    return isHalfMissing && view.matrix().hasReceivedAny()
+        ? Optional.of(
+            new Verdict.HandOverLeadership(
+                Verdict.HandOverLeadership.ANY_NODE, Reason.NO_PEERS_AND_WORKERS_MISSING))
+        : Optional.empty();
+  }
+
+  private static Optional<Verdict> handOver(NodeView view, List<Mesh.PeerHeartbeat> heartbeats) {
+    Mesh.PeerHeartbeat successor = null;
+    int redirectedWorkers = 0;
     for (Mesh.PeerHeartbeat heartbeat : heartbeats) {
       if (mayLead(heartbeat) && heartbeat.redirectedWorkers() > 0) {
-        redirected += heartbeat.redirectedWorkers();
-        if (best == null || heartbeat.redirectedWorkers() > best.redirectedWorkers()) {
-          best = heartbeat;
+        redirectedWorkers += heartbeat.redirectedWorkers();
+        if (successor == null || heartbeat.redirectedWorkers() > successor.redirectedWorkers()) {
+          successor = heartbeat;
         }
       }
     }
-    return best != null && redirected * 2 >= missing
-        ? new Verdict.HandOverLeadership(best.node(), Reason.WORKERS_REACH_OTHER_NODES)
-        : null;
+    return successor != null && redirectedWorkers * 2 >= view.fleet().missing()
+        ? Optional.of(
+            new Verdict.HandOverLeadership(successor.node(), Reason.WORKERS_REACH_OTHER_NODES))
+        : Optional.empty();
   }
 
   private static boolean mayLead(Mesh.PeerHeartbeat heartbeat) {
-    LinkSummary links = heartbeat.links();
-    return heartbeat.isStateStoreReachable() && links.stateStore() != LinkState.DOWN;
+    return heartbeat.isStateStoreReachable() && heartbeat.links().stateStore() != LinkState.DOWN;
   }
 
-  /** The successor stands first, and who made way for it last, as does one whose link flaps. */
+  /**
+   * The successor stands first, and the former leader last; a node whose link to the state store
+   * flaps stands after the others.
+   */
   private Verdict judgeCandidate(NodeView view) {
     Duration lease = timings.leaderLease();
     NodeView.Handover handover = view.handover().orElse(null);
-    boolean successor = handover != null && handover.successor().equals(view.node());
-    if (successor) {
+    if (handover != null && handover.successor().equals(view.node())) {
       return new Verdict.Serve();
     }
     if (handover != null && handover.formerLeader().equals(view.node())) {
       return new Verdict.DelayCandidacy(lease, Reason.HANDED_OVER_LAST);
     }
     if (view.isStateLinkFlapping()) {
-      return new Verdict.DelayCandidacy(Durations.divide(lease, 2), Reason.STATE_LINK_FLAPS);
+      return new Verdict.DelayCandidacy(
+          Durations.divide(lease, FLAPPING_DELAY_DIVISOR), Reason.STATE_LINK_FLAPS);
     }
     return handover == null
         ? new Verdict.Serve()
-        : new Verdict.DelayCandidacy(Durations.divide(lease, 4), Reason.NOT_THE_SUCCESSOR);
+        : new Verdict.DelayCandidacy(
+            Durations.divide(lease, NOT_SUCCESSOR_DELAY_DIVISOR), Reason.NOT_THE_SUCCESSOR);
   }
 }
--- a/src/main/java/io/cherryspool/reachability/Reachability.java
+++ b/src/main/java/io/cherryspool/reachability/Reachability.java
@@ -12,20 +12,34 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** One node's links: what was observed of them, what others tell, and the verdict on it. */
+/**
+ * One node's links: what was observed of them, what other nodes' heartbeats tell, and the verdict
+ * on them. Times are of the node's monotonic clock. Confined to the event loop.
+ */
 public final class Reachability {
+  /** Ages of heartbeats are shown up to a day. */
+  private static final int MAX_SHOWN_AGE_MILLIS = 86_400_000;
+
+  /** Of a node from which no heartbeat was received. */
+  private static final int NEVER_RECEIVED = -1;
+
   private final String node;
   private final List<String> peers;
   private final ReachabilityTimings timings;
-  private final boolean damping;
+  private final boolean isDampingEnabled;
   private final VerdictRule rule;
   private final MachineEvictionRule machineRule;
   private final RequestLink stateLink;
   private final RequestLink cloudLink;
   private final ZoneLinks zones;
   private final RedirectedWorkers redirectedWorkers = new RedirectedWorkers();
-  private final LocalHealth pace;
-  private final LocalHealth acting;
+
+  /** Whether this node's loop kept up. */
+  private final LocalHealth loopHealth;
+
+  /** The same, while it could answer workers as well. */
+  private final LocalHealth leaderHealth;
+
   private final FlapDamper leadershipLosses;
   private final LeaseLength leaseLength;
   private ReachabilityMatrix matrix = ReachabilityMatrix.EMPTY;
@@ -33,32 +47,35 @@
   private Verdict verdict = new Verdict.Serve();
 
   /**
+   * The links of a node that has observed nothing yet.
+   *
    * @param peers the names of the other nodes
-   * @param damping whether flaps make leases longer and candidates wait
+   * @param isDampingEnabled whether flaps make leases longer and candidates wait
+   * @param rule judges the links
    */
   public Reachability(
       String node,
       List<String> peers,
       ReachabilityTimings timings,
-      boolean damping,
+      boolean isDampingEnabled,
       VerdictRule rule) {
     this.node = node;
     this.peers = peers;
     this.timings = timings;
-    this.damping = damping;
+    this.isDampingEnabled = isDampingEnabled;
     this.rule = rule;
     this.machineRule = new MachineEvictionRule(timings);
     this.stateLink = new RequestLink(timings.stateCallTimeout(), timings.flapHalfLife());
     this.cloudLink = new RequestLink(timings.leaderLease(), timings.flapHalfLife());
     this.zones = new ZoneLinks(timings.flapHalfLife());
     Duration tolerance = Durations.divide(timings.peerHeartbeatInterval(), 2);
-    this.pace = new LocalHealth(tolerance);
-    this.acting = new LocalHealth(tolerance);
+    this.loopHealth = new LocalHealth(tolerance);
+    this.leaderHealth = new LocalHealth(tolerance);
     this.leadershipLosses = new FlapDamper(timings.flapHalfLife());
     this.leaseLength = new LeaseLength(timings.leaderLease(), timings.maxLeaderAuthority());
   }
 
-  /** The link to the state service. */
+  /** The link to the state store. */
   public RequestLink stateLink() {
     return stateLink;
   }
@@ -73,12 +90,12 @@
     return redirectedWorkers;
   }
 
-  /** What the other nodes tell. */
+  /** What the other nodes' heartbeats tell. */
   public ReachabilityMatrix matrix() {
     return matrix;
   }
 
-  /** The latest heartbeats of the nodes that are heard. */
+  /** The latest heartbeats of the nodes that are reachable. */
   public List<Mesh.PeerHeartbeat> freshPeerHeartbeats(Duration now) {
     return matrix.freshHeartbeats(timings.peerHeartbeatTimeout(), now);
   }
@@ -94,21 +111,22 @@
   }
 
   /**
-   * Judges the links, once in a heartbeat's time.
+   * Judges the links; called once in each interval of heartbeats.
    *
-   * @param leading whether this node leads
-   * @param acts whether it may answer workers
-   * @param heard how it hears its machines
+   * @param isLeading whether this node leads
+   * @param mayAnswerWorkers whether it may answer workers
+   * @param observed how well it reaches its machines
    */
-  public Verdict judge(Duration now, boolean leading, boolean acts, FleetReachability heard) {
-    pace.recordStep(now, timings.peerHeartbeatInterval());
-    acting.recordStep(now, timings.peerHeartbeatInterval());
-    if (!acts) {
-      acting.reset(now);
+  public Verdict judge(
+      Duration now, boolean isLeading, boolean mayAnswerWorkers, FleetReachability observed) {
+    loopHealth.recordStep(now, timings.peerHeartbeatInterval());
+    leaderHealth.recordStep(now, timings.peerHeartbeatInterval());
+    if (!mayAnswerWorkers) {
+      leaderHealth.reset(now);
     }
-    fleet = heard;
-    zones.observe(heard, now);
-    NodeView.Role role = leading ? NodeView.Role.LEADER : NodeView.Role.FOLLOWER;
+    fleet = observed;
+    zones.observe(observed, now);
+    NodeView.Role role = isLeading ? NodeView.Role.LEADER : NodeView.Role.FOLLOWER;
     verdict = rule.judge(view(role, now, Optional.empty()));
     return verdict;
   }
@@ -123,13 +141,14 @@
     return !(verdict instanceof Verdict.SuspendPlacement);
   }
 
-  /** Whether the machines of this zone are unheard rather than dead. */
+  /** Whether the machines of this zone are unreachable rather than dead. */
   public boolean isZoneEvictionSuspended(String zone) {
     return verdict instanceof Verdict.SuspendFleetChanges
-        || verdict instanceof Verdict.SuspendZoneEviction held && held.zones().contains(zone);
+        || verdict instanceof Verdict.SuspendZoneEviction suspended
+            && suspended.zones().contains(zone);
   }
 
-  /** Whether a leader may rent machines, and return idle ones. */
+  /** Whether a leader may scale out, and scale in idle machines. */
   public boolean mayChangeFleet() {
     return mayPlaceTasks() && !(verdict instanceof Verdict.SuspendFleetChanges);
   }
@@ -137,10 +156,10 @@
   /** How long to wait before standing for leader, so that better placed nodes go first. */
   public Duration candidacyDelay(Duration now, Optional<NodeView.Handover> handover) {
     Verdict judged = rule.judge(view(NodeView.Role.CANDIDATE, now, handover));
-    return judged instanceof Verdict.DelayCandidacy later ? later.delay() : Duration.ZERO;
+    return judged instanceof Verdict.DelayCandidacy delayed ? delayed.delay() : Duration.ZERO;
   }
 
-  /** This node no longer leads, though its process lives on. */
+  /** Records that this node no longer leads, though its process lives on. */
   public void recordLeadershipLoss(Duration now) {
     leadershipLosses.recordFlap(now);
     verdict = new Verdict.Serve();
@@ -148,17 +167,22 @@
     zones.clear();
   }
 
-  /** How often this node lost its leadership. */
+  /** How often this node has lost its leadership since it started. */
   public long leadershipLosses() {
     return leadershipLosses.flapCount();
   }
 
   /** How long this node's lease is to be if it leads. */
   public Duration leaseLength(Duration now) {
-    return damping ? leaseLength.forPenalty(leadershipPenalty(now)) : timings.leaderLease();
+    return isDampingEnabled
+        ? leaseLength.forPenalty(leadershipPenalty(now))
+        : timings.leaderLease();
   }
 
-  /** How often leaders that live have lost their leadership lately, in the whole cluster. */
+  /**
+   * How often leaders whose processes live on have lost their leadership lately, in the whole
+   * cluster; the sum of the nodes' penalties, see {@link FlapDamper}.
+   */
   public double leadershipPenalty(Duration now) {
     double sum = leadershipLosses.penalty(now);
     for (Mesh.PeerHeartbeat heartbeat : matrix.freshHeartbeats(timings.flapHalfLife(), now)) {
@@ -167,12 +191,12 @@
     return sum;
   }
 
-  /** Whether this node's own link to the state service can't be relied on. */
+  /** Whether this node's own link to the state store fails too often to be relied on. */
   public boolean isStateLinkFlapping(Duration now) {
-    return damping && stateLink.damper().isFlapping(now);
+    return isDampingEnabled && stateLink.damper().isFlapping(now);
   }
 
-  /** How often zones were lost. */
+  /** How often zones became unreachable in this term. */
   public long zoneFlapCount() {
     return zones.flapCount();
   }
@@ -184,23 +208,30 @@
         now,
         stateLink.state(now),
         isStateLinkFlapping(now),
-        acting.steadyFor(now),
+        leaderHealth.steadyFor(now),
         fleet,
         zones.unreachableZones(),
         zones.fleetUnreachableFor(now),
         matrix,
-        damping ? leadershipPenalty(now) : 0,
+        isDampingEnabled ? leadershipPenalty(now) : 0,
         handover);
   }
 
-  /** What the other nodes are to know of this one's links. */
-  public LinkSummary linkSummary(Duration now, boolean leading, String address) {
+  /**
+   * What the other nodes are to know of this one's links.
+   *
+   * @param isLeading whether it leads and may answer workers
+   * @param address where it takes users' requests
+   */
+  public LinkSummary linkSummary(Duration now, boolean isLeading, String address) {
+    boolean wasStalled =
+        loopHealth.steadyFor(now).compareTo(timings.workerHeartbeatOverdueAfter()) < 0;
     return new LinkSummary(
-        leading,
+        isLeading,
         address,
         stateLink.state(now),
         cloudLink.state(now),
-        pace.steadyFor(now).compareTo(timings.workerHeartbeatOverdueAfter()) < 0,
+        wasStalled,
         (int) Math.round(10 * leadershipLosses.penalty(now)),
         verdict.describe() + ": " + verdict.reason().text(),
         peerLinks(now),
@@ -210,34 +241,40 @@
   private List<LinkSummary.PeerLink> peerLinks(Duration now) {
     List<LinkSummary.PeerLink> result = new ArrayList<>();
     for (String peer : peers) {
-      Duration received = matrix.row(peer).map(ReachabilityMatrix.Row::receivedAt).orElse(null);
-      if (received == null) {
-        result.add(new LinkSummary.PeerLink(peer, LinkState.DOWN, -1));
-        continue;
-      }
-      Duration age = now.minus(received);
-      LinkState heard =
-          age.compareTo(timings.peerHeartbeatTimeout()) < 0
-              ? LinkState.UP
-              : age.compareTo(timings.leaderLease()) < 0 ? LinkState.SUSPECT : LinkState.DOWN;
-      result.add(new LinkSummary.PeerLink(peer, heard, (int) Math.min(age.toMillis(), 86_400_000)));
+      Optional<ReachabilityMatrix.Row> row = matrix.row(peer);
+      result.add(
+          row.isPresent()
+              ? peerLink(peer, now.minus(row.get().receivedAt()))
+              : new LinkSummary.PeerLink(peer, LinkState.DOWN, NEVER_RECEIVED));
     }
     return result;
   }
 
+  private LinkSummary.PeerLink peerLink(String peer, Duration heartbeatAge) {
+    int ageMillis = (int) Math.min(heartbeatAge.toMillis(), MAX_SHOWN_AGE_MILLIS);
+    return new LinkSummary.PeerLink(peer, peerState(heartbeatAge), ageMillis);
+  }
+
+  private LinkState peerState(Duration heartbeatAge) {
+    if (heartbeatAge.compareTo(timings.peerHeartbeatTimeout()) < 0) {
+      return LinkState.UP;
+    }
+    return heartbeatAge.compareTo(timings.leaderLease()) < 0 ? LinkState.SUSPECT : LinkState.DOWN;
+  }
+
   private List<LinkSummary.ZoneLink> zoneLinks(Duration now) {
     Map<String, Integer> redirected = redirectedWorkers.countByZone(now);
     Set<String> names = new TreeSet<>(fleet.zones().keySet());
     names.addAll(redirected.keySet());
     List<LinkSummary.ZoneLink> result = new ArrayList<>();
     for (String zone : names) {
-      FleetReachability.Zone heard = fleet.zones().get(zone);
+      FleetReachability.Zone machines = fleet.zones().get(zone);
       result.add(
           new LinkSummary.ZoneLink(
               zone,
               zones.state(zone),
-              heard == null ? 0 : heard.known(),
-              heard == null ? 0 : heard.missing(),
+              machines == null ? 0 : machines.known(),
+              machines == null ? 0 : machines.missing(),
               redirected.getOrDefault(zone, 0)));
     }
     return result;
--- a/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
+++ b/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
@@ -9,9 +9,9 @@
 import org.pcollections.PMap;
 
 /**
- * Who hears whom, as the nodes' latest heartbeats tell it, each with the moment at which it came.
- * It is never changed: a new heartbeat makes a new matrix that shares what is left of the old one.
- * Nothing in it is proof of anything.
+ * Which nodes reach which, as their latest heartbeats tell it, each with the time at which it was
+ * received. Immutable: a new heartbeat makes a new matrix that shares what is left of the old one.
+ * Nothing in it proves anything. Times are of the receiving node's monotonic clock.
  */
 public final class ReachabilityMatrix {
   /** Before any heartbeat. */
@@ -19,8 +19,13 @@
 
   private final PMap<String, Row> rows;
 
-  /** A node's latest heartbeat, and when it came. */
-  public record Row(Mesh.PeerHeartbeat heartbeat, Duration receivedAt) {}
+  /** A node's latest heartbeat, and when it was received. */
+  public record Row(Mesh.PeerHeartbeat heartbeat, Duration receivedAt) {
+    /** Whether it was received less than this time ago. */
+    boolean isFresh(Duration maxAge, Duration now) {
+      return now.minus(receivedAt).compareTo(maxAge) < 0;
+    }
+  }
 
   private ReachabilityMatrix(PMap<String, Row> rows) {
     this.rows = rows;
@@ -31,21 +36,21 @@
     return new ReachabilityMatrix(rows.plus(heartbeat.node(), new Row(heartbeat, now)));
   }
 
-  /** Whether a heartbeat of any node ever arrived. */
+  /** Whether a heartbeat of any node was ever received. */
   public boolean hasReceivedAny() {
     return !rows.isEmpty();
   }
 
-  /** What the node last told, if it ever did. */
+  /** The latest heartbeat of the node; empty if none was received. */
   public Optional<Row> row(String node) {
     return Optional.ofNullable(rows.get(node));
   }
 
-  /** The heartbeats received no longer ago than this. */
-  public List<Mesh.PeerHeartbeat> freshHeartbeats(Duration limit, Duration now) {
+  /** The heartbeats that were received less than this time ago, in no order. */
+  public List<Mesh.PeerHeartbeat> freshHeartbeats(Duration maxAge, Duration now) {
     List<Mesh.PeerHeartbeat> result = new ArrayList<>();
     for (Row row : rows.values()) {
-      if (now.minus(row.receivedAt).compareTo(limit) < 0) {
+      if (row.isFresh(maxAge, now)) {
         result.add(row.heartbeat);
       }
     }
@@ -53,17 +58,17 @@
   }
 
   /**
-   * When the latest reading of the state was sent by any of them, as far as their heartbeats are
-   * fresh; empty if none tells of one.
+   * When any of the nodes sent its latest read of the state store that succeeded, as far as fresh
+   * heartbeats tell; empty if none tells of one.
    */
-  public Optional<Duration> latestStateRead(Duration limit, Duration now) {
-    Duration last = null;
+  public Optional<Duration> latestStateRead(Duration maxAge, Duration now) {
+    Duration latest = null;
     for (Row row : rows.values()) {
-      boolean fresh =
-          now.minus(row.receivedAt).compareTo(limit) < 0 && row.heartbeat.isStateStoreReachable();
-      Duration at = row.receivedAt.minusMillis(row.heartbeat.stateReadAgeMillis());
-      last = fresh && (last == null || at.compareTo(last) > 0) ? at : last;
+      if (row.isFresh(maxAge, now) && row.heartbeat.isStateStoreReachable()) {
+        Duration sentAt = row.receivedAt.minusMillis(row.heartbeat.stateReadAgeMillis());
+        latest = latest == null || sentAt.compareTo(latest) > 0 ? sentAt : latest;
+      }
     }
-    return Optional.ofNullable(last);
+    return Optional.ofNullable(latest);
   }
 }
--- a/src/main/java/io/cherryspool/reachability/ReachabilityTimings.java
+++ b/src/main/java/io/cherryspool/reachability/ReachabilityTimings.java
@@ -3,15 +3,16 @@
 import java.time.Duration;
 
 /**
- * The times that judgements rest on.
+ * The times that judgements rest on. It has eight components, because they are eight settings of
+ * one deployment, which the rules combine in different ways.
  *
- * @param peerHeartbeatInterval how often the nodes send heartbeats
- * @param workerHeartbeatOverdueAfter after so long without a report a worker is late
- * @param workerHeartbeatInterval how often workers report
- * @param taskLeaseExpiry how long after a worker was last kept alive its tasks are surely gone
+ * @param peerHeartbeatInterval how often controllers send heartbeats to one another
+ * @param workerHeartbeatOverdueAfter after so long without a heartbeat a worker is late
+ * @param workerHeartbeatInterval how often workers send heartbeats
+ * @param taskLeaseExpiry how long after a worker's last renewal its tasks have surely ended
  * @param leaderLease the length of a leader's lease while leaders do not change often
- * @param maxLeaderAuthority the longest that a leader may answer workers without the state service
- * @param stateCallTimeout how long a request to the state service may take
+ * @param maxLeaderAuthority the longest that a leader may answer workers without the state store
+ * @param stateCallTimeout how long a request to the state store may take
  * @param flapHalfLife in what time a penalty for flaps halves
  */
 public record ReachabilityTimings(
@@ -24,8 +25,10 @@
     Duration stateCallTimeout,
     Duration flapHalfLife) {
 
-  /** After three heartbeats that did not come a node is not heard. */
+  private static final int MAX_MISSED_PEER_HEARTBEATS = 3;
+
+  /** After this time without a heartbeat another controller counts as unreachable. */
   public Duration peerHeartbeatTimeout() {
-    return peerHeartbeatInterval.multipliedBy(3);
+    return peerHeartbeatInterval.multipliedBy(MAX_MISSED_PEER_HEARTBEATS);
   }
 }
--- a/src/main/java/io/cherryspool/reachability/RedirectedWorkers.java
+++ b/src/main/java/io/cherryspool/reachability/RedirectedWorkers.java
@@ -7,43 +7,46 @@
 import java.util.TreeMap;
 
 /**
- * Counts the workers that come to this node although another leads. Each comes once when it is sent
- * on; one that does not reach the leader comes again and again, since it tries the nodes in turn.
+ * Counts the workers that come to this node although another leads. Each comes once when it is
+ * redirected; one that does not reach the leader comes again and again, since it tries the nodes in
+ * turn. Confined to the event loop.
  */
 public final class RedirectedWorkers {
   /**
-   * A worker waits 4 s for the leader, 1 s before it tries the next node, and half a second more.
+   * For how long a visit counts. A worker waits 4 s for the leader, 1 s before it tries the next
+   * node, and half a second more.
    */
-  private static final Duration ROUND = Duration.ofMillis(6500);
+  private static final Duration VISIT_RETENTION = Duration.ofMillis(6500);
 
-  private final Map<String, Seen> seen = new LinkedHashMap<>();
+  /** The last visit of each machine, the oldest first. */
+  private final Map<String, Visit> visits = new LinkedHashMap<>();
 
-  private record Seen(String zone, Duration at) {}
+  private record Visit(String zone, Duration at) {}
 
-  /** A worker of the zone came, and was sent on. */
+  /** Records that a worker of the zone came, and was redirected. */
   public void recordVisit(String machine, String zone, Duration now) {
-    seen.remove(machine);
-    seen.put(machine, new Seen(zone, now));
-    forget(now);
+    visits.remove(machine);
+    visits.put(machine, new Visit(zone, now));
+    evictExpired(now);
   }
 
   /** How many came lately. */
   public int count(Duration now) {
-    forget(now);
-    return seen.size();
+    evictExpired(now);
+    return visits.size();
   }
 
   /** How many came lately, by zone. */
   public Map<String, Integer> countByZone(Duration now) {
-    forget(now);
+    evictExpired(now);
     Map<String, Integer> result = new TreeMap<>();
-    seen.values().forEach(item -> result.merge(item.zone, 1, Integer::sum));
+    visits.values().forEach(visit -> result.merge(visit.zone, 1, Integer::sum));
     return result;
   }
 
-  private void forget(Duration now) {
-    Iterator<Seen> oldest = seen.values().iterator();
-    while (oldest.hasNext() && now.minus(oldest.next().at).compareTo(ROUND) > 0) {
+  private void evictExpired(Duration now) {
+    Iterator<Visit> oldest = visits.values().iterator();
+    while (oldest.hasNext() && now.minus(oldest.next().at).compareTo(VISIT_RETENTION) > 0) {
       oldest.remove();
     }
   }
--- a/src/main/java/io/cherryspool/reachability/RequestLink.java
+++ b/src/main/java/io/cherryspool/reachability/RequestLink.java
@@ -3,14 +3,16 @@
 import io.cherryspool.http.ObservedTransport;
 import io.cherryspool.mesh.LinkState;
 import java.time.Duration;
+import java.util.Optional;
 
 /**
- * A link that is known by the answers to this node's requests. Requests are ordered by when they
- * were sent, since an answer that was held up for seconds says nothing of the link as it is now.
+ * A link whose state is known by the answers to this node's requests. Requests are ordered by when
+ * they were sent, because an answer that was delayed by seconds tells nothing of the link as it is
+ * now. Confined to the event loop.
  */
 public final class RequestLink implements ObservedTransport.Observer {
   /** A single lost answer is chance. */
-  private static final int CONFIRMING_FAILURES = 2;
+  private static final int MIN_FAILURES_FOR_DOWN = 2;
 
   private final Duration downAfter;
   private final FlapDamper damper;
@@ -19,8 +21,10 @@
   private int failures;
 
   /**
+   * A link that is up.
+   *
    * @param downAfter how long all requests must have failed for the link to be down
-   * @param halfLife of the penalty for flaps
+   * @param halfLife in what time the penalty for flaps halves
    */
   public RequestLink(Duration downAfter, Duration halfLife) {
     this.downAfter = downAfter;
@@ -47,24 +51,24 @@
       failingSince = sent;
     }
     failures++;
-    if (failures == CONFIRMING_FAILURES) {
+    if (failures == MIN_FAILURES_FOR_DOWN) {
       damper.recordFlap(now);
     }
   }
 
-  /** What the requests so far say of the link. */
+  /** What the requests so far tell of the link. */
   public LinkState state(Duration now) {
     if (failingSince == null) {
       return LinkState.UP;
     }
-    boolean confirmed = failures >= CONFIRMING_FAILURES;
-    boolean lasting = now.minus(failingSince).compareTo(downAfter) >= 0;
-    return confirmed && lasting ? LinkState.DOWN : LinkState.SUSPECT;
+    boolean isConfirmed = failures >= MIN_FAILURES_FOR_DOWN;
+    boolean isLasting = now.minus(failingSince).compareTo(downAfter) >= 0;
+    return isConfirmed && isLasting ? LinkState.DOWN : LinkState.SUSPECT;
   }
 
-  /** When the last request that was answered was sent, null before the first. */
-  public Duration lastAnsweredRequestSentAt() {
-    return lastAnsweredRequestSentAt;
+  /** When the latest request that was answered was sent; empty if none was. */
+  Optional<Duration> lastAnsweredRequestSentAt() {
+    return Optional.ofNullable(lastAnsweredRequestSentAt);
   }
 
   /** How often the link failed lately. */
--- a/src/main/java/io/cherryspool/reachability/Verdict.java
+++ b/src/main/java/io/cherryspool/reachability/Verdict.java
@@ -3,7 +3,11 @@
 import java.time.Duration;
 import java.util.Set;
 
-/** What a node does about its links. None of these can break a rule, see docs/partitions.md. */
+/**
+ * What a node does about its links. None of these can break a rule, see docs/partitions.md. Names
+ * and descriptions reach operators through metrics, heartbeats and {@code /links}, and may not
+ * change.
+ */
 public sealed interface Verdict {
   /** Why. */
   Reason reason();
@@ -16,7 +20,7 @@
     return name();
   }
 
-  /** Everything as usual. */
+  /** Everything goes on as usual. */
   record Serve() implements Verdict {
     @Override
     public Reason reason() {
@@ -29,7 +33,7 @@
     }
   }
 
-  /** A node that does not lead passes users' requests on to nodes that can serve them. */
+  /** A node that does not lead forwards users' requests to nodes that can serve them. */
   record ForwardRequests(Reason reason) implements Verdict {
     @Override
     public String name() {
@@ -38,8 +42,8 @@
   }
 
   /**
-   * A leader plans and records nothing, and calls the cloud for nothing, until the state service
-   * answers it again or its term ends.
+   * A leader plans and records nothing, and does not call the cloud, until the state store answers
+   * it again or its term ends.
    */
   record SuspendPlacement(Reason reason) implements Verdict {
     @Override
@@ -49,8 +53,9 @@
   }
 
   /**
-   * The machines of these zones are unheard, not dead: none of them is deleted for its silence
-   * before two leases are over, and their tasks stay theirs until a lease or a deletion frees them.
+   * The machines of these zones are unreachable, not dead: none of them is deleted for its silence
+   * before two leases have expired, and their tasks stay theirs until a lease or a deletion frees
+   * them.
    */
   record SuspendZoneEviction(Set<String> zones, Reason reason) implements Verdict {
     @Override
@@ -65,8 +70,8 @@
   }
 
   /**
-   * Machines of several zones are unheard, which is rather this leader's fault than theirs: as for
-   * {@link SuspendZoneEviction}, in all zones, and nothing is rented or returned meanwhile.
+   * Machines of several zones are unreachable, which is rather this leader's fault than theirs: as
+   * for {@link SuspendZoneEviction}, in all zones, and nothing is scaled out or in meanwhile.
    */
   record SuspendFleetChanges(Reason reason) implements Verdict {
     @Override
@@ -78,7 +83,7 @@
   /**
    * A leader ends its term in favour of another node.
    *
-   * @param successor the node, {@link #ANY_NODE} if it is not known which
+   * @param successor the name of that node, {@link #ANY_NODE} if it is not known which
    */
   record HandOverLeadership(String successor, Reason reason) implements Verdict {
     /** No node's name. */
@@ -95,7 +100,7 @@
     }
   }
 
-  /** A node stands for leader only after this time, so that others go first. */
+  /** A candidate stands only after this delay, so that others go first. */
   record DelayCandidacy(Duration delay, Reason reason) implements Verdict {
     @Override
     public String name() {
--- a/src/main/java/io/cherryspool/reachability/ZoneLinks.java
+++ b/src/main/java/io/cherryspool/reachability/ZoneLinks.java
@@ -10,51 +10,59 @@
 
 /**
  * A leader's links to the workers of each zone. A zone in which a third of the machines that the
- * cloud still lists fell silent or deaf at once is rather cut off than dead, and so is this node
- * where its reports come late: the machines may be running their tasks well. Of a zone that is cut
- * more than half are late when the first of them have been silent for two reports; machines that
- * die or hang together are a smaller part of it.
+ * cloud still lists became unreachable at once is rather cut off than dead, and so is this node
+ * where its workers' heartbeats are late: the machines may be running their tasks well. Of a zone
+ * that is cut off more than half are late when the first of them have been silent for two
+ * heartbeats; machines that die or hang together are a smaller part of it. Confined to the event
+ * loop.
  */
 final class ZoneLinks {
   /** One machine may be dead. */
-  private static final int LEAST = 2;
+  private static final int MIN_UNREACHABLE_MACHINES = 2;
 
-  /** More than one part in so many unheard: the zone is cut off. */
-  private static final int DOWN_PART = 3;
+  /** With more than one machine of so many unreachable, the zone is. */
+  private static final int DOWN_FRACTION = 3;
 
-  /** While more than one part in so many is unheard, a zone that was cut off still is. */
-  private static final int UP_PART = 6;
+  /** While more than one machine of so many is unreachable, a zone that was down still is. */
+  private static final int UP_FRACTION = 6;
 
   private final Duration halfLife;
   private final Map<String, ZoneLink> links = new HashMap<>();
   private Duration fleetUnreachableSince;
 
   private static final class ZoneLink {
-    private LinkState state = LinkState.UP;
     private final FlapDamper damper;
+    private LinkState state = LinkState.UP;
 
     ZoneLink(Duration halfLife) {
       damper = new FlapDamper(halfLife);
     }
+
+    void observe(FleetReachability.Zone zone, Duration now) {
+      LinkState next = nextState(state, zone);
+      if (next == LinkState.DOWN && state != LinkState.DOWN) {
+        damper.recordFlap(now);
+      }
+      state = next;
+    }
   }
 
+  /**
+   * Links of a leader that has observed nothing yet.
+   *
+   * @param halfLife in what time the penalty for flaps of a zone halves
+   */
   ZoneLinks(Duration halfLife) {
     this.halfLife = halfLife;
   }
 
-  /** Takes in how the machines are heard now. */
+  /** Takes in how well the machines are reached now. */
   void observe(FleetReachability fleet, Duration now) {
-    fleet
-        .zones()
-        .forEach(
-            (name, zone) -> {
-              ZoneLink link = links.computeIfAbsent(name, key -> new ZoneLink(halfLife));
-              LinkState next = next(link.state, zone);
-              if (next == LinkState.DOWN && link.state != LinkState.DOWN) {
-                link.damper.recordFlap(now);
-              }
-              link.state = next;
-            });
+    for (Map.Entry<String, FleetReachability.Zone> item : fleet.zones().entrySet()) {
+      links
+          .computeIfAbsent(item.getKey(), name -> new ZoneLink(halfLife))
+          .observe(item.getValue(), now);
+    }
     links.keySet().retainAll(fleet.zones().keySet());
     if (!isFleetUnreachable(fleet)) {
       fleetUnreachableSince = null;
@@ -63,58 +71,62 @@
     }
   }
 
-  /** Whether much of the fleet is unheard, and not in one zone alone. */
+  /** Whether much of the fleet is unreachable, and not in one zone alone. */
   private static boolean isFleetUnreachable(FleetReachability fleet) {
     int listed = 0;
-    int unheard = 0;
-    int affected = 0;
+    int unreachable = 0;
+    int affectedZones = 0;
     for (FleetReachability.Zone zone : fleet.zones().values()) {
       listed += zone.listed();
-      unheard += zone.unreachable();
-      affected += zone.unreachable() * UP_PART > zone.listed() ? 1 : 0;
+      unreachable += zone.unreachable();
+      affectedZones += zone.unreachable() * UP_FRACTION > zone.listed() ? 1 : 0;
     }
-    return affected > 1 && unheard >= LEAST && unheard * DOWN_PART > listed;
+    return affectedZones > 1
+        && unreachable >= MIN_UNREACHABLE_MACHINES
+        && unreachable * DOWN_FRACTION > listed;
   }
 
-  /** For how long much of the fleet, in several zones, has been unheard; empty if it is heard. */
+  /** For how long much of the fleet, in several zones, has been unreachable; empty if it is not. */
   Optional<Duration> fleetUnreachableFor(Duration now) {
     return Optional.ofNullable(fleetUnreachableSince).map(now::minus);
   }
 
-  private static LinkState next(LinkState before, FleetReachability.Zone zone) {
-    boolean many = zone.unreachable() >= LEAST;
-    if (many && zone.unreachable() * DOWN_PART > zone.listed()) {
+  private static LinkState nextState(LinkState before, FleetReachability.Zone zone) {
+    if (zone.unreachable() < MIN_UNREACHABLE_MACHINES) {
+      return LinkState.UP;
+    }
+    if (zone.unreachable() * DOWN_FRACTION > zone.listed()) {
       return LinkState.DOWN;
     }
-    if (many && zone.unreachable() * UP_PART > zone.listed()) {
+    if (zone.unreachable() * UP_FRACTION > zone.listed()) {
       return before == LinkState.DOWN ? LinkState.DOWN : LinkState.SUSPECT;
     }
     return LinkState.UP;
   }
 
+  /** The link to the workers of a zone; up for a zone without machines. */
   LinkState state(String zone) {
     ZoneLink link = links.get(zone);
     return link == null ? LinkState.UP : link.state;
   }
 
-  /** The zones that nobody hears, as far as this node can tell. */
+  /** The zones that are unreachable, as far as this node can tell, in the order of names. */
   Set<String> unreachableZones() {
     Set<String> result = new TreeSet<>();
-    links.forEach(
-        (name, link) -> {
-          if (link.state == LinkState.DOWN) {
-            result.add(name);
-          }
-        });
+    for (Map.Entry<String, ZoneLink> item : links.entrySet()) {
+      if (item.getValue().state == LinkState.DOWN) {
+        result.add(item.getKey());
+      }
+    }
     return result;
   }
 
-  /** How often zones were lost. */
+  /** How often the present zones became unreachable in this term. */
   long flapCount() {
     return links.values().stream().mapToLong(link -> link.damper.flapCount()).sum();
   }
 
-  /** Forgets all; a new term hears its machines anew. */
+  /** Drops all links, because a new term observes its machines anew. */
   void clear() {
     links.clear();
     fleetUnreachableSince = null;
--- a/src/test/java/io/cherryspool/reachability/FlapDamperTest.java
+++ b/src/test/java/io/cherryspool/reachability/FlapDamperTest.java
@@ -7,6 +7,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
+/** How the penalty of a link grows and decays. */
 class FlapDamperTest {
   private final FlapDamper damper = new FlapDamper(Duration.ofSeconds(60));
 
--- a/src/test/java/io/cherryspool/reachability/LeaseLengthTest.java
+++ b/src/test/java/io/cherryspool/reachability/LeaseLengthTest.java
@@ -5,6 +5,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
+/** How the length of a lease follows the penalty. */
 class LeaseLengthTest {
   private static final Duration SHORTEST = Duration.ofSeconds(4);
   private static final Duration LONGEST = Duration.ofSeconds(14);
--- a/src/test/java/io/cherryspool/reachability/MachineEvictionRuleTest.java
+++ b/src/test/java/io/cherryspool/reachability/MachineEvictionRuleTest.java
@@ -6,60 +6,73 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Reports come every 4 s, and a task is surely gone after 22 s. */
+/** Heartbeats come every 4 s, and the leases of tasks have surely expired after 22 s. */
 class MachineEvictionRuleTest {
-  private static final Duration LONG = Duration.ofSeconds(100);
-  private static final Optional<Duration> HEEDS = Optional.empty();
+  private static final Duration STEADY_FOR = Duration.ofSeconds(100);
+  private static final Optional<Duration> RECEIVING = Optional.empty();
 
   private final MachineEvictionRule rule = new MachineEvictionRule(ReachabilityFixture.TIMINGS);
 
   private Optional<MachineEvictionRule.Fault> judge(
-      int silent, Optional<Duration> deaf, boolean owns, boolean mute, boolean held) {
+      int silentSeconds,
+      Optional<Duration> notReceivingFor,
+      boolean ownsTasks,
+      boolean isUnresponsive,
+      boolean isZoneEvictionSuspended) {
     return rule.judge(
-        new MachineEvictionRule.Observation(Duration.ofSeconds(silent), deaf, owns, mute, held),
-        LONG);
+        new MachineEvictionRule.Observation(
+            Duration.ofSeconds(silentSeconds),
+            notReceivingFor,
+            ownsTasks,
+            isUnresponsive,
+            isZoneEvictionSuspended),
+        STEADY_FOR);
   }
 
   @Test
-  void aSilentMachineIsGivenUpAfterThreeReports() {
-    assertEquals(Optional.empty(), judge(14, HEEDS, true, false, false));
+  void aSilentMachineIsGivenUpAfterThreeHeartbeats() {
+    assertEquals(Optional.empty(), judge(14, RECEIVING, true, false, false));
     assertEquals(
-        Optional.of(MachineEvictionRule.Fault.SILENT), judge(15, HEEDS, true, false, false));
+        Optional.of(MachineEvictionRule.Fault.SILENT), judge(15, RECEIVING, true, false, false));
   }
 
   @Test
-  void oneThatOwnsTasksAndAnswersNoCallAfterTwo() {
-    assertEquals(Optional.empty(), judge(8, HEEDS, true, true, false));
-    assertEquals(Optional.of(MachineEvictionRule.Fault.SILENT), judge(9, HEEDS, true, true, false));
-    assertEquals(Optional.empty(), judge(9, HEEDS, false, true, false));
+  void oneThatOwnsTasksAndAnswersNoCallIsGivenUpAfterTwoHeartbeats() {
+    assertEquals(Optional.empty(), judge(8, RECEIVING, true, true, false));
+    assertEquals(
+        Optional.of(MachineEvictionRule.Fault.SILENT), judge(9, RECEIVING, true, true, false));
+    assertEquals(Optional.empty(), judge(9, RECEIVING, false, true, false));
   }
 
   @Test
-  void inAZoneThatIsHeldOnlyAfterTwoLeases() {
-    assertEquals(Optional.empty(), judge(44, HEEDS, true, true, true));
-    assertEquals(Optional.of(MachineEvictionRule.Fault.SILENT), judge(45, HEEDS, true, true, true));
+  void inAnUnreachableZoneAMachineIsGivenUpOnlyAfterTwoLeases() {
+    assertEquals(Optional.empty(), judge(44, RECEIVING, true, true, true));
+    assertEquals(
+        Optional.of(MachineEvictionRule.Fault.SILENT), judge(45, RECEIVING, true, true, true));
     assertEquals(
         Optional.empty(), judge(1, Optional.of(Duration.ofSeconds(44)), true, false, true));
   }
 
   @Test
-  void aDeafMachineIsGivenUpOnceItsTasksAreOver() {
-    Optional<Duration> deaf = Optional.of(Duration.ofSeconds(21));
-    assertEquals(Optional.empty(), judge(1, deaf, true, false, false));
+  void aMachineThatReceivesNothingIsGivenUpOnceItsTasksHaveEnded() {
+    Optional<Duration> notReceivingFor = Optional.of(Duration.ofSeconds(21));
+    assertEquals(Optional.empty(), judge(1, notReceivingFor, true, false, false));
     assertEquals(
-        Optional.of(MachineEvictionRule.Fault.NOT_RECEIVING), judge(1, deaf, false, false, false));
-    deaf = Optional.of(Duration.ofSeconds(23));
+        Optional.of(MachineEvictionRule.Fault.NOT_RECEIVING),
+        judge(1, notReceivingFor, false, false, false));
+    notReceivingFor = Optional.of(Duration.ofSeconds(23));
     assertEquals(
-        Optional.of(MachineEvictionRule.Fault.NOT_RECEIVING), judge(1, deaf, true, false, false));
+        Optional.of(MachineEvictionRule.Fault.NOT_RECEIVING),
+        judge(1, notReceivingFor, true, false, false));
   }
 
   /** What was sent while this node stood still waits in its sockets. */
   @Test
-  void anObserverThatStoodStillGivesNobodyUp() {
-    MachineEvictionRule.Observation signs =
-        new MachineEvictionRule.Observation(Duration.ofSeconds(30), HEEDS, true, true, false);
-    assertEquals(Optional.empty(), rule.judge(signs, Duration.ofSeconds(7)));
+  void anObserverThatStoodStillGivesUpNoMachine() {
+    MachineEvictionRule.Observation machine =
+        new MachineEvictionRule.Observation(Duration.ofSeconds(30), RECEIVING, true, true, false);
+    assertEquals(Optional.empty(), rule.judge(machine, Duration.ofSeconds(7)));
     assertEquals(
-        Optional.of(MachineEvictionRule.Fault.SILENT), rule.judge(signs, Duration.ofSeconds(9)));
+        Optional.of(MachineEvictionRule.Fault.SILENT), rule.judge(machine, Duration.ofSeconds(9)));
   }
 }
--- a/src/test/java/io/cherryspool/reachability/ReachabilityFixture.java
+++ b/src/test/java/io/cherryspool/reachability/ReachabilityFixture.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A node's links with the times of a large deployment. */
+/** A node's links with the times of a large deployment, and fleets that it may observe. */
 public final class ReachabilityFixture {
-  static final Duration HEARTBEAT = Duration.ofMillis(500);
+  static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(500);
 
   static final ReachabilityTimings TIMINGS =
       new ReachabilityTimings(
-          HEARTBEAT,
+          HEARTBEAT_INTERVAL,
           Duration.ofMillis(5250),
           Duration.ofSeconds(4),
           Duration.ofSeconds(22),
@@ -20,8 +20,20 @@
 
   private ReachabilityFixture() {}
 
-  /** A node whose links nothing was heard of. */
+  /** The links of a node that has observed nothing yet. */
   public static Reachability reachability(String node, List<String> peers) {
     return new Reachability(node, peers, TIMINGS, true, new PartitionRule(TIMINGS));
   }
+
+  /** Zones of ten listed machines each, of which so many are silent. */
+  static FleetReachability fleet(int... silentOfTen) {
+    FleetReachability.Builder machines = new FleetReachability.Builder();
+    for (int zone = 0; zone < silentOfTen.length; zone++) {
+      for (int i = 0; i < 10; i++) {
+        ContactState contact = i < silentOfTen[zone] ? ContactState.SILENT : ContactState.REACHABLE;
+        machines.addMachine("zone-" + zone, true, contact);
+      }
+    }
+    return machines.build();
+  }
 }
--- /dev/null
+++ b/src/test/java/io/cherryspool/reachability/RedirectedWorkersTest.java
@@ -0,0 +1,22 @@
+package io.cherryspool.reachability;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.time.Duration;
+import org.junit.jupiter.api.Test;
+
+/** Which of the workers that were redirected still count. */
+class RedirectedWorkersTest {
+  private static final Duration START = Duration.ofSeconds(100);
+
+  @Test
+  void aWorkerCountsWhileItKeepsComing() {
+    RedirectedWorkers redirectedWorkers = new RedirectedWorkers();
+    redirectedWorkers.recordVisit("host-1", "z", START);
+    redirectedWorkers.recordVisit("host-2", "z", START.plusSeconds(5));
+    redirectedWorkers.recordVisit("host-1", "z", START.plusSeconds(6));
+    assertEquals(2, redirectedWorkers.count(START.plusSeconds(6)));
+    assertEquals(1, redirectedWorkers.count(START.plusSeconds(12)));
+    assertEquals(0, redirectedWorkers.count(START.plusSeconds(60)));
+  }
+}
--- a/src/test/java/io/cherryspool/reachability/RequestLinkTest.java
+++ b/src/test/java/io/cherryspool/reachability/RequestLinkTest.java
@@ -4,8 +4,10 @@
 
 import io.cherryspool.mesh.LinkState;
 import java.time.Duration;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
+/** What answers and failures of requests say of a link. */
 class RequestLinkTest {
   private final RequestLink link = new RequestLink(Duration.ofSeconds(1), Duration.ofSeconds(60));
 
@@ -24,7 +26,7 @@
   }
 
   @Test
-  void failuresThatLastAreTold() {
+  void failuresThatLastTakeTheLinkDown() {
     link.answered(at(1));
     link.failed(at(2), at(2.1));
     link.failed(at(2.3), at(2.4));
@@ -39,17 +41,17 @@
 
   /** A cut may hold answers for seconds, and lets them go in the middle of the next one. */
   @Test
-  void anAnswerToWhatWasSentBeforeTheFailureSaysNothing() {
+  void anAnswerToARequestSentBeforeTheFailureChangesNothing() {
     link.failed(at(2), at(2.1));
     link.failed(at(2.3), at(2.4));
     link.answered(at(1));
     assertEquals(LinkState.DOWN, link.state(at(4)));
-    assertEquals(at(1), link.lastAnsweredRequestSentAt());
+    assertEquals(Optional.of(at(1)), link.lastAnsweredRequestSentAt());
   }
 
   /** Deadlines run out in another order than answers come. */
   @Test
-  void aLateWordOfAnOldFailureSaysNothingAfterANewerAnswer() {
+  void aLateFailureOfAnOldRequestChangesNothingAfterANewerAnswer() {
     link.answered(at(5));
     link.failed(at(4), at(6));
     link.failed(at(4.5), at(6));
