--- a/src/main/java/io/cherryspool/reachability/NodeView.java
+++ b/src/main/java/io/cherryspool/reachability/NodeView.java
@@ -6,36 +6,22 @@
 import java.util.Set;
 
 /**
- * All that a verdict rests on. Immutable. It has twelve components, because a rule may combine any
- * of them, and none belongs to another.
+ * All that a verdict rests on. Immutable.
  *
- * @param role what the node is to the cluster
- * @param node its name
+ * @param node the node's name
  * @param now the time of the judgement, by the node's monotonic clock
- * @param stateLink the link to the state store
- * @param isStateLinkFlapping whether that link fails again and again
- * @param steadyFor for how long this node has led, been able to answer, and kept up
+ * @param leadership what the node is to the cluster
+ * @param stateLink its link to the state store
  * @param fleet how well it reaches its machines
- * @param unreachableZones the zones that it takes for unreachable
- * @param fleetUnreachableFor for how long many machines of several zones have been unreachable;
- *     empty while they are not
- * @param matrix what the other nodes' heartbeats tell
- * @param leadershipPenalty how often leaders of the cluster changed lately, see {@link FlapDamper}
- * @param handover to whom the last leader handed leadership over, if it did
+ * @param matrix what the other nodes' heartbeats say
  */
 public record NodeView(
-    Role role,
     String node,
     Duration now,
-    LinkState stateLink,
-    boolean isStateLinkFlapping,
-    Duration steadyFor,
-    FleetReachability fleet,
-    Set<String> unreachableZones,
-    Optional<Duration> fleetUnreachableFor,
-    ReachabilityMatrix matrix,
-    double leadershipPenalty,
-    Optional<Handover> handover) {
+    Leadership leadership,
+    StateLink stateLink,
+    Fleet fleet,
+    ReachabilityMatrix matrix) {
 
   /** What the node is to the cluster now. */
   public enum Role {
@@ -47,6 +33,16 @@
     CANDIDATE
   }
 
+  /**
+   * The node's role, and how leadership changed before.
+   *
+   * @param steadyFor for how long this node has led, been able to answer, and kept up
+   * @param penalty how often leaders of the cluster changed lately, see {@link FlapDamper}
+   * @param handover to whom the last leader handed leadership over, if it did
+   */
+  public record Leadership(
+      Role role, Duration steadyFor, double penalty, Optional<Handover> handover) {}
+
   /**
    * A leader handed leadership over.
    *
@@ -54,4 +50,23 @@
    * @param formerLeader who it was
    */
   public record Handover(String successor, String formerLeader) {}
+
+  /**
+   * The link to the state store.
+   *
+   * @param isFlapping whether it fails again and again
+   */
+  public record StateLink(LinkState state, boolean isFlapping) {}
+
+  /**
+   * The machines of a leader; none for any other node.
+   *
+   * @param unreachableZones the zones that the node takes for unreachable
+   * @param unreachableFor for how long many machines of several zones have been unreachable; empty
+   *     while they are not
+   */
+  public record Fleet(
+      FleetReachability machines,
+      Set<String> unreachableZones,
+      Optional<Duration> unreachableFor) {}
 }
--- a/src/main/java/io/cherryspool/reachability/PartitionRule.java
+++ b/src/main/java/io/cherryspool/reachability/PartitionRule.java
@@ -44,7 +44,7 @@
 
   @Override
   public Verdict judge(NodeView view) {
-    return switch (view.role()) {
+    return switch (view.leadership().role()) {
       case LEADER -> judgeLeader(view);
       case CANDIDATE -> judgeCandidate(view);
       case FOLLOWER -> judgeFollower(view);
@@ -52,7 +52,7 @@
   }
 
   private static Verdict judgeFollower(NodeView view) {
-    return view.stateLink() == LinkState.DOWN
+    return view.stateLink().state() == LinkState.DOWN
         ? new Verdict.ForwardRequests(Reason.STATE_UNREACHABLE)
         : new Verdict.Serve();
   }
@@ -64,14 +64,15 @@
         return handover.get();
       }
     }
-    if (view.stateLink() == LinkState.DOWN) {
+    if (view.stateLink().state() == LinkState.DOWN) {
       return new Verdict.SuspendPlacement(Reason.STATE_UNREACHABLE);
     }
     if (mayMachinesStillOwnTasks(view)) {
       return new Verdict.SuspendFleetChanges(Reason.FLEET_UNREACHABLE);
     }
-    if (!view.unreachableZones().isEmpty()) {
-      return new Verdict.SuspendZoneEviction(view.unreachableZones(), Reason.ZONES_UNREACHABLE);
+    if (!view.fleet().unreachableZones().isEmpty()) {
+      return new Verdict.SuspendZoneEviction(
+          view.fleet().unreachableZones(), Reason.ZONES_UNREACHABLE);
     }
     return new Verdict.Serve();
   }
@@ -81,7 +82,7 @@
    * it ran is free for other machines, so that the fleet may have to grow.
    */
   private boolean mayMachinesStillOwnTasks(NodeView view) {
-    Optional<Duration> unreachableFor = view.fleetUnreachableFor();
+    Optional<Duration> unreachableFor = view.fleet().unreachableFor();
     return unreachableFor.isPresent()
         && unreachableFor.get().compareTo(timings.taskLeaseExpiry()) < 0;
   }
@@ -97,17 +98,17 @@
    * workers do not reach has little to do.
    */
   private boolean isHandoverWorthwhile(NodeView view) {
-    int missing = view.fleet().missing();
+    int missing = view.fleet().machines().missing();
     if (missing < MIN_MISSING_MACHINES || !isSteady(view)) {
       return false;
     }
-    int cost = view.leadershipPenalty() < RECENT_CHANGES_PENALTY ? 1 : COST_GROWTH;
-    return missing * MISSING_FRACTION >= view.fleet().known() * cost;
+    int cost = view.leadership().penalty() < RECENT_CHANGES_PENALTY ? 1 : COST_GROWTH;
+    return missing * MISSING_FRACTION >= view.fleet().machines().known() * cost;
   }
 
   private boolean isSteady(NodeView view) {
     Duration required = Durations.multiply(timings.workerHeartbeatOverdueAfter(), 2);
-    return view.steadyFor().compareTo(required) >= 0;
+    return view.leadership().steadyFor().compareTo(required) >= 0;
   }
 
   /** The handover to the node to which most of the missing workers come; empty if to none. */
@@ -122,7 +123,8 @@
    * them, any other node is the better guess.
    */
   private static Optional<Verdict> handOverWithoutPeers(NodeView view) {
-    boolean isHalfMissing = view.fleet().missing() * 2 >= view.fleet().known();
+    boolean isHalfMissing =
+        view.fleet().machines().missing() * 2 >= view.fleet().machines().known();
     return isHalfMissing && view.matrix().hasReceivedAny()
         ? Optional.of(
             new Verdict.HandOverLeadership(
@@ -141,7 +143,7 @@
         }
       }
     }
-    return successor != null && redirectedWorkers * 2 >= view.fleet().missing()
+    return successor != null && redirectedWorkers * 2 >= view.fleet().machines().missing()
         ? Optional.of(
             new Verdict.HandOverLeadership(successor.node(), Reason.WORKERS_REACH_OTHER_NODES))
         : Optional.empty();
@@ -157,14 +159,14 @@
    */
   private Verdict judgeCandidate(NodeView view) {
     Duration lease = timings.leaderLease();
-    NodeView.Handover handover = view.handover().orElse(null);
+    NodeView.Handover handover = view.leadership().handover().orElse(null);
     if (handover != null && handover.successor().equals(view.node())) {
       return new Verdict.Serve();
     }
     if (handover != null && handover.formerLeader().equals(view.node())) {
       return new Verdict.DelayCandidacy(lease, Reason.HANDED_OVER_LAST);
     }
-    if (view.isStateLinkFlapping()) {
+    if (view.stateLink().isFlapping()) {
       return new Verdict.DelayCandidacy(
           Durations.divide(lease, FLAPPING_DELAY_DIVISOR), Reason.STATE_LINK_FLAPS);
     }
--- a/src/main/java/io/cherryspool/reachability/Reachability.java
+++ b/src/main/java/io/cherryspool/reachability/Reachability.java
@@ -144,8 +144,8 @@
   /** Whether the machines of this zone are unreachable rather than dead. */
   public boolean isZoneEvictionSuspended(String zone) {
     return verdict instanceof Verdict.SuspendFleetChanges
-        || verdict instanceof Verdict.SuspendZoneEviction suspended
-            && suspended.zones().contains(zone);
+        || (verdict instanceof Verdict.SuspendZoneEviction suspended
+            && suspended.zones().contains(zone));
   }
 
   /** Whether a leader may scale out, and scale in idle machines. */
@@ -202,19 +202,14 @@
   }
 
   private NodeView view(NodeView.Role role, Duration now, Optional<NodeView.Handover> handover) {
+    double penalty = isDampingEnabled ? leadershipPenalty(now) : 0;
     return new NodeView(
-        role,
         node,
         now,
-        stateLink.state(now),
-        isStateLinkFlapping(now),
-        leaderHealth.steadyFor(now),
-        fleet,
-        zones.unreachableZones(),
-        zones.fleetUnreachableFor(now),
-        matrix,
-        isDampingEnabled ? leadershipPenalty(now) : 0,
-        handover);
+        new NodeView.Leadership(role, leaderHealth.steadyFor(now), penalty, handover),
+        new NodeView.StateLink(stateLink.state(now), isStateLinkFlapping(now)),
+        new NodeView.Fleet(fleet, zones.unreachableZones(), zones.fleetUnreachableFor(now)),
+        matrix);
   }
 
   /**
