--- a/src/main/java/io/cherryspool/recovery/Contributions.java
+++ b/src/main/java/io/cherryspool/recovery/Contributions.java
@@ -8,7 +8,7 @@
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
 import io.cherryspool.store.RecordsSnapshot;
-import io.cherryspool.store.StateStoreClient;
+import io.cherryspool.store.RecordsSnapshot.JobSnapshot;
 import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -19,144 +19,149 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What this node has told users and others may not know: its last writes, which it adds to a
- * rebuild of another node, or to the rebuilt records if it could not take part.
+ * What this node has acknowledged to users and others may not know: its last writes. It adds them
+ * to a rebuild of another node, or to the rebuilt records if it could not take part. Confined to
+ * the event loop.
  */
 final class Contributions {
   private static final Logger LOG = LoggerFactory.getLogger(Contributions.class);
-  private static final Duration RETRY = Duration.ofMillis(250);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
   private final EventLoop loop;
-  private final StateStoreClient client;
-  private final RateLimiter rateLimiter;
+  private final RecoveryStore store;
   private final ClusterRecords replica;
   private final RecoveryTimings timings;
   private final RecentWrites recentWrites = new RecentWrites();
   private long contributedRebuild;
-  private boolean contributing;
+  private boolean isContributing;
 
   Contributions(
-      EventLoop loop,
-      StateStoreClient client,
-      RateLimiter rateLimiter,
-      ClusterRecords replica,
-      RecoveryTimings timings) {
+      EventLoop loop, RecoveryStore store, ClusterRecords replica, RecoveryTimings timings) {
     this.loop = loop;
-    this.client = client;
-    this.rateLimiter = rateLimiter;
+    this.store = store;
     this.replica = replica;
     this.timings = timings;
   }
 
-  /** A transaction of this node was applied, so that its users are told. */
+  /** Keeps a transaction of this node that was applied, so that its users are answered. */
   void recordApplied(List<StateStoreProtocol.Change> changes, long revision) {
     recentWrites.removeUpTo(replica.revision());
     recentWrites.add(changes, revision);
   }
 
-  /** The jobs and ends that the copy does not hold yet. */
+  /** The jobs and outcomes that the replica does not hold yet. */
   List<StateStoreProtocol.Change> recentWrites() {
     return recentWrites.all();
   }
 
-  /** The number of the last rebuild that this node has added to. */
+  /** The incarnation number of the last rebuild that this node has added to; 0 before the first. */
   long contributedRebuild() {
     return contributedRebuild;
   }
 
   /**
-   * Writes what this node has told users and the rebuilt records do not have, which happens where
-   * it could not take part in the rebuild.
+   * Writes what this node has acknowledged to users and the rebuilt records lack, which happens
+   * where it could not take part in the rebuild.
    *
+   * @param retained what this node retained while it did not serve
+   * @param isServing whether the records may still be relied on; if not, writing ends
    * @return how many records it adds
    */
-  int addMissingRecords(RecordsSnapshot memory, BooleanSupplier serving) {
-    RecordsSnapshot known = memory;
+  int addMissingRecords(RecordsSnapshot retained, BooleanSupplier isServing) {
+    RecordsSnapshot known = retained;
     for (StateStoreProtocol.Change change : recentWrites.all()) {
       known = OrphanedRecords.withCommitted(known, change);
     }
     recentWrites.clear();
     List<StateStoreProtocol.Change> changes = new ArrayList<>();
-    known
-        .jobs()
-        .forEach(
-            (id, job) -> {
-              JobRecord entry = replica.job(id);
-              if (entry == null) {
-                changes.add(
-                    new StateStoreProtocol.Change(
-                        Records.jobKey(id), Records.encodeJob(job.job(), job.tasksPerShard()), 0));
-              }
-              if (job.outcome() != null && (entry == null || entry.outcome() == null)) {
-                changes.add(
-                    new StateStoreProtocol.Change(
-                        Records.outcomeKey(id), Records.encodeOutcome(job.outcome()), 0));
-              }
-            });
+    for (Map.Entry<String, JobSnapshot> item : known.jobs().entrySet()) {
+      addIfMissing(item.getKey(), item.getValue(), changes);
+    }
     if (!changes.isEmpty()) {
-      LOG.warn("adding {} records that the rebuild did not know", changes.size());
-      changes.forEach(change -> addMissingRecords(change, serving));
+      LOG.warn("adding records that the rebuild lacks: records={}", changes.size());
+      changes.forEach(change -> addMissingRecord(change, isServing));
     }
     return changes.size();
   }
 
-  private void addMissingRecords(StateStoreProtocol.Change change, BooleanSupplier serving) {
-    if (!serving.getAsBoolean()) {
+  private void addIfMissing(String id, JobSnapshot job, List<StateStoreProtocol.Change> changes) {
+    JobRecord served = replica.job(id);
+    if (served == null) {
+      changes.add(
+          new StateStoreProtocol.Change(
+              Records.jobKey(id), Records.encodeJob(job.job(), job.tasksPerShard()), 0));
+    }
+    if (job.outcome() != null && (served == null || served.outcome() == null)) {
+      changes.add(
+          new StateStoreProtocol.Change(
+              Records.outcomeKey(id), Records.encodeOutcome(job.outcome()), 0));
+    }
+  }
+
+  private void addMissingRecord(StateStoreProtocol.Change change, BooleanSupplier isServing) {
+    if (!isServing.getAsBoolean()) {
       return;
     }
-    if (!rateLimiter.tryAcquireWrites(RateLimiter.WriteClass.SUBMIT, 1)) {
-      loop.schedule(RETRY, () -> addMissingRecords(change, serving));
+    if (!store.rateLimiter().tryAcquireWrites(RateLimiter.WriteClass.SUBMIT, 1)) {
+      loop.schedule(RETRY_DELAY, () -> addMissingRecord(change, isServing));
       return;
     }
-    client
+    store
+        .client()
         .commit(Map.of(change.key(), 0L), List.of(change))
         .whenComplete(
             (result, failure) -> {
               if (failure != null) {
-                loop.schedule(RETRY, () -> addMissingRecords(change, serving));
+                loop.schedule(RETRY_DELAY, () -> addMissingRecord(change, isServing));
               }
             });
   }
 
-  /** Adds what this node told users last to the rebuild that another one has begun. */
-  void contribute(Incarnation record, long version) {
-    if (contributedRebuild == record.number() || contributing) {
+  /**
+   * Adds what this node acknowledged last to the rebuild that another node has begun, once for each
+   * rebuild. After a failure nothing happens until the next call.
+   */
+  void contribute(Incarnation rebuild, long rebuildVersion) {
+    if (contributedRebuild == rebuild.number() || isContributing) {
       return;
     }
     List<StateStoreProtocol.Change> known = new ArrayList<>(recentWrites.all());
-    Incarnation remembered = client.keySpace().incarnation();
-    if (remembered != null && remembered.number() == record.origin().incarnationNumber()) {
-      known.addAll(replica.immutableRecordsSince(record.origin().revision()));
+    if (holdsOriginOf(rebuild)) {
+      known.addAll(replica.immutableRecordsSince(rebuild.origin().revision()));
+    }
+    if (known.isEmpty()) {
+      contributedRebuild = rebuild.number();
+      return;
     }
     List<StateStoreProtocol.Change> changes = new ArrayList<>();
     for (StateStoreProtocol.Change change : known) {
       changes.add(
-          new StateStoreProtocol.Change(record.toPhysical(change.key()), change.value(), 0));
+          new StateStoreProtocol.Change(rebuild.toPhysical(change.key()), change.value(), 0));
     }
-    if (changes.isEmpty()) {
-      contributedRebuild = record.number();
-      return;
-    }
-    contributing = true;
-    addContributions(record, version, changes);
+    isContributing = true;
+    writeContributions(rebuild, rebuildVersion, changes);
+  }
+
+  /** Whether the replica holds records of the incarnation that the rebuild started from. */
+  private boolean holdsOriginOf(Incarnation rebuild) {
+    long origin = rebuild.origin().incarnationNumber();
+    return store.loadedIncarnation().filter(loaded -> loaded.number() == origin).isPresent();
   }
 
-  private void addContributions(
-      Incarnation record, long version, List<StateStoreProtocol.Change> changes) {
+  private void writeContributions(
+      Incarnation rebuild, long rebuildVersion, List<StateStoreProtocol.Change> changes) {
     int count = Math.min(changes.size(), timings.maxTransactionChanges() / 2);
-    List<StateStoreProtocol.Change> batch = changes.subList(0, count);
-    rateLimiter.forceAcquire(count);
-    client
-        .commitPhysical(Map.of(Incarnation.KEY, version), batch)
+    store
+        .commit(rebuildVersion, changes.subList(0, count))
         .whenComplete(
             (result, failure) -> {
               if (failure != null || !result.applied()) {
-                contributing = false;
+                isContributing = false;
               } else if (count < changes.size()) {
-                addContributions(record, version, changes.subList(count, changes.size()));
+                writeContributions(rebuild, rebuildVersion, changes.subList(count, changes.size()));
               } else {
-                contributing = false;
-                contributedRebuild = record.number();
+                isContributing = false;
+                contributedRebuild = rebuild.number();
               }
             });
   }
--- a/src/main/java/io/cherryspool/recovery/DirectorySnapshotStore.java
+++ b/src/main/java/io/cherryspool/recovery/DirectorySnapshotStore.java
@@ -13,17 +13,20 @@
 import java.util.List;
 
 /**
- * Snapshots as files of one directory. A file is written beside, forced to the disk and renamed, so
- * that a name never stands for half a file, and the directory is forced as well.
+ * Snapshots as files of one directory. A file is written under another name, forced to the disk and
+ * renamed, so that a snapshot's name never stands for half a file; the directory is forced to the
+ * disk as well. Blocks; used from one thread at a time.
  */
 public final class DirectorySnapshotStore implements SnapshotStore {
   /** What the names of snapshots end with. */
   public static final String SUFFIX = ".snapshot";
 
-  private static final String UNFINISHED = ".part";
+  /** What the names of files end with that are being written. */
+  private static final String UNFINISHED_SUFFIX = ".part";
 
   private final Path directory;
 
+  /** A store in this directory, which the first write creates if it is not there. */
   public DirectorySnapshotStore(Path directory) {
     this.directory = directory;
   }
@@ -31,10 +34,10 @@
   @Override
   public void write(String name, byte[] bytes) throws IOException {
     Files.createDirectories(directory);
-    Path part = directory.resolve(name + UNFINISHED);
+    Path unfinished = directory.resolve(name + UNFINISHED_SUFFIX);
     try (FileChannel file =
         FileChannel.open(
-            part,
+            unfinished,
             StandardOpenOption.CREATE,
             StandardOpenOption.TRUNCATE_EXISTING,
             StandardOpenOption.WRITE)) {
@@ -44,7 +47,7 @@
       }
       file.force(true);
     }
-    Files.move(part, directory.resolve(name), StandardCopyOption.ATOMIC_MOVE);
+    Files.move(unfinished, directory.resolve(name), StandardCopyOption.ATOMIC_MOVE);
     try (FileChannel entries = FileChannel.open(directory, StandardOpenOption.READ)) {
       entries.force(true);
     }
--- /dev/null
+++ b/src/main/java/io/cherryspool/recovery/IncarnationMonitor.java
@@ -0,0 +1,131 @@
+package io.cherryspool.recovery;
+
+import io.cherryspool.lifecycle.EventLoop;
+import io.cherryspool.store.Incarnation;
+import io.cherryspool.store.RollbackDetector;
+import io.cherryspool.store.StateStoreClient;
+import java.time.Duration;
+import java.util.Optional;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Reads the incarnation's record while this node serves none, and decides what follows: load its
+ * records, add to the rebuild of another node, rebuild, or install. Confined to the event loop.
+ */
+final class IncarnationMonitor {
+  private static final Logger LOG = LoggerFactory.getLogger(IncarnationMonitor.class);
+
+  private final EventLoop loop;
+  private final RecoveryStore store;
+  private final PeerSurvey peers;
+  private final RecoveryState state;
+  private final Contributions contributions;
+  private final RebuildCoordinator coordinator;
+  private final FirstInstallation installation;
+  private boolean isReading;
+  private Optional<Duration> lastAnsweredRequestSentAt = Optional.empty();
+
+  IncarnationMonitor(
+      EventLoop loop,
+      RecoveryStore store,
+      PeerSurvey peers,
+      RecoveryState state,
+      Contributions contributions,
+      RebuildCoordinator coordinator,
+      FirstInstallation installation) {
+    this.loop = loop;
+    this.store = store;
+    this.peers = peers;
+    this.state = state;
+    this.contributions = contributions;
+    this.coordinator = coordinator;
+    this.installation = installation;
+  }
+
+  /** When the last read that succeeded was sent; empty if none did. */
+  Optional<Duration> lastAnsweredRequestSentAt() {
+    return lastAnsweredRequestSentAt;
+  }
+
+  /** Reads the record if this node waits for records and no request is under way. */
+  void poll() {
+    boolean isBusy = isReading || installation.isPending() || state.isLoading();
+    if (state.isWaiting() && !isBusy) {
+      read();
+    }
+  }
+
+  private void read() {
+    isReading = true;
+    Duration sentAt = loop.now();
+    store
+        .readIncarnation()
+        .whenComplete(
+            (reading, failure) -> {
+              isReading = false;
+              if (failure != null) {
+                return;
+              }
+              lastAnsweredRequestSentAt = Optional.of(sentAt);
+              if (state.isWaiting()) {
+                decide(reading);
+              }
+            });
+  }
+
+  private void decide(StateStoreClient.IncarnationReading reading) {
+    Incarnation record = reading.incarnation();
+    if (record == null) {
+      decideWithoutRecord();
+    } else if (isOfOtherCluster(record)) {
+      reportOtherCluster(record);
+    } else if (isServable(record)) {
+      if (peers.mayLoadRecords() && !peers.isHeldByAnother(record)) {
+        state.load(reading);
+      }
+    } else {
+      state.holdIfStarting();
+      if (record.phase() == Incarnation.Phase.REBUILDING) {
+        contributions.contribute(record, reading.version());
+      }
+      coordinator.considerRebuild(Optional.of(record), reading.version(), this::read);
+    }
+  }
+
+  private void decideWithoutRecord() {
+    if (state.hasRetainedRecords() || peers.isAnyRetaining()) {
+      state.holdIfStarting();
+      coordinator.considerRebuild(Optional.empty(), 0, this::read);
+    } else if (peers.isKnownThatNoneRetains()) {
+      installation.begin(this::rebuildFromNothing);
+    }
+  }
+
+  private void rebuildFromNothing() {
+    state.statistics().recordLoss(RollbackDetector.Loss.INCARNATION_GONE);
+    state.hold();
+    coordinator.rebuild(Optional.empty(), 0, this::read);
+  }
+
+  private boolean isOfOtherCluster(Incarnation record) {
+    String cluster = state.retained().cluster();
+    return !cluster.isEmpty() && !cluster.equals(record.cluster());
+  }
+
+  private void reportOtherCluster(Incarnation record) {
+    if (!state.statistics().hasFoundOtherCluster()) {
+      LOG.error(
+          "the state store holds cluster={}, and this node belongs to cluster={}",
+          record.cluster(),
+          state.retained().cluster());
+    }
+    state.statistics().recordOtherCluster();
+  }
+
+  /** Whether the records of this incarnation are whole, and not those that were lost. */
+  private boolean isServable(Incarnation record) {
+    boolean isOlder = record.number() < state.retained().position().incarnationNumber();
+    return record.phase() == Incarnation.Phase.SERVING && !isOlder && !state.isLost(record);
+  }
+}
--- a/src/main/java/io/cherryspool/recovery/Peer.java
+++ b/src/main/java/io/cherryspool/recovery/Peer.java
@@ -1,8 +1,10 @@
 package io.cherryspool.recovery;
 
 /**
- * Another node, as its newest heartbeat describes it.
+ * Another node, as its latest heartbeat describes it.
  *
- * @param isStateStoreReachable whether it reaches the state service
+ * @param node its name
+ * @param isStateStoreReachable whether the state store answers it
+ * @param retainedRecords what it retains of the records
  */
 public record Peer(String node, boolean isStateStoreReachable, RetainedRecords retainedRecords) {}
--- /dev/null
+++ b/src/main/java/io/cherryspool/recovery/RebuildCoordinator.java
@@ -0,0 +1,124 @@
+package io.cherryspool.recovery;
+
+import io.cherryspool.lifecycle.EventLoop;
+import io.cherryspool.store.Incarnation;
+import java.util.Optional;
+import java.util.random.RandomGenerator;
+
+/**
+ * Starts this node's rebuilds, one at a time, from what the node retains. Confined to the event
+ * loop.
+ */
+final class RebuildCoordinator {
+  private final EventLoop loop;
+  private final RecoveryStore store;
+  private final RandomGenerator random;
+  private final RecoveryTimings timings;
+  private final ClusterNode node;
+  private final RecoveryState state;
+  private final Contributions contributions;
+  private final RebuildElection election;
+  private Optional<Rebuilder> rebuilder = Optional.empty();
+
+  RebuildCoordinator(
+      EventLoop loop,
+      RecoveryStore store,
+      RandomGenerator random,
+      RecoveryTimings timings,
+      ClusterNode node,
+      RecoveryState state,
+      Contributions contributions) {
+    this.loop = loop;
+    this.store = store;
+    this.random = random;
+    this.timings = timings;
+    this.node = node;
+    this.state = state;
+    this.contributions = contributions;
+    this.election = new RebuildElection(loop, timings, node, state);
+  }
+
+  /** Stops a rebuild that is under way. */
+  void stop() {
+    rebuilder.ifPresent(Rebuilder::stop);
+  }
+
+  /**
+   * Rebuilds if it is this node's turn.
+   *
+   * @param record the incarnation's record in the store, empty if there is none
+   * @param version the version of that record, 0 if there is none
+   * @param onEnded called once when the rebuild has ended, finished or not
+   */
+  void considerRebuild(Optional<Incarnation> record, long version, Runnable onEnded) {
+    if (election.shouldRebuild(record)) {
+      rebuild(record, version, onEnded);
+    }
+  }
+
+  /** Rebuilds, whoever else may; parameters as for {@link #considerRebuild}. */
+  void rebuild(Optional<Incarnation> record, long version, Runnable onEnded) {
+    Incarnation next = nextIncarnation(record);
+    state.beginRebuild();
+    Rebuilder.Plan plan =
+        new Rebuilder.Plan(
+            next,
+            version,
+            state.lostIncarnation(),
+            record.filter(found -> !state.isLost(found)),
+            state.retained(),
+            contributions.recentWrites(),
+            Math.max(node.highestKnownTerm(), state.retained().term()));
+    Rebuilder started =
+        new Rebuilder(
+            loop,
+            store,
+            timings,
+            plan,
+            () -> haveAllContributed(next.number()),
+            isFinished -> end(isFinished, onEnded));
+    rebuilder = Optional.of(started);
+    started.start();
+  }
+
+  private Incarnation nextIncarnation(Optional<Incarnation> record) {
+    long number = Math.max(state.retained().position().incarnationNumber(), 0);
+    boolean hasOtherLeader = false;
+    for (Peer peer : node.peers()) {
+      RetainedRecords retained = peer.retainedRecords();
+      number = Math.max(number, retained.position().incarnationNumber());
+      hasOtherLeader |= retained.wasSoleLeader();
+    }
+    number = Math.max(number, record.map(Incarnation::number).orElse(0L));
+    String cluster = record.map(Incarnation::cluster).orElse(state.retained().cluster());
+    return Incarnation.newRebuild(
+        cluster.isEmpty() ? nonce() : cluster,
+        number + 1,
+        nonce(),
+        node.name(),
+        state.retained().position(),
+        // Of two that led, one did so after the loss, and knows of no start before it.
+        state.wasSoleLeader() && !hasOtherLeader);
+  }
+
+  private String nonce() {
+    return Long.toHexString(random.nextLong());
+  }
+
+  /** Whether every node that reaches the store has added its last writes to this rebuild. */
+  private boolean haveAllContributed(long incarnationNumber) {
+    for (Peer peer : node.peers()) {
+      if (peer.isStateStoreReachable()
+          && peer.retainedRecords().contributedRebuild() != incarnationNumber) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  private void end(boolean isFinished, Runnable onEnded) {
+    rebuilder = Optional.empty();
+    state.endRebuild(isFinished);
+    onEnded.run();
+  }
+}
--- a/src/main/java/io/cherryspool/recovery/Rebuilder.java
+++ b/src/main/java/io/cherryspool/recovery/Rebuilder.java
@@ -1,21 +1,16 @@
 package io.cherryspool.recovery;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.store.Incarnation;
 import io.cherryspool.store.KeyScan;
 import io.cherryspool.store.OrphanedRecords;
-import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
 import io.cherryspool.store.RecordsSnapshot;
 import io.cherryspool.store.RecordsSnapshotCodec;
-import io.cherryspool.store.StateStoreClient;
-import io.cherryspool.store.StateStoreException;
 import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -24,284 +19,182 @@
 /**
  * One attempt to rebuild the records: fence, read what is left, write, wait for the other nodes'
  * last writes, finish. Each transaction names the version of the incarnation's record that this
- * attempt has written, so that it ends as soon as another one has begun.
+ * attempt has written, so that it ends as soon as another one has begun. Confined to the event
+ * loop.
  */
 final class Rebuilder {
   private static final Logger LOG = LoggerFactory.getLogger(Rebuilder.class);
-  private static final Duration RETRY = Duration.ofMillis(300);
+  private static final Duration CONTRIBUTIONS_POLL_INTERVAL = Duration.ofMillis(300);
 
   private final EventLoop loop;
-  private final StateStoreClient client;
-  private final RateLimiter rateLimiter;
+  private final RecoveryStore store;
   private final RecoveryTimings timings;
-  private final BooleanSupplier contributed;
-  private final Consumer<Boolean> ended;
+  private final BooleanSupplier haveAllContributed;
+  private final Consumer<Boolean> onEnded;
   private final Plan plan;
-  private final Duration began;
-  private Incarnation record;
-  private long version;
-  private RecordsSnapshot picture;
-  private boolean complete;
-  private List<byte[]> chunks = List.of();
-  private Duration contributionsUntil;
-  private KeyScan scan;
-  private boolean stopped;
+  private final Duration startedAt;
+  private final IncarnationRecordWriter incarnationWriter;
+  private Optional<KeyScan> scan = Optional.empty();
+  private Optional<RebuiltRecordsWriter> recordsWriter = Optional.empty();
+  private Result result;
+  private boolean isStopped;
 
   /**
    * What an attempt starts from.
    *
-   * @param record the incarnation's record as it is to be written first
-   * @param replaces the version of the record that it replaces, 0 if there is none
-   * @param lost the incarnation whose records were lost, null if not known
-   * @param interrupted a rebuild that was cut off, null if none was
-   * @param memory what this node remembers
-   * @param recent what it has told users of, that is not in its memory yet
-   * @param term the highest term heard of
+   * @param incarnation the incarnation's record as it is to be written first
+   * @param replacedVersion the version of the record that it replaces, 0 if there is none
+   * @param lost the incarnation whose records were lost, empty if not known
+   * @param interrupted a rebuild that was interrupted, empty if none was
+   * @param retained what this node retains
+   * @param recentWrites what it has acknowledged to users beyond that
+   * @param highestTerm the highest term known
    */
   record Plan(
-      Incarnation record,
-      long replaces,
-      Incarnation lost,
-      Incarnation interrupted,
-      RecordsSnapshot memory,
-      List<StateStoreProtocol.Change> recent,
-      long term) {}
+      Incarnation incarnation,
+      long replacedVersion,
+      Optional<Incarnation> lost,
+      Optional<Incarnation> interrupted,
+      RecordsSnapshot retained,
+      List<StateStoreProtocol.Change> recentWrites,
+      long highestTerm) {}
 
   /**
-   * @param contributed whether all other nodes have added what they know
-   * @param ended told once whether the rebuild was finished
+   * What is written.
+   *
+   * @param bundles the encoded jobs of the records
+   * @param isComplete whether the records hold every start that was ever commanded
+   */
+  private record Result(RecordsSnapshot records, List<byte[]> bundles, boolean isComplete) {}
+
+  /**
+   * An attempt that begins with {@link #start}.
+   *
+   * @param haveAllContributed whether all other nodes have added what they know
+   * @param onEnded called once with whether the rebuild was finished
    */
   Rebuilder(
       EventLoop loop,
-      StateStoreClient client,
-      RateLimiter rateLimiter,
+      RecoveryStore store,
       RecoveryTimings timings,
       Plan plan,
-      BooleanSupplier contributed,
-      Consumer<Boolean> ended) {
+      BooleanSupplier haveAllContributed,
+      Consumer<Boolean> onEnded) {
     this.loop = loop;
-    this.client = client;
-    this.rateLimiter = rateLimiter;
+    this.store = store;
     this.timings = timings;
     this.plan = plan;
-    this.contributed = contributed;
-    this.ended = ended;
-    this.record = plan.record();
-    this.picture = plan.memory();
-    this.began = loop.now();
-  }
-
-  /** The number of the incarnation that is being built. */
-  long number() {
-    return record.number();
+    this.haveAllContributed = haveAllContributed;
+    this.onEnded = onEnded;
+    this.result = new Result(plan.retained(), List.of(), false);
+    this.startedAt = loop.now();
+    this.incarnationWriter = new IncarnationRecordWriter(loop, store, this::endSuperseded);
   }
 
+  /** Ends the attempt where it is; nothing is called any more. */
   void stop() {
-    stopped = true;
-    if (scan != null) {
-      scan.cancel();
-    }
+    isStopped = true;
+    incarnationWriter.stop();
+    scan.ifPresent(KeyScan::cancel);
+    recordsWriter.ifPresent(RebuiltRecordsWriter::stop);
   }
 
+  /** Begins the attempt with the fence. */
   void start() {
     LOG.info(
-        "rebuilding as incarnation {} from {} jobs remembered up to incarnation {} revision {}",
-        record.number(),
-        picture.jobs().size(),
-        plan.memory().position().incarnationNumber(),
-        plan.memory().position().revision());
-    replaceRecord(plan.replaces(), this::readRemains);
-  }
-
-  /** Writes the incarnation's record, and goes on once it is there. */
-  private void replaceRecord(long replaces, Runnable next) {
-    if (stopped) {
-      return;
-    }
-    rateLimiter.forceAcquire(1);
-    StateStoreProtocol.Change change =
-        new StateStoreProtocol.Change(Incarnation.KEY, record.encode(), 0);
-    client
-        .commitPhysical(Map.of(Incarnation.KEY, replaces), List.of(change))
-        .whenComplete(
-            (result, failure) -> {
-              if (stopped) {
-                return;
-              }
-              if (failure == null && result.applied()) {
-                version = result.revision();
-                next.run();
-              } else {
-                // An answer may be lost, and a copy of the transaction be refused for the first.
-                loop.schedule(RETRY, () -> lookForRecord(replaces, next));
-              }
-            });
-  }
-
-  private void lookForRecord(long replaces, Runnable next) {
-    if (stopped) {
-      return;
+        "rebuild started: incarnation={}, jobs={}, retained from incarnation={} revision={}",
+        plan.incarnation().number(),
+        plan.retained().jobs().size(),
+        plan.retained().position().incarnationNumber(),
+        plan.retained().position().revision());
+    incarnationWriter.replace(
+        plan.incarnation(), plan.replacedVersion(), this::readOrphanedRecords);
+  }
+
+  private void readOrphanedRecords(long incarnationVersion) {
+    KeyScan started = store.scanAllKeys(found -> writeRecords(incarnationVersion, found.entries()));
+    scan = Optional.of(started);
+    started.start();
+  }
+
+  private void writeRecords(long incarnationVersion, List<StateStoreProtocol.Event> orphaned) {
+    result = join(orphaned);
+    RebuiltRecordsWriter writer =
+        new RebuiltRecordsWriter(
+            loop, store, timings, plan.incarnation(), incarnationVersion, this::endSuperseded);
+    recordsWriter = Optional.of(writer);
+    writer.write(
+        result.records(),
+        result.bundles(),
+        () -> awaitContributions(incarnationVersion, loop.now().plus(timings.maxWait())));
+  }
+
+  /** Joins what this node retains with what is left in the store, and with its last writes. */
+  private Result join(List<StateStoreProtocol.Event> orphaned) {
+    RecordsSnapshot known = withOrphaned(plan.retained(), orphaned, plan.lost());
+    known = withOrphaned(known, orphaned, plan.interrupted());
+    boolean isExtended =
+        known.jobs() != plan.retained().jobs() || known.term() != plan.retained().term();
+    for (StateStoreProtocol.Change change : plan.recentWrites()) {
+      known = OrphanedRecords.withCommitted(known, change);
     }
-    rateLimiter.forceAcquire(0);
-    client
-        .readIncarnation()
-        .whenComplete(
-            (reading, failure) -> {
-              if (stopped) {
-                return;
-              }
-              if (failure != null) {
-                loop.schedule(RETRY, () -> lookForRecord(replaces, next));
-              } else if (record.equals(reading.incarnation())) {
-                version = reading.version();
-                next.run();
-              } else if (reading.version() == replaces) {
-                replaceRecord(replaces, next);
-              } else {
-                end(false, "another node has begun");
-              }
-            });
-  }
-
-  private void readRemains() {
-    scan =
-        new KeyScan(loop, client, rateLimiter, Records.PREFIX, all -> writePicture(all.entries()));
-    scan.start();
-  }
-
-  private void writePicture(List<StateStoreProtocol.Event> left) {
-    RecordsSnapshot known = plan.memory();
-    boolean added = false;
-    for (Incarnation earlier : new Incarnation[] {plan.lost(), plan.interrupted()}) {
-      if (earlier != null) {
-        RecordsSnapshot remains = OrphanedRecords.read(left, earlier);
-        RecordsSnapshot merged = SnapshotMerge.merge(known, remains);
-        added |= merged.jobs() != known.jobs() || merged.term() != known.term();
-        known = merged;
-      }
-    }
-    complete = record.isComplete() && !added;
-    picture = withRecent(known, plan.recent()).withTermAtLeast(plan.term());
-    chunks =
-        RecordsSnapshotCodec.encode(picture.jobs(), Records.maxChunkBytes(timings.maxValueBytes()));
+    RecordsSnapshot records = known.withTermAtLeast(plan.highestTerm());
+    int bundleBytes = Records.maxChunkBytes(timings.maxValueBytes());
+    List<byte[]> bundles = RecordsSnapshotCodec.encode(records.jobs(), bundleBytes);
     LOG.info(
-        "writing {} jobs in {} bundles as incarnation {}; what was left {}",
-        picture.jobs().size(),
-        chunks.size(),
-        record.number(),
-        added ? "added to what is remembered" : "adds nothing");
-    writeBundles(0);
+        "writing the rebuilt records: incarnation={}, jobs={}, bundles={}; what was left {}",
+        plan.incarnation().number(),
+        records.jobs().size(),
+        bundles.size(),
+        isExtended ? "adds to what is retained" : "adds nothing");
+    return new Result(records, bundles, plan.incarnation().isComplete() && !isExtended);
   }
 
-  private static RecordsSnapshot withRecent(
-      RecordsSnapshot known, List<StateStoreProtocol.Change> recent) {
-    RecordsSnapshot result = known;
-    for (StateStoreProtocol.Change change : recent) {
-      result = OrphanedRecords.withCommitted(result, change);
-    }
-    return result;
+  private static RecordsSnapshot withOrphaned(
+      RecordsSnapshot known,
+      List<StateStoreProtocol.Event> orphaned,
+      Optional<Incarnation> earlier) {
+    return earlier.isEmpty()
+        ? known
+        : SnapshotMerge.merge(known, OrphanedRecords.read(orphaned, earlier.get()));
   }
 
-  private void writeBundles(int from) {
-    if (stopped) {
-      return;
-    }
-    List<StateStoreProtocol.Change> changes = new ArrayList<>();
-    int bytes = 0;
-    int next = from;
-    while (next < chunks.size() && changes.size() < timings.maxTransactionChanges()) {
-      int size = chunks.get(next).length * 4 / 3 + StateStoreProtocol.CHANGE_OVERHEAD_BYTES;
-      if (bytes + size > StateStoreProtocol.MAX_TRANSACTION_VALUE_BYTES && !changes.isEmpty()) {
-        break;
-      }
-      changes.add(change(Records.bundleKey(next), Records.encodeBundle(chunks.get(next))));
-      bytes += size;
-      next++;
-    }
-    if (changes.isEmpty()) {
-      writeTerm();
+  private void awaitContributions(long incarnationVersion, Duration deadline) {
+    if (isStopped) {
       return;
     }
-    int done = next;
-    commit(changes, () -> writeBundles(done));
-  }
-
-  private void writeTerm() {
-    List<StateStoreProtocol.Change> changes = new ArrayList<>();
-    changes.add(change(Records.TERM, Records.encodeTerm(picture.term())));
-    if (picture.catalog() != null) {
-      changes.add(change(Records.CATALOG, picture.catalog()));
-    }
-    commit(
-        changes,
-        () -> {
-          contributionsUntil = loop.now().plus(timings.maxWait());
-          awaitContributions();
-        });
-  }
-
-  private StateStoreProtocol.Change change(String key, JsonNode value) {
-    return new StateStoreProtocol.Change(record.toPhysical(key), value, 0);
-  }
-
-  private void commit(List<StateStoreProtocol.Change> changes, Runnable next) {
-    if (stopped) {
-      return;
+    if (haveAllContributed.getAsBoolean() || loop.now().compareTo(deadline) > 0) {
+      finish(incarnationVersion);
+    } else {
+      loop.schedule(
+          CONTRIBUTIONS_POLL_INTERVAL, () -> awaitContributions(incarnationVersion, deadline));
     }
-    Duration sent = loop.now();
-    rateLimiter.forceAcquire(changes.size());
-    client
-        .commitPhysical(Map.of(Incarnation.KEY, version), changes)
-        .whenComplete(
-            (result, failure) -> {
-              if (stopped) {
-                return;
-              }
-              if (failure == null && !result.applied()) {
-                end(false, "another node has begun");
-              } else if (failure != null) {
-                // What was applied already may be written once more: the same again.
-                LOG.debug("writing the rebuilt records failed: {}", failure.toString());
-                boolean busy =
-                    StateStoreException.kindOf(failure) == StateStoreException.Kind.RATE_LIMITED;
-                loop.schedule(busy ? Duration.ofSeconds(1) : RETRY, () -> commit(changes, next));
-              } else {
-                paced(sent, changes.size(), next);
-              }
-            });
   }
 
-  /** The next transaction goes when the service's limit on changes allows for this one. */
-  private void paced(Duration sent, int changes, Runnable next) {
-    Duration due = sent.plusNanos((long) (changes * 1e9 / timings.changesPerSecond()));
-    Duration wait = due.minus(loop.now());
-    loop.schedule(wait.isNegative() ? Duration.ZERO : wait, next);
+  private void finish(long incarnationVersion) {
+    Incarnation.Manifest manifest =
+        new Incarnation.Manifest(
+            result.bundles().size(), RecordsSnapshotCodec.digest(result.bundles()));
+    incarnationWriter.replace(
+        plan.incarnation().completed(result.isComplete(), manifest),
+        incarnationVersion,
+        finishedVersion -> end(true));
   }
 
-  private void awaitContributions() {
-    if (stopped) {
-      return;
-    }
-    if (contributed.getAsBoolean() || loop.now().compareTo(contributionsUntil) > 0) {
-      record =
-          record.completed(
-              complete,
-              new Incarnation.Manifest(chunks.size(), RecordsSnapshotCodec.digest(chunks)));
-      replaceRecord(version, () -> end(true, "whole"));
-    } else {
-      loop.schedule(RETRY, this::awaitContributions);
-    }
+  private void endSuperseded() {
+    end(false);
   }
 
-  private void end(boolean finished, String why) {
-    stopped = true;
+  private void end(boolean isFinished) {
+    stop();
     LOG.info(
-        "incarnation {} is {}: {} jobs in {} bundles after {} ms",
-        record.number(),
-        finished ? "whole" : "given up, since " + why,
-        picture.jobs().size(),
-        chunks.size(),
-        loop.now().minus(began).toMillis());
-    ended.accept(finished);
+        "rebuild {}: incarnation={} is {}; jobs={}, bundles={}, durationMs={}",
+        isFinished ? "finished" : "superseded",
+        plan.incarnation().number(),
+        isFinished ? "whole" : "given up, since another node has begun the next one",
+        result.records().jobs().size(),
+        result.bundles().size(),
+        loop.now().minus(startedAt).toMillis());
+    onEnded.accept(isFinished);
   }
 }
--- a/src/main/java/io/cherryspool/recovery/RecentWrites.java
+++ b/src/main/java/io/cherryspool/recovery/RecentWrites.java
@@ -8,14 +8,16 @@
 import java.util.List;
 
 /**
- * The jobs and ends that this node has had applied and whose events its copy has not seen yet.
- * Users are told of them at once, so that they must outlive a loss like everything in the copy.
+ * The jobs and outcomes that this node has committed and whose events the replica has not received
+ * yet. Users are answered at once, so that these must outlive a loss like all that the replica
+ * holds. Confined to the event loop.
  */
 final class RecentWrites {
   private final Deque<Write> writes = new ArrayDeque<>();
 
   private record Write(StateStoreProtocol.Change change, long revision) {}
 
+  /** Adds those of the changes, committed at a revision, that are never changed again. */
   void add(List<StateStoreProtocol.Change> changes, long revision) {
     for (StateStoreProtocol.Change change : changes) {
       if (change.value() != null && Records.isImmutable(change.key())) {
@@ -24,15 +26,17 @@
     }
   }
 
-  /** The copy holds everything up to this revision. */
+  /** Drops what the replica holds, which has reached this revision. */
   void removeUpTo(long revision) {
     writes.removeIf(write -> write.revision <= revision);
   }
 
+  /** Drops all. */
   void clear() {
     writes.clear();
   }
 
+  /** A copy of the changes, in the order of their commits. */
   List<StateStoreProtocol.Change> all() {
     List<StateStoreProtocol.Change> result = new ArrayList<>();
     writes.forEach(write -> result.add(write.change));
--- a/src/main/java/io/cherryspool/recovery/Reconciliation.java
+++ b/src/main/java/io/cherryspool/recovery/Reconciliation.java
@@ -6,8 +6,9 @@
 import io.cherryspool.store.JobRecord;
 
 /**
- * What a worker's report of a task means for records that may lack the newest starts and ends.
- * Decided from the record and the report alone.
+ * Decides what a task in a worker's heartbeat means for records that may lack the newest starts and
+ * ends. Pure functions of the record and the heartbeat; the job's record may be null, because an
+ * {@code Optional} for each task of each heartbeat would cost too much.
  */
 public final class Reconciliation {
   private Reconciliation() {}
@@ -20,65 +21,73 @@
     ADOPT,
     /** It has completed, and is to be recorded as done. */
     RECORD_DONE,
-    /** Nobody has described its job; it is neither stopped nor forgotten. */
+    /** The records lack its job; it is neither stopped nor acknowledged. */
     LEAVE,
-    /** The records are newer: it is stopped or forgotten as ever. */
+    /** The records are newer: it is stopped or acknowledged as usual. */
     DISCARD
   }
 
   /**
-   * Whether the records know of the reported attempt or of something later. Starts are recorded
-   * before they are ordered, so that one which they don't know of proves that records were lost.
+   * Whether the records hold the reported attempt or something later. Starts are recorded before
+   * they are commanded, so that one which the records lack proves that records were lost.
    *
-   * @param entry the task's job, null if it is not known
+   * @param job the task's job, null if the records lack it
    */
-  public static boolean isStartRecorded(JobRecord entry, WorkerHeartbeat.TaskStatus item) {
-    if (entry == null) {
+  public static boolean isStartRecorded(JobRecord job, WorkerHeartbeat.TaskStatus status) {
+    if (job == null) {
       return false;
     }
-    int task = item.task().index();
-    if (entry.outcome() != null || task >= entry.job().taskCount()) {
+    int task = status.task().index();
+    if (isOver(job, task)) {
       return true;
     }
-    Shard shard = entry.shard(entry.shardIndexOf(task)).shard();
-    return shard.isDone(task) || shard.history(task).attempts() >= item.attempt();
+    Shard shard = job.shard(job.shardIndexOf(task)).shard();
+    return shard.isDone(task) || shard.history(task).attempts() >= status.attempt();
   }
 
   /**
-   * @param entry the task's job, null if it is not known
-   * @param ownerReports whether the machine that the records give the task to reports it as well
+   * What to do about a reported task.
+   *
+   * @param job the task's job, null if the records lack it
+   * @param machine the name of the machine that reports the task
+   * @param agentEpoch the epoch of the machine's agent
+   * @param isReportedByOwner whether the machine that owns the task by the records reports it too
    */
   public static Decision decide(
-      JobRecord entry,
-      WorkerHeartbeat.TaskStatus item,
+      JobRecord job,
+      WorkerHeartbeat.TaskStatus status,
       String machine,
-      long session,
-      boolean ownerReports) {
-    if (entry == null) {
+      long agentEpoch,
+      boolean isReportedByOwner) {
+    if (job == null) {
       return Decision.LEAVE;
     }
-    int task = item.task().index();
-    if (entry.outcome() != null || task >= entry.job().taskCount()) {
+    int task = status.task().index();
+    if (isOver(job, task)) {
       return Decision.DISCARD;
     }
-    Shard shard = entry.shard(entry.shardIndexOf(task)).shard();
+    Shard shard = job.shard(job.shardIndexOf(task)).shard();
     if (shard.isDone(task)) {
       return Decision.DISCARD;
     }
     Attempt owner = shard.ownedAttempt(task);
     if (owner != null
-        && owner.number() == item.attempt()
-        && owner.agentEpoch() == session
+        && owner.number() == status.attempt()
+        && owner.agentEpoch() == agentEpoch
         && owner.machine().equals(machine)) {
       return Decision.KEEP;
     }
-    if (item.state() == WorkerHeartbeat.TaskState.EXITED) {
-      return item.cause() == WorkerHeartbeat.ExitCause.DONE
-          ? Decision.RECORD_DONE
-          : Decision.DISCARD;
+    if (status.state() == WorkerHeartbeat.TaskState.EXITED) {
+      boolean isDone = status.cause() == WorkerHeartbeat.ExitCause.DONE;
+      return isDone ? Decision.RECORD_DONE : Decision.DISCARD;
     }
     int attempts = shard.history(task).attempts();
-    boolean same = item.attempt() == attempts && (owner == null || !ownerReports);
-    return item.attempt() > attempts || same ? Decision.ADOPT : Decision.DISCARD;
+    boolean isUnownedLatest = status.attempt() == attempts && (owner == null || !isReportedByOwner);
+    return status.attempt() > attempts || isUnownedLatest ? Decision.ADOPT : Decision.DISCARD;
+  }
+
+  /** Whether the job has ended, or never had such a task. */
+  private static boolean isOver(JobRecord job, int task) {
+    return job.outcome() != null || task >= job.job().taskCount();
   }
 }
--- a/src/main/java/io/cherryspool/recovery/RecoveryStatistics.java
+++ b/src/main/java/io/cherryspool/recovery/RecoveryStatistics.java
@@ -4,63 +4,71 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Counts of what a node's recovery has seen and done, for metrics and the status. */
+/**
+ * Counts of what a node's recovery has detected and done, for metrics and the status. Confined to
+ * the event loop.
+ */
 public final class RecoveryStatistics {
   private int losses;
   private int rebuilds;
   private int addedRecords;
-  private RollbackDetector.Loss lastLoss;
+  private Optional<RollbackDetector.Loss> lastLoss = Optional.empty();
   private Duration lastHold = Duration.ZERO;
   private boolean hasFoundOtherCluster;
 
-  void lost(RollbackDetector.Loss loss) {
+  void recordLoss(RollbackDetector.Loss loss) {
     losses++;
-    lastLoss = loss;
+    lastLoss = Optional.of(loss);
   }
 
-  void rebuilding() {
+  void countRebuild() {
     rebuilds++;
   }
 
-  void addedRecords(int records) {
+  void countAddedRecords(int records) {
     addedRecords += records;
   }
 
-  void foreignFound() {
+  void recordOtherCluster() {
     hasFoundOtherCluster = true;
   }
 
-  void serving(Duration held) {
+  /**
+   * Records that the node serves again.
+   *
+   * @param held for how long the node did not serve before
+   */
+  void recordServing(Duration held) {
     lastHold = held;
     hasFoundOtherCluster = false;
   }
 
-  /** How often this node has seen a loss. */
+  /** How many losses this node has detected since it started. */
   public int losses() {
     return losses;
   }
 
-  /** How often it has begun to rebuild. */
+  /** How many rebuilds it has begun. */
   public int rebuilds() {
     return rebuilds;
   }
 
-  /** Records that it added after a rebuild that did not know them. */
+  /** How many records it has added after rebuilds that lacked them. */
   public int addedRecords() {
     return addedRecords;
   }
 
-  /** How the last loss showed, empty if there was none. */
+  /** The sign by which the last loss was detected; empty if there was none. */
   public Optional<RollbackDetector.Loss> lastLoss() {
-    return Optional.ofNullable(lastLoss);
+    return lastLoss;
   }
 
-  /** How long this node did not serve when it last did not. */
+  /** How long this node did not serve when it last did not; zero before it first served. */
   public Duration lastHold() {
     return lastHold;
   }
 
-  /** Whether the state service holds another cluster's records. */
+  /** Whether the state store holds the records of another cluster. */
   public boolean hasFoundOtherCluster() {
     return hasFoundOtherCluster;
   }
--- a/src/main/java/io/cherryspool/recovery/RecoveryTimings.java
+++ b/src/main/java/io/cherryspool/recovery/RecoveryTimings.java
@@ -3,18 +3,24 @@
 import java.time.Duration;
 
 /**
- * How long the steps of a recovery wait, and what they may use.
+ * How long the steps of a recovery wait, and the limits of the state store.
  *
- * @param gatheringTime how long nodes listen to one another before one of them rebuilds
- * @param maxWait how long a node that remembers more is waited for, and how long an empty service
- *     is watched before it counts as a first installation
- * @param maxValueBytes the state service's limit on a value
+ * @param gatheringTime how long nodes receive one another's heartbeats before one of them rebuilds
+ * @param maxWait how long a node that retains more is waited for, and how long an empty store is
+ *     watched before it counts as a first installation
+ * @param maxValueBytes the store's limit on the bytes of a value
  * @param maxTransactionChanges its limit on the changes of a transaction
- * @param changesPerSecond changes that may be made in a second
+ * @param changesPerSecond the rate at which a rebuild may make changes
  */
 public record RecoveryTimings(
     Duration gatheringTime,
     Duration maxWait,
     int maxValueBytes,
     int maxTransactionChanges,
-    double changesPerSecond) {}
+    double changesPerSecond) {
+
+  /** After this time a node that should have detected the loss has had its chance. */
+  Duration twiceGatheringTime() {
+    return gatheringTime.multipliedBy(2);
+  }
+}
--- a/src/main/java/io/cherryspool/recovery/SnapshotFile.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotFile.java
@@ -16,26 +16,26 @@
 import java.util.List;
 
 /**
- * A picture as bytes: one line of JSON that describes it, then the chunks. The line carries a
- * format version, the cluster and how far the picture reaches, and a digest of the chunks, so that
- * a copy that is cut short, changed, of another cluster or of a later program is told from a good
- * one.
+ * The stored form of a records snapshot: one line of JSON that describes it, then the chunks. The
+ * line carries a format version, the cluster and how far the records reach, and a digest of the
+ * chunks, so that a copy that is truncated, changed or of a later program is distinguished from a
+ * valid one.
  *
- * @param takenAt the time of day at which it was taken
+ * @param takenAt the time of day at which the records were as they are here
  */
 public record SnapshotFile(RecordsSnapshot records, Instant takenAt) {
-  /** Of the files that this program writes, and the newest that it reads. */
+  /** The format of the files that this program writes, and the newest that it reads. */
   public static final int FORMAT = 1;
 
-  /** Parts are small, so that reading one needs little memory at a time. */
-  private static final int CHUNK_BYTES = 256 * 1024;
+  /** Chunks are small, so that reading one needs little memory at a time. */
+  private static final int MAX_CHUNK_BYTES = 256 * 1024;
 
-  private static final byte[] BEGIN =
+  private static final byte[] MAGIC =
       "{\"cherryspool\":\"snapshot\"".getBytes(StandardCharsets.UTF_8);
 
   private static final byte NEWLINE = '\n';
 
-  /** What is wrong with the bytes of a snapshot. */
+  /** What is wrong with the bytes of a snapshot. Operators are shown the names. */
   public enum Fault {
     /** It does not begin like a snapshot. */
     NOT_A_SNAPSHOT,
@@ -44,12 +44,10 @@
     /** Bytes are missing at its end. */
     TORN,
     /** Its bytes are not those that were written. */
-    DAMAGED,
-    /** It belongs to another cluster. */
-    FOREIGN
+    DAMAGED
   }
 
-  /** A snapshot that can't be used. */
+  /** Thrown for a snapshot that can't be used. */
   public static final class InvalidSnapshotException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -60,30 +58,36 @@
       this.fault = fault;
     }
 
+    InvalidSnapshotException(Fault fault, String message, Throwable cause) {
+      super(message, cause);
+      this.fault = fault;
+    }
+
+    /** What is wrong with the snapshot. */
     public Fault fault() {
       return fault;
     }
   }
 
-  /** The bytes to keep. */
+  /** The bytes of the file. */
   public byte[] encode() {
-    List<byte[]> chunks = RecordsSnapshotCodec.encode(records.jobs(), CHUNK_BYTES);
-    ObjectNode head = Json.object().put("cherryspool", "snapshot").put("format", FORMAT);
-    head.put("cluster", records.cluster());
-    head.put("incarnation", records.position().incarnationNumber());
-    head.put("nonce", records.nonce());
-    head.put("revision", records.position().revision());
-    head.put("term", records.term());
-    head.put("taken", takenAt.toEpochMilli());
-    head.put("jobs", records.jobs().size());
-    head.put("digest", RecordsSnapshotCodec.digest(chunks));
+    List<byte[]> chunks = RecordsSnapshotCodec.encode(records.jobs(), MAX_CHUNK_BYTES);
+    ObjectNode header = Json.object().put("cherryspool", "snapshot").put("format", FORMAT);
+    header.put("cluster", records.cluster());
+    header.put("incarnation", records.position().incarnationNumber());
+    header.put("nonce", records.nonce());
+    header.put("revision", records.position().revision());
+    header.put("term", records.term());
+    header.put("taken", takenAt.toEpochMilli());
+    header.put("jobs", records.jobs().size());
+    header.put("digest", RecordsSnapshotCodec.digest(chunks));
     if (records.catalog() != null) {
-      head.set("catalog", records.catalog());
+      header.set("catalog", records.catalog());
     }
-    ArrayNode lengths = head.putArray("chunks");
+    ArrayNode lengths = header.putArray("chunks");
     chunks.forEach(chunk -> lengths.add(chunk.length));
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    out.writeBytes(Json.toBytes(head));
+    out.writeBytes(Json.toBytes(header));
     out.write(NEWLINE);
     chunks.forEach(out::writeBytes);
     return out.toByteArray();
@@ -95,62 +99,73 @@
    * @throws InvalidSnapshotException naming what is wrong with the bytes
    */
   public static SnapshotFile decode(byte[] bytes) throws InvalidSnapshotException {
-    int end = 0;
-    while (end < bytes.length && bytes[end] != NEWLINE) {
-      end++;
-    }
-    boolean begins =
-        bytes.length >= BEGIN.length
-            && Arrays.equals(bytes, 0, BEGIN.length, BEGIN, 0, BEGIN.length);
-    if (!begins) {
-      throw new InvalidSnapshotException(Fault.NOT_A_SNAPSHOT, "it does not begin like one");
-    }
-    if (end == bytes.length) {
-      throw new InvalidSnapshotException(Fault.TORN, "it ends within its first line");
-    }
-    JsonNode head = head(Arrays.copyOf(bytes, end));
-    int format = head.path("format").intValue();
+    int headerBytes = headerBytes(bytes);
+    JsonNode header = header(Arrays.copyOf(bytes, headerBytes));
+    int format = header.path("format").intValue();
     if (format > FORMAT) {
       throw new InvalidSnapshotException(
           Fault.NEWER_FORMAT, "format " + format + ", and this program reads up to " + FORMAT);
     }
-    List<byte[]> chunks = chunks(bytes, end + 1, head);
-    if (!RecordsSnapshotCodec.digest(chunks).equals(head.path("digest").asText())) {
+    List<byte[]> chunks = chunks(bytes, headerBytes + 1, header);
+    if (!RecordsSnapshotCodec.digest(chunks).equals(header.path("digest").asText())) {
       throw new InvalidSnapshotException(Fault.DAMAGED, "the digest does not match");
     }
     try {
-      RecordsSnapshot picture =
-          new RecordsSnapshot(
-              head.path("cluster").asText(),
-              head.path("nonce").asText(),
-              new Incarnation.HistoryPosition(
-                  head.path("incarnation").longValue(), head.path("revision").longValue()),
-              head.path("term").longValue(),
-              head.has("catalog") ? head.path("catalog") : null,
-              RecordsSnapshotCodec.decode(chunks));
-      return new SnapshotFile(picture, Instant.ofEpochMilli(head.path("taken").longValue()));
+      return new SnapshotFile(
+          records(header, chunks), Instant.ofEpochMilli(header.path("taken").longValue()));
     } catch (MalformedMessageException e) {
-      throw new InvalidSnapshotException(Fault.DAMAGED, e.getMessage());
+      throw new InvalidSnapshotException(Fault.DAMAGED, e.getMessage(), e);
     }
   }
 
-  private static JsonNode head(byte[] line) throws InvalidSnapshotException {
+  /** The length of the first line, without its end. */
+  private static int headerBytes(byte[] bytes) throws InvalidSnapshotException {
+    boolean hasMagic =
+        bytes.length >= MAGIC.length
+            && Arrays.equals(bytes, 0, MAGIC.length, MAGIC, 0, MAGIC.length);
+    if (!hasMagic) {
+      throw new InvalidSnapshotException(Fault.NOT_A_SNAPSHOT, "it does not begin like one");
+    }
+    int end = 0;
+    while (end < bytes.length && bytes[end] != NEWLINE) {
+      end++;
+    }
+    if (end == bytes.length) {
+      throw new InvalidSnapshotException(Fault.TORN, "it ends within its first line");
+    }
+    return end;
+  }
+
+  private static JsonNode header(byte[] line) throws InvalidSnapshotException {
     try {
       return Json.parseObject(line);
     } catch (MalformedMessageException e) {
-      throw new InvalidSnapshotException(Fault.DAMAGED, "its first line is " + e.getMessage());
+      throw new InvalidSnapshotException(Fault.DAMAGED, "its first line is " + e.getMessage(), e);
     }
   }
 
-  private static List<byte[]> chunks(byte[] bytes, int start, JsonNode head)
+  private static RecordsSnapshot records(JsonNode header, List<byte[]> chunks)
+      throws MalformedMessageException {
+    return new RecordsSnapshot(
+        header.path("cluster").asText(),
+        header.path("nonce").asText(),
+        new Incarnation.HistoryPosition(
+            header.path("incarnation").longValue(), header.path("revision").longValue()),
+        header.path("term").longValue(),
+        header.has("catalog") ? header.path("catalog") : null,
+        RecordsSnapshotCodec.decode(chunks));
+  }
+
+  private static List<byte[]> chunks(byte[] bytes, int start, JsonNode header)
       throws InvalidSnapshotException {
     List<byte[]> chunks = new ArrayList<>();
     int at = start;
-    for (JsonNode length : head.path("chunks")) {
+    for (JsonNode length : header.path("chunks")) {
       int size = length.intValue();
       if (size < 0 || size > bytes.length - at) {
         throw new InvalidSnapshotException(
-            Fault.TORN, "chunk " + chunks.size() + " of " + head.path("chunks").size() + " is cut");
+            Fault.TORN,
+            "chunk " + chunks.size() + " of " + header.path("chunks").size() + " is cut");
       }
       chunks.add(Arrays.copyOfRange(bytes, at, at + size));
       at += size;
--- a/src/main/java/io/cherryspool/recovery/SnapshotMerge.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotMerge.java
@@ -14,13 +14,17 @@
 import org.pcollections.TreePMap;
 
 /**
- * Joins what several sources know into one picture. For each task the furthest state wins: by the
+ * Joins what several sources know into one snapshot. For each task the latest state wins: by the
  * number of its last attempt, an attempt that has ended over the same one still owned, and done
- * over everything; for each job an end over none, and done over cancelled. The join is commutative,
- * associative and idempotent, so that neither the order of sources nor reading one twice matters.
+ * over everything; for each job an outcome over none, and done over cancelled. The join is
+ * commutative, associative and idempotent, so that neither the order of sources nor reading one
+ * twice matters. Pure functions, for any thread.
  */
 public final class SnapshotMerge {
-  /** Two attempts of one number come only from a leader without memory; the later token wins. */
+  /**
+   * Two attempts of one number come only from a leader that had lost its records; the later fencing
+   * token wins.
+   */
   private static final Comparator<Attempt> BY_TOKEN =
       Comparator.comparingLong(Attempt::fencingToken)
           .thenComparing(Attempt::machine)
@@ -32,11 +36,15 @@
 
   private SnapshotMerge() {}
 
-  /** Both together; the first one's cluster and origin where they differ in nothing else. */
+  /**
+   * Both together, at the later position of the two. The map of jobs is that of the snapshot at the
+   * later position itself where the other one adds nothing to it; between equal positions, that of
+   * the first one.
+   */
   public static RecordsSnapshot merge(RecordsSnapshot one, RecordsSnapshot other) {
-    boolean newer = other.position().compareTo(one.position()) > 0;
-    RecordsSnapshot first = newer ? other : one;
-    RecordsSnapshot second = newer ? one : other;
+    boolean isOtherLater = other.position().compareTo(one.position()) > 0;
+    RecordsSnapshot first = isOtherLater ? other : one;
+    RecordsSnapshot second = isOtherLater ? one : other;
     PMap<String, JobSnapshot> jobs = first.jobs();
     for (Map.Entry<String, JobSnapshot> item : second.jobs().entrySet()) {
       JobSnapshot known = jobs.get(item.getKey());
@@ -54,25 +62,30 @@
         jobs);
   }
 
-  /** The first job itself where the second adds nothing to it. */
+  /** Both together; the first job itself where the second adds nothing to it. */
   static JobSnapshot merge(JobSnapshot one, JobSnapshot other) {
     JobSnapshot base = BY_DESCRIPTION.compare(one.job(), other.job()) <= 0 ? one : other;
-    Outcome outcome = latest(one.outcome(), other.outcome());
     if (base.tasksPerShard() != one.tasksPerShard()
         || base.tasksPerShard() != other.tasksPerShard()) {
-      int size = base.tasksPerShard();
-      return merge(resharded(one, base, size), resharded(other, base, size));
+      return merge(resharded(one, base), resharded(other, base));
     }
-    PSortedMap<Integer, Shard> shards = one.shards();
-    for (Map.Entry<Integer, Shard> item : other.shards().entrySet()) {
+    Outcome outcome = latest(one.outcome(), other.outcome());
+    PSortedMap<Integer, Shard> shards = mergeShards(one.shards(), other.shards());
+    boolean isUnchanged = base == one && outcome == one.outcome() && shards == one.shards();
+    return isUnchanged ? one : new JobSnapshot(base.job(), base.tasksPerShard(), outcome, shards);
+  }
+
+  private static PSortedMap<Integer, Shard> mergeShards(
+      PSortedMap<Integer, Shard> one, PSortedMap<Integer, Shard> other) {
+    PSortedMap<Integer, Shard> shards = one;
+    for (Map.Entry<Integer, Shard> item : other.entrySet()) {
       Shard known = shards.get(item.getKey());
       Shard merged = known == null ? item.getValue() : merge(known, item.getValue());
       if (merged != known) {
         shards = shards.plus(item.getKey(), merged);
       }
     }
-    boolean same = base == one && outcome == one.outcome() && shards == one.shards();
-    return same ? one : new JobSnapshot(base.job(), base.tasksPerShard(), outcome, shards);
+    return shards;
   }
 
   private static Outcome latest(Outcome one, Outcome other) {
@@ -82,72 +95,65 @@
     return one == null ? other : one;
   }
 
-  private static JobSnapshot resharded(JobSnapshot from, JobSnapshot base, int size) {
+  /** The job with as many tasks in each shard as the base has. */
+  private static JobSnapshot resharded(JobSnapshot from, JobSnapshot base) {
+    int tasksPerShard = base.tasksPerShard();
     Map<Integer, Shard.Editor> editors = new TreeMap<>();
     for (Shard shard : from.shards().values()) {
       for (int task = shard.nextDone(0); task >= 0; task = shard.nextDone(task + 1)) {
-        editor(editors, task / size).markDone(task, task);
+        editor(editors, task / tasksPerShard).markDone(task, task);
       }
       shard
           .ownedAttempts()
           .values()
-          .forEach(item -> editor(editors, item.taskIndex() / size).putOwnedAttempt(item));
+          .forEach(item -> editor(editors, item.taskIndex() / tasksPerShard).putOwnedAttempt(item));
       shard
           .histories()
           .int2ObjectEntrySet()
           .forEach(
               item ->
-                  editor(editors, item.getIntKey() / size)
+                  editor(editors, item.getIntKey() / tasksPerShard)
                       .putHistory(item.getIntKey(), item.getValue()));
     }
     PSortedMap<Integer, Shard> shards = TreePMap.empty();
     for (Map.Entry<Integer, Shard.Editor> item : editors.entrySet()) {
       shards = shards.plus(item.getKey(), item.getValue().build());
     }
-    return new JobSnapshot(base.job(), size, from.outcome(), shards);
+    return new JobSnapshot(base.job(), tasksPerShard, from.outcome(), shards);
   }
 
   private static Shard.Editor editor(Map<Integer, Shard.Editor> editors, int index) {
     return editors.computeIfAbsent(index, key -> Shard.EMPTY.edit());
   }
 
-  /** The first shard itself where the second adds nothing to it. */
+  /** Both together; the first shard itself where the second adds nothing to it. */
   static Shard merge(Shard one, Shard other) {
     Shard.Editor editor = one.edit();
-    boolean changed = false;
+    boolean isChanged = false;
     for (int task = other.nextDone(0); task >= 0; task = other.nextDone(task + 1)) {
       if (!one.isDone(task)) {
         editor.complete(task);
-        changed = true;
+        isChanged = true;
       }
     }
     for (int task : other.histories().keySet()) {
       if (!one.isDone(task) && !other.isDone(task)) {
-        changed |= mergeTask(task, one, other, editor);
+        isChanged |= mergeTask(task, one, other, editor);
       }
     }
-    return changed ? editor.build() : one;
+    return isChanged ? editor.build() : one;
   }
 
+  /** Whether the second shard adds to what the first one tells of the task. */
   private static boolean mergeTask(int task, Shard one, Shard other, Shard.Editor editor) {
-    Shard.History mine = one.history(task);
-    Shard.History theirs = other.history(task);
+    Shard.History known = one.history(task);
     Attempt owner = one.ownedAttempt(task);
-    Attempt otherOwner = other.ownedAttempt(task);
-    Attempt merged;
-    if (mine.attempts() != theirs.attempts()) {
-      merged = mine.attempts() > theirs.attempts() ? owner : otherOwner;
-    } else if (owner == null || otherOwner == null) {
-      // The attempt has ended in one of the two, which is later than its being owned.
-      merged = null;
-    } else {
-      merged = BY_TOKEN.compare(owner, otherOwner) >= 0 ? owner : otherOwner;
-    }
+    Attempt merged = latestOwner(task, one, other);
     Shard.History history =
         new Shard.History(
-            Math.max(mine.attempts(), theirs.attempts()),
-            Math.max(mine.failures(), theirs.failures()));
-    if (merged == owner && history.equals(mine)) {
+            Math.max(known.attempts(), other.history(task).attempts()),
+            Math.max(known.failures(), other.history(task).failures()));
+    if (merged == owner && history.equals(known)) {
       return false;
     }
     editor.release(task, false);
@@ -157,4 +163,20 @@
     }
     return true;
   }
+
+  /** The attempt that owns the task by the latest of the two, null if none does. */
+  private static Attempt latestOwner(int task, Shard one, Shard other) {
+    Attempt owner = one.ownedAttempt(task);
+    Attempt otherOwner = other.ownedAttempt(task);
+    int attempts = one.history(task).attempts();
+    int otherAttempts = other.history(task).attempts();
+    if (attempts != otherAttempts) {
+      return attempts > otherAttempts ? owner : otherOwner;
+    }
+    if (owner == null || otherOwner == null) {
+      // The attempt has ended in one of the two, which is later than its being owned.
+      return null;
+    }
+    return BY_TOKEN.compare(owner, otherOwner) >= 0 ? owner : otherOwner;
+  }
 }
--- a/src/main/java/io/cherryspool/recovery/SnapshotRepository.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotRepository.java
@@ -9,77 +9,104 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes snapshots into a store and finds the newest good one. The picture is immutable, so that
- * writing it needs no pause of anything else and may be done on another thread.
+ * Writes snapshot files into a store and finds the newest valid one. Records snapshots are
+ * immutable, so that writing one may be done on another thread while the event loop goes on. Used
+ * from one thread at a time.
  */
 public final class SnapshotRepository {
   private static final Logger LOG = LoggerFactory.getLogger(SnapshotRepository.class);
 
   /** The newest may turn out to be damaged when it is needed. */
-  private static final int KEPT = 3;
+  private static final int MAX_KEPT_FILES = 3;
 
   private final SnapshotStore store;
 
+  /** A repository of the files in the store. */
   public SnapshotRepository(SnapshotStore store) {
     this.store = store;
   }
 
-  /** What a snapshot cost, or why there is none; empty if there is one. */
+  /**
+   * How a write ended.
+   *
+   * @param name the name of the file
+   * @param bytes its size, 0 if it was not written
+   * @param durationNanos how long encoding and writing took
+   * @param failure why it was not written, empty if it was
+   */
   public record WriteResult(String name, int bytes, long durationNanos, Optional<String> failure) {}
 
-  /** Writes a snapshot and drops the oldest; a failure leaves those that are there. */
-  public WriteResult write(RecordsSnapshot picture, Instant now) {
-    long begun = System.nanoTime();
-    String name = name(picture, now);
+  /**
+   * Writes a snapshot file and deletes the oldest ones; a failure leaves those that are there.
+   *
+   * @param takenAt the time of day at which the records were as they are here
+   */
+  public WriteResult write(RecordsSnapshot records, Instant takenAt) {
+    long startedAtNanos = System.nanoTime();
+    String name = fileName(records, takenAt);
     try {
-      byte[] bytes = new SnapshotFile(picture, now).encode();
+      byte[] bytes = new SnapshotFile(records, takenAt).encode();
       store.write(name, bytes);
-      List<String> names = store.names();
-      for (int i = KEPT; i < names.size(); i++) {
-        store.delete(names.get(i));
-      }
-      return new WriteResult(name, bytes.length, System.nanoTime() - begun, Optional.empty());
+      deleteOldest();
+      return new WriteResult(
+          name, bytes.length, System.nanoTime() - startedAtNanos, Optional.empty());
     } catch (IOException | RuntimeException e) {
-      LOG.error("snapshot {} can't be written to {}: {}", name, store, e.toString());
-      return new WriteResult(name, 0, System.nanoTime() - begun, Optional.of(e.toString()));
+      LOG.error("writing a snapshot failed: name={}, store={}: {}", name, store, e.toString());
+      return new WriteResult(
+          name, 0, System.nanoTime() - startedAtNanos, Optional.of(e.toString()));
     }
   }
 
-  /** By incarnation and revision, which only grow; the time of day may be set back. */
-  private static String name(RecordsSnapshot picture, Instant now) {
+  private void deleteOldest() throws IOException {
+    List<String> names = store.names();
+    for (int i = MAX_KEPT_FILES; i < names.size(); i++) {
+      store.delete(names.get(i));
+    }
+  }
+
+  /** Sorts by incarnation and revision, which only grow; the time of day may be set back. */
+  private static String fileName(RecordsSnapshot records, Instant takenAt) {
     return String.format(
         "%010d-%016d-%d%s",
-        picture.position().incarnationNumber(),
-        picture.position().revision(),
-        now.toEpochMilli(),
+        records.position().incarnationNumber(),
+        records.position().revision(),
+        takenAt.toEpochMilli(),
         DirectorySnapshotStore.SUFFIX);
   }
 
-  /** The newest snapshot that is good; each that is not is named in the log. */
+  /** The newest valid snapshot, empty if there is none; each invalid one is named in the log. */
   public Optional<SnapshotFile> readNewest() {
     List<String> names;
     try {
       names = store.names();
     } catch (IOException e) {
-      LOG.error("the snapshots in {} can't be listed: {}", store, e.toString());
+      LOG.error("listing the snapshots failed: store={}: {}", store, e.toString());
       return Optional.empty();
     }
     for (String name : names) {
-      try {
-        SnapshotFile found = SnapshotFile.decode(store.read(name));
-        LOG.info(
-            "snapshot {}: {} jobs up to incarnation {} revision {}",
-            name,
-            found.records().jobs().size(),
-            found.records().position().incarnationNumber(),
-            found.records().position().revision());
-        return Optional.of(found);
-      } catch (SnapshotFile.InvalidSnapshotException e) {
-        LOG.error("snapshot {} is not used: {}: {}", name, e.fault(), e.getMessage());
-      } catch (IOException e) {
-        LOG.error("snapshot {} can't be read: {}", name, e.toString());
+      Optional<SnapshotFile> found = read(name);
+      if (found.isPresent()) {
+        return found;
       }
     }
     return Optional.empty();
   }
+
+  private Optional<SnapshotFile> read(String name) {
+    try {
+      SnapshotFile found = SnapshotFile.decode(store.read(name));
+      LOG.info(
+          "snapshot loaded: name={}, jobs={}, incarnation={}, revision={}",
+          name,
+          found.records().jobs().size(),
+          found.records().position().incarnationNumber(),
+          found.records().position().revision());
+      return Optional.of(found);
+    } catch (SnapshotFile.InvalidSnapshotException e) {
+      LOG.error("snapshot not used: name={}, fault={}: {}", name, e.fault(), e.getMessage());
+    } catch (IOException e) {
+      LOG.error("reading a snapshot failed: name={}: {}", name, e.toString());
+    }
+    return Optional.empty();
+  }
 }
--- a/src/main/java/io/cherryspool/recovery/SnapshotWriter.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotWriter.java
@@ -13,77 +13,85 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Takes a snapshot of the records now and then, while they can be relied on and have changed. The
- * picture is taken on the event loop, at the cost of what changed since the last one; it is written
- * by {@code background}, one at a time.
+ * Takes a snapshot of the records at an interval, while they can be relied on and have changed. The
+ * snapshot is taken on the event loop, at the cost of what changed since the last one; it is
+ * written by {@code background}, one at a time.
  */
 public final class SnapshotWriter implements Lifecycle {
   private final EventLoop loop;
   private final ClusterRecords replica;
-  private final BooleanSupplier serving;
+  private final BooleanSupplier isServing;
   private final InstantSource clock;
-  private final SnapshotRepository snapshots;
+  private final SnapshotRepository repository;
   private final Executor background;
   private final Duration interval;
-  private volatile SnapshotRepository.WriteResult lastResult;
-  private volatile boolean writing;
-  private Incarnation.HistoryPosition written = Incarnation.HistoryPosition.NONE;
-  private Duration writtenAt;
-  private EventLoop.Timer timer;
 
+  /** Written by {@code background}, like {@link #isWriting}. */
+  private volatile Optional<SnapshotRepository.WriteResult> lastResult = Optional.empty();
+
+  private volatile boolean isWriting;
+  private Incarnation.HistoryPosition writtenPosition = Incarnation.HistoryPosition.NONE;
+  private Optional<Duration> writtenAt = Optional.empty();
+  private Optional<EventLoop.Timer> timer = Optional.empty();
+
+  /**
+   * A writer that begins with {@link #start}.
+   *
+   * @param isServing whether the records of the replica can be relied on
+   * @param background runs the writing, which may block
+   */
   public SnapshotWriter(
       EventLoop loop,
       ClusterRecords replica,
-      BooleanSupplier serving,
+      BooleanSupplier isServing,
       InstantSource clock,
-      SnapshotRepository snapshots,
+      SnapshotRepository repository,
       Executor background,
       Duration interval) {
     this.loop = loop;
     this.replica = replica;
-    this.serving = serving;
+    this.isServing = isServing;
     this.clock = clock;
-    this.snapshots = snapshots;
+    this.repository = repository;
     this.background = background;
     this.interval = interval;
   }
 
   @Override
   public void start() {
-    timer = loop.schedule(interval, this::start);
-    if (!serving.getAsBoolean() || writing) {
-      return;
+    timer = Optional.of(loop.schedule(interval, this::start));
+    if (isServing.getAsBoolean() && !isWriting) {
+      writeIfChanged(replica.snapshot());
     }
-    RecordsSnapshot picture = replica.snapshot();
-    if (picture.position().equals(written)) {
-      writtenAt = loop.now();
-      return;
-    }
-    Instant now = clock.instant();
-    writing = true;
-    written = picture.position();
-    writtenAt = loop.now();
-    background.execute(
-        () -> {
-          lastResult = snapshots.write(picture, now);
-          writing = false;
-        });
   }
 
   @Override
   public void stop() {
-    if (timer != null) {
-      timer.cancel();
+    timer.ifPresent(EventLoop.Timer::cancel);
+  }
+
+  private void writeIfChanged(RecordsSnapshot records) {
+    writtenAt = Optional.of(loop.now());
+    if (records.position().equals(writtenPosition)) {
+      return;
     }
+    Instant takenAt = clock.instant();
+    isWriting = true;
+    writtenPosition = records.position();
+    background.execute(
+        () -> {
+          lastResult = Optional.of(repository.write(records, takenAt));
+          isWriting = false;
+        });
   }
 
-  /** What the last snapshot cost, empty before the first. */
+  /** How the last write ended; empty before the first. May be called from any thread. */
   public Optional<SnapshotRepository.WriteResult> lastResult() {
-    return Optional.ofNullable(lastResult);
+    return lastResult;
   }
 
-  /** How old what is kept is, in seconds; -1 before the first. */
+  /** How old what is kept is, in seconds; -1 before the first. Called on the event loop. */
   public double ageSeconds() {
-    return writtenAt == null ? -1 : loop.now().minus(writtenAt).toMillis() / 1e3;
+    return writtenAt.map(at -> loop.now().minus(at).toMillis() / 1e3).orElse(-1.0);
   }
 }
--- a/src/test/java/io/cherryspool/recovery/SnapshotMergeTest.java
+++ b/src/test/java/io/cherryspool/recovery/SnapshotMergeTest.java
@@ -37,7 +37,7 @@
     List<RecordsSnapshot> sources = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       sources.add(history.get(random.nextInt(STEPS)));
-      // Another history from the same beginning: a node without memory went on differently.
+      // Another history from the same beginning: a node that retained nothing went on differently.
       sources.add(RecordsSnapshotFixture.history(seed + 100, STEPS).get(random.nextInt(STEPS)));
     }
     String joined = join(sources);
@@ -53,7 +53,7 @@
         join(sources.subList(0, 4)), RecordsSnapshotFixture.text(SnapshotMerge.merge(left, right)));
   }
 
-  /** Copies are prefixes of one history: the longest of them is the whole, whatever the others. */
+  /** Replicas are prefixes of one history: the longest of them contains all the others. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
   void theLongestPrefixOfAHistoryContainsTheOthers(long seed) {
@@ -99,7 +99,7 @@
     }
   }
 
-  /** An older copy still has the attempt as owned; that it has ended is the later word. */
+  /** An older copy still has the attempt as owned; that it has ended is later. */
   @Test
   void anAttemptThatHasEndedIsNotOwnedAgain() {
     Shard owned = Shard.EMPTY.edit().assign(0, "host-1", 1, 7).build();
