--- a/src/test/java/io/cherryspool/recovery/SnapshotFormatTest.java
+++ b/src/test/java/io/cherryspool/recovery/SnapshotFormatTest.java
@@ -21,7 +21,7 @@
 class SnapshotFormatTest {
   private static final String FILE = "records.snapshot";
   private static final Instant TAKEN = Instant.ofEpochMilli(1_764_693_000_456L);
-  private static final RecordsSnapshot PICTURE =
+  private static final RecordsSnapshot RECORDS =
       new RecordsSnapshot(
           "cluster-1",
           "9f3a",
@@ -32,7 +32,7 @@
 
   @Test
   void filesAreReadAndWrittenAgainUnchanged() throws Exception {
-    assertRecorded(FILE, new SnapshotFile(PICTURE, TAKEN).encode());
+    assertRecorded(FILE, new SnapshotFile(RECORDS, TAKEN).encode());
     SnapshotFile read = SnapshotFile.decode(RecordedBytes.read(FILE));
     assertEquals(TAKEN, read.takenAt());
     assertEquals("cluster-1", read.records().cluster());
@@ -49,7 +49,7 @@
       throws IOException, MalformedMessageException {
     DirectorySnapshotStore directory = new DirectorySnapshotStore(folder);
     assertEquals(
-        Optional.empty(), new SnapshotRepository(directory).write(PICTURE, TAKEN).failure());
+        Optional.empty(), new SnapshotRepository(directory).write(RECORDS, TAKEN).failure());
     assertEquals(List.of("0000000003-0000000123456790-1764693000456.snapshot"), directory.names());
   }
 
