--- a/src/main/java/io/cherryspool/controller/metrics/RecoveryMeters.java
+++ b/src/main/java/io/cherryspool/controller/metrics/RecoveryMeters.java
@@ -49,7 +49,7 @@
   }
 
   private double lastWrite(ToDoubleFunction<SnapshotRepository.WriteResult> value) {
-    SnapshotRepository.WriteResult last = snapshots.lastResult();
+    SnapshotRepository.WriteResult last = snapshots.lastResult().orElse(null);
     return last == null ? 0 : value.applyAsDouble(last);
   }
 
