--- a/src/test/java/io/cherryspool/PackageDependenciesTest.java
+++ b/src/test/java/io/cherryspool/PackageDependenciesTest.java
@@ -2,14 +2,18 @@
 
 import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.tngtech.archunit.core.domain.JavaClass;
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.library.Architectures.LayeredArchitecture;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
 /** That packages depend on one another only in the order that docs/design.md gives. */
@@ -30,6 +34,19 @@
           List.of("model"),
           List.of("lifecycle"));
 
+  /** The same for the packages below {@code controller}, whose own class is above them all. */
+  private static final List<List<String>> CONTROLLER_ORDER =
+      List.of(
+          List.of("api"),
+          List.of("recovery"),
+          List.of("election", "leader"),
+          List.of("provisioning"),
+          List.of("rounds"),
+          List.of("release"),
+          List.of("fleet"),
+          List.of("ownership"),
+          List.of("metrics", "timing"));
+
   /** The single dependencies against the order; each reason is in docs/design.md. */
   private static final List<AllowedEdge> ALLOWED_EDGES =
       List.of(
@@ -62,13 +79,52 @@
   @Test
   void packagesDependOnlyOnThoseBelowThem() {
     LayeredArchitecture layers =
-        layeredArchitecture()
-            .consideringOnlyDependenciesInLayers()
-            .ensureAllClassesAreContainedInArchitecture();
-    List<String> above = new ArrayList<>();
-    for (List<String> rank : ORDER) {
+        ranked(
+            layeredArchitecture()
+                .consideringOnlyDependenciesInLayers()
+                .ensureAllClassesAreContainedInArchitecture(),
+            ROOT,
+            ORDER,
+            List.of());
+    for (AllowedEdge edge : ALLOWED_EDGES) {
+      layers = layers.ignoreDependency(edge.originName(), edge.targetName());
+    }
+    layers.check(classes);
+  }
+
+  @Test
+  void packagesOfTheControllerDependOnlyOnThoseBelowThem() {
+    String root = ROOT + ".controller";
+    LayeredArchitecture layers =
+        layeredArchitecture().consideringOnlyDependenciesInLayers().layer("node").definedBy(root);
+    ranked(layers, root, CONTROLLER_ORDER, List.of("node"))
+        .whereLayer("node")
+        .mayNotBeAccessedByAnyLayer()
+        .check(classes);
+  }
+
+  @Test
+  void eachPackageOfTheControllerHasARank() {
+    Set<String> ranked = new TreeSet<>();
+    CONTROLLER_ORDER.forEach(ranked::addAll);
+    Set<String> present = new TreeSet<>();
+    String prefix = ROOT + ".controller.";
+    for (JavaClass type : classes) {
+      if (type.getPackageName().startsWith(prefix)) {
+        present.add(type.getPackageName().substring(prefix.length()));
+      }
+    }
+    assertEquals(ranked, present);
+  }
+
+  /** Adds the ranks as layers, each open to the given ones and to the ranks above it only. */
+  private static LayeredArchitecture ranked(
+      LayeredArchitecture start, String root, List<List<String>> order, List<String> top) {
+    LayeredArchitecture layers = start;
+    List<String> above = new ArrayList<>(top);
+    for (List<String> rank : order) {
       for (String name : rank) {
-        layers = layers.layer(name).definedBy(ROOT + "." + name + "..");
+        layers = layers.layer(name).definedBy(root + "." + name + "..");
         layers =
             above.isEmpty()
                 ? layers.whereLayer(name).mayNotBeAccessedByAnyLayer()
@@ -76,10 +132,7 @@
       }
       above.addAll(rank);
     }
-    for (AllowedEdge edge : ALLOWED_EDGES) {
-      layers = layers.ignoreDependency(edge.originName(), edge.targetName());
-    }
-    layers.check(classes);
+    return layers;
   }
 
   @Test
