--- a/src/main/java/io/cherryspool/cli/NodeLauncher.java
+++ b/src/main/java/io/cherryspool/cli/NodeLauncher.java
@@ -5,6 +5,7 @@
 import io.cherryspool.config.RecoverySettings;
 import io.cherryspool.config.Settings;
 import io.cherryspool.controller.Controller;
+import io.cherryspool.controller.recovery.SnapshotTarget;
 import io.cherryspool.http.NettyEventLoop;
 import io.cherryspool.http.NettyHttpClient;
 import io.cherryspool.http.NettyHttpServer;
@@ -126,11 +127,9 @@
         platform,
         operators,
         new Controller.Dependencies(
-            loop,
+            new Controller.Environment(loop, Instant::now, new SplittableRandom(entropy[0])),
             new NettyHttpClient(loop, (int) (platform.fdLimit() * OWN_SOCKETS * OWN_CALLS)),
             mesh,
-            new SplittableRandom(entropy[0]),
-            Instant::now,
             new UUID(entropy[1], entropy[2]).toString(),
             metrics::scrape,
             operators
@@ -141,7 +140,7 @@
   }
 
   /** Snapshots are written by a thread of their own, which ends with the process. */
-  private static Controller.SnapshotTarget snapshots(Path directory) {
+  private static SnapshotTarget snapshots(Path directory) {
     ExecutorService writer =
         Executors.newSingleThreadExecutor(
             task -> {
@@ -149,6 +148,6 @@
               thread.setDaemon(true);
               return thread;
             });
-    return new Controller.SnapshotTarget(new DirectorySnapshotStore(directory), writer);
+    return new SnapshotTarget(new DirectorySnapshotStore(directory), writer);
   }
 }
--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -16,6 +16,7 @@
 import io.cherryspool.controller.provisioning.MachineTypeCatalog;
 import io.cherryspool.controller.recovery.ElectionClusterNode;
 import io.cherryspool.controller.recovery.RecoveryModule;
+import io.cherryspool.controller.recovery.SnapshotTarget;
 import io.cherryspool.controller.rounds.RoundCommitter;
 import io.cherryspool.controller.rounds.SchedulingLoop;
 import io.cherryspool.controller.timing.Timings;
@@ -38,7 +39,6 @@
 import io.cherryspool.reachability.Verdict;
 import io.cherryspool.reachability.VerdictRule;
 import io.cherryspool.recovery.RecoveryTimings;
-import io.cherryspool.recovery.SnapshotStore;
 import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.GroupCommit;
 import io.cherryspool.store.RateLimiter;
@@ -56,7 +56,6 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.Executor;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
@@ -100,31 +99,35 @@
   private EventLoop.Timer timer;
 
   /**
-   * What the node is given to work with.
+   * What a node knows of time and chance, so that the simulation can run the same code.
    *
-   * @param metricsText writes the node's meters out
-   * @param verdictRule judges the links, where it is not to be done as usual
+   * @param loop the one thread of the node, with its monotonic clock
+   * @param clock the wall clock, which may be set back
+   */
+  public record Environment(EventLoop loop, InstantSource clock, RandomGenerator random) {}
+
+  /**
+   * What a node works with.
+   *
+   * @param processId differs for each process of the node
+   * @param metricsText prints the node's meters
+   * @param verdictRule judges the links; empty for the usual rule
    */
   public record Dependencies(
-      EventLoop loop,
+      Environment environment,
       Transport transport,
       Mesh mesh,
-      RandomGenerator random,
-      InstantSource clock,
       String processId,
       Supplier<String> metricsText,
       Optional<SnapshotTarget> snapshotTarget,
       Optional<VerdictRule> verdictRule) {}
 
-  /** Where snapshots go, and who writes them. */
-  public record SnapshotTarget(SnapshotStore store, Executor writerExecutor) {}
-
   public Controller(Settings settings, OperatorSettings operators, Dependencies given) {
     this.settings = settings;
     this.operators = operators;
-    this.loop = given.loop();
+    this.loop = given.environment().loop();
     this.mesh = given.mesh();
-    this.clock = given.clock();
+    this.clock = given.environment().clock();
     this.metrics = given.metricsText();
     this.timings = Timings.fromSettings(settings, operators);
     settings.teams().forEach(team -> teams.put(team.name(), team));
@@ -155,7 +158,7 @@
             state,
             rateLimiter,
             replica,
-            given.random(),
+            given.environment().random(),
             timings,
             settings.name(),
             given.processId(),
@@ -248,7 +251,7 @@
             this::leadership);
     return new RecoveryModule(
         new RecoveryModule.Dependencies(
-            loop, state, rateLimiter, replica, election, given.random(), clock),
+            loop, state, rateLimiter, replica, election, given.environment().random(), clock),
         node,
         new RecoveryTimings(
             wanted.gatherDuration(),
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
@@ -1,6 +1,5 @@
 package io.cherryspool.controller.recovery;
 
-import io.cherryspool.controller.Controller;
 import io.cherryspool.controller.election.Election;
 import io.cherryspool.controller.metrics.RecoveryMeters;
 import io.cherryspool.http.Reply;
@@ -59,7 +58,7 @@
       Dependencies shared,
       ElectionClusterNode node,
       RecoveryTimings timings,
-      Optional<Controller.SnapshotTarget> support,
+      Optional<SnapshotTarget> support,
       Duration interval) {
     this.node = node;
     this.election = shared.election();
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
@@ -2,6 +2,7 @@
 
 import io.cherryspool.config.RecoverySettings;
 import io.cherryspool.controller.Controller;
+import io.cherryspool.controller.recovery.SnapshotTarget;
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.mesh.Mesh;
 import io.cherryspool.reachability.Verdict;
@@ -45,18 +46,19 @@
             cluster.settings(index),
             cluster.operatorSettings(),
             new Controller.Dependencies(
-                cluster.time().eventLoopOf(own),
+                new Controller.Environment(
+                    cluster.time().eventLoopOf(own),
+                    () -> Instant.EPOCH.plus(cluster.time().now()),
+                    new SplittableRandom(random.nextLong())),
                 cluster.network().from(address.host(), own),
                 heartbeat -> broadcast(own, heartbeat),
-                new SplittableRandom(random.nextLong()),
-                () -> Instant.EPOCH.plus(cluster.time().now()),
                 name() + "-life-" + life,
                 () -> "",
                 cluster
                     .operatorSettings()
                     .recovery()
                     .flatMap(RecoverySettings::snapshotDirectory)
-                    .map(directory -> new Controller.SnapshotTarget(snapshotStore, Runnable::run)),
+                    .map(directory -> new SnapshotTarget(snapshotStore, Runnable::run)),
                 cluster.verdictRule()));
     cluster.network().listen(address, controller, own);
     controller.start();
