--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -10,6 +10,8 @@
 import io.cherryspool.controller.api.StateStoreHealth;
 import io.cherryspool.controller.api.UserApi;
 import io.cherryspool.controller.election.Election;
+import io.cherryspool.controller.election.ProcessIdentity;
+import io.cherryspool.controller.election.StateStoreAccess;
 import io.cherryspool.controller.leader.LeaderTerm;
 import io.cherryspool.controller.metrics.Meters;
 import io.cherryspool.controller.metrics.ReachabilityMeters;
@@ -155,13 +157,10 @@
     election =
         new Election(
             loop,
-            state,
-            rateLimiter,
-            replica,
+            new StateStoreAccess(state, rateLimiter, replica),
             given.environment().random(),
             timings,
-            settings.name(),
-            given.processId(),
+            new ProcessIdentity(settings.name(), given.processId()),
             reachability);
     recovery = operators.recovery().map(wanted -> newRecovery(wanted, given));
     recovery.ifPresent(standing::with);
--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/election/Campaign.java
@@ -0,0 +1,160 @@
+package io.cherryspool.controller.election;
+
+import io.cherryspool.controller.timing.Timings;
+import io.cherryspool.lifecycle.EventLoop;
+import io.cherryspool.reachability.NodeView;
+import io.cherryspool.reachability.Reachability;
+import io.cherryspool.store.ClusterRecords;
+import io.cherryspool.store.RateLimiter;
+import io.cherryspool.store.Records;
+import io.cherryspool.store.StateStoreClient;
+import io.cherryspool.store.StateStoreException;
+import io.cherryspool.wire.StateStoreProtocol;
+import java.time.Duration;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.random.RandomGenerator;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Stands for election while the records name no leader. Whatever a transaction is answered, only
+ * the records that are read afterwards decide who was elected.
+ */
+final class Campaign {
+  private static final Logger LOG = LoggerFactory.getLogger(Campaign.class);
+
+  /** The random part of a candidacy's delay is at most the lease's length divided by this. */
+  private static final int LEASE_PER_MAX_JITTER = 20;
+
+  private final EventLoop loop;
+  private final StateStoreClient client;
+  private final RateLimiter rateLimiter;
+  private final ClusterRecords records;
+  private final RandomGenerator random;
+  private final Timings timings;
+  private final NodeLeases leases;
+  private final Leadership leadership;
+  private final Reachability reachability;
+  private Runnable onConcluded = () -> {};
+  private boolean isRequestPending;
+  private EventLoop.Timer candidacyTimer;
+
+  Campaign(
+      EventLoop loop,
+      StateStoreAccess stateStore,
+      RandomGenerator random,
+      Timings timings,
+      NodeLeases leases,
+      Leadership leadership,
+      Reachability reachability) {
+    this.loop = loop;
+    this.client = stateStore.client();
+    this.rateLimiter = stateStore.rateLimiter();
+    this.records = stateStore.records();
+    this.random = random;
+    this.timings = timings;
+    this.leases = leases;
+    this.leadership = leadership;
+    this.reachability = reachability;
+  }
+
+  /** Called when a transaction of this campaign has ended and the records were read after it. */
+  void onConcluded(Runnable listener) {
+    onConcluded = listener;
+  }
+
+  void stop() {
+    if (candidacyTimer != null) {
+      candidacyTimer.cancel();
+    }
+  }
+
+  /**
+   * Schedules a candidacy if there is no leader, and revokes the lease of an earlier process of
+   * this node that is still named as leader. Called with the records loaded.
+   *
+   * @param leader the leader by the records; empty if there is none
+   */
+  void consider(Optional<Records.Leader> leader) {
+    if (leases.current().isEmpty() || isRequestPending || candidacyTimer != null) {
+      return;
+    }
+    if (leader.isEmpty()) {
+      long maxJitter = timings.stateStoreLease().toMillis() / LEASE_PER_MAX_JITTER;
+      long jitter = random.nextLong(Math.max(1, maxJitter));
+      candidacyTimer = loop.schedule(candidacyDelay().plusMillis(jitter), this::stand);
+    } else if (leadership.isEarlierProcess(leader.get())) {
+      revokeLeaseOfEarlierProcess(leader.get());
+    }
+  }
+
+  /** How long to wait before standing, by the state of this node's links and of the others'. */
+  private Duration candidacyDelay() {
+    Optional<NodeView.Handover> handover =
+        Optional.ofNullable(records.successor())
+            .map(record -> new NodeView.Handover(record.node(), record.predecessor()));
+    return reachability.candidacyDelay(loop.now(), handover);
+  }
+
+  /** The process that held the lease has ended, since this one runs in its place. */
+  private void revokeLeaseOfEarlierProcess(Records.Leader leader) {
+    LOG.info("revoking the lease of an earlier process of this node, lease={}", leader.leaseId());
+    isRequestPending = true;
+    rateLimiter.forceAcquire(0);
+    client.revokeLease(leader.leaseId()).whenComplete((nothing, failure) -> conclude());
+  }
+
+  private void stand() {
+    candidacyTimer = null;
+    Optional<StateStoreLease> current = leases.current();
+    if (!records.isLoaded() || current.isEmpty() || records.leader() != null) {
+      return;
+    }
+    isRequestPending = true;
+    StateStoreLease lease = current.get();
+    // After records were lost, workers and other nodes may know of higher terms than the records
+    // do.
+    long term = leadership.highestKnownTerm() + 1;
+    rateLimiter.forceAcquire(2);
+    LOG.info("standing for election, term={}", term);
+    client
+        .commit(electionConditions(), electionChanges(term, lease))
+        .whenComplete(
+            (result, failure) -> {
+              if (failure != null
+                  && StateStoreException.kindOf(failure)
+                      == StateStoreException.Kind.INVALID_REQUEST) {
+                leases.discardCurrent(lease);
+              }
+              conclude();
+            });
+  }
+
+  private Map<String, Long> electionConditions() {
+    Map<String, Long> conditions = new LinkedHashMap<>();
+    conditions.put(Records.LEADER, 0L);
+    conditions.put(Records.TERM, records.termVersion());
+    return conditions;
+  }
+
+  private List<StateStoreProtocol.Change> electionChanges(long term, StateStoreLease lease) {
+    Records.Leader record = leadership.leaderRecord(term, lease);
+    return List.of(
+        new StateStoreProtocol.Change(Records.TERM, Records.encodeTerm(term), 0),
+        new StateStoreProtocol.Change(Records.LEADER, Records.encodeLeader(record), lease.id()));
+  }
+
+  /** Reads the outcome from the records, whatever the answer was. */
+  private void conclude() {
+    records
+        .refresh()
+        .whenComplete(
+            (nothing, failure) -> {
+              isRequestPending = false;
+              onConcluded.run();
+            });
+  }
+}
--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/election/StateStoreAccess.java
@@ -0,0 +1,15 @@
+package io.cherryspool.controller.election;
+
+import io.cherryspool.store.ClusterRecords;
+import io.cherryspool.store.RateLimiter;
+import io.cherryspool.store.StateStoreClient;
+
+/**
+ * How one node reads and writes the state store. All three are used on the event loop only.
+ *
+ * @param client sends requests
+ * @param rateLimiter this node's share of the store's request and write limits
+ * @param records this node's copy of the records
+ */
+public record StateStoreAccess(
+    StateStoreClient client, RateLimiter rateLimiter, ClusterRecords records) {}
--- a/src/main/java/io/cherryspool/controller/recovery/ElectionClusterNode.java
+++ b/src/main/java/io/cherryspool/controller/recovery/ElectionClusterNode.java
@@ -73,7 +73,7 @@
 
   @Override
   public long highestKnownTerm() {
-    return election.knownTerm();
+    return election.highestKnownTerm();
   }
 
   @Override
