--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/ControllerModule.java
@@ -0,0 +1,377 @@
+package io.cherryspool.controller;
+
+import io.cherryspool.cloud.CloudClient;
+import io.cherryspool.config.OperatorSettings;
+import io.cherryspool.config.RecoverySettings;
+import io.cherryspool.config.Settings;
+import io.cherryspool.controller.api.JobRoutes;
+import io.cherryspool.controller.api.LinksApi;
+import io.cherryspool.controller.api.NodeApi;
+import io.cherryspool.controller.api.NodeService;
+import io.cherryspool.controller.api.RequestForwarder;
+import io.cherryspool.controller.api.StateStoreHealth;
+import io.cherryspool.controller.api.SubmissionValidator;
+import io.cherryspool.controller.api.UserApi;
+import io.cherryspool.controller.api.WorkerApi;
+import io.cherryspool.controller.election.Election;
+import io.cherryspool.controller.election.ProcessIdentity;
+import io.cherryspool.controller.election.StateStoreAccess;
+import io.cherryspool.controller.leader.LeaderTerm;
+import io.cherryspool.controller.metrics.Meters;
+import io.cherryspool.controller.metrics.ReachabilityMeters;
+import io.cherryspool.controller.provisioning.MachineTypeCatalog;
+import io.cherryspool.controller.recovery.ElectionClusterNode;
+import io.cherryspool.controller.recovery.RecoveryModule;
+import io.cherryspool.controller.rounds.RoundCommitter;
+import io.cherryspool.controller.rounds.SchedulingLoop;
+import io.cherryspool.controller.timing.Timings;
+import io.cherryspool.http.ObservedTransport;
+import io.cherryspool.http.Reply;
+import io.cherryspool.http.Request;
+import io.cherryspool.http.Transport;
+import io.cherryspool.lifecycle.EventLoop;
+import io.cherryspool.model.Durations;
+import io.cherryspool.model.Team;
+import io.cherryspool.reachability.PartitionRule;
+import io.cherryspool.reachability.Reachability;
+import io.cherryspool.reachability.ReachabilityTimings;
+import io.cherryspool.reachability.VerdictRule;
+import io.cherryspool.recovery.RecoveryTimings;
+import io.cherryspool.store.ClusterRecords;
+import io.cherryspool.store.GroupCommit;
+import io.cherryspool.store.RateLimiter;
+import io.cherryspool.store.StateStoreClient;
+import io.cherryspool.wire.StateStoreProtocol;
+import io.cherryspool.worker.WorkerClient;
+import io.micrometer.core.instrument.Gauge;
+import io.micrometer.core.instrument.MeterRegistry;
+import io.micrometer.core.instrument.binder.MeterBinder;
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Predicate;
+
+/**
+ * Makes the parts of one controller node and connects them. It has no behaviour of its own; {@link
+ * Controller} runs what is made here. Longer than other classes, since every part is named once.
+ */
+final class ControllerModule implements MeterBinder {
+  /** How often a node sends heartbeats to the others in the length of a state store lease. */
+  static final int HEARTBEATS_PER_LEASE = 8;
+
+  private static final int HTTP_UNAVAILABLE = 503;
+
+  /** A rebuild's part of the state store's write limit; the nodes' leases need none of it. */
+  private static final double REBUILD_WRITE_SHARE = 0.85;
+
+  /** How many full transactions a node's waiting changes may fill. */
+  private static final int QUEUED_TRANSACTIONS = 4;
+
+  private final Settings settings;
+  private final OperatorSettings operators;
+  private final Controller.Dependencies dependencies;
+  private final EventLoop loop;
+  private final Timings timings;
+  private final Map<String, Team> teams = new HashMap<>();
+  private final Meters meters = new Meters();
+  private final Reachability reachability;
+  private final StateStoreAccess stateStore;
+  private final Election election;
+  private final Optional<RecoveryModule> recovery;
+  private final CloudClient cloud;
+  private final WorkerClient workers;
+  private final MachineTypeCatalog catalog;
+  private final GroupCommit commits;
+  private final LeaderTerms terms;
+  private final PeerHeartbeats heartbeats;
+  private final NodeApi api;
+
+  ControllerModule(
+      Settings settings, OperatorSettings operators, Controller.Dependencies dependencies) {
+    this.settings = settings;
+    this.operators = operators;
+    this.dependencies = dependencies;
+    this.loop = dependencies.environment().loop();
+    this.timings = Timings.fromSettings(settings, operators);
+    settings.teams().forEach(team -> teams.put(team.name(), team));
+    reachability = newReachability(dependencies.verdictRule());
+    stateStore = newStateStoreAccess();
+    election =
+        new Election(
+            loop,
+            stateStore,
+            dependencies.environment().random(),
+            timings,
+            new ProcessIdentity(settings.name(), dependencies.processId()),
+            reachability);
+    recovery = operators.recovery().map(this::newRecovery);
+    cloud = newCloudClient();
+    workers = new WorkerClient(dependencies.transport(), timings.workerTimeout());
+    catalog =
+        new MachineTypeCatalog(
+            loop,
+            cloud,
+            stateStore.records(),
+            stateStore.client(),
+            stateStore.rateLimiter(),
+            election::isLeader);
+    commits = newGroupCommit();
+    terms =
+        new LeaderTerms(loop, election, stateStore, reachability, recovery, this::newLeaderTerm);
+    StateStoreHealth health =
+        new StateStoreHealth(
+            loop,
+            stateStore.records(),
+            reachability,
+            timings,
+            recovery,
+            !settings.peers().isEmpty());
+    heartbeats =
+        new PeerHeartbeats(
+            settings.name(),
+            settings.clientAddress(),
+            stateStore,
+            health,
+            reachability,
+            terms,
+            recovery);
+    api = newApi(health);
+  }
+
+  private Reachability newReachability(Optional<VerdictRule> rule) {
+    ReachabilityTimings times =
+        new ReachabilityTimings(
+            Durations.divide(timings.stateStoreLease(), HEARTBEATS_PER_LEASE),
+            timings.lateAfter(),
+            timings.heartbeatInterval(),
+            timings.workerLeaseExpiry(),
+            timings.stateStoreLease(),
+            timings.authority(),
+            timings.stateStoreTimeout(),
+            operators.partitions().flapHalfLife());
+    return new Reachability(
+        settings.name(),
+        settings.peerNames(),
+        times,
+        operators.partitions().dampsFlapping(),
+        rule.orElse(new PartitionRule(times)));
+  }
+
+  private StateStoreAccess newStateStoreAccess() {
+    Settings.StateStoreLimits limits = settings.stateStoreLimits();
+    int nodes = settings.peers().size() + 1;
+    RateLimiter rateLimiter =
+        new RateLimiter(loop, nodes, limits.requestsPerSecond(), limits.writesPerSecond());
+    StateStoreClient client =
+        new StateStoreClient(
+            loop,
+            rateLimiter,
+            observed(
+                request -> !StateStoreProtocol.isWatch(request),
+                reply -> reply.status() == HTTP_UNAVAILABLE,
+                reachability.stateLink()),
+            settings.stateStoreAddress(),
+            timings.stateStoreTimeout());
+    Duration refreshGap = Duration.ofNanos((long) (2e9 * nodes / limits.requestsPerSecond()));
+    ClusterRecords records =
+        new ClusterRecords(
+            loop, client, rateLimiter, refreshGap, timings.stateStoreTimeout().dividedBy(2));
+    return new StateStoreAccess(client, rateLimiter, records);
+  }
+
+  private CloudClient newCloudClient() {
+    return new CloudClient(
+        observed(request -> true, CloudClient::isOutage, reachability.cloudLink()),
+        settings.cloudAddress(),
+        timings.cloudTimeout());
+  }
+
+  /** The transport, with its outcomes reported to the observer of a link. */
+  private Transport observed(
+      Predicate<Request> isSignificant,
+      Predicate<Reply> isRefusal,
+      ObservedTransport.Observer observer) {
+    return new ObservedTransport(
+        loop, dependencies.transport(), isSignificant, isRefusal, observer);
+  }
+
+  private RecoveryModule newRecovery(RecoverySettings wanted) {
+    Settings.StateStoreLimits limits = settings.stateStoreLimits();
+    Duration bootstrap =
+        timings.heartbeatInterval().multipliedBy(2).plus(timings.stateStoreLease());
+    ElectionClusterNode node =
+        new ElectionClusterNode(
+            loop,
+            settings.name(),
+            settings.peers().size(),
+            reachability::matrix,
+            timings.stateStoreLease(),
+            election,
+            this::updateTerms);
+    return new RecoveryModule(
+        new RecoveryModule.Dependencies(
+            loop,
+            stateStore,
+            election,
+            dependencies.environment().random(),
+            dependencies.environment().clock()),
+        node,
+        new RecoveryTimings(
+            wanted.gatherDuration(),
+            bootstrap,
+            limits.maxValueBytes(),
+            limits.maxTransactionOperations(),
+            limits.writesPerSecond() * REBUILD_WRITE_SHARE),
+        dependencies.snapshotTarget(),
+        wanted.snapshotInterval());
+  }
+
+  /** The recovery is made before the terms, but calls this only once the node is started. */
+  private void updateTerms() {
+    terms.update();
+  }
+
+  private GroupCommit newGroupCommit() {
+    int maxChanges = settings.stateStoreLimits().maxTransactionOperations();
+    return new GroupCommit(
+        loop,
+        stateStore.client(),
+        stateStore.rateLimiter(),
+        maxChanges,
+        QUEUED_TRANSACTIONS * maxChanges,
+        timings.stateStoreTimeout());
+  }
+
+  private NodeApi newApi(StateStoreHealth health) {
+    NodeService node =
+        new ControllerNodeService(
+            loop, terms, reachability, heartbeats, dependencies.metricsText());
+    Optional<RequestForwarder> forwarder =
+        operators.partitions().forwardsRequests()
+            ? Optional.of(
+                new RequestForwarder(dependencies.transport(), node::recentPeerHeartbeats))
+            : Optional.empty();
+    SubmissionValidator validator =
+        new SubmissionValidator(
+            teams,
+            catalog::types,
+            dependencies.environment().clock(),
+            settings.stateStoreLimits().maxValueBytes());
+    UserApi users =
+        new UserApi(
+            stateStore.records(),
+            commits,
+            validator,
+            health::isBehindPeers,
+            operators.failureCap());
+    return new NodeApi(
+        node,
+        new JobRoutes(users, health, forwarder, meters),
+        new WorkerApi(settings.name(), node, stateStore.records(), health, recovery, meters),
+        new LinksApi(settings.name(), settings.peerNames()),
+        health,
+        recovery);
+  }
+
+  /** The leader of the term that this node was just elected for. */
+  private LeaderTerm newLeaderTerm() {
+    ClusterRecords records = stateStore.records();
+    int maxChanges = settings.stateStoreLimits().maxTransactionOperations();
+    RoundCommitter writer =
+        new RoundCommitter(
+            loop, stateStore.client(), stateStore.rateLimiter(), maxChanges, records.termVersion());
+    return new LeaderTerm(
+        loop,
+        records,
+        workers,
+        cloud,
+        writer,
+        new SchedulingLoop.Limits(
+            operators.roundMax(),
+            timings.heartbeatInterval().multipliedBy(2).plusMillis(500),
+            settings.workerLease().dividedBy(2),
+            operators.beginWithin(),
+            operators.failureCap(),
+            maxChanges,
+            settings.deadlineMultiples()),
+        new LeaderTerm.ProvisioningLimits(
+            settings.cloudRequestsPerSecond(), settings.cloudListLag(), operators.idleKeep()),
+        newTermDependencies(),
+        timings,
+        records.term(),
+        terms::observeTerm);
+  }
+
+  private LeaderTerm.TermDependencies newTermDependencies() {
+    return new LeaderTerm.TermDependencies(
+        new LeaderTerm.Authority(election::mayCommandWorkers, election::mayChangeFleet),
+        teams,
+        catalog::types,
+        dependencies.environment().clock(),
+        new LeaderTerm.FleetPermissions(
+            reachability::mayPlaceTasks,
+            reachability::mayChangeFleet,
+            reachability::isZoneEvictionSuspended,
+            reachability.machineRule()),
+        meters,
+        operators.recovery().map(RecoverySettings::heldClasses).orElse(Set.of()),
+        recovery.map(module -> module::reportUnrecordedStart));
+  }
+
+  @Override
+  public void bindTo(MeterRegistry registry) {
+    ClusterRecords records = stateStore.records();
+    meters.bindTo(registry);
+    Gauge.builder("cherryspool.leading", () -> terms.isTermUnderWay() ? 1 : 0).register(registry);
+    Gauge.builder("cherryspool.term", records::term).register(registry);
+    Gauge.builder("cherryspool.jobs.active", () -> records.activeJobs().size()).register(registry);
+    Gauge.builder("cherryspool.jobs.accepted", records::jobCount).register(registry);
+    Gauge.builder("cherryspool.machines", terms::machineCount).register(registry);
+    Gauge.builder("cherryspool.machines.lost", () -> terms.fleetReachability().missing())
+        .register(registry);
+    new ReachabilityMeters(reachability, loop).bindTo(registry);
+    Gauge.builder("cherryspool.changes.waiting", commits::queuedChanges).register(registry);
+    Gauge.builder("cherryspool.changes.left", stateStore.rateLimiter()::availableWrites)
+        .register(registry);
+    recovery.ifPresent(module -> module.bindTo(registry));
+  }
+
+  Timings timings() {
+    return timings;
+  }
+
+  Reachability reachability() {
+    return reachability;
+  }
+
+  StateStoreAccess stateStore() {
+    return stateStore;
+  }
+
+  Election election() {
+    return election;
+  }
+
+  /** Empty on a node that doesn't look for lost records. */
+  Optional<RecoveryModule> recovery() {
+    return recovery;
+  }
+
+  MachineTypeCatalog catalog() {
+    return catalog;
+  }
+
+  LeaderTerms terms() {
+    return terms;
+  }
+
+  PeerHeartbeats heartbeats() {
+    return heartbeats;
+  }
+
+  NodeApi api() {
+    return api;
+  }
+}
--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/ControllerNodeService.java
@@ -0,0 +1,60 @@
+package io.cherryspool.controller;
+
+import io.cherryspool.controller.api.LinksApi;
+import io.cherryspool.controller.api.NodeService;
+import io.cherryspool.lifecycle.EventLoop;
+import io.cherryspool.mesh.Mesh;
+import io.cherryspool.model.WorkerHeartbeat;
+import io.cherryspool.reachability.Reachability;
+import java.time.Duration;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Supplier;
+
+/** What this node does for the handlers of its HTTP requests. */
+final class ControllerNodeService implements NodeService {
+  private final EventLoop loop;
+  private final LeaderTerms terms;
+  private final Reachability reachability;
+  private final PeerHeartbeats heartbeats;
+  private final Supplier<String> metricsText;
+
+  ControllerNodeService(
+      EventLoop loop,
+      LeaderTerms terms,
+      Reachability reachability,
+      PeerHeartbeats heartbeats,
+      Supplier<String> metricsText) {
+    this.loop = loop;
+    this.terms = terms;
+    this.reachability = reachability;
+    this.heartbeats = heartbeats;
+    this.metricsText = metricsText;
+  }
+
+  @Override
+  public Optional<byte[]> answerHeartbeat(WorkerHeartbeat heartbeat) {
+    return terms.answerHeartbeat(heartbeat);
+  }
+
+  @Override
+  public void workerRedirected(WorkerHeartbeat heartbeat) {
+    reachability.redirectedWorkers().recordVisit(heartbeat.machine(), heartbeat.zone(), loop.now());
+  }
+
+  @Override
+  public List<Mesh.PeerHeartbeat> recentPeerHeartbeats() {
+    return reachability.freshPeerHeartbeats(loop.now());
+  }
+
+  @Override
+  public LinksApi.Observations links() {
+    Duration now = loop.now();
+    return new LinksApi.Observations(now, heartbeats.linkSummaryAt(now), reachability.matrix());
+  }
+
+  @Override
+  public String metricsText() {
+    return metricsText.get();
+  }
+}
--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/api/JobRoutes.java
@@ -0,0 +1,115 @@
+package io.cherryspool.controller.api;
+
+import io.cherryspool.controller.metrics.Meters;
+import io.cherryspool.http.Endpoint;
+import io.cherryspool.http.Reply;
+import io.cherryspool.http.Request;
+import io.cherryspool.mesh.LinkState;
+import io.cherryspool.wire.UserProtocol;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Supplier;
+
+/**
+ * Routes users' requests: to this node's {@link UserApi}, or through another node where this one
+ * can't reach the state store.
+ */
+public final class JobRoutes {
+  /** The path of all jobs, which the paths of single jobs begin with. */
+  static final String PATH = "/api/jobs";
+
+  private static final String CANCEL_SUFFIX = "/withdraw";
+
+  private final UserApi users;
+  private final StateStoreHealth stateStore;
+  private final Optional<RequestForwarder> forwarder;
+  private final Meters meters;
+
+  /**
+   * @param forwarder empty if requests are not to be forwarded
+   */
+  public JobRoutes(
+      UserApi users,
+      StateStoreHealth stateStore,
+      Optional<RequestForwarder> forwarder,
+      Meters meters) {
+    this.users = users;
+    this.stateStore = stateStore;
+    this.forwarder = forwarder;
+    this.meters = meters;
+  }
+
+  static boolean matches(String path) {
+    return path.equals(PATH) || path.startsWith(PATH + "/");
+  }
+
+  /** Answers a request whose path {@link #matches}. */
+  CompletableFuture<Reply> handle(Request request) {
+    String rest = request.path().substring(PATH.length());
+    if (rest.isEmpty()) {
+      return serve("POST", request, () -> users.submit(request.body()));
+    }
+    boolean isCancel = rest.endsWith(CANCEL_SUFFIX);
+    String id = rest.substring(1, rest.length() - (isCancel ? CANCEL_SUFFIX.length() : 0));
+    if (!UserProtocol.isJobId(id)) {
+      return Replies.completed(Replies.unknownPath());
+    }
+    return isCancel
+        ? serve("POST", request, () -> users.cancel(id))
+        : serve("GET", request, () -> users.poll(id));
+  }
+
+  private CompletableFuture<Reply> serve(
+      String method, Request request, Supplier<CompletableFuture<Reply>> ownAnswer) {
+    return Replies.ifMethod(
+        method, request, () -> answer(request, ownAnswer).thenApply(this::sendElsewhereIfRefused));
+  }
+
+  private CompletableFuture<Reply> answer(
+      Request request, Supplier<CompletableFuture<Reply>> ownAnswer) {
+    if (forwarder.isEmpty() || RequestForwarder.isForwarded(request)) {
+      return ownAnswer.get();
+    }
+    // A link that is down would keep the user waiting; one that is suspect is tried first.
+    if (stateStore.linkState() == LinkState.DOWN) {
+      return forward(forwarder.get(), request, ownAnswer);
+    }
+    return ownAnswer
+        .get()
+        .thenCompose(
+            reply ->
+                reply.status() == Replies.UNAVAILABLE && stateStore.mayBeUnreachable()
+                    ? forward(forwarder.get(), request, () -> Replies.completed(reply))
+                    : Replies.completed(reply));
+  }
+
+  /** Another node's answer, or the fallback if no other node serves the request. */
+  private CompletableFuture<Reply> forward(
+      RequestForwarder forwarder, Request request, Supplier<CompletableFuture<Reply>> fallback) {
+    Optional<Endpoint> target = forwarder.nextTarget();
+    if (target.isEmpty()) {
+      return fallback.get();
+    }
+    meters.forwardedRequests.increment();
+    return forwarder
+        .forward(target.get(), request)
+        .handle(
+            (reply, failure) ->
+                failure == null && reply.status() != Replies.UNAVAILABLE
+                    ? Replies.completed(Reply.json(reply.status(), reply.body()))
+                    : fallback.get())
+        .thenCompose(answer -> answer);
+  }
+
+  /**
+   * Closes the connection of a user whom this node can't serve while others can, so that the load
+   * balancer picks another node.
+   */
+  private Reply sendElsewhereIfRefused(Reply reply) {
+    if (reply.status() != Replies.UNAVAILABLE) {
+      return reply;
+    }
+    meters.refusedRequests.increment();
+    return stateStore.isBehindPeers() ? reply.closingConnection() : reply;
+  }
+}
--- a/src/main/java/io/cherryspool/controller/api/LinksApi.java
+++ b/src/main/java/io/cherryspool/controller/api/LinksApi.java
@@ -13,51 +13,63 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** What operators ask about links: how each node hears the others, as this node knows it. */
+/** Answers operators with the state of all links, as this node knows it from heartbeats. */
 public final class LinksApi {
-  static final String PATH = "/links";
+  /** The path of the request. */
+  public static final String PATH = "/links";
 
   private final String node;
   private final List<String> peers;
 
-  /** What this node tells of itself, and what the others last told. */
+  /**
+   * What nodes have observed of their links.
+   *
+   * @param now the time of the answer, on the event loop's clock
+   * @param own the observations of this node
+   * @param matrix those of the other nodes, by their last heartbeats
+   */
   public record Observations(Duration now, LinkSummary own, ReachabilityMatrix matrix) {}
 
-  LinksApi(String node, List<String> peers) {
+  /**
+   * @param node the name of this node
+   * @param peers the names of the other nodes, in the order of the answer
+   */
+  public LinksApi(String node, List<String> peers) {
     this.node = node;
     this.peers = peers;
   }
 
-  Reply answer(Observations picture) {
+  /** The JSON document that describes all links. */
+  Reply answer(Observations observations) {
     ObjectNode root = Json.object().put("node", node);
     ArrayNode nodes = root.putArray("nodes");
-    boolean up = describe(nodes.addObject(), node, 0, picture.own());
+    boolean areAllUp = describe(nodes.addObject(), node, 0, observations.own());
     for (String peer : peers) {
-      Optional<ReachabilityMatrix.Row> row = picture.matrix().row(peer);
+      Optional<ReachabilityMatrix.Row> row = observations.matrix().row(peer);
       if (row.isEmpty()) {
         nodes.addObject().put("node", peer).put("heard_ms", -1);
-        up = false;
+        areAllUp = false;
         continue;
       }
       Mesh.PeerHeartbeat heartbeat = row.get().heartbeat();
-      long age = picture.now().minus(row.get().receivedAt()).toMillis();
-      up &= describe(nodes.addObject(), peer, age, heartbeat.links());
+      long age = observations.now().minus(row.get().receivedAt()).toMillis();
+      areAllUp &= describe(nodes.addObject(), peer, age, heartbeat.links());
     }
-    root.put("all_up", up);
+    root.put("all_up", areAllUp);
     return Reply.json(200, Json.toBytes(root));
   }
 
-  /** Whether all the links that the node tells of are up. */
-  private static boolean describe(ObjectNode target, String name, long age, LinkSummary report) {
-    target.put("node", name).put("heard_ms", age).put("address", report.address());
-    target.put("leading", report.isLeading()).put("doubtful", report.wasStalled());
-    target.put("verdict", report.verdict());
-    target.put("leadership_penalty", report.leadershipPenalty() / 10.0);
-    target.put("state", name(report.stateStore())).put("cloud", name(report.cloud()));
-    boolean up = report.stateStore() == LinkState.UP && report.cloud() == LinkState.UP;
-    ArrayNode heard = target.putArray("peers");
-    for (LinkSummary.PeerLink peer : report.peers()) {
-      heard
+  /** Writes one node's links; true if all of them are up. */
+  private static boolean describe(ObjectNode target, String name, long age, LinkSummary links) {
+    target.put("node", name).put("heard_ms", age).put("address", links.address());
+    target.put("leading", links.isLeading()).put("doubtful", links.wasStalled());
+    target.put("verdict", links.verdict());
+    target.put("leadership_penalty", links.leadershipPenalty() / 10.0);
+    target.put("state", name(links.stateStore())).put("cloud", name(links.cloud()));
+    boolean up = links.stateStore() == LinkState.UP && links.cloud() == LinkState.UP;
+    ArrayNode peers = target.putArray("peers");
+    for (LinkSummary.PeerLink peer : links.peers()) {
+      peers
           .addObject()
           .put("node", peer.node())
           .put("link", name(peer.state()))
@@ -65,7 +77,7 @@
       up &= peer.state() == LinkState.UP;
     }
     ArrayNode zones = target.putArray("zones");
-    for (LinkSummary.ZoneLink zone : report.zones()) {
+    for (LinkSummary.ZoneLink zone : links.zones()) {
       zones
           .addObject()
           .put("zone", zone.zone())
--- a/src/main/java/io/cherryspool/controller/api/RequestForwarder.java
+++ b/src/main/java/io/cherryspool/controller/api/RequestForwarder.java
@@ -14,50 +14,54 @@
 import java.util.function.Supplier;
 
 /**
- * Passes users' requests on to another node while this one does not reach the state service and the
- * other does. The other node answers by its own reading and its own writes, as it answers any user,
- * so that an answer passed back is as good as one of its own; a request that is carried out twice
- * is one that its user repeated.
+ * Forwards users' requests to another node while this one does not reach the state store and the
+ * other does. The other node answers by its own reads and writes, as it answers any user, so that
+ * its answer can be returned as it is. Requests are idempotent, so that one which both nodes carry
+ * out does no harm.
  */
 public final class RequestForwarder {
-  /** Users wait 2 s for the state of a job. */
-  private static final Duration DEADLINE = Duration.ofMillis(1500);
+  /** The timeout of a forwarded request; users wait 2 s for the state of a job. */
+  private static final Duration TIMEOUT = Duration.ofMillis(1500);
 
-  /** Marks a request that was passed on, which is not passed on again. */
-  private static final String MARK = "?forwarded";
+  /** The query of a forwarded request, which is not forwarded again. */
+  private static final String FORWARDED_QUERY = "?forwarded";
 
   private final Transport transport;
   private final Supplier<List<Mesh.PeerHeartbeat>> peers;
-  private int turn;
+  private int nextIndex;
 
   /**
-   * @param peers the latest heartbeats of the nodes that are heard
+   * @param peers the latest heartbeats of the other nodes, without those too old to count
    */
   public RequestForwarder(Transport transport, Supplier<List<Mesh.PeerHeartbeat>> peers) {
     this.transport = transport;
     this.peers = peers;
   }
 
+  /** Whether another node has forwarded the request to this one. */
   static boolean isForwarded(Request request) {
-    return request.target().endsWith(MARK);
+    return request.target().endsWith(FORWARDED_QUERY);
   }
 
-  /** The next of the nodes that can serve users now. */
+  /** The next of the nodes that can serve users now, in turn; empty if there is none. */
   Optional<Endpoint> nextTarget() {
-    List<Endpoint> able = new ArrayList<>();
+    List<Endpoint> targets = new ArrayList<>();
     for (Mesh.PeerHeartbeat heartbeat : peers.get()) {
-      boolean reads =
+      boolean canServe =
           heartbeat.isStateStoreReachable() && heartbeat.links().stateStore() == LinkState.UP;
-      if (reads && !heartbeat.links().address().isEmpty()) {
-        able.add(Endpoint.parse(heartbeat.links().address()));
+      if (canServe && !heartbeat.links().address().isEmpty()) {
+        targets.add(Endpoint.parse(heartbeat.links().address()));
       }
     }
-    return able.isEmpty() ? Optional.empty() : Optional.of(able.get(turn++ % able.size()));
+    return targets.isEmpty()
+        ? Optional.empty()
+        : Optional.of(targets.get(nextIndex++ % targets.size()));
   }
 
-  /** The other node's answer; fails if there is none in time. */
-  CompletableFuture<Reply> forward(Endpoint to, Request request) {
-    Request marked = new Request(request.method(), request.path() + MARK, request.body());
-    return transport.send(to, marked, DEADLINE);
+  /** The other node's answer; fails as {@link Transport#send} does if there is none in time. */
+  CompletableFuture<Reply> forward(Endpoint target, Request request) {
+    Request forwarded =
+        new Request(request.method(), request.path() + FORWARDED_QUERY, request.body());
+    return transport.send(target, forwarded, TIMEOUT);
   }
 }
--- a/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
+++ b/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
@@ -11,82 +11,96 @@
 import java.util.List;
 import java.util.Optional;
 
-/** How this node stands with the state service, by itself and next to the other nodes. */
+/**
+ * How well this node reaches the state store, by itself and compared with the other nodes. Called
+ * on the event loop only.
+ */
 public final class StateStoreHealth {
   private final EventLoop loop;
-  private final ClusterRecords replica;
+  private final ClusterRecords records;
   private final Reachability reachability;
   private final Timings timings;
-  private Optional<RecoveryModule> recovery = Optional.empty();
+  private final Optional<RecoveryModule> recovery;
+  private final boolean hasPeers;
 
+  /**
+   * @param recovery empty on a node that doesn't look for lost records
+   * @param hasPeers whether there are other nodes
+   */
   public StateStoreHealth(
-      EventLoop loop, ClusterRecords replica, Reachability reachability, Timings timings) {
+      EventLoop loop,
+      ClusterRecords records,
+      Reachability reachability,
+      Timings timings,
+      Optional<RecoveryModule> recovery,
+      boolean hasPeers) {
     this.loop = loop;
-    this.replica = replica;
+    this.records = records;
     this.reachability = reachability;
     this.timings = timings;
+    this.recovery = recovery;
+    this.hasPeers = hasPeers;
   }
 
-  /** From now on readings of a node that rebuilds its records count as well. */
-  public void with(RecoveryModule part) {
-    recovery = Optional.of(part);
-  }
-
-  /** Whether the service answered this node within a state lease. */
+  /** Whether the state store answered this node within the length of a lease. */
   public boolean isReachable() {
-    Duration confirmed = replica.lastConfirmedAt();
+    Duration lastAnswered = records.lastConfirmedAt();
     if (recovery.isPresent() && !recovery.get().isServing()) {
-      confirmed = recovery.get().lastAnsweredRequestSentAt();
+      // A node that rebuilds the records reads them by other requests.
+      lastAnswered = recovery.get().lastAnsweredRequestSentAt();
     }
-    return confirmed != null
-        && loop.now().minus(confirmed).compareTo(timings.stateStoreLease()) < 0;
+    return lastAnswered != null
+        && loop.now().minus(lastAnswered).compareTo(timings.stateStoreLease()) < 0;
   }
 
-  /** How long ago the last reading that succeeded was sent, in ms. */
+  /**
+   * How long ago the last read that succeeded was sent, in ms; {@link Integer#MAX_VALUE} before the
+   * first.
+   */
   public int millisSinceLastRead() {
-    Duration read = replica.lastConfirmedAt();
-    return read == null ? Integer.MAX_VALUE : (int) loop.now().minus(read).toMillis();
+    Duration lastRead = records.lastConfirmedAt();
+    return lastRead == null ? Integer.MAX_VALUE : (int) loop.now().minus(lastRead).toMillis();
   }
 
   /**
-   * Whether another node has read the state well after this one last did: then the service is up,
-   * and users are better served there. In an outage all last read at about the same time, and none
-   * of them must say so of itself.
+   * Whether another node has read the records well after this one last did: then the state store is
+   * up, and users are better served there. In an outage all nodes last read at about the same time,
+   * and none of them is behind.
    */
   public boolean isBehindPeers() {
-    Duration own = replica.lastConfirmedAt();
-    Duration others = reachability.matrix().latestStateRead(timings.stateStoreLease(), loop.now());
-    return own == null || others != null && others.minus(own).compareTo(timings.staleReadLag()) > 0;
+    Duration ownRead = records.lastConfirmedAt();
+    Duration peersRead =
+        reachability.matrix().latestStateRead(timings.stateStoreLease(), loop.now());
+    return ownRead == null
+        || peersRead != null && peersRead.minus(ownRead).compareTo(timings.staleReadLag()) > 0;
   }
 
-  /** Whether the service may not answer this node, so that another is the better one. */
+  /** Whether the state store may not answer this node, so that another serves users better. */
   boolean mayBeUnreachable() {
-    return replica.isReadOverdue() || linkState() != LinkState.UP;
+    return records.isReadOverdue() || linkState() != LinkState.UP;
   }
 
-  /** The link to the service, by the last requests. */
+  /** The state of the link to the state store, by the last requests. */
   LinkState linkState() {
     return reachability.stateLink().state(loop.now());
   }
 
   /**
-   * Whether users can be served here: the state is held and reached. While the service is silent
-   * for everybody, being passed over helps nobody, so that a node that hears others say the same
-   * stays ready; one that hears nobody is rather cut off itself.
-   *
-   * @param alone whether there is no other node
+   * Whether users can be served here: the records are loaded and the state store is reachable.
+   * While the state store answers no node, being passed over by the load balancer helps nobody, so
+   * that a node whose peers report the same stays ready; one without heartbeats of its peers is
+   * more likely cut off itself.
    */
-  boolean isReady(boolean alone) {
+  boolean isReady() {
     List<Mesh.PeerHeartbeat> others =
         reachability.matrix().freshHeartbeats(timings.stateStoreLease(), loop.now());
-    boolean outage =
+    boolean isOutage =
         others.stream().noneMatch(Mesh.PeerHeartbeat::isStateStoreReachable)
-            && (!others.isEmpty() || alone);
-    return readable() && (isReachable() || outage) && !isBehindPeers();
+            && (!others.isEmpty() || !hasPeers);
+    return isReadableHereOrNowhere() && (isReachable() || isOutage) && !isBehindPeers();
   }
 
-  /** Whether the records can be read here, or can be read nowhere. */
-  private boolean readable() {
-    return replica.isLoaded() || recovery.map(RecoveryModule::hasNoServingNode).orElse(false);
+  private boolean isReadableHereOrNowhere() {
+    return records.isLoaded() || recovery.map(RecoveryModule::hasNoServingNode).orElse(false);
   }
 }
--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/api/SubmissionValidator.java
@@ -0,0 +1,84 @@
+package io.cherryspool.controller.api;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.cherryspool.http.Reply;
+import io.cherryspool.model.Job;
+import io.cherryspool.model.MachineType;
+import io.cherryspool.model.Team;
+import io.cherryspool.scheduler.PlacementConstraints;
+import io.cherryspool.store.Records;
+import io.cherryspool.wire.Json;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.UserProtocol;
+import java.time.InstantSource;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Supplier;
+
+/** Checks submissions by themselves, without regard to the jobs that were accepted before. */
+public final class SubmissionValidator {
+  private final Map<String, Team> teams;
+  private final Supplier<List<MachineType>> machineTypes;
+  private final InstantSource clock;
+  private final int maxRecordBytes;
+
+  /**
+   * @param teams the known teams by name
+   * @param machineTypes the machine types; null while they are not known
+   * @param maxRecordBytes the state store's limit on the size of a value
+   */
+  public SubmissionValidator(
+      Map<String, Team> teams,
+      Supplier<List<MachineType>> machineTypes,
+      InstantSource clock,
+      int maxRecordBytes) {
+    this.teams = teams;
+    this.machineTypes = machineTypes;
+    this.clock = clock;
+    this.maxRecordBytes = maxRecordBytes;
+  }
+
+  /** Judges the body of a submission. */
+  JobSubmission validate(byte[] body) {
+    JsonNode node;
+    try {
+      node = Json.parseObject(body);
+    } catch (MalformedMessageException e) {
+      return new JobSubmission.Invalid(Optional.empty(), malformed(e));
+    }
+    try {
+      Job job = UserProtocol.parseJob(node, clock.instant());
+      return checkRunnable(job, encode(job));
+    } catch (MalformedMessageException e) {
+      return new JobSubmission.Invalid(
+          Optional.ofNullable(UserProtocol.findJobId(node)), malformed(e));
+    }
+  }
+
+  private JsonNode encode(Job job) throws MalformedMessageException {
+    JsonNode record = Records.jobKey(job, Records.tasksPerShard(maxRecordBytes));
+    if (Json.toBytes(record).length > maxRecordBytes) {
+      throw new MalformedMessageException("the description is too long to be kept");
+    }
+    return record;
+  }
+
+  private JobSubmission checkRunnable(Job job, JsonNode record) {
+    List<MachineType> types = machineTypes.get();
+    String impossible = PlacementConstraints.infeasibilityReason(job, teams.get(job.team()), types);
+    if (impossible != null) {
+      return new JobSubmission.Invalid(
+          Optional.of(job.id()), Replies.error(Replies.UNPROCESSABLE, impossible));
+    }
+    if (types == null) {
+      return new JobSubmission.Invalid(
+          Optional.of(job.id()), Replies.retryLater("the machine types are not known yet"));
+    }
+    return new JobSubmission.Valid(job.id(), record);
+  }
+
+  private static Reply malformed(MalformedMessageException failure) {
+    return Replies.error(Replies.BAD_REQUEST, failure.getMessage());
+  }
+}
--- a/src/main/java/io/cherryspool/controller/api/UserApi.java
+++ b/src/main/java/io/cherryspool/controller/api/UserApi.java
@@ -1,266 +1,219 @@
 package io.cherryspool.controller.api;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.cherryspool.http.Reply;
-import io.cherryspool.model.Job;
-import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Outcome;
-import io.cherryspool.model.Team;
-import io.cherryspool.scheduler.PlacementConstraints;
 import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.GroupCommit;
 import io.cherryspool.store.JobRecord;
 import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.Records;
-import io.cherryspool.wire.Json;
-import io.cherryspool.wire.MalformedMessageException;
 import io.cherryspool.wire.StateStoreProtocol;
 import io.cherryspool.wire.UserProtocol;
-import java.time.InstantSource;
-import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
 /**
- * What users ask. Any node answers, with or without a leader: a submission and a cancel are one
- * conditional write each, and everything but a final state is read after the request came in.
+ * Serves users' requests. Any node does, with or without a leader: a submission and a cancel are
+ * one compare-and-swap transaction each, and everything but a final state is read after the request
+ * came in. A submission is an idempotent request. No method fails: what can't be served now is
+ * answered 503.
  */
 public final class UserApi {
-  /** What can't be taken now is refused at once; the users are asked to come back this soon. */
-  private static final int COME_BACK_S = 1;
+  private static final String STATE_STORE_SILENT = "the state service is silent";
 
-  private static final String SILENT = "the state service is silent";
-
-  private final ClusterRecords replica;
+  private final ClusterRecords records;
   private final GroupCommit commits;
-  private final Map<String, Team> teams;
-  private final Supplier<List<MachineType>> catalog;
-  private final InstantSource clock;
-  private final int valueBytes;
+  private final SubmissionValidator validator;
+  private final BooleanSupplier isBehindPeers;
   private final int failureCap;
-  private final BooleanSupplier behind;
 
   /**
-   * @param behind whether other nodes read the state while this one does not
+   * @param isBehindPeers whether other nodes read the state store while this one does not
+   * @param failureCap the failures of one task after which it counts as failing
    */
   public UserApi(
-      ClusterRecords replica,
+      ClusterRecords records,
       GroupCommit commits,
-      Map<String, Team> teams,
-      Supplier<List<MachineType>> catalog,
-      InstantSource clock,
-      int valueBytes,
-      int failureCap,
-      BooleanSupplier behind) {
-    this.replica = replica;
+      SubmissionValidator validator,
+      BooleanSupplier isBehindPeers,
+      int failureCap) {
+    this.records = records;
     this.commits = commits;
-    this.teams = teams;
-    this.catalog = catalog;
-    this.clock = clock;
-    this.valueBytes = valueBytes;
+    this.validator = validator;
+    this.isBehindPeers = isBehindPeers;
     this.failureCap = failureCap;
-    this.behind = behind;
   }
 
+  /** Accepts a job, or answers with the state of the job if it was accepted earlier. */
   CompletableFuture<Reply> submit(byte[] body) {
-    JsonNode node;
-    try {
-      node = Json.parseObject(body);
-    } catch (MalformedMessageException e) {
-      return now(malformed(e));
-    }
-    Job job;
-    JsonNode record;
-    try {
-      job = UserProtocol.parseJob(node, clock.instant());
-      record = Records.jobKey(job, Records.tasksPerShard(valueBytes));
-      if (Json.toBytes(record).length > valueBytes) {
-        throw new MalformedMessageException("the description is too long to be kept");
-      }
-    } catch (MalformedMessageException e) {
-      String named = UserProtocol.findJobId(node);
-      return named == null ? now(malformed(e)) : refuse(named, malformed(e));
-    }
-    String id = job.id();
-    List<MachineType> types = catalog.get();
-    String impossible = PlacementConstraints.infeasibilityReason(job, teams.get(job.team()), types);
-    if (impossible != null) {
-      return refuse(id, Reply.json(422, UserProtocol.encodeError(impossible)));
-    }
-    if (replica.job(id) != null) {
-      return known(id);
+    JobSubmission submission = validator.validate(body);
+    if (submission instanceof JobSubmission.Invalid invalid) {
+      return invalid.jobId().isEmpty()
+          ? Replies.completed(invalid.refusal())
+          : refuse(invalid.jobId().get(), invalid.refusal());
     }
-    if (!replica.isLoaded()) {
-      return now(later("not ready"));
+    return accept((JobSubmission.Valid) submission);
+  }
+
+  private CompletableFuture<Reply> accept(JobSubmission.Valid submission) {
+    String id = submission.jobId();
+    if (records.job(id) != null) {
+      return acceptedEarlier(id);
     }
-    if (types == null) {
-      return refuse(id, later("the machine types are not known yet"));
+    if (!records.isLoaded()) {
+      return Replies.completed(Replies.retryLater("not ready"));
     }
     return commits
         .submit(
             RateLimiter.WriteClass.SUBMIT,
             Map.of(Records.jobKey(id), 0L),
-            new StateStoreProtocol.Change(Records.jobKey(id), record, 0))
+            new StateStoreProtocol.Change(Records.jobKey(id), submission.record(), 0))
         .thenCompose(
-            applied ->
-                applied
-                    ? now(
-                        Reply.json(
-                            201, UserProtocol.encodeStatus(id, UserProtocol.JobStatus.PENDING)))
-                    : known(id))
-        .exceptionally(failure -> later("the state service can't take the job now"));
+            isApplied ->
+                isApplied
+                    ? Replies.completed(status(Replies.CREATED, id, UserProtocol.JobStatus.PENDING))
+                    : acceptedEarlier(id))
+        .exceptionally(failure -> Replies.retryLater("the state service can't take the job now"));
   }
 
   /**
-   * Refuses a submission unless the job was accepted earlier, by any node: a user who repeats it is
-   * never told that it is malformed or can never run. While no node reads the state none accepts
-   * anything either, so that the copy tells enough; a node that others are ahead of can't tell.
+   * Refuses a submission unless the job was accepted earlier, by any node: one who repeats an
+   * accepted submission never gets the answer that it is malformed or can never run. While no node
+   * reads the state store none accepts anything either, so that this node's copy is enough; a node
+   * that is behind others can't know.
    */
   private CompletableFuture<Reply> refuse(String id, Reply refusal) {
-    if (replica.job(id) != null) {
-      return known(id);
+    if (records.job(id) != null) {
+      return acceptedEarlier(id);
     }
-    if (!replica.isLoaded()) {
-      return now(later("not ready"));
+    if (!records.isLoaded()) {
+      return Replies.completed(Replies.retryLater("not ready"));
     }
-    return replica
+    return records
         .refresh()
         .handle(
             (nothing, failure) -> {
-              JobRecord entry = replica.job(id);
-              boolean unsure = !replica.isLoaded() || behind.getAsBoolean();
-              if (failure != null && (entry != null || unsure)) {
-                return later(SILENT);
+              JobRecord job = records.job(id);
+              boolean isUncertain = !records.isLoaded() || isBehindPeers.getAsBoolean();
+              if (failure != null && (job != null || isUncertain)) {
+                return Replies.retryLater(STATE_STORE_SILENT);
               }
-              return entry == null ? refusal : status(entry);
+              return job == null ? refusal : currentStatus(job);
             });
   }
 
   /** The answer to a submission of a job that was accepted earlier. */
-  private CompletableFuture<Reply> known(String id) {
-    return current(id, () -> later("the job's record is not to be seen"));
+  private CompletableFuture<Reply> acceptedEarlier(String id) {
+    return read(id, () -> Replies.retryLater("the job's record is not to be seen"));
   }
 
+  /** The state of a job. */
   CompletableFuture<Reply> poll(String id) {
-    return current(id, () -> unknown(id));
+    return read(id, () -> unknownJob(id));
   }
 
   /**
-   * After records were lost, a job that workers run was accepted once, whoever its user was; what
-   * they run is known only once all are heard.
+   * The answer for a job without a record. After records were lost, a job that workers run was
+   * accepted earlier, whoever its user was; which jobs they run is known only after reconciliation.
    */
-  private Reply unknown(String id) {
-    boolean gone = replica.isAbandoned(id) || !replica.unknownJobs(id);
-    return replica.isReconciled() && gone
-        ? notFound()
-        : later("the records of this job are lost; submit it again");
+  private Reply unknownJob(String id) {
+    boolean neverAccepted = records.isAbandoned(id) || !records.unknownJobs(id);
+    return records.isReconciled() && neverAccepted
+        ? Replies.error(Replies.NOT_FOUND, "no such job")
+        : Replies.retryLater("the records of this job are lost; submit it again");
   }
 
+  /** Cancels a job, or answers with its end if it has ended. */
   CompletableFuture<Reply> cancel(String id) {
-    JobRecord known = replica.job(id);
-    if (known != null && known.outcome() != null) {
-      return now(ending(known));
+    JobRecord known = records.job(id);
+    if (hasEnded(known)) {
+      return Replies.completed(endStatus(known));
     }
-    return replica
+    return records
         .refresh()
+        .thenCompose(nothing -> cancelCurrent(id))
+        .exceptionally(failure -> Replies.retryLater(STATE_STORE_SILENT));
+  }
+
+  private CompletableFuture<Reply> cancelCurrent(String id) {
+    JobRecord job = records.job(id);
+    if (job == null) {
+      return Replies.completed(unknownJob(id));
+    }
+    if (hasEnded(job)) {
+      return Replies.completed(endStatus(job));
+    }
+    return commits
+        .submit(
+            RateLimiter.WriteClass.CANCEL,
+            Map.of(Records.outcomeKey(id), 0L),
+            new StateStoreProtocol.Change(
+                Records.outcomeKey(id), Records.outcomeKey(Outcome.CANCELLED), 0))
         .thenCompose(
-            nothing -> {
-              JobRecord entry = replica.job(id);
-              if (entry == null) {
-                return now(unknown(id));
-              }
-              if (entry.outcome() != null) {
-                return now(ending(entry));
-              }
-              return commits
-                  .submit(
-                      RateLimiter.WriteClass.CANCEL,
-                      Map.of(Records.outcomeKey(id), 0L),
-                      new StateStoreProtocol.Change(
-                          Records.outcomeKey(id), Records.outcomeKey(Outcome.CANCELLED), 0))
-                  .thenCompose(
-                      applied ->
-                          applied
-                              ? now(
-                                  Reply.json(
-                                      200,
-                                      UserProtocol.encodeStatus(
-                                          id, UserProtocol.JobStatus.CANCELLED)))
-                              : replica.refresh().thenApply(again -> ended(replica.job(id))));
-            })
-        .exceptionally(failure -> later(SILENT));
+            isApplied ->
+                isApplied
+                    ? Replies.completed(status(Replies.OK, id, UserProtocol.JobStatus.CANCELLED))
+                    : records.refresh().thenApply(again -> afterConflict(records.job(id))));
   }
 
   /**
-   * The job's state as of now, not as of the last change that this node heard of. Only an end is
-   * told from memory, in any trouble, since nothing follows it.
+   * The answer to a cancel that met a conflict. How the job ended is answered only from a record
+   * that is there: without one nothing shows how it ended, nor that it did, and the user asks
+   * again.
    */
-  private CompletableFuture<Reply> current(String id, Supplier<Reply> unknown) {
-    JobRecord known = replica.job(id);
-    if (known != null && known.outcome() != null) {
-      return now(status(known));
+  private static Reply afterConflict(JobRecord job) {
+    return hasEnded(job)
+        ? endStatus(job)
+        : Replies.retryLater("whether the job is cancelled is not known yet");
+  }
+
+  /**
+   * The job's state as of now, not as of the last change that this node has read. Only an end is
+   * answered from this node's copy alone, whatever the state store's condition, since nothing
+   * follows it.
+   */
+  private CompletableFuture<Reply> read(String id, Supplier<Reply> ifUnknown) {
+    JobRecord known = records.job(id);
+    if (hasEnded(known)) {
+      return Replies.completed(currentStatus(known));
     }
-    return replica
+    return records
         .refresh()
         .thenApply(
             nothing -> {
-              JobRecord entry = replica.job(id);
-              return entry == null ? unknown.get() : status(entry);
+              JobRecord job = records.job(id);
+              return job == null ? ifUnknown.get() : currentStatus(job);
             })
-        .exceptionally(failure -> later(SILENT));
+        .exceptionally(failure -> Replies.retryLater(STATE_STORE_SILENT));
   }
 
-  /**
-   * After a cancel that met a conflict. What it met is told only from a record that is there:
-   * without one nothing says how the job ended, nor that it did, and the user asks again.
-   */
-  private static Reply ended(JobRecord entry) {
-    return entry == null || entry.outcome() == null
-        ? later("whether the job is cancelled is not known yet")
-        : ending(entry);
+  private static boolean hasEnded(JobRecord job) {
+    return job != null && job.outcome() != null;
   }
 
-  private Reply status(JobRecord entry) {
-    int running = entry.outcome() == null ? entry.ownedCount() : 0;
+  private Reply currentStatus(JobRecord job) {
+    int running = hasEnded(job) ? 0 : job.ownedCount();
     UserProtocol.JobStatus status =
-        entry.outcome() == Outcome.DONE
-            ? UserProtocol.JobStatus.DONE
-            : entry.outcome() == Outcome.CANCELLED
-                ? UserProtocol.JobStatus.CANCELLED
-                : running > 0 ? UserProtocol.JobStatus.RUNNING : UserProtocol.JobStatus.PENDING;
+        hasEnded(job)
+            ? statusOf(job.outcome())
+            : running > 0 ? UserProtocol.JobStatus.RUNNING : UserProtocol.JobStatus.PENDING;
     return Reply.json(
-        200,
+        Replies.OK,
         UserProtocol.encodeStatus(
-            entry.job().id(),
-            status,
-            entry.doneCount(),
-            running,
-            entry.failingTaskCount(failureCap)));
-  }
-
-  private static Reply ending(JobRecord entry) {
-    UserProtocol.JobStatus status =
-        entry.outcome() == Outcome.DONE
-            ? UserProtocol.JobStatus.DONE
-            : UserProtocol.JobStatus.CANCELLED;
-    return Reply.json(200, UserProtocol.encodeStatus(entry.job().id(), status));
-  }
-
-  private static Reply malformed(MalformedMessageException failure) {
-    return Reply.json(400, UserProtocol.encodeError(failure.getMessage()));
+            job.job().id(), status, job.doneCount(), running, job.failingTaskCount(failureCap)));
   }
 
-  private static Reply notFound() {
-    return Reply.json(404, UserProtocol.encodeError("no such job"));
+  private static Reply endStatus(JobRecord job) {
+    return status(Replies.OK, job.job().id(), statusOf(job.outcome()));
   }
 
-  private static Reply later(String why) {
-    return Reply.withRetryAfter(503, UserProtocol.encodeError(why), COME_BACK_S);
+  private static UserProtocol.JobStatus statusOf(Outcome outcome) {
+    return outcome == Outcome.DONE ? UserProtocol.JobStatus.DONE : UserProtocol.JobStatus.CANCELLED;
   }
 
-  private static CompletableFuture<Reply> now(Reply reply) {
-    return CompletableFuture.completedFuture(reply);
+  private static Reply status(int httpStatus, String id, UserProtocol.JobStatus status) {
+    return Reply.json(httpStatus, UserProtocol.encodeStatus(id, status));
   }
 }
--- /dev/null
+++ b/src/main/java/io/cherryspool/controller/api/WorkerApi.java
@@ -0,0 +1,91 @@
+package io.cherryspool.controller.api;
+
+import io.cherryspool.controller.metrics.Meters;
+import io.cherryspool.controller.recovery.RecoveryModule;
+import io.cherryspool.http.Reply;
+import io.cherryspool.mesh.Mesh;
+import io.cherryspool.model.WorkerHeartbeat;
+import io.cherryspool.store.ClusterRecords;
+import io.cherryspool.store.Records;
+import io.cherryspool.wire.Json;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.WorkerProtocol;
+import java.util.Comparator;
+import java.util.Optional;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Answers workers' heartbeats, or redirects the workers to the node that leads. */
+public final class WorkerApi {
+  /** The path of workers' heartbeats. */
+  static final String PATH = "/v1/report";
+
+  private static final Logger LOG = LoggerFactory.getLogger(WorkerApi.class);
+
+  private final String nodeName;
+  private final NodeService node;
+  private final ClusterRecords records;
+  private final StateStoreHealth stateStore;
+  private final Optional<RecoveryModule> recovery;
+  private final Meters meters;
+
+  /**
+   * @param nodeName the name of this node
+   * @param recovery empty on a node that doesn't look for lost records
+   */
+  public WorkerApi(
+      String nodeName,
+      NodeService node,
+      ClusterRecords records,
+      StateStoreHealth stateStore,
+      Optional<RecoveryModule> recovery,
+      Meters meters) {
+    this.nodeName = nodeName;
+    this.node = node;
+    this.records = records;
+    this.stateStore = stateStore;
+    this.recovery = recovery;
+    this.meters = meters;
+  }
+
+  /** Answers the body of a heartbeat request. */
+  Reply answer(byte[] body) {
+    WorkerHeartbeat heartbeat;
+    try {
+      heartbeat = WorkerProtocol.parseHeartbeat(Json.parseObject(body));
+    } catch (MalformedMessageException e) {
+      LOG.warn("malformed heartbeat of a worker: {}", e.getMessage());
+      return Replies.error(Replies.BAD_REQUEST, e.getMessage());
+    }
+    Optional<byte[]> answer = node.answerHeartbeat(heartbeat);
+    return answer.isPresent() ? Reply.json(Replies.OK, answer.get()) : redirect(heartbeat);
+  }
+
+  private Reply redirect(WorkerHeartbeat heartbeat) {
+    recovery.ifPresent(module -> module.observeUnansweredHeartbeat(heartbeat));
+    Optional<String> leader = otherLeader();
+    if (leader.isPresent()) {
+      node.workerRedirected(heartbeat);
+    }
+    meters.redirectedHeartbeats.increment();
+    return Reply.json(
+        Replies.MISDIRECTED_REQUEST, WorkerProtocol.encodeRedirect(leader.orElse(null)));
+  }
+
+  /**
+   * The other node that leads, if it is known: by the records where they can be read here, else by
+   * the nodes' heartbeats. A redirect is only a hint; a node that does not lead redirects again.
+   */
+  private Optional<String> otherLeader() {
+    if (stateStore.isReachable()) {
+      Records.Leader leader = records.isLoaded() ? records.leader() : null;
+      return leader == null || leader.node().equals(nodeName)
+          ? Optional.empty()
+          : Optional.of(leader.node());
+    }
+    return node.recentPeerHeartbeats().stream()
+        .filter(heartbeat -> heartbeat.links().isLeading())
+        .max(Comparator.comparingLong(Mesh.PeerHeartbeat::term))
+        .map(Mesh.PeerHeartbeat::node);
+  }
+}
--- a/src/main/java/io/cherryspool/controller/recovery/ElectionClusterNode.java
+++ b/src/main/java/io/cherryspool/controller/recovery/ElectionClusterNode.java
@@ -11,41 +11,42 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** What the recovery learns of its node and the others. */
+/** The recovery's view of the cluster, by this node's election and the nodes' heartbeats. */
 public final class ElectionClusterNode implements ClusterNode {
   private final EventLoop loop;
   private final String name;
   private final int peerCount;
-  private final Supplier<ReachabilityMatrix> peers;
-  private final Duration fresh;
+  private final Supplier<ReachabilityMatrix> heartbeatsByNode;
+  private final Duration heartbeatLifetime;
   private final Election election;
-  private final Runnable servingChanged;
-  private boolean workersRemember;
+  private final Runnable onServingChanged;
+  private boolean hasWorkerShownToken;
 
   /**
-   * @param fresh how long a heartbeat tells how its node is
-   * @param servingChanged called when the records can be relied on again, or no more
+   * @param heartbeatsByNode the latest heartbeats of the other nodes
+   * @param heartbeatLifetime how long after its receipt a heartbeat counts
+   * @param onServingChanged called when the records can be relied on again, or no longer
    */
   public ElectionClusterNode(
       EventLoop loop,
       String name,
       int peerCount,
-      Supplier<ReachabilityMatrix> peers,
-      Duration fresh,
+      Supplier<ReachabilityMatrix> heartbeatsByNode,
+      Duration heartbeatLifetime,
       Election election,
-      Runnable servingChanged) {
+      Runnable onServingChanged) {
     this.loop = loop;
     this.name = name;
     this.peerCount = peerCount;
-    this.peers = peers;
-    this.fresh = fresh;
+    this.heartbeatsByNode = heartbeatsByNode;
+    this.heartbeatLifetime = heartbeatLifetime;
     this.election = election;
-    this.servingChanged = servingChanged;
+    this.onServingChanged = onServingChanged;
   }
 
-  /** A worker has shown a token. */
+  /** Notes that a worker has shown a fencing token. */
   void observeWorkerToken() {
-    workersRemember = true;
+    hasWorkerShownToken = true;
   }
 
   @Override
@@ -56,7 +57,8 @@
   @Override
   public List<Peer> peers() {
     List<Peer> result = new ArrayList<>();
-    for (Mesh.PeerHeartbeat heartbeat : peers.get().freshHeartbeats(fresh, loop.now())) {
+    for (Mesh.PeerHeartbeat heartbeat :
+        heartbeatsByNode.get().freshHeartbeats(heartbeatLifetime, loop.now())) {
       result.add(
           new Peer(
               heartbeat.node(),
@@ -83,11 +85,11 @@
 
   @Override
   public boolean hasWorkerShownToken() {
-    return workersRemember;
+    return hasWorkerShownToken;
   }
 
   @Override
   public void onServingChanged() {
-    servingChanged.run();
+    onServingChanged.run();
   }
 }
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.cherryspool.controller.election.StateStoreAccess;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
 import io.cherryspool.model.Outcome;
@@ -24,40 +25,40 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What operators ask about lost state, and what they decide. Any node answers; a decision is one
- * conditional write, and is refused with a reason where it would be wrong.
+ * Answers operators' requests about lost records, and carries out their decisions. Any node does; a
+ * decision is one compare-and-swap transaction, and is refused with a reason where it would be
+ * wrong.
  */
 public final class RecoveryApi {
-  /** What the paths of all these requests begin with. */
+  /** The prefix of the paths of all these requests. */
   public static final String PATH = "/recovery/";
 
-  private static final int COME_BACK_S = 1;
+  private static final int RETRY_AFTER_SECONDS = 1;
 
   private final ClusterNode node;
   private final Recovery recovery;
-  private final ClusterRecords replica;
+  private final ClusterRecords records;
   private final StateStoreClient client;
   private final RateLimiter rateLimiter;
-  private final SnapshotWriter snapshots;
+  private final Optional<SnapshotWriter> snapshots;
 
   /**
-   * @param snapshots null if none are taken
+   * @param snapshots empty if none are taken
    */
   RecoveryApi(
       ClusterNode node,
       Recovery recovery,
-      ClusterRecords replica,
-      StateStoreClient client,
-      RateLimiter rateLimiter,
-      SnapshotWriter snapshots) {
+      StateStoreAccess stateStore,
+      Optional<SnapshotWriter> snapshots) {
     this.node = node;
     this.recovery = recovery;
-    this.replica = replica;
-    this.client = client;
-    this.rateLimiter = rateLimiter;
+    this.records = stateStore.records();
+    this.client = stateStore.client();
+    this.rateLimiter = stateStore.rateLimiter();
     this.snapshots = snapshots;
   }
 
@@ -72,12 +73,12 @@
   }
 
   private ObjectNode status() {
-    RetainedRecords memory = recovery.retainedRecords();
+    RetainedRecords retained = recovery.retainedRecords();
     ObjectNode root = Json.object().put("node", node.name());
-    root.put("phase", name(memory.phase()));
-    root.put("incarnation", memory.position().incarnationNumber());
-    root.put("revision", memory.position().revision());
-    root.put("settled", recovery.isServing() && replica.isReconciled());
+    root.put("phase", name(retained.phase()));
+    root.put("incarnation", retained.position().incarnationNumber());
+    root.put("revision", retained.position().revision());
+    root.put("settled", recovery.isServing() && records.isReconciled());
     root.put("foreign_cluster", recovery.statistics().hasFoundOtherCluster());
     root.put("losses", recovery.statistics().losses());
     if (recovery.statistics().lastLoss() != null) {
@@ -86,8 +87,8 @@
     root.put("rebuilds", recovery.statistics().rebuilds());
     root.put("added_after_rebuild", recovery.statistics().addedRecords());
     root.put("last_hold_s", recovery.statistics().lastHold().toMillis() / 1e3);
-    root.put("jobs_held", replica.heldJobs().size());
-    root.put("jobs_unknown", replica.unknownJobs().size());
+    root.put("jobs_held", records.heldJobs().size());
+    root.put("jobs_unknown", records.unknownJobs().size());
     ArrayNode peers = root.putArray("peers");
     for (Peer peer : node.peers()) {
       peers
@@ -98,18 +99,18 @@
           .put("revision", peer.retainedRecords().position().revision())
           .put("reaches_state", peer.isStateStoreReachable());
     }
-    root.set("snapshot", snapshot());
+    root.set("snapshot", describeSnapshot());
     return root;
   }
 
-  private JsonNode snapshot() {
-    SnapshotRepository.WriteResult last = snapshots == null ? null : snapshots.lastResult();
+  private JsonNode describeSnapshot() {
+    SnapshotRepository.WriteResult last = snapshots.map(SnapshotWriter::lastResult).orElse(null);
     if (last == null) {
       return Json.object().put("taken", false);
     }
     ObjectNode result = Json.object().put("taken", last.failure() == null);
     result.put("name", last.name()).put("bytes", last.bytes());
-    result.put("took_ms", last.durationNanos() / 1e6).put("age_s", snapshots.ageSeconds());
+    result.put("took_ms", last.durationNanos() / 1e6).put("age_s", snapshots.get().ageSeconds());
     if (last.failure() != null) {
       result.put("failure", last.failure());
     }
@@ -121,15 +122,15 @@
   }
 
   private CompletableFuture<Reply> held() {
-    return replica
+    return records
         .refresh()
         .thenApply(
             nothing -> {
               ObjectNode root = Json.object();
               ArrayNode held = root.putArray("held");
-              replica.heldJobs().stream().sorted().forEach(id -> describe(id, held.addObject()));
+              records.heldJobs().stream().sorted().forEach(id -> describe(id, held.addObject()));
               ArrayNode unknown = root.putArray("unknown");
-              replica.unknownJobs().stream().sorted().forEach(unknown::add);
+              records.unknownJobs().stream().sorted().forEach(unknown::add);
               return json(200, root);
             })
         .exceptionally(failure -> later());
@@ -137,7 +138,7 @@
 
   private void describe(String id, ObjectNode item) {
     item.put("job", id);
-    JobRecord entry = replica.job(id);
+    JobRecord entry = records.job(id);
     if (entry != null) {
       item.put("class", entry.job().jobClass()).put("team", entry.job().team());
       item.put("tasks", entry.job().taskCount());
@@ -159,18 +160,18 @@
     if (!UserProtocol.isJobId(id) || !repeat && !decision.equals("abandon")) {
       return now(error(400, "job must be a job's id, and decision repeat or abandon"));
     }
-    return replica
+    return records
         .refresh()
         .thenCompose(nothing -> repeat ? repeat(id) : abandon(id))
         .exceptionally(failure -> later());
   }
 
   private CompletableFuture<Reply> repeat(String id) {
-    if (replica.unknownJobs(id) && replica.job(id) == null) {
+    if (records.unknownJobs(id) && records.job(id) == null) {
       return now(
           error(409, "nobody has described job " + id + "; its user must submit it once more"));
     }
-    if (!replica.heldJobs().contains(id)) {
+    if (!records.heldJobs().contains(id)) {
       return now(notHeld(id));
     }
     return commit(
@@ -180,7 +181,7 @@
   }
 
   private CompletableFuture<Reply> abandon(String id) {
-    if (replica.unknownJobs(id) && replica.job(id) == null) {
+    if (records.unknownJobs(id) && records.job(id) == null) {
       return commit(
           Map.of(Records.jobKey(id), 0L),
           List.of(
@@ -188,7 +189,7 @@
                   Records.unknownJobKey(id), Records.abandonedMarker(), 0)),
           "tasks of job " + id + " are stopped; questions for it are answered 404");
     }
-    if (!replica.heldJobs().contains(id)) {
+    if (!records.heldJobs().contains(id)) {
       return now(notHeld(id));
     }
     return commit(
@@ -201,7 +202,7 @@
   }
 
   private Reply notHeld(String id) {
-    JobRecord entry = replica.job(id);
+    JobRecord entry = records.job(id);
     String state =
         entry == null ? "is not known" : entry.outcome() == null ? "is not held" : "has ended";
     return error(409, "job " + id + " " + state);
@@ -225,7 +226,7 @@
 
   private static Reply later() {
     return Reply.withRetryAfter(
-        503, UserProtocol.encodeError("the records can't be read now"), COME_BACK_S);
+        503, UserProtocol.encodeError("the records can't be read now"), RETRY_AFTER_SECONDS);
   }
 
   private static Reply json(int status, JsonNode body) {
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
@@ -1,6 +1,7 @@
 package io.cherryspool.controller.recovery;
 
 import io.cherryspool.controller.election.Election;
+import io.cherryspool.controller.election.StateStoreAccess;
 import io.cherryspool.controller.metrics.RecoveryMeters;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
@@ -15,11 +16,8 @@
 import io.cherryspool.recovery.SnapshotFile;
 import io.cherryspool.recovery.SnapshotRepository;
 import io.cherryspool.recovery.SnapshotWriter;
-import io.cherryspool.store.ClusterRecords;
-import io.cherryspool.store.RateLimiter;
 import io.cherryspool.store.RecordsSnapshot;
 import io.cherryspool.store.RollbackDetector;
-import io.cherryspool.store.StateStoreClient;
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.binder.MeterBinder;
 import java.time.Duration;
@@ -29,8 +27,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All that a node has for losses of its state, wired together. A node that does not look for losses
- * has none of it, and loads none of its classes.
+ * The parts of a node that detect a loss of the records and rebuild them, wired together. A node
+ * that is not configured for recovery has none of them, and loads none of their classes.
  */
 public final class RecoveryModule implements Lifecycle, MeterBinder {
   private final ElectionClusterNode node;
@@ -40,59 +38,57 @@
   private final RecoveryMeters meters;
   private final Optional<SnapshotWriter> snapshots;
 
-  /** What the controller works with, and the recovery as well. */
+  /** What the recovery shares with the rest of the node. */
   public record Dependencies(
       EventLoop loop,
-      StateStoreClient client,
-      RateLimiter rateLimiter,
-      ClusterRecords replica,
+      StateStoreAccess stateStore,
       Election election,
       RandomGenerator random,
       InstantSource clock) {}
 
   /**
-   * @param support where snapshots go, if they are taken
-   * @param interval how often they are
+   * @param target where snapshots go; empty if none are taken
+   * @param snapshotInterval how often they are taken
    */
   public RecoveryModule(
-      Dependencies shared,
+      Dependencies dependencies,
       ElectionClusterNode node,
       RecoveryTimings timings,
-      Optional<SnapshotTarget> support,
-      Duration interval) {
+      Optional<SnapshotTarget> target,
+      Duration snapshotInterval) {
     this.node = node;
-    this.election = shared.election();
-    Optional<SnapshotRepository> kept = support.map(given -> new SnapshotRepository(given.store()));
+    this.election = dependencies.election();
+    StateStoreAccess stateStore = dependencies.stateStore();
+    Optional<SnapshotRepository> repository =
+        target.map(present -> new SnapshotRepository(present.store()));
     RecordsSnapshot newest =
-        kept.flatMap(SnapshotRepository::readNewest)
+        repository
+            .flatMap(SnapshotRepository::readNewest)
             .map(SnapshotFile::records)
             .orElse(RecordsSnapshot.EMPTY);
     recovery =
         new Recovery(
-            shared.loop(),
-            shared.client(),
-            shared.rateLimiter(),
-            shared.replica(),
-            shared.random(),
+            dependencies.loop(),
+            stateStore.client(),
+            stateStore.rateLimiter(),
+            stateStore.records(),
+            dependencies.random(),
             timings,
             node,
             newest);
     snapshots =
-        support.map(
-            given ->
+        target.map(
+            present ->
                 new SnapshotWriter(
-                    shared.loop(),
-                    shared.replica(),
+                    dependencies.loop(),
+                    stateStore.records(),
                     recovery::isServing,
-                    shared.clock(),
-                    kept.get(),
-                    given.writerExecutor(),
-                    interval));
-    SnapshotWriter writer = snapshots.orElse(null);
-    api =
-        new RecoveryApi(
-            node, recovery, shared.replica(), shared.client(), shared.rateLimiter(), writer);
-    meters = new RecoveryMeters(recovery, shared.replica(), writer);
+                    dependencies.clock(),
+                    repository.get(),
+                    present.writerExecutor(),
+                    snapshotInterval));
+    api = new RecoveryApi(node, recovery, stateStore, snapshots);
+    meters = new RecoveryMeters(recovery, stateStore.records(), snapshots.orElse(null));
   }
 
   @Override
@@ -114,11 +110,12 @@
     meters.bindTo(registry);
   }
 
-  /** What heartbeats tell of this node. */
+  /** What this node's heartbeats say of the records that it retains. */
   public Mesh.RetainedRecordsSummary retainedRecordsSummary() {
     return RetainedRecordsCodec.encode(recovery.retainedRecords());
   }
 
+  /** Whether the records may be relied on. */
   public boolean isServing() {
     return recovery.isServing();
   }
@@ -129,8 +126,8 @@
   }
 
   /**
-   * Whether nobody can read the records, as far as is known: while they are rebuilt, being passed
-   * over helps no user, and a node that was counts as unhealthy long after.
+   * Whether no node serves the records, as far as is known: while they are rebuilt, being passed
+   * over by the load balancer helps no user, and it counts such a node as unhealthy long after.
    */
   public boolean hasNoServingNode() {
     return recovery.retainedRecords().phase() != RetainedRecords.Phase.STARTING
@@ -143,25 +140,31 @@
     return recovery.lastAnsweredRequestSentAt();
   }
 
+  /** Takes note of a term that a worker or another node has shown. */
   public void observeTerm(long term) {
     recovery.observeTerm(term);
   }
 
-  /** A worker has a task of which the records know no such start. */
+  /**
+   * Reports a loss: a worker has a task whose start is in no record.
+   *
+   * @param task the task and its attempt, for the log
+   */
   public void reportUnrecordedStart(String task) {
     recovery.reportLoss(RollbackDetector.Loss.START_MISSING, task);
   }
 
-  /** A report that comes while nobody leads tells at least what was once given out. */
-  public void observeUnansweredHeartbeat(WorkerHeartbeat report) {
+  /** Takes from a heartbeat that came while nobody leads which tokens were once given out. */
+  public void observeUnansweredHeartbeat(WorkerHeartbeat heartbeat) {
     if (!recovery.isServing()) {
-      if (report.highestFencingToken() > 0) {
+      if (heartbeat.highestFencingToken() > 0) {
         node.observeWorkerToken();
       }
-      election.observeTerm(FencingToken.term(report.highestFencingToken()));
+      election.observeTerm(FencingToken.term(heartbeat.highestFencingToken()));
     }
   }
 
+  /** Answers an operator's request, see {@link RecoveryApi}. */
   public CompletableFuture<Reply> handle(Request request) {
     return api.handle(request);
   }
--- a/src/main/java/io/cherryspool/controller/recovery/RetainedRecordsCodec.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RetainedRecordsCodec.java
@@ -4,29 +4,33 @@
 import io.cherryspool.recovery.RetainedRecords;
 import io.cherryspool.store.Incarnation;
 
-/** A node's memory as heartbeats carry it. */
+/** Converts what a node retains of the records to and from the form that heartbeats carry. */
 final class RetainedRecordsCodec {
   private RetainedRecordsCodec() {}
 
-  static Mesh.RetainedRecordsSummary encode(RetainedRecords memory) {
+  /** The form that heartbeats carry; the phase is its ordinal. */
+  static Mesh.RetainedRecordsSummary encode(RetainedRecords retained) {
     return new Mesh.RetainedRecordsSummary(
-        memory.phase().ordinal(),
-        memory.position().incarnationNumber(),
-        memory.nonce(),
-        memory.position().revision(),
-        memory.wasSoleLeader(),
-        memory.contributedRebuild());
+        retained.phase().ordinal(),
+        retained.position().incarnationNumber(),
+        retained.nonce(),
+        retained.position().revision(),
+        retained.wasSoleLeader(),
+        retained.contributedRebuild());
   }
 
-  /** A phase that this version does not know is one in which the node does not serve. */
-  static RetainedRecords decode(Mesh.RetainedRecordsSummary memory) {
+  /**
+   * What the sender retains; a phase that this version does not know counts as one in which the
+   * node does not serve.
+   */
+  static RetainedRecords decode(Mesh.RetainedRecordsSummary summary) {
     RetainedRecords.Phase[] phases = RetainedRecords.Phase.values();
-    boolean known = memory.recoveryPhase() >= 0 && memory.recoveryPhase() < phases.length;
+    boolean isKnown = summary.recoveryPhase() >= 0 && summary.recoveryPhase() < phases.length;
     return new RetainedRecords(
-        known ? phases[memory.recoveryPhase()] : RetainedRecords.Phase.HOLDING,
-        memory.nonce(),
-        new Incarnation.HistoryPosition(memory.incarnation(), memory.revision()),
-        memory.wasLeader(),
-        memory.contributedRebuild());
+        isKnown ? phases[summary.recoveryPhase()] : RetainedRecords.Phase.HOLDING,
+        summary.nonce(),
+        new Incarnation.HistoryPosition(summary.incarnation(), summary.revision()),
+        summary.wasLeader(),
+        summary.contributedRebuild());
   }
 }
--- a/src/test/java/io/cherryspool/PackageDependenciesTest.java
+++ b/src/test/java/io/cherryspool/PackageDependenciesTest.java
@@ -34,10 +34,12 @@
   private static final List<AllowedEdge> ALLOWED_EDGES =
       List.of(
           new AllowedEdge("controller.Controller", "config.Settings"),
-          new AllowedEdge("controller.Controller", "config.Settings$StateStoreLimits"),
           new AllowedEdge("controller.Controller", "config.OperatorSettings"),
-          new AllowedEdge("controller.Controller", "config.RecoverySettings"),
-          new AllowedEdge("controller.Controller", "config.PartitionSettings"),
+          new AllowedEdge("controller.ControllerModule", "config.Settings"),
+          new AllowedEdge("controller.ControllerModule", "config.Settings$StateStoreLimits"),
+          new AllowedEdge("controller.ControllerModule", "config.OperatorSettings"),
+          new AllowedEdge("controller.ControllerModule", "config.RecoverySettings"),
+          new AllowedEdge("controller.ControllerModule", "config.PartitionSettings"),
           new AllowedEdge("controller.timing.Timings", "config.Settings"),
           new AllowedEdge("controller.timing.Timings", "config.OperatorSettings"),
           new AllowedEdge("wire.CloudProtocol", "http.Request"),
--- a/src/test/java/io/cherryspool/controller/api/RequestForwarderTest.java
+++ b/src/test/java/io/cherryspool/controller/api/RequestForwarderTest.java
@@ -16,41 +16,41 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** To whom users' requests are passed on, and as what. */
+/** To which nodes users' requests are forwarded, and in what form. */
 class RequestForwarderTest {
-  private final List<Mesh.PeerHeartbeat> heard = new ArrayList<>();
+  private final List<Mesh.PeerHeartbeat> heartbeats = new ArrayList<>();
   private final List<Request> sent = new ArrayList<>();
   private final RequestForwarder forwarder =
       new RequestForwarder(
-          (to, request, deadline) -> {
+          (target, request, timeout) -> {
             sent.add(request);
             return new CompletableFuture<Reply>();
           },
-          () -> heard);
+          () -> heartbeats);
 
-  private void hear(String address, boolean reads, LinkState state) {
+  private void receiveHeartbeat(String address, boolean canRead, LinkState state) {
     LinkSummary links =
         new LinkSummary(false, address, state, LinkState.UP, false, 0, "", List.of(), List.of());
-    heard.add(
+    heartbeats.add(
         new Mesh.PeerHeartbeat(
-            address, 1, reads, 0, 0, 0, Mesh.RetainedRecordsSummary.NONE, links));
+            address, 1, canRead, 0, 0, 0, Mesh.RetainedRecordsSummary.NONE, links));
   }
 
   @Test
-  void nodesThatReadTheStateTakeTurns() {
-    assertEquals(Optional.empty(), forwarder.nextTarget(), "nobody is heard");
-    hear("10.0.0.1:80", true, LinkState.UP);
-    hear("10.0.0.2:80", false, LinkState.UP);
-    hear("10.0.0.3:80", true, LinkState.SUSPECT);
-    hear("", true, LinkState.UP);
-    hear("10.0.0.5:80", true, LinkState.UP);
+  void nodesThatReadTheStateStoreTakeTurns() {
+    assertEquals(Optional.empty(), forwarder.nextTarget(), "no heartbeat was received");
+    receiveHeartbeat("10.0.0.1:80", true, LinkState.UP);
+    receiveHeartbeat("10.0.0.2:80", false, LinkState.UP);
+    receiveHeartbeat("10.0.0.3:80", true, LinkState.SUSPECT);
+    receiveHeartbeat("", true, LinkState.UP);
+    receiveHeartbeat("10.0.0.5:80", true, LinkState.UP);
     assertEquals(Optional.of(new Endpoint("10.0.0.1", 80)), forwarder.nextTarget());
     assertEquals(Optional.of(new Endpoint("10.0.0.5", 80)), forwarder.nextTarget());
     assertEquals(Optional.of(new Endpoint("10.0.0.1", 80)), forwarder.nextTarget());
   }
 
   @Test
-  void whatIsPassedOnIsMarked() {
+  void aForwardedRequestIsMarked() {
     Request request = Request.get("/api/jobs/req-000001");
     assertFalse(RequestForwarder.isForwarded(request));
     forwarder.forward(new Endpoint("10.0.0.1", 80), request);
--- /dev/null
+++ b/src/test/java/io/cherryspool/controller/api/UserApiFixture.java
@@ -0,0 +1,116 @@
+package io.cherryspool.controller.api;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.cherryspool.http.Reply;
+import io.cherryspool.model.JobFixture;
+import io.cherryspool.model.MachineType;
+import io.cherryspool.model.Outcome;
+import io.cherryspool.model.Priority;
+import io.cherryspool.model.Resources;
+import io.cherryspool.sim.fakes.FakeStateStore;
+import io.cherryspool.sim.time.VirtualTime;
+import io.cherryspool.store.Records;
+import io.cherryspool.wire.Json;
+import io.cherryspool.wire.MalformedMessageException;
+import io.cherryspool.wire.StateStoreProtocol;
+import io.cherryspool.wire.UserProtocol;
+import java.time.Duration;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.concurrent.CompletableFuture;
+import org.junit.jupiter.api.BeforeEach;
+
+/** Two nodes in virtual time, whose users ask both of them at any moment. */
+abstract class UserApiFixture {
+  static final String JOB = "req-000001";
+  static final List<MachineType> TYPES =
+      List.of(
+          new MachineType(
+              "box", new Resources(16, 0, 64), 50, 0.5, 1, 0.4, Duration.ZERO, List.of("a")));
+
+  final VirtualTime time = new VirtualTime();
+  final FakeStateStore stateStore = new FakeStateStore(time, new SplittableRandom(1), 0);
+  final UserApiNode one = newNode();
+  final UserApiNode other = newNode();
+
+  @BeforeEach
+  void startNodes() {
+    one.start();
+    other.start();
+    run(0.05);
+  }
+
+  final UserApiNode newNode() {
+    return new UserApiNode(time, stateStore, TYPES);
+  }
+
+  final void run(double seconds) {
+    Duration end = time.now().plusMillis((long) (seconds * 1000));
+    while (time.runNextEvent(end)) {
+      // Each event may schedule more.
+    }
+  }
+
+  private static ObjectNode descriptionNode() {
+    return UserProtocol.encodeJob(JobFixture.job(JOB, Priority.NORMAL, 2, 1));
+  }
+
+  /** A description of the job that is accepted. */
+  static byte[] description() {
+    return Json.toBytes(descriptionNode());
+  }
+
+  static byte[] descriptionWithout(String field) {
+    ObjectNode node = descriptionNode();
+    node.remove(field);
+    return Json.toBytes(node);
+  }
+
+  static byte[] descriptionOfTeam(String team) {
+    return Json.toBytes(descriptionNode().put("owner", team));
+  }
+
+  /** A description of the job with tasks larger than any machine. */
+  static byte[] tooLargeDescription() {
+    return Json.toBytes(descriptionNode().put("vcpus", 100));
+  }
+
+  /**
+   * The HTTP status of an answer that is there already, with the job's own status if it has one. A
+   * refusal must say when to come back.
+   */
+  static String answer(CompletableFuture<Reply> future) {
+    assertTrue(future.isDone(), "held back");
+    Reply reply = future.join();
+    assertEquals(reply.status() == 503, reply.retryAfterSeconds() > 0);
+    try {
+      String status = Json.parseObject(reply.body()).path("status").asText();
+      return (reply.status() + " " + status).trim();
+    } catch (MalformedMessageException e) {
+      throw new AssertionError(e);
+    }
+  }
+
+  /** The answer within 50 ms, at the moment it is given, before the other node reads of it. */
+  final String promptAnswer(CompletableFuture<Reply> future) {
+    Duration end = time.now().plusMillis(50);
+    while (!future.isDone() && time.runNextEvent(end)) {
+      // Each event may schedule more.
+    }
+    return answer(future);
+  }
+
+  /** The leader records the end of the job. */
+  final void endJob(Outcome outcome) {
+    stateStore.handle(
+        StateStoreProtocol.transactionRequest(
+            Map.of(Records.outcomeKey(JOB), 0L),
+            List.of(
+                new StateStoreProtocol.Change(
+                    Records.outcomeKey(JOB), Records.outcomeKey(outcome), 0))));
+  }
+}
