--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -55,7 +55,7 @@
   private EventLoop.Timer timer;
 
   /**
-   * What a node knows of time and chance, so that the simulation can run the same code.
+   * A node's sources of time and of random numbers, which the simulation replaces.
    *
    * @param loop the one thread of the node, with its monotonic clock
    * @param clock the wall clock, which may be set back
--- a/src/main/java/io/cherryspool/controller/ControllerModule.java
+++ b/src/main/java/io/cherryspool/controller/ControllerModule.java
@@ -25,23 +25,12 @@
 import io.cherryspool.controller.rounds.RoundCommitter;
 import io.cherryspool.controller.rounds.SchedulingLoop;
 import io.cherryspool.controller.timing.Timings;
-import io.cherryspool.http.ObservedTransport;
-import io.cherryspool.http.Reply;
-import io.cherryspool.http.Request;
-import io.cherryspool.http.Transport;
 import io.cherryspool.lifecycle.EventLoop;
-import io.cherryspool.model.Durations;
 import io.cherryspool.model.Team;
-import io.cherryspool.reachability.PartitionRule;
 import io.cherryspool.reachability.Reachability;
-import io.cherryspool.reachability.ReachabilityTimings;
-import io.cherryspool.reachability.VerdictRule;
 import io.cherryspool.recovery.RecoveryTimings;
 import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.GroupCommit;
-import io.cherryspool.store.RateLimiter;
-import io.cherryspool.store.StateStoreClient;
-import io.cherryspool.wire.StateStoreProtocol;
 import io.cherryspool.worker.WorkerClient;
 import io.micrometer.core.instrument.Gauge;
 import io.micrometer.core.instrument.MeterRegistry;
@@ -51,18 +40,15 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import java.util.function.Predicate;
 
 /**
  * Makes the parts of one controller node and connects them. It has no behaviour of its own; {@link
- * Controller} runs what is made here. Longer than other classes, since every part is named once.
+ * Controller} runs what is made here. Longer than other classes, since it names every part once.
  */
 final class ControllerModule implements MeterBinder {
   /** How often a node sends heartbeats to the others in the length of a state store lease. */
   static final int HEARTBEATS_PER_LEASE = 8;
 
-  private static final int HTTP_UNAVAILABLE = 503;
-
   /** A rebuild's part of the state store's write limit; the nodes' leases need none of it. */
   private static final double REBUILD_WRITE_SHARE = 0.85;
 
@@ -96,8 +82,10 @@
     this.loop = dependencies.environment().loop();
     this.timings = Timings.fromSettings(settings, operators);
     settings.teams().forEach(team -> teams.put(team.name(), team));
-    reachability = newReachability(dependencies.verdictRule());
-    stateStore = newStateStoreAccess();
+    ServiceClients clients =
+        new ServiceClients(settings, operators.partitions(), timings, dependencies);
+    reachability = clients.reachability();
+    stateStore = clients.stateStore();
     election =
         new Election(
             loop,
@@ -107,96 +95,17 @@
             new ProcessIdentity(settings.name(), dependencies.processId()),
             reachability);
     recovery = operators.recovery().map(this::newRecovery);
-    cloud = newCloudClient();
-    workers = new WorkerClient(dependencies.transport(), timings.workerTimeout());
-    catalog =
-        new MachineTypeCatalog(
-            loop,
-            cloud,
-            stateStore.records(),
-            stateStore.client(),
-            stateStore.rateLimiter(),
-            election::isLeader);
+    cloud = clients.cloud();
+    workers = clients.workers();
+    catalog = newMachineTypeCatalog();
     commits = newGroupCommit();
     terms =
         new LeaderTerms(loop, election, stateStore, reachability, recovery, this::newLeaderTerm);
-    StateStoreHealth health =
-        new StateStoreHealth(
-            loop,
-            stateStore.records(),
-            reachability,
-            timings,
-            recovery,
-            !settings.peers().isEmpty());
-    heartbeats =
-        new PeerHeartbeats(
-            settings.name(),
-            settings.clientAddress(),
-            stateStore,
-            health,
-            reachability,
-            terms,
-            recovery);
+    StateStoreHealth health = newStateStoreHealth();
+    heartbeats = newPeerHeartbeats(health);
     api = newApi(health);
   }
 
-  private Reachability newReachability(Optional<VerdictRule> rule) {
-    ReachabilityTimings times =
-        new ReachabilityTimings(
-            Durations.divide(timings.stateStoreLease(), HEARTBEATS_PER_LEASE),
-            timings.lateAfter(),
-            timings.heartbeatInterval(),
-            timings.workerLeaseExpiry(),
-            timings.stateStoreLease(),
-            timings.authority(),
-            timings.stateStoreTimeout(),
-            operators.partitions().flapHalfLife());
-    return new Reachability(
-        settings.name(),
-        settings.peerNames(),
-        times,
-        operators.partitions().dampsFlapping(),
-        rule.orElse(new PartitionRule(times)));
-  }
-
-  private StateStoreAccess newStateStoreAccess() {
-    Settings.StateStoreLimits limits = settings.stateStoreLimits();
-    int nodes = settings.peers().size() + 1;
-    RateLimiter rateLimiter =
-        new RateLimiter(loop, nodes, limits.requestsPerSecond(), limits.writesPerSecond());
-    StateStoreClient client =
-        new StateStoreClient(
-            loop,
-            rateLimiter,
-            observed(
-                request -> !StateStoreProtocol.isWatch(request),
-                reply -> reply.status() == HTTP_UNAVAILABLE,
-                reachability.stateLink()),
-            settings.stateStoreAddress(),
-            timings.stateStoreTimeout());
-    Duration refreshGap = Duration.ofNanos((long) (2e9 * nodes / limits.requestsPerSecond()));
-    ClusterRecords records =
-        new ClusterRecords(
-            loop, client, rateLimiter, refreshGap, timings.stateStoreTimeout().dividedBy(2));
-    return new StateStoreAccess(client, rateLimiter, records);
-  }
-
-  private CloudClient newCloudClient() {
-    return new CloudClient(
-        observed(request -> true, CloudClient::isOutage, reachability.cloudLink()),
-        settings.cloudAddress(),
-        timings.cloudTimeout());
-  }
-
-  /** The transport, with its outcomes reported to the observer of a link. */
-  private Transport observed(
-      Predicate<Request> isSignificant,
-      Predicate<Reply> isRefusal,
-      ObservedTransport.Observer observer) {
-    return new ObservedTransport(
-        loop, dependencies.transport(), isSignificant, isRefusal, observer);
-  }
-
   private RecoveryModule newRecovery(RecoverySettings wanted) {
     Settings.StateStoreLimits limits = settings.stateStoreLimits();
     Duration bootstrap =
@@ -233,6 +142,16 @@
     terms.update();
   }
 
+  private MachineTypeCatalog newMachineTypeCatalog() {
+    return new MachineTypeCatalog(
+        loop,
+        cloud,
+        stateStore.records(),
+        stateStore.client(),
+        stateStore.rateLimiter(),
+        election::isLeader);
+  }
+
   private GroupCommit newGroupCommit() {
     int maxChanges = settings.stateStoreLimits().maxTransactionOperations();
     return new GroupCommit(
@@ -244,6 +163,23 @@
         timings.stateStoreTimeout());
   }
 
+  private StateStoreHealth newStateStoreHealth() {
+    boolean hasPeers = !settings.peers().isEmpty();
+    return new StateStoreHealth(
+        loop, stateStore.records(), reachability, timings, recovery, hasPeers);
+  }
+
+  private PeerHeartbeats newPeerHeartbeats(StateStoreHealth health) {
+    return new PeerHeartbeats(
+        settings.name(),
+        settings.clientAddress(),
+        stateStore,
+        health,
+        reachability,
+        terms,
+        recovery);
+  }
+
   private NodeApi newApi(StateStoreHealth health) {
     NodeService node =
         new ControllerNodeService(
--- a/src/main/java/io/cherryspool/controller/api/LinksApi.java
+++ b/src/main/java/io/cherryspool/controller/api/LinksApi.java
@@ -56,7 +56,7 @@
       areAllUp &= describe(nodes.addObject(), peer, age, heartbeat.links());
     }
     root.put("all_up", areAllUp);
-    return Reply.json(200, Json.toBytes(root));
+    return Reply.json(Replies.OK, Json.toBytes(root));
   }
 
   /** Writes one node's links; true if all of them are up. */
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
@@ -62,13 +62,14 @@
     this.snapshots = snapshots;
   }
 
+  /** Answers a request whose path begins with {@link #PATH}. */
   CompletableFuture<Reply> handle(Request request) {
     String call = request.method() + " " + request.path().substring(PATH.length());
     return switch (call) {
-      case "GET status" -> now(json(200, status()));
-      case "GET held" -> held();
+      case "GET status" -> completed(json(200, status()));
+      case "GET held" -> listHeldJobs();
       case "POST resolve" -> resolve(request.body());
-      default -> now(error(404, "no such thing"));
+      default -> completed(error(404, "no such thing"));
     };
   }
 
@@ -121,7 +122,7 @@
     return phase.name().toLowerCase(Locale.ROOT);
   }
 
-  private CompletableFuture<Reply> held() {
+  private CompletableFuture<Reply> listHeldJobs() {
     return records
         .refresh()
         .thenApply(
@@ -133,16 +134,16 @@
               records.unknownJobs().stream().sorted().forEach(unknown::add);
               return json(200, root);
             })
-        .exceptionally(failure -> later());
+        .exceptionally(failure -> retryLater());
   }
 
   private void describe(String id, ObjectNode item) {
     item.put("job", id);
-    JobRecord entry = records.job(id);
-    if (entry != null) {
-      item.put("class", entry.job().jobClass()).put("team", entry.job().team());
-      item.put("tasks", entry.job().taskCount());
-      item.put("done", entry.doneCount()).put("running", entry.ownedCount());
+    JobRecord job = records.job(id);
+    if (job != null) {
+      item.put("class", job.job().jobClass()).put("team", job.job().team());
+      item.put("tasks", job.job().taskCount());
+      item.put("done", job.doneCount()).put("running", job.ownedCount());
     }
   }
 
@@ -154,25 +155,26 @@
       id = node.path("job").asText();
       decision = node.path("decision").asText();
     } catch (MalformedMessageException e) {
-      return now(error(400, e.getMessage()));
+      return completed(error(400, e.getMessage()));
     }
-    boolean repeat = decision.equals("repeat");
-    if (!UserProtocol.isJobId(id) || !repeat && !decision.equals("abandon")) {
-      return now(error(400, "job must be a job's id, and decision repeat or abandon"));
+    boolean isRepeat = decision.equals("repeat");
+    if (!UserProtocol.isJobId(id) || !isRepeat && !decision.equals("abandon")) {
+      return completed(error(400, "job must be a job's id, and decision repeat or abandon"));
     }
     return records
         .refresh()
-        .thenCompose(nothing -> repeat ? repeat(id) : abandon(id))
-        .exceptionally(failure -> later());
+        .thenCompose(nothing -> isRepeat ? repeat(id) : abandon(id))
+        .exceptionally(failure -> retryLater());
   }
 
+  /** Lets a held job run again where its tasks were not reported. */
   private CompletableFuture<Reply> repeat(String id) {
     if (records.unknownJobs(id) && records.job(id) == null) {
-      return now(
+      return completed(
           error(409, "nobody has described job " + id + "; its user must submit it once more"));
     }
     if (!records.heldJobs().contains(id)) {
-      return now(notHeld(id));
+      return completed(notHeld(id));
     }
     return commit(
         Map.of(Records.outcomeKey(id), 0L),
@@ -180,6 +182,7 @@
         "job " + id + " runs again where its tasks did not report");
   }
 
+  /** Cancels a held job, or stops the tasks of a job that nobody has described. */
   private CompletableFuture<Reply> abandon(String id) {
     if (records.unknownJobs(id) && records.job(id) == null) {
       return commit(
@@ -190,7 +193,7 @@
           "tasks of job " + id + " are stopped; questions for it are answered 404");
     }
     if (!records.heldJobs().contains(id)) {
-      return now(notHeld(id));
+      return completed(notHeld(id));
     }
     return commit(
         Map.of(Records.outcomeKey(id), 0L),
@@ -202,29 +205,29 @@
   }
 
   private Reply notHeld(String id) {
-    JobRecord entry = records.job(id);
+    JobRecord job = records.job(id);
     String state =
-        entry == null ? "is not known" : entry.outcome() == null ? "is not held" : "has ended";
+        job == null ? "is not known" : job.outcome() == null ? "is not held" : "has ended";
     return error(409, "job " + id + " " + state);
   }
 
   private CompletableFuture<Reply> commit(
-      Map<String, Long> conditions, List<StateStoreProtocol.Change> changes, String done) {
+      Map<String, Long> conditions, List<StateStoreProtocol.Change> changes, String resultText) {
     rateLimiter.forceAcquire(changes.size());
     return client
         .commit(conditions, changes)
         .thenApply(
             result ->
                 result.applied()
-                    ? json(200, Json.object().put("result", done))
+                    ? json(200, Json.object().put("result", resultText))
                     : error(409, "the job has changed meanwhile; look at it once more"));
   }
 
-  private static Reply error(int status, String why) {
-    return Reply.json(status, UserProtocol.encodeError(why));
+  private static Reply error(int status, String message) {
+    return Reply.json(status, UserProtocol.encodeError(message));
   }
 
-  private static Reply later() {
+  private static Reply retryLater() {
     return Reply.withRetryAfter(
         503, UserProtocol.encodeError("the records can't be read now"), RETRY_AFTER_SECONDS);
   }
@@ -233,7 +236,7 @@
     return Reply.json(status, Json.toBytes(body));
   }
 
-  private static CompletableFuture<Reply> now(Reply reply) {
+  private static CompletableFuture<Reply> completed(Reply reply) {
     return CompletableFuture.completedFuture(reply);
   }
 }
