--- a/src/main/java/io/cherryspool/cli/NodeLauncher.java
+++ b/src/main/java/io/cherryspool/cli/NodeLauncher.java
@@ -4,6 +4,7 @@
 import io.cherryspool.config.RecoverySettings;
 import io.cherryspool.config.Settings;
 import io.cherryspool.controller.Controller;
+import io.cherryspool.controller.recovery.SnapshotTarget;
 import io.cherryspool.http.NettyEventLoop;
 import io.cherryspool.http.NettyHttpClient;
 import io.cherryspool.http.NettyHttpServer;
@@ -147,12 +148,10 @@
         platform,
         operators,
         new Controller.Dependencies(
-            loop,
+            new Controller.Environment(loop, Instant::now, new SplittableRandom(entropy[0])),
             new NettyHttpClient(
                 loop, (int) (platform.fdLimit() * OWN_SOCKETS_FRACTION * HTTP_CALLS_FRACTION)),
             mesh,
-            new SplittableRandom(entropy[0]),
-            Instant::now,
             new UUID(entropy[1], entropy[2]).toString(),
             metrics::scrape,
             operators
@@ -163,7 +162,7 @@
   }
 
   /** Snapshots are written by a daemon thread of their own, since files block. */
-  private static Controller.SnapshotTarget snapshots(Path directory) {
+  private static SnapshotTarget snapshots(Path directory) {
     ExecutorService writer =
         Executors.newSingleThreadExecutor(
             task -> {
@@ -171,6 +170,6 @@
               thread.setDaemon(true);
               return thread;
             });
-    return new Controller.SnapshotTarget(new DirectorySnapshotStore(directory), writer);
+    return new SnapshotTarget(new DirectorySnapshotStore(directory), writer);
   }
 }
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.cherryspool.controller.election.StateStoreAccess;
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
 import io.cherryspool.model.Outcome;
@@ -24,60 +25,61 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What operators ask about lost state, and what they decide. Any node answers; a decision is one
- * conditional write, and is refused with a reason where it would be wrong.
+ * Answers operators' requests about lost records, and carries out their decisions. Any node does; a
+ * decision is one compare-and-swap transaction, and is refused with a reason where it would be
+ * wrong.
  */
 public final class RecoveryApi {
-  /** What the paths of all these requests begin with. */
+  /** The prefix of the paths of all these requests. */
   public static final String PATH = "/recovery/";
 
-  private static final int COME_BACK_S = 1;
+  private static final int RETRY_AFTER_SECONDS = 1;
 
   private final ClusterNode node;
   private final Recovery recovery;
-  private final ClusterRecords replica;
+  private final ClusterRecords records;
   private final StateStoreClient client;
   private final RateLimiter rateLimiter;
-  private final SnapshotWriter snapshots;
+  private final Optional<SnapshotWriter> snapshots;
 
   /**
-   * @param snapshots null if none are taken
+   * @param snapshots empty if none are taken
    */
   RecoveryApi(
       ClusterNode node,
       Recovery recovery,
-      ClusterRecords replica,
-      StateStoreClient client,
-      RateLimiter rateLimiter,
-      SnapshotWriter snapshots) {
+      StateStoreAccess stateStore,
+      Optional<SnapshotWriter> snapshots) {
     this.node = node;
     this.recovery = recovery;
-    this.replica = replica;
-    this.client = client;
-    this.rateLimiter = rateLimiter;
+    this.records = stateStore.records();
+    this.client = stateStore.client();
+    this.rateLimiter = stateStore.rateLimiter();
     this.snapshots = snapshots;
   }
 
+  /** Answers a request whose path begins with {@link #PATH}. */
   CompletableFuture<Reply> handle(Request request) {
     String call = request.method() + " " + request.path().substring(PATH.length());
     return switch (call) {
-      case "GET status" -> now(json(200, status()));
-      case "GET held" -> held();
+      case "GET status" -> completed(json(200, status()));
+      case "GET held" -> listHeldJobs();
       case "POST resolve" -> resolve(request.body());
-      default -> now(error(404, "no such thing"));
+      default -> completed(error(404, "no such thing"));
     };
   }
 
   private ObjectNode status() {
-    RetainedRecords memory = recovery.retainedRecords();
+    RetainedRecords retained = recovery.retainedRecords();
     ObjectNode root = Json.object().put("node", node.name());
-    root.put("phase", name(memory.phase()));
-    root.put("incarnation", memory.position().incarnationNumber());
-    root.put("revision", memory.position().revision());
-    root.put("settled", recovery.isServing() && replica.isReconciled());
+    root.put("phase", name(retained.phase()));
+    root.put("incarnation", retained.position().incarnationNumber());
+    root.put("revision", retained.position().revision());
+    root.put("settled", recovery.isServing() && records.isReconciled());
     root.put("foreign_cluster", recovery.statistics().hasFoundOtherCluster());
     root.put("losses", recovery.statistics().losses());
     if (recovery.statistics().lastLoss().isPresent()) {
@@ -86,8 +88,8 @@
     root.put("rebuilds", recovery.statistics().rebuilds());
     root.put("added_after_rebuild", recovery.statistics().addedRecords());
     root.put("last_hold_s", recovery.statistics().lastHold().toMillis() / 1e3);
-    root.put("jobs_held", replica.heldJobs().size());
-    root.put("jobs_unknown", replica.unknownJobs().size());
+    root.put("jobs_held", records.heldJobs().size());
+    root.put("jobs_unknown", records.unknownJobs().size());
     ArrayNode peers = root.putArray("peers");
     for (Peer peer : node.peers()) {
       peers
@@ -98,19 +100,19 @@
           .put("revision", peer.retainedRecords().position().revision())
           .put("reaches_state", peer.isStateStoreReachable());
     }
-    root.set("snapshot", snapshot());
+    root.set("snapshot", describeSnapshot());
     return root;
   }
 
-  private JsonNode snapshot() {
+  private JsonNode describeSnapshot() {
     SnapshotRepository.WriteResult last =
-        snapshots == null ? null : snapshots.lastResult().orElse(null);
+        snapshots.flatMap(SnapshotWriter::lastResult).orElse(null);
     if (last == null) {
       return Json.object().put("taken", false);
     }
     ObjectNode result = Json.object().put("taken", last.failure().isEmpty());
     result.put("name", last.name()).put("bytes", last.bytes());
-    result.put("took_ms", last.durationNanos() / 1e6).put("age_s", snapshots.ageSeconds());
+    result.put("took_ms", last.durationNanos() / 1e6).put("age_s", snapshots.get().ageSeconds());
     if (last.failure().isPresent()) {
       result.put("failure", last.failure().get());
     }
@@ -121,28 +123,28 @@
     return phase.name().toLowerCase(Locale.ROOT);
   }
 
-  private CompletableFuture<Reply> held() {
-    return replica
+  private CompletableFuture<Reply> listHeldJobs() {
+    return records
         .refresh()
         .thenApply(
             nothing -> {
               ObjectNode root = Json.object();
               ArrayNode held = root.putArray("held");
-              replica.heldJobs().stream().sorted().forEach(id -> describe(id, held.addObject()));
+              records.heldJobs().stream().sorted().forEach(id -> describe(id, held.addObject()));
               ArrayNode unknown = root.putArray("unknown");
-              replica.unknownJobs().stream().sorted().forEach(unknown::add);
+              records.unknownJobs().stream().sorted().forEach(unknown::add);
               return json(200, root);
             })
-        .exceptionally(failure -> later());
+        .exceptionally(failure -> retryLater());
   }
 
   private void describe(String id, ObjectNode item) {
     item.put("job", id);
-    JobRecord entry = replica.job(id);
-    if (entry != null) {
-      item.put("class", entry.job().jobClass()).put("team", entry.job().team());
-      item.put("tasks", entry.job().taskCount());
-      item.put("done", entry.doneCount()).put("running", entry.ownedCount());
+    JobRecord job = records.job(id);
+    if (job != null) {
+      item.put("class", job.job().jobClass()).put("team", job.job().team());
+      item.put("tasks", job.job().taskCount());
+      item.put("done", job.doneCount()).put("running", job.ownedCount());
     }
   }
 
@@ -154,25 +156,26 @@
       id = node.path("job").asText();
       decision = node.path("decision").asText();
     } catch (MalformedMessageException e) {
-      return now(error(400, e.getMessage()));
+      return completed(error(400, e.getMessage()));
     }
-    boolean repeat = decision.equals("repeat");
-    if (!UserProtocol.isJobId(id) || !repeat && !decision.equals("abandon")) {
-      return now(error(400, "job must be a job's id, and decision repeat or abandon"));
+    boolean isRepeat = decision.equals("repeat");
+    if (!UserProtocol.isJobId(id) || !isRepeat && !decision.equals("abandon")) {
+      return completed(error(400, "job must be a job's id, and decision repeat or abandon"));
     }
-    return replica
+    return records
         .refresh()
-        .thenCompose(nothing -> repeat ? repeat(id) : abandon(id))
-        .exceptionally(failure -> later());
+        .thenCompose(nothing -> isRepeat ? repeat(id) : abandon(id))
+        .exceptionally(failure -> retryLater());
   }
 
+  /** Lets a held job run again where its tasks were not reported. */
   private CompletableFuture<Reply> repeat(String id) {
-    if (replica.isUnknownJob(id) && replica.job(id) == null) {
-      return now(
+    if (records.isUnknownJob(id) && records.job(id) == null) {
+      return completed(
           error(409, "nobody has described job " + id + "; its user must submit it once more"));
     }
-    if (!replica.heldJobs().contains(id)) {
-      return now(notHeld(id));
+    if (!records.heldJobs().contains(id)) {
+      return completed(notHeld(id));
     }
     return commit(
         Map.of(Records.outcomeKey(id), 0L),
@@ -180,8 +183,9 @@
         "job " + id + " runs again where its tasks did not report");
   }
 
+  /** Cancels a held job, or stops the tasks of a job that nobody has described. */
   private CompletableFuture<Reply> abandon(String id) {
-    if (replica.isUnknownJob(id) && replica.job(id) == null) {
+    if (records.isUnknownJob(id) && records.job(id) == null) {
       return commit(
           Map.of(Records.jobKey(id), 0L),
           List.of(
@@ -189,8 +193,8 @@
                   Records.unknownJobKey(id), Records.abandonedMarker(), 0)),
           "tasks of job " + id + " are stopped; questions for it are answered 404");
     }
-    if (!replica.heldJobs().contains(id)) {
-      return now(notHeld(id));
+    if (!records.heldJobs().contains(id)) {
+      return completed(notHeld(id));
     }
     return commit(
         Map.of(Records.outcomeKey(id), 0L),
@@ -202,38 +206,38 @@
   }
 
   private Reply notHeld(String id) {
-    JobRecord entry = replica.job(id);
+    JobRecord job = records.job(id);
     String state =
-        entry == null ? "is not known" : entry.outcome() == null ? "is not held" : "has ended";
+        job == null ? "is not known" : job.outcome() == null ? "is not held" : "has ended";
     return error(409, "job " + id + " " + state);
   }
 
   private CompletableFuture<Reply> commit(
-      Map<String, Long> conditions, List<StateStoreProtocol.Change> changes, String done) {
+      Map<String, Long> conditions, List<StateStoreProtocol.Change> changes, String resultText) {
     rateLimiter.forceAcquire(changes.size());
     return client
         .commit(conditions, changes)
         .thenApply(
             result ->
                 result.applied()
-                    ? json(200, Json.object().put("result", done))
+                    ? json(200, Json.object().put("result", resultText))
                     : error(409, "the job has changed meanwhile; look at it once more"));
   }
 
-  private static Reply error(int status, String why) {
-    return Reply.json(status, UserProtocol.encodeError(why));
+  private static Reply error(int status, String message) {
+    return Reply.json(status, UserProtocol.encodeError(message));
   }
 
-  private static Reply later() {
+  private static Reply retryLater() {
     return Reply.withRetryAfter(
-        503, UserProtocol.encodeError("the records can't be read now"), COME_BACK_S);
+        503, UserProtocol.encodeError("the records can't be read now"), RETRY_AFTER_SECONDS);
   }
 
   private static Reply json(int status, JsonNode body) {
     return Reply.json(status, Json.toBytes(body));
   }
 
-  private static CompletableFuture<Reply> now(Reply reply) {
+  private static CompletableFuture<Reply> completed(Reply reply) {
     return CompletableFuture.completedFuture(reply);
   }
 }
