--- a/src/test/java/io/cherryspool/sim/check/RuleCheckerTest.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleCheckerTest.java
@@ -18,9 +18,9 @@
   private final RuleChecker rules = cluster.rules();
 
   private Job accepted(int tasks) {
-    Job job = cluster.job("blue", tasks, 4, Duration.ofSeconds(20));
-    rules.submitted(job);
-    rules.accepted(job.id());
+    Job job = cluster.jobs().create("blue", tasks, 4, Duration.ofSeconds(20));
+    rules.jobSubmitted(job);
+    rules.jobAccepted(job.id());
     return job;
   }
 
@@ -30,7 +30,7 @@
   }
 
   private void told(Job job, String status) {
-    rules.told(job.id(), status, cluster.time().now());
+    rules.statusReceived(job.id(), status, cluster.time().now());
   }
 
   @Test
@@ -42,7 +42,7 @@
   @Test
   void aDoneJobThatRunsAgain() {
     Job job = accepted(1);
-    rules.finished(job.id() + "/0");
+    rules.taskCompleted(job.id() + "/0");
     told(job, "done");
     told(job, "running");
     breaks("went_back");
@@ -65,7 +65,7 @@
     Duration asked = cluster.time().now();
     cluster.run(1);
     Job job = accepted(1);
-    rules.told(job.id(), "404", asked);
+    rules.statusReceived(job.id(), "404", asked);
     rules.check(cluster.workers());
   }
 
@@ -74,12 +74,12 @@
   void aJobThatNobodyAnswersForAfterTheTroubles() {
     accepted(1);
     cluster.run(200);
-    rules.quietFrom(cluster.time().now());
+    rules.setFaultsEndedAt(cluster.time().now());
     cluster.run(75);
-    rules.checkQuiet(cluster.workers());
+    rules.checkProgress(cluster.workers());
     rules.check(cluster.workers());
     cluster.run(0.1);
-    rules.checkQuiet(cluster.workers());
+    rules.checkProgress(cluster.workers());
     breaks("forgotten");
   }
 
@@ -87,16 +87,16 @@
   @Test
   void aJobThatIsLeftWaitingAlthoughThereIsRoom() {
     cluster.run(25);
-    Job keeps = cluster.job("red", 1, 4, Duration.ofSeconds(400));
+    Job keeps = cluster.jobs().create("red", 1, 4, Duration.ofSeconds(400));
     cluster.users().submit(keeps);
     Job left = accepted(1);
-    rules.quietFrom(cluster.time().now());
+    rules.setFaultsEndedAt(cluster.time().now());
     for (int i = 0; i <= 90; i++) {
       told(left, "pending");
-      rules.checkQuiet(cluster.workers());
+      rules.checkProgress(cluster.workers());
       cluster.run(1);
     }
-    rules.checkQuiet(cluster.workers());
+    rules.checkProgress(cluster.workers());
     assertEquals(1, cluster.workers().size(), "one machine, with room for three more");
     breaks("left_waiting");
   }
@@ -104,8 +104,8 @@
   @Test
   void anAcceptedJobWithoutAnEnd() {
     Job other = accepted(1);
-    rules.finished(other.id() + "/0");
-    rules.checkServed();
+    rules.taskCompleted(other.id() + "/0");
+    rules.checkAllServed();
     breaks("nothing_ran");
   }
 
@@ -119,28 +119,28 @@
     cluster.run(30);
     FakeWorker machine = anyMachine();
     for (Job job : jobs.subList(2, 11)) {
-      rules.started(machine, job.id() + "/0", List.of());
+      rules.taskStarted(machine, job.id() + "/0", List.of());
     }
     cluster.run(220);
-    jobs.subList(0, 2).forEach(job -> rules.started(machine, job.id() + "/0", List.of()));
+    jobs.subList(0, 2).forEach(job -> rules.taskStarted(machine, job.id() + "/0", List.of()));
     for (Job job : jobs) {
       for (int i = 0; i < job.taskCount(); i++) {
-        rules.finished(job.id() + "/" + i);
+        rules.taskCompleted(job.id() + "/" + i);
       }
       told(job, "done");
     }
-    rules.checkServed();
+    rules.checkAllServed();
     breaks("largest_late");
   }
 
   @Test
   void startsAfterACancelAreCounted() {
     Job job = accepted(1);
-    rules.cancelAsked(job.id());
+    rules.cancelRequested(job.id());
     told(job, "withdrawn");
     cluster.run(5);
-    rules.started(anyMachine(), job.id() + "/0", List.of());
-    assertEquals(1, rules.startsAfterCancel());
+    rules.taskStarted(anyMachine(), job.id() + "/0", List.of());
+    assertEquals(1, rules.startCountAfterCancel());
   }
 
   private FakeWorker anyMachine() {
--- /dev/null
+++ b/src/test/java/io/cherryspool/sim/cluster/ClusterSettings.java
@@ -0,0 +1,140 @@
+package io.cherryspool.sim.cluster;
+
+import io.cherryspool.config.OperatorSettings;
+import io.cherryspool.config.RecoverySettings;
+import io.cherryspool.config.Settings;
+import io.cherryspool.http.Endpoint;
+import io.cherryspool.model.MachineType;
+import io.cherryspool.model.Resources;
+import io.cherryspool.model.Team;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+
+/** Addresses, machine types, teams and the settings of each node of a {@link SimulatedCluster}. */
+final class ClusterSettings {
+  static final Endpoint STATE = new Endpoint("10.2.0.1", 2379);
+  static final Endpoint CLOUD = new Endpoint("10.2.0.2", 8443);
+  static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(2500);
+
+  private static final double STATE_REQUESTS_PER_S = 150;
+  private static final int USER_PORT = 8080;
+  private static final int MESH_PORT = 8081;
+
+  private static final MachineType BOX =
+      new MachineType(
+          "box",
+          new Resources(16, 0, 64),
+          50,
+          0.5,
+          1,
+          0.4,
+          Duration.ofSeconds(8),
+          SimulatedCluster.ZONES);
+
+  /** Too small for the larger tasks, and not on offer in each zone. */
+  private static final MachineType CRATE =
+      new MachineType(
+          "crate",
+          new Resources(4, 0, 16),
+          50,
+          0.5,
+          0.25,
+          0.1,
+          Duration.ofSeconds(5),
+          SimulatedCluster.ZONES.subList(0, 2));
+
+  static final List<MachineType> MACHINE_TYPES = List.of(BOX, CRATE);
+
+  static final List<Team> TEAMS =
+      List.of(
+          new Team("red", 40, 64, 0, 0),
+          new Team("blue", 40, 96, 0, 0),
+          new Team("guest", 0, 0, 0, 0));
+
+  private final Map<String, Endpoint> addresses = new LinkedHashMap<>();
+  private final double stateWritesPerS;
+  private final OperatorSettings operatorSettings;
+
+  /**
+   * @param recovery how nodes rebuild lost records; empty if they don't
+   */
+  ClusterSettings(int controllers, double stateWritesPerS, Optional<RecoverySettings> recovery) {
+    this.stateWritesPerS = stateWritesPerS;
+    this.operatorSettings = operatorSettings(recovery);
+    for (int i = 0; i < controllers; i++) {
+      addresses.put(name(i), new Endpoint("10.0.0." + (i + 1), USER_PORT));
+    }
+  }
+
+  private static OperatorSettings operatorSettings(Optional<RecoverySettings> recovery) {
+    OperatorSettings defaults = OperatorSettings.DEFAULTS;
+    return new OperatorSettings(
+        defaults.roundMax(),
+        defaults.stateLease(),
+        defaults.failureCap(),
+        defaults.idleKeep(),
+        defaults.beginWithin(),
+        recovery,
+        defaults.partitions());
+  }
+
+  static String name(int index) {
+    return "node-" + index;
+  }
+
+  static String zone(int index) {
+    return SimulatedCluster.ZONES.get(index % SimulatedCluster.ZONES.size());
+  }
+
+  /** Where users and workers reach each node, by name, in the order of the nodes. */
+  Map<String, Endpoint> addresses() {
+    return addresses;
+  }
+
+  Endpoint address(int index) {
+    return addresses.get(name(index));
+  }
+
+  double stateWritesPerS() {
+    return stateWritesPerS;
+  }
+
+  OperatorSettings operatorSettings() {
+    return operatorSettings;
+  }
+
+  /** The settings of one node. */
+  Settings settings(int index) {
+    List<Settings.Peer> peers = new ArrayList<>();
+    for (int i = 0; i < addresses.size(); i++) {
+      if (i != index) {
+        peers.add(new Settings.Peer(name(i), mesh(i)));
+      }
+    }
+    return new Settings(
+        name(index),
+        zone(index),
+        address(index),
+        mesh(index),
+        peers,
+        CLOUD,
+        STATE,
+        TEAMS,
+        Map.of(),
+        HEARTBEAT_INTERVAL,
+        SimulatedCluster.LEASE,
+        SimulatedCluster.CANCEL_LIMIT,
+        new Settings.StateStoreLimits(STATE_REQUESTS_PER_S, stateWritesPerS, 2048, 12),
+        6,
+        Duration.ofSeconds(6),
+        1000);
+  }
+
+  private Endpoint mesh(int index) {
+    return new Endpoint(address(index).host(), MESH_PORT);
+  }
+}
--- a/src/test/java/io/cherryspool/sim/cluster/DirectedFaultsFixture.java
+++ b/src/test/java/io/cherryspool/sim/cluster/DirectedFaultsFixture.java
@@ -21,22 +21,22 @@
   }
 
   public Job submit(String team, int tasks, double cpus, Duration run) {
-    Job job = cluster.job(team, tasks, cpus, run);
+    Job job = cluster.jobs().create(team, tasks, cpus, run);
     cluster.users().submit(job);
     return job;
   }
 
   /** Goes on until so many tasks of the job run, for a minute at most. */
   public void awaitRunning(Job job, int tasks) {
-    for (int i = 0; i < 600 && cluster.runningTaskCount(job) < tasks; i++) {
+    for (int i = 0; i < 600 && cluster.fleet().runningTaskCount(job) < tasks; i++) {
       cluster.run(0.1);
     }
-    assertTrue(cluster.runningTaskCount(job) >= tasks, job.id() + " runs");
+    assertTrue(cluster.fleet().runningTaskCount(job) >= tasks, job.id() + " runs");
   }
 
   public void allEnd(List<Job> jobs) {
     for (Job job : jobs) {
-      assertTrue(cluster.rules().ended(job.id()), job.id() + " has an end");
+      assertTrue(cluster.rules().hasEnded(job.id()), job.id() + " has an end");
     }
   }
 
@@ -45,6 +45,6 @@
   }
 
   public static String host(FakeWorker worker) {
-    return worker.machine().host;
+    return worker.machine().host();
   }
 }
--- a/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
@@ -75,7 +75,7 @@
       case 5 -> {
         for (FakeCloud.Machine machine : cluster.cloud().up()) {
           if (random.nextInt(3) > 0) {
-            cluster.network().cut(node.address().host(), machine.host, length);
+            cluster.network().cut(node.address().host(), machine.host(), length);
           }
         }
       }
@@ -86,7 +86,7 @@
               .ifPresent(
                   worker -> {
                     worker.setPreemptionNotice(6);
-                    cluster.schedule(6, () -> cluster.cloud().reclaim(worker.machine().name));
+                    cluster.schedule(6, () -> cluster.cloud().reclaim(worker.machine().name()));
                   });
       case 9 ->
           anyWorker().ifPresent(worker -> cluster.network().dropInbound(host(worker), length));
@@ -157,8 +157,8 @@
         String zone = anyZone();
         for (SimulatedController item : cluster.nodes()) {
           for (FakeCloud.Machine machine : cluster.cloud().up()) {
-            if (machine.zone.equals(zone) != item.zone().equals(zone)) {
-              cluster.network().cut(item.address().host(), machine.host, length);
+            if (machine.zone().equals(zone) != item.zone().equals(zone)) {
+              cluster.network().cut(item.address().host(), machine.host(), length);
             }
           }
         }
@@ -221,7 +221,7 @@
   }
 
   private static String host(FakeWorker worker) {
-    return worker.machine().host;
+    return worker.machine().host();
   }
 
   private void later(Duration delay, Runnable task) {
--- a/src/test/java/io/cherryspool/sim/cluster/RandomizedRun.java
+++ b/src/test/java/io/cherryspool/sim/cluster/RandomizedRun.java
@@ -48,10 +48,10 @@
     faults.run();
     cluster.run(troubles + SimulatedCluster.CANCEL_LIMIT.toSeconds());
     // The last of the troubles is over; from here on nothing excuses silence or idle room.
-    cluster.rules().quietFrom(cluster.time().now());
+    cluster.rules().setFaultsEndedAt(cluster.time().now());
     watch();
     cluster.run(quiet - SimulatedCluster.CANCEL_LIMIT.toSeconds());
-    cluster.rules().checkServed();
+    cluster.rules().checkAllServed();
     cluster.rules().check(cluster.workers());
   }
 
@@ -65,7 +65,7 @@
   }
 
   private void watch() {
-    cluster.rules().checkQuiet(cluster.workers());
+    cluster.rules().checkProgress(cluster.workers());
     cluster.schedule(1, this::watch);
   }
 
@@ -117,7 +117,7 @@
   private Job job(String jobClass, String team, Priority priority, int size, double cpus) {
     boolean saves = random.nextBoolean();
     return new Job(
-        cluster.nextId(),
+        cluster.jobs().nextId(),
         jobClass,
         team,
         priority,
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
@@ -1,105 +1,95 @@
 package io.cherryspool.sim.cluster;
 
-import io.cherryspool.config.OperatorSettings;
 import io.cherryspool.config.RecoverySettings;
-import io.cherryspool.config.Settings;
 import io.cherryspool.http.Endpoint;
-import io.cherryspool.http.Request;
 import io.cherryspool.model.Job;
-import io.cherryspool.model.MachineType;
-import io.cherryspool.model.Priority;
-import io.cherryspool.model.Resources;
-import io.cherryspool.model.Team;
 import io.cherryspool.reachability.VerdictRule;
 import io.cherryspool.sim.check.RuleChecker;
 import io.cherryspool.sim.fakes.FakeCloud;
 import io.cherryspool.sim.fakes.FakeStateStore;
 import io.cherryspool.sim.fakes.FakeWorker;
+import io.cherryspool.sim.fakes.WorkerSettings;
+import io.cherryspool.sim.fakes.Workload;
 import io.cherryspool.sim.network.SimulatedNetwork;
-import io.cherryspool.sim.time.ProcessInbox;
 import io.cherryspool.sim.time.VirtualTime;
-import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import java.time.Instant;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
-import java.util.Comparator;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import java.util.TreeMap;
 
 /**
- * Controllers among the stand-ins in simulated time, with the rules checked after each step. It
- * makes no trouble by itself: a directed test brings its own, random days let {@link FaultInjector}
- * do.
+ * Controllers with a fake state store, cloud and workers in simulated time. The users' rules are
+ * checked after each event. It injects no fault by itself: a directed test brings its own, in
+ * randomized runs {@link FaultInjector} does.
+ *
+ * <p>All that happens is derived from the seed. Single-threaded.
  */
 public final class SimulatedCluster {
   public static final List<String> ZONES = List.of("a", "b", "c");
-  static final Endpoint STATE = new Endpoint("10.2.0.1", 2379);
-  static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(2500);
+
+  /** After so long without an answered heartbeat workers kill their tasks. */
   public static final Duration LEASE = Duration.ofSeconds(16);
+
+  /** Tasks of a cancelled job are gone within this time after the user's confirmation. */
   public static final Duration CANCEL_LIMIT = Duration.ofSeconds(36);
-  private static final double WRITES = 60;
-  private static final Endpoint CLOUD = new Endpoint("10.2.0.2", 8443);
-
-  private static final MachineType BOX =
-      new MachineType(
-          "box", new Resources(16, 0, 64), 50, 0.5, 1, 0.4, Duration.ofSeconds(8), ZONES);
-
-  /** Too small for the larger tasks, and not to be had everywhere. */
-  private static final MachineType CRATE =
-      new MachineType(
-          "crate",
-          new Resources(4, 0, 16),
-          50,
-          0.5,
-          0.25,
-          0.1,
-          Duration.ofSeconds(5),
-          ZONES.subList(0, 2));
-
-  private static final List<Team> TEAMS =
-      List.of(
-          new Team("red", 40, 64, 0, 0),
-          new Team("blue", 40, 96, 0, 0),
-          new Team("guest", 0, 0, 0, 0));
+
+  private static final double STATE_WRITES_PER_S = 60;
+  private static final int CLOUD_CAPACITY = 12;
+  private static final int FIRST_MACHINES = 5;
+
+  /** The shares of transactions without an answer and of failing tasks in randomized runs. */
+  private static final double RANDOM_UNANSWERED_SHARE = 0.01;
+
+  private static final double RANDOM_FAILURE_SHARE = 0.03;
 
   private final VirtualTime time = new VirtualTime();
+  private final JobFactory jobs = new JobFactory();
   private final SplittableRandom random;
-  private final double writeRate;
-  private final double faults;
+  private final ClusterSettings settings;
   private final SimulatedNetwork network;
   private final FakeStateStore state;
   private final FakeCloud cloud;
+  private final SimulatedFleet fleet;
   private final RuleChecker rules;
   private final SimulatedUsers users;
   private final List<SimulatedController> nodes = new ArrayList<>();
-  private final Map<String, Endpoint> nodeAddresses = new LinkedHashMap<>();
-  private final Map<String, FakeWorker> workers = new TreeMap<>();
   private final Map<String, String> zoneByHost = new HashMap<>();
-  private final OperatorSettings operatorSettings;
   private final Optional<VerdictRule> verdictRule;
   private boolean isMeshDown;
-  private int jobCount;
 
-  /** Three to five controllers, and a state service that loses an answer now and then. */
+  /** Three to five controllers, with transactions that are not answered and tasks that fail. */
   static SimulatedCluster random(long seed) {
+    return random(seed, Optional.empty());
+  }
+
+  /** A random cluster whose nodes obey these verdicts on their links. */
+  public static SimulatedCluster withVerdicts(long seed, VerdictRule verdicts) {
+    return random(seed, Optional.of(verdicts));
+  }
+
+  private static SimulatedCluster random(long seed, Optional<VerdictRule> verdicts) {
     SplittableRandom random = new SplittableRandom(seed);
     return new SimulatedCluster(
-        random, 3 + random.nextInt(3), 0.01, WRITES, 0.03, Optional.empty(), Optional.empty());
+        random,
+        3 + random.nextInt(3),
+        RANDOM_UNANSWERED_SHARE,
+        STATE_WRITES_PER_S,
+        RANDOM_FAILURE_SHARE,
+        Optional.empty(),
+        verdicts);
   }
 
-  /** So many controllers, and nothing lost that the test does not lose itself. */
+  /** So many controllers, and no fault but those that the test makes. */
   public static SimulatedCluster of(long seed, int controllers) {
-    return of(seed, controllers, WRITES);
+    return of(seed, controllers, STATE_WRITES_PER_S);
   }
 
-  /** As above, with a state service that takes so many changes a second. */
+  /** As {@link #of(long, int)}, with a state store that takes so many changes a second. */
   public static SimulatedCluster of(long seed, int controllers, double writeRate) {
     return new SimulatedCluster(
         new SplittableRandom(seed),
@@ -111,7 +101,7 @@
         Optional.empty());
   }
 
-  /** So many controllers that look for losses of their state, and rebuild it. */
+  /** As {@link #of(long, int)}, with controllers that rebuild lost records. */
   public static SimulatedCluster recovering(long seed, int controllers) {
     return recovering(seed, controllers, RecoverySettings.DEFAULTS);
   }
@@ -122,80 +112,98 @@
         new SplittableRandom(seed),
         controllers,
         0,
-        WRITES,
+        STATE_WRITES_PER_S,
         0,
         Optional.of(recovery),
         Optional.empty());
   }
 
-  /** A random cluster whose nodes obey these verdicts on their links. */
-  public static SimulatedCluster withVerdicts(long seed, VerdictRule verdicts) {
-    SplittableRandom random = new SplittableRandom(seed);
-    return new SimulatedCluster(
-        random, 3 + random.nextInt(3), 0.01, WRITES, 0.03, Optional.empty(), Optional.of(verdicts));
-  }
-
-  /** Who judges the nodes' links, if it is not to be done as usual. */
-  Optional<VerdictRule> verdictRule() {
-    return verdictRule;
-  }
-
-  OperatorSettings operatorSettings() {
-    return operatorSettings;
-  }
-
   private SimulatedCluster(
       SplittableRandom random,
       int controllers,
-      double unanswered,
+      double unansweredShare,
       double writeRate,
-      double faults,
+      double failureShare,
       Optional<RecoverySettings> recovery,
       Optional<VerdictRule> verdicts) {
-    this.verdictRule = verdicts;
-    OperatorSettings defaults = OperatorSettings.DEFAULTS;
-    this.operatorSettings =
-        new OperatorSettings(
-            defaults.roundMax(),
-            defaults.stateLease(),
-            defaults.failureCap(),
-            defaults.idleKeep(),
-            defaults.beginWithin(),
-            recovery,
-            defaults.partitions());
     this.random = random;
-    this.writeRate = writeRate;
-    this.faults = faults;
+    settings = new ClusterSettings(controllers, writeRate, recovery);
+    verdictRule = verdicts;
+    // Each split of the random numbers must stay in its place, or all seeds play other runs.
     network = new SimulatedNetwork(time, random.split(), host -> zoneByHost.getOrDefault(host, ""));
-    rules = new RuleChecker(time, TEAMS, CANCEL_LIMIT);
-    state = new FakeStateStore(time, random.split(), unanswered);
+    rules = new RuleChecker(time, ClusterSettings.TEAMS, CANCEL_LIMIT);
+    state = new FakeStateStore(time, random.split(), unansweredShare);
+    fleet =
+        new SimulatedFleet(
+            time,
+            random,
+            network,
+            settings.addresses(),
+            new WorkerSettings(ClusterSettings.HEARTBEAT_INTERVAL, LEASE, failureShare),
+            new SubmittedJobs());
     cloud =
         new FakeCloud(
             time,
             random.split(),
-            List.of(BOX, CRATE),
-            12,
+            ClusterSettings.MACHINE_TYPES,
+            CLOUD_CAPACITY,
             FakeCloud.NETWORK,
             this::boot,
-            this::end);
+            fleet::end);
     state.limitWriteRate(writeRate);
-    network.listen(STATE, state);
-    network.listen(CLOUD, cloud);
+    network.listen(ClusterSettings.STATE, state);
+    network.listen(ClusterSettings.CLOUD, cloud);
     for (int i = 0; i < controllers; i++) {
-      Endpoint address = new Endpoint("10.0.0." + (i + 1), 8080);
-      nodeAddresses.put("node-" + i, address);
-      zoneByHost.put(address.host(), ZONES.get(i % 3));
-      nodes.add(new SimulatedController(this, random.split(), i, address));
+      addController(i);
     }
     users =
         new SimulatedUsers(
-            time, network, random.split(), rules, List.copyOf(nodeAddresses.values()));
+            time, network, random.split(), rules, List.copyOf(settings.addresses().values()));
     nodes.forEach(SimulatedController::start);
-    for (int i = 0; i < 5; i++) {
-      cloud.addMachine("box", ZONES.get(i % 3), i % 2 == 0, Duration.ofSeconds(1));
+    for (int i = 0; i < FIRST_MACHINES; i++) {
+      cloud.addMachine("box", ClusterSettings.zone(i), i % 2 == 0, Duration.ofSeconds(1));
+    }
+  }
+
+  private void addController(int index) {
+    Endpoint address = settings.address(index);
+    zoneByHost.put(address.host(), ClusterSettings.zone(index));
+    nodes.add(new SimulatedController(this, random.split(), index, address));
+  }
+
+  private void boot(FakeCloud.Machine machine) {
+    zoneByHost.put(machine.host(), machine.zone());
+    fleet.boot(machine);
+  }
+
+  /** What users have submitted; the rules and the users are sent what becomes of the tasks. */
+  private final class SubmittedJobs implements Workload {
+    @Override
+    public Optional<Job> job(String id) {
+      return Optional.ofNullable(rules.job(id));
+    }
+
+    @Override
+    public void taskStarted(FakeWorker worker, String task) {
+      rules.taskStarted(worker, task, fleet.workers());
+    }
+
+    @Override
+    public void taskCompleted(String task) {
+      rules.taskCompleted(task);
+      users.taskFinished(task);
     }
   }
 
+  /** What decides on the nodes' links instead of the program's own rule, if anything does. */
+  Optional<VerdictRule> verdictRule() {
+    return verdictRule;
+  }
+
+  ClusterSettings settings() {
+    return settings;
+  }
+
   public VirtualTime time() {
     return time;
   }
@@ -220,6 +228,16 @@
     return users;
   }
 
+  public JobFactory jobs() {
+    return jobs;
+  }
+
+  /** The machines that are up. */
+  public SimulatedFleet fleet() {
+    return fleet;
+  }
+
+  /** The numbers that this run draws from; what a test draws changes the rest of the run. */
   public SplittableRandom random() {
     return random;
   }
@@ -228,173 +246,52 @@
     return Collections.unmodifiableList(nodes);
   }
 
-  /** The machines that are up, by name. */
+  /** The workers of the machines that are up, in the order of the machines' names. */
   public Collection<FakeWorker> workers() {
-    return Collections.unmodifiableCollection(workers.values());
-  }
-
-  /** Those of the machines that run tasks of the job. */
-  public List<FakeWorker> workersRunning(Job job) {
-    return workers.values().stream()
-        .filter(
-            worker ->
-                worker.runningTasks().stream().anyMatch(task -> task.startsWith(job.id() + "/")))
-        .toList();
+    return fleet.workers();
   }
 
-  /** How many tasks of the job run. */
-  public int runningTaskCount(Job job) {
-    return (int)
-        workers.values().stream()
-            .flatMap(worker -> worker.runningTasks().stream())
-            .filter(task -> task.startsWith(job.id() + "/"))
-            .count();
-  }
-
-  Settings settings(int index) {
-    List<Settings.Peer> peers = new ArrayList<>();
-    for (int i = 0; i < nodeAddresses.size(); i++) {
-      if (i != index) {
-        peers.add(new Settings.Peer("node-" + i, mesh(i)));
-      }
-    }
-    return new Settings(
-        "node-" + index,
-        ZONES.get(index % 3),
-        nodeAddresses.get("node-" + index),
-        mesh(index),
-        peers,
-        CLOUD,
-        STATE,
-        TEAMS,
-        Map.of(),
-        HEARTBEAT_INTERVAL,
-        LEASE,
-        CANCEL_LIMIT,
-        new Settings.StateStoreLimits(150, writeRate, 2048, 12),
-        6,
-        Duration.ofSeconds(6),
-        1000);
-  }
-
-  private Endpoint mesh(int index) {
-    return new Endpoint(nodeAddresses.get("node-" + index).host(), 8081);
-  }
-
-  private void boot(FakeCloud.Machine machine) {
-    zoneByHost.put(machine.host, machine.zone);
-    FakeWorker worker =
-        new FakeWorker(
-            time,
-            random.split(),
-            network.from(machine.host, ProcessInbox.alwaysOpen()),
-            machine,
-            nodeAddresses,
-            rules::job,
-            HEARTBEAT_INTERVAL,
-            LEASE,
-            faults,
-            (on, task) -> rules.started(on, task, workers.values()),
-            this::finished);
-    workers.put(machine.name, worker);
-    network.listen(Endpoint.parse(machine.address()), worker);
-  }
-
-  private void finished(String task) {
-    rules.finished(task);
-    users.taskFinished(task);
-  }
-
-  private void end(FakeCloud.Machine machine) {
-    FakeWorker worker = workers.remove(machine.name);
-    if (worker != null) {
-      worker.kill();
-      network.close(Endpoint.parse(machine.address()));
-    }
-  }
-
-  /** A job of its own number; any machine and zone will do, and it never saves. */
-  public Job job(String team, int tasks, double cpus, Duration run) {
-    return job(team, Priority.NORMAL, tasks, cpus, run, null, false);
-  }
-
-  /** One that goes before others. */
-  public Job urgentJob(String team, int tasks, double cpus, Duration run) {
-    return job(team, Priority.HIGH, tasks, cpus, run, null, false);
-  }
-
-  /** One that may run in a named zone only, or in any, but all of it in the same. */
-  public Job zoneBoundJob(
-      String team, int tasks, double cpus, Duration run, String zone, boolean oneZone) {
-    return job(team, Priority.NORMAL, tasks, cpus, run, zone, oneZone);
-  }
-
-  private Job job(
-      String team,
-      Priority priority,
-      int tasks,
-      double cpus,
-      Duration run,
-      String zone,
-      boolean oneZone) {
-    // The stand-in workers run a task for half of the estimate and up to 4 s more.
-    return new Job(
-        nextId(),
-        "lane",
-        team,
-        priority,
-        tasks,
-        new Resources(cpus, 0, Math.min(4, 4 * cpus)),
-        "img-0",
-        1,
-        null,
-        zone,
-        oneZone,
-        false,
-        true,
-        run.multipliedBy(2),
-        Duration.ZERO,
-        Duration.ZERO,
-        null,
-        Instant.EPOCH);
-  }
-
-  String nextId() {
-    return String.format("req-%06d", ++jobCount);
-  }
-
-  /** Goes on for so long; a broken rule fails the test at that step. */
+  /**
+   * Goes on for so long.
+   *
+   * @throws AssertionError at the first event after which a rule is broken
+   */
   public void run(Duration length) {
     Duration until = time.now().plus(length);
     while (time.runNextEvent(until)) {
-      rules.check(workers.values());
+      rules.check(fleet.workers());
     }
   }
 
   public void run(double seconds) {
-    run(Duration.ofNanos((long) (seconds * 1e9)));
+    run(toDuration(seconds));
   }
 
+  /** Runs the task in so many seconds, as an event of its own. */
   public void schedule(double seconds, Runnable task) {
-    time.schedule(Duration.ofNanos((long) (seconds * 1e9)), task);
+    time.schedule(toDuration(seconds), task);
+  }
+
+  private static Duration toDuration(double seconds) {
+    return Duration.ofNanos((long) (seconds * 1e9));
   }
 
   public Optional<SimulatedController> currentLeader() {
     return nodes.stream().filter(SimulatedController::isLeader).findFirst();
   }
 
-  /** Another than this one that leads. */
-  public Optional<SimulatedController> leaderOtherThan(SimulatedController old) {
-    return nodes.stream().filter(node -> node != old && node.isLeader()).findFirst();
+  /** A leader that is not this node; both may hold leases for a moment. */
+  public Optional<SimulatedController> leaderOtherThan(SimulatedController node) {
+    return nodes.stream().filter(other -> other != node && other.isLeader()).findFirst();
   }
 
-  /** Who leads; a test that calls this rests on there being one. */
+  /** The leader; fails the test if there is none. */
   public SimulatedController leader() {
     return currentLeader()
         .orElseThrow(() -> new AssertionError("nobody leads at " + time.seconds()));
   }
 
-  /** The controller next to this one. */
+  /** The controller with the next index, the first one after the last. */
   public SimulatedController nodeAfter(SimulatedController node) {
     return nodes.get((nodes.indexOf(node) + 1) % nodes.size());
   }
@@ -403,10 +300,12 @@
     return isMeshDown;
   }
 
+  /** Whether all heartbeats between controllers are lost. */
   public void setMeshDown(boolean value) {
     isMeshDown = value;
   }
 
+  /** Takes the state store down for so long. */
   public void stateStoreOutage(Duration length) {
     state.setDown(true);
     time.schedule(length, () -> state.setDown(false));
@@ -415,42 +314,9 @@
   /** Cuts the leader off from all machines, and from nothing else; returns its name. */
   public String cutLeaderFromWorkers(Duration length) {
     SimulatedController node = leader();
-    workers
-        .values()
-        .forEach(worker -> network.cut(node.address().host(), worker.machine().host, length));
+    fleet
+        .workers()
+        .forEach(worker -> network.cut(node.address().host(), worker.machine().host(), length));
     return node.name();
   }
-
-  /** Stops the machine with most tasks, which the cloud does not say for a while. */
-  public String killBusiestMachine() {
-    FakeWorker victim =
-        workers.values().stream()
-            .max(Comparator.comparingInt(worker -> worker.runningTasks().size()))
-            .orElseThrow();
-    victim.kill();
-    return victim.machine().name;
-  }
-
-  public boolean isRented(String machine) {
-    return cloud.up().stream().anyMatch(item -> item.name.equals(machine));
-  }
-
-  /** An operator asks any node; returns the status of the answer, 0 without one. */
-  public int postRecoveryCommand(String what, String body) {
-    int[] status = {0};
-    network
-        .from("operator", ProcessInbox.alwaysOpen())
-        .send(
-            nodes.get(0).address(),
-            Request.post("/recovery/" + what, body.getBytes(StandardCharsets.UTF_8)),
-            Duration.ofSeconds(2))
-        .thenAccept(reply -> status[0] = reply.status());
-    run(2.5);
-    return status[0];
-  }
-
-  /** How often a worker's lease ran out, over all machines that live. */
-  public long expiredLeases() {
-    return workers.values().stream().mapToLong(worker -> worker.agentEpoch() - 1).sum();
-  }
 }
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
@@ -42,8 +42,8 @@
     still = false;
     controller =
         new Controller(
-            cluster.settings(index),
-            cluster.operatorSettings(),
+            cluster.settings().settings(index),
+            cluster.settings().operatorSettings(),
             new Controller.Dependencies(
                 cluster.time().eventLoopOf(own),
                 cluster.network().from(address.host(), own),
@@ -53,6 +53,7 @@
                 name() + "-life-" + life,
                 () -> "",
                 cluster
+                    .settings()
                     .operatorSettings()
                     .recovery()
                     .flatMap(RecoverySettings::snapshotDirectory)
@@ -91,7 +92,7 @@
   }
 
   public String name() {
-    return "node-" + index;
+    return ClusterSettings.name(index);
   }
 
   public Endpoint address() {
@@ -99,7 +100,7 @@
   }
 
   public String zone() {
-    return SimulatedCluster.ZONES.get(index % SimulatedCluster.ZONES.size());
+    return ClusterSettings.zone(index);
   }
 
   /** What its process does about its links now; empty while it is away. */
@@ -130,12 +131,12 @@
   }
 
   public void cutFromStateStore(Duration length) {
-    cluster.network().cut(address.host(), SimulatedCluster.STATE.host(), length);
+    cluster.network().cut(address.host(), ClusterSettings.STATE.host(), length);
   }
 
   /** The state service refuses this node alone. */
   public void refuseByStateStore(Duration length) {
-    cluster.network().refuseRequests(address.host(), SimulatedCluster.STATE.host(), length);
+    cluster.network().refuseRequests(address.host(), ClusterSettings.STATE.host(), length);
   }
 
   /** Does nothing for so long, while its clocks run on. */
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
@@ -74,13 +74,13 @@
   }
 
   public void submit(Job job) {
-    rules.submitted(job);
+    rules.jobSubmitted(job);
     submit(job, anyNode(), 0);
   }
 
   /** Submits through one node. */
   public void submit(Job job, Endpoint node) {
-    rules.submitted(job);
+    rules.jobSubmitted(job);
     submit(job, node, 0);
   }
 
@@ -96,15 +96,15 @@
         5,
         (status, body, sent) -> {
           if (status == 200 || status == 201) {
-            boolean first = rules.accepted(job.id());
+            boolean first = rules.jobAccepted(job.id());
             told(job.id(), body.path("status").asText(), sent);
             if (first) {
               poll(job.id());
               look(job);
             }
           } else if (status == 400 || status == 422) {
-            rules.refused(job.id(), status);
-            rules.broken(true, "refused", job.id() + " with " + status + ": " + body);
+            rules.jobRejected(job.id());
+            rules.noteViolationIf(true, "refused", job.id() + " with " + status + ": " + body);
           } else if (tries < MOST_TRIES) {
             after(1, () -> submit(job, anyNode(), tries + 1));
           }
@@ -129,7 +129,7 @@
         Request.post("/api/jobs", Json.toBytes(body)),
         5,
         (status, answer, sent) -> {
-          rules.broken(status == 200 || status == 201, "accepted what can't run", body.toString());
+          rules.noteViolationIf(status == 200 || status == 201, "accepted what can't run", body.toString());
           if (status != 400 && status != 422 && tries < MOST_TRIES) {
             after(1, () -> submitInvalid(body, tries + 1));
           }
@@ -146,7 +146,7 @@
       return;
     }
     ask(id, anyNode());
-    after(rules.ended(id) ? 40 : 5.0 / storm, () -> poll(id));
+    after(rules.hasEnded(id) ? 40 : 5.0 / storm, () -> poll(id));
   }
 
   private void ask(String id, Endpoint node) {
@@ -171,7 +171,7 @@
         anyNode(),
         Request.post("/api/jobs/" + id + "/withdraw", new byte[0]),
         5,
-        (status, body, sent) -> rules.broken(status == 200, "invented", id));
+        (status, body, sent) -> rules.noteViolationIf(status == 200, "invented", id));
   }
 
   public void cancel(String id) {
@@ -179,7 +179,7 @@
   }
 
   public void cancel(String id, Endpoint node) {
-    rules.cancelAsked(id);
+    rules.cancelRequested(id);
     ask(
         node,
         Request.post("/api/jobs/" + id + "/withdraw", new byte[0]),
@@ -200,16 +200,16 @@
   void taskFinished(String task) {
     String id = TaskId.parse(task).jobId();
     if (cancelAtEnd > 0
-        && rules.doneTasks(id) == rules.job(id).taskCount()
+        && rules.completedTaskCount(id) == rules.job(id).taskCount()
         && random.nextDouble() < cancelAtEnd) {
       after(random.nextDouble() / 5, () -> cancel(id));
     }
   }
 
   private void told(String id, String status, Duration sent) {
-    boolean ended = rules.ended(id);
-    rules.told(id, status, sent);
-    if (rules.ended(id) && !ended) {
+    boolean ended = rules.hasEnded(id);
+    rules.statusReceived(id, status, sent);
+    if (rules.hasEnded(id) && !ended) {
       look(rules.job(id));
     }
   }
@@ -218,7 +218,7 @@
     if (!lookClosely) {
       return;
     }
-    boolean cancel = !rules.ended(job.id()) && random.nextInt(8) == 0;
+    boolean cancel = !rules.hasEnded(job.id()) && random.nextInt(8) == 0;
     for (Endpoint node : nodes) {
       for (int i = 0; i < 3; i++) {
         int way = random.nextInt(4);
--- a/src/test/java/io/cherryspool/sim/cluster/StateLossInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/StateLossInjector.java
@@ -107,7 +107,7 @@
           cluster.workers().stream()
               .skip(random.nextInt(Math.max(1, cluster.workers().size())))
               .findFirst()
-              .ifPresent(worker -> cluster.network().dropInbound(worker.machine().host, length));
+              .ifPresent(worker -> cluster.network().dropInbound(worker.machine().host(), length));
       default -> {
         cluster.users().lookClosely(true);
         cluster.time().schedule(length, () -> cluster.users().lookClosely(false));
--- a/src/test/java/io/cherryspool/sim/driver/RecoveryDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/RecoveryDriver.java
@@ -7,6 +7,7 @@
 import io.cherryspool.model.Outcome;
 import io.cherryspool.recovery.DirectorySnapshotStore;
 import io.cherryspool.sim.loopback.ControllerProcess;
+import io.cherryspool.sim.loopback.EventLoopCalls;
 import io.cherryspool.sim.loopback.LoopbackCluster;
 import io.cherryspool.sim.loopback.LoopbackNodes;
 import io.cherryspool.store.Records;
@@ -26,9 +27,9 @@
 
 /**
  * Measures a recovery: three controllers run as processes of their own, by the command of
- * deploy/service.toml, among stand-ins; the state service loses its data while an array runs. What
- * it took is written to standard output as Markdown; docs/recovery-operations.md tells how to run
- * it.
+ * deploy/service.toml, with fake services and workers; the state store loses its data while an
+ * array runs. What it took is written to standard output as Markdown; docs/recovery-operations.md
+ * tells how to run it.
  */
 public final class RecoveryDriver {
   private static final Path WORK = Path.of("target", "recovery");
@@ -36,12 +37,9 @@
   private static final int CONTROLLERS = LoopbackNodes.ZONES.size();
   private static final LoopbackNodes.Limits LIMITS = new LoopbackNodes.Limits(150, 60, 2048, 0);
   private static final int TASKS_PER_SHARD = Records.tasksPerShard(16 * 1024);
-  private static final Duration SAMPLE = Duration.ofMillis(50);
-  private static final Duration SETTLE = Duration.ofSeconds(15);
-  private static final Duration PATIENCE = Duration.ofSeconds(90);
-  private static final String NOTICED = "has lost data";
-  private static final String LEADING = "; rebuilding ownership";
-  private static final int WINDOW = (int) (1000 / SAMPLE.toMillis());
+  private static final Duration CHECK_INTERVAL = Duration.ofMillis(50);
+  private static final Duration SETTLE_TIME = Duration.ofSeconds(15);
+  private static final Duration TIMEOUT = Duration.ofSeconds(90);
 
   private final LoopbackCluster cluster;
   private final int tasks;
@@ -82,45 +80,45 @@
       for (ControllerProcess controller : driver.controllers) {
         controller.kill();
       }
-      // The stand-ins' event loops would keep the process alive, also after a failure.
+      // The event loops of the fakes would keep the process alive, also after a failure.
       System.exit(status);
     }
   }
 
   private void run() throws IOException, InterruptedException {
     cluster.listen();
-    Files.createDirectories(WORK.resolve("deploy"));
-    dropSnapshots();
-    Path target = WORK.resolve("target");
-    if (!Files.exists(target)) {
-      Files.createSymbolicLink(target, Path.of("target").toAbsolutePath());
-    }
-    Files.writeString(
-        WORK.resolve("deploy").resolve("cherryspool.xml"),
-        "<cherryspool><idle-keep>86400</idle-keep><recovery>on</recovery>"
-            + "<snapshot-directory>snapshots</snapshot-directory>"
-            + "<snapshot-interval>2</snapshot-interval></cherryspool>\n");
-    for (int i = 0; i < CONTROLLERS; i++) {
-      Path settings = cluster.nodes().write(WORK, i).toAbsolutePath();
-      Path log = WORK.resolve(LoopbackNodes.name(i) + ".log");
-      List<String> command = ServiceCommand.read().with(List.of(), settings);
-      controllers.add(new ControllerProcess(command, WORK, log));
-      controllers.get(i).awaitListening();
-    }
-    awaitLeader();
+    startControllers();
     for (int i = 0; i < ended; i++) {
       putEnded(String.format("req-%06d", 100_000 + i));
     }
     cluster.bootWorkers();
-    Thread.sleep(SETTLE.toMillis());
+    Thread.sleep(SETTLE_TIME.toMillis());
     submit();
-    awaitCalm();
-    Thread.sleep(SETTLE.toMillis());
-    measure();
+    awaitNoStarts();
+    Thread.sleep(SETTLE_TIME.toMillis());
+    RecoveryMeasurement measurement =
+        new RecoveryMeasurement(cluster, controllers, status().path("snapshot"));
+    measurement.run(leaderEnds);
+    measurement.print(ended);
+  }
+
+  private void startControllers() throws IOException, InterruptedException {
+    ServiceFolder folder =
+        ServiceFolder.create(
+            WORK,
+            "<idle-keep>86400</idle-keep><recovery>on</recovery>"
+                + "<snapshot-directory>snapshots</snapshot-directory>"
+                + "<snapshot-interval>2</snapshot-interval>");
+    deleteSnapshots();
+    for (int i = 0; i < CONTROLLERS; i++) {
+      controllers.add(folder.start(cluster.nodes(), i, List.of()));
+      controllers.get(i).awaitListening();
+    }
+    awaitLeader();
   }
 
-  /** Those of an earlier run are of another cluster, which nodes would rebuild. */
-  private static void dropSnapshots() throws IOException {
+  /** Snapshots of an earlier run are of another cluster, which nodes would rebuild. */
+  private static void deleteSnapshots() throws IOException {
     try (Stream<Path> files = Files.walk(WORK)) {
       List<Path> old =
           files.filter(file -> file.toString().endsWith(DirectorySnapshotStore.SUFFIX)).toList();
@@ -131,23 +129,16 @@
   }
 
   private void awaitLeader() throws InterruptedException {
-    long end = System.nanoTime() + PATIENCE.toNanos();
-    while (firstTold(LEADING, 0) < 0) {
+    ControllerLogs logs = new ControllerLogs(controllers);
+    long end = System.nanoTime() + TIMEOUT.toNanos();
+    while (logs.firstAt(RecoveryMeasurement.LEADING, 0) < 0) {
       if (System.nanoTime() > end) {
         throw new IllegalStateException("nobody leads");
       }
-      Thread.sleep(SAMPLE.toMillis());
+      Thread.sleep(CHECK_INTERVAL.toMillis());
     }
   }
 
-  /** Whose log tells of leading; valid while nobody has led but one. */
-  private ControllerProcess leader() {
-    return controllers.stream()
-        .filter(controller -> controller.firstLogLineAt(LEADING, 0) >= 0)
-        .findFirst()
-        .orElseThrow();
-  }
-
   private static Job job(String id, int tasks) {
     return LoopbackCluster.job(id, tasks, 2, Duration.ofHours(1));
   }
@@ -157,8 +148,8 @@
         cluster.commit(
             new StateStoreProtocol.Change(
                 Records.jobKey(id), Records.jobKey(job(id, 1), TASKS_PER_SHARD), 0));
-    LoopbackCluster.await(put);
-    LoopbackCluster.await(
+    EventLoopCalls.await(put);
+    EventLoopCalls.await(
         cluster.commit(
             new StateStoreProtocol.Change(
                 Records.outcomeKey(id), Records.outcomeKey(Outcome.DONE), 0)));
@@ -171,7 +162,7 @@
         ask(
             LoopbackNodes.name(1),
             () -> {
-              cluster.addJobDescription(array);
+              cluster.fleet().addJobDescription(array);
               return request;
             });
     if (reply.status() != 201) {
@@ -182,77 +173,20 @@
   private Reply ask(String node, Supplier<Request> request) {
     CompletableFuture<Reply> answer = new CompletableFuture<>();
     cluster.loop().execute(() -> cluster.ask(node, request.get()).thenAccept(answer::complete));
-    return LoopbackCluster.await(answer);
+    return EventLoopCalls.await(answer);
   }
 
   /** Until no task has been started for a while. */
-  private void awaitCalm() throws InterruptedException {
+  private void awaitNoStarts() throws InterruptedException {
     int before = -1;
-    for (int i = 0; i < PATIENCE.toSeconds() / 5 && cluster.startedTasks() != before; i++) {
-      before = cluster.startedTasks();
+    for (int i = 0;
+        i < TIMEOUT.toSeconds() / 5 && cluster.fleet().startedTaskCount() != before;
+        i++) {
+      before = cluster.fleet().startedTaskCount();
       Thread.sleep(5000);
     }
   }
 
-  private void measure() throws IOException, InterruptedException {
-    int running = cluster.runningTaskCount();
-    JsonNode snapshot = status().path("snapshot");
-    double before = peakMemory();
-    long leasesBefore = cluster.expiredLeases();
-    int twiceBefore = cluster.tasksStartedTwice().size();
-    int lateBefore = cluster.tasksEndedLate().size();
-    long[] load = cluster.stateLoad();
-    List<long[]> samples = new ArrayList<>();
-    int started = cluster.startedTasks();
-    ControllerProcess leader = leader();
-    long lost = System.nanoTime();
-    cluster.loseStateStoreData();
-    if (leaderEnds) {
-      leader.kill();
-      controllers.remove(leader);
-    }
-    long firstStart = -1;
-    long end = lost + PATIENCE.toNanos();
-    // Some tasks are made to end, so that the next leader has something to start.
-    while (System.nanoTime() < end && (firstTold(LEADING, lost) < 0 || firstStart < 0)) {
-      Thread.sleep(SAMPLE.toMillis());
-      samples.add(cluster.stateLoad());
-      if (firstStart < 0 && cluster.startedTasks() > started) {
-        firstStart = System.nanoTime();
-      }
-      if (firstTold(LEADING, lost) >= 0 && firstStart < 0) {
-        cluster.finishTasks(1);
-      }
-    }
-    long[] after = cluster.stateLoad();
-    row("machines, running tasks, ended jobs", cluster.machineCount(), running, ended);
-    row(
-        "noticed by the first and the last node, ms",
-        ms(firstTold(NOTICED, lost), lost),
-        ms(lastTold(NOTICED, lost), lost));
-    row("rebuilt, ms", ms(firstTold("is whole", lost), lost));
-    row("served again, ms", ms(firstTold("serving incarnation", lost), lost));
-    row("led again, ms", ms(firstTold(LEADING, lost), lost));
-    row("first order, ms", ms(firstStart, lost));
-    row("requests, changes meanwhile", after[0] - load[0], after[1] - load[1]);
-    row("most requests, changes in a second", most(samples, 0), most(samples, 1));
-    row("most memory of a controller before, after, MiB", before, peakMemory());
-    row(
-        "snapshot: bytes, ms",
-        snapshot.path("bytes").asDouble(),
-        snapshot.path("took_ms").asDouble());
-    row(
-        "before the loss: leases lost, tasks on two machines, ended late by the stand-ins",
-        leasesBefore,
-        twiceBefore,
-        lateBefore);
-    row(
-        "since the loss, the same",
-        cluster.expiredLeases() - leasesBefore,
-        cluster.tasksStartedTwice().size() - twiceBefore,
-        cluster.tasksEndedLate().size() - lateBefore);
-  }
-
   private JsonNode status() {
     Reply reply = ask(LoopbackNodes.name(1), () -> Request.get("/recovery/status"));
     try {
@@ -261,50 +195,4 @@
       throw new IllegalStateException(e);
     }
   }
-
-  private long firstTold(String text, long since) {
-    long first = -1;
-    for (ControllerProcess controller : controllers) {
-      long at = controller.firstLogLineAt(text, since);
-      first = first < 0 || at >= 0 && at < first ? at : first;
-    }
-    return first;
-  }
-
-  private long lastTold(String text, long since) {
-    long last = -1;
-    for (ControllerProcess controller : controllers) {
-      last = Math.max(last, controller.firstLogLineAt(text, since));
-    }
-    return last;
-  }
-
-  private static double ms(long at, long since) {
-    return at < 0 ? Double.NaN : (at - since) / 1e6;
-  }
-
-  /** The most of any second, from samples of the sums. */
-  private static double most(List<long[]> samples, int which) {
-    long most = 0;
-    for (int i = WINDOW; i < samples.size(); i++) {
-      most = Math.max(most, samples.get(i)[which] - samples.get(i - WINDOW)[which]);
-    }
-    return most;
-  }
-
-  private double peakMemory() throws IOException {
-    double most = 0;
-    for (int i = 0; i < controllers.size(); i++) {
-      most = Math.max(most, controllers.get(i).statusMib("VmHWM"));
-    }
-    return most;
-  }
-
-  private static void row(String name, double... figures) {
-    StringBuilder line = new StringBuilder("| ").append(name).append(" |");
-    for (double figure : figures) {
-      line.append(String.format(" %.0f", figure));
-    }
-    System.out.println(line.append(" |"));
-  }
 }
--- a/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
@@ -47,25 +47,48 @@
   private boolean down;
   private boolean fast;
 
-  /** A rented machine. */
+  /** An instance that the cloud has started, from the request on. */
   public static final class Machine {
-    public final String name;
-    public final String host;
-    public final MachineType type;
-    public final String zone;
-    public final boolean spot;
-    final Duration since;
-    boolean up;
-
-    Machine(String name, String host, MachineType type, String zone, boolean spot, Duration now) {
+    private final String name;
+    private final String host;
+    private final MachineType type;
+    private final String zone;
+    private final boolean spot;
+    private final Duration requestedAt;
+    private boolean up;
+
+    private Machine(
+        String name, String host, MachineType type, String zone, boolean spot, Duration now) {
       this.name = name;
       this.host = host;
       this.type = type;
       this.zone = zone;
       this.spot = spot;
-      this.since = now;
+      this.requestedAt = now;
+    }
+
+    public String name() {
+      return name;
+    }
+
+    /** Its address without the port. */
+    public String host() {
+      return host;
+    }
+
+    public MachineType type() {
+      return type;
     }
 
+    public String zone() {
+      return zone;
+    }
+
+    public boolean isSpot() {
+      return spot;
+    }
+
+    /** Where its worker listens. */
     public String address() {
       return host + ":" + PORT;
     }
@@ -103,6 +126,12 @@
     return machines.values().stream().filter(machine -> machine.up).toList();
   }
 
+  /** Whether the cloud has this machine up, as far as it knows. */
+  public boolean isRunning(String name) {
+    Machine machine = machines.get(name);
+    return machine != null && machine.up;
+  }
+
   /** The cloud takes a machine away. */
   public void reclaim(String name) {
     Machine machine = machines.remove(name);
@@ -129,7 +158,8 @@
   @Override
   public CompletableFuture<Reply> handle(Request request) {
     if (down) {
-      return FakeStateStore.completedReply(503, Json.object().put("error", "trouble"));
+      return CompletableFuture.completedFuture(
+          Reply.json(503, Json.toBytes(Json.object().put("error", "trouble"))));
     }
     CompletableFuture<Reply> result = new CompletableFuture<>();
     loop.schedule(Duration.ofMillis(50 + random.nextLong(200)), () -> answer(request, result));
@@ -219,7 +249,7 @@
           .put("yard", machine.zone)
           .put("loaners", machine.spot)
           .put("status", machine.up ? "running" : "booting")
-          .put("held_s", loop.now().minus(machine.since).toMillis() / 1e3);
+          .put("held_s", loop.now().minus(machine.requestedAt).toMillis() / 1e3);
     }
     loop.schedule(LIST_LAG, () -> listed = list);
   }
--- a/src/test/java/io/cherryspool/sim/fakes/FakeWorker.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeWorker.java
@@ -1,7 +1,6 @@
 package io.cherryspool.sim.fakes;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.http.Reply;
@@ -9,104 +8,77 @@
 import io.cherryspool.http.RequestHandler;
 import io.cherryspool.http.Transport;
 import io.cherryspool.lifecycle.EventLoop;
-import io.cherryspool.model.Job;
-import io.cherryspool.model.TaskId;
 import io.cherryspool.wire.Json;
 import io.cherryspool.wire.MalformedMessageException;
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import java.util.function.BiConsumer;
-import java.util.function.Consumer;
-import java.util.function.Function;
 import java.util.random.RandomGenerator;
 
-/** A stand-in for a worker: reports, obeys, keeps its lease; it can hang, and go on later. */
+/**
+ * A working worker agent without real tasks: it sends heartbeats, carries out commands, and kills
+ * its tasks when its lease expires. It can hang and go on later.
+ *
+ * <p>All methods must be called on the event loop.
+ */
 public final class FakeWorker implements RequestHandler {
-  /** The class of jobs that were submitted with a mistake. */
+  /** Tasks of jobs of this class always fail. */
   public static final String FAILING_JOB_CLASS = "broken";
 
-  private static final Duration ANSWER_LIMIT = Duration.ofSeconds(4);
+  private static final Duration REPLY_TIMEOUT = Duration.ofSeconds(4);
+  private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
+
+  /** What has changed is sent no earlier than this after the last heartbeat. */
+  private static final Duration MIN_HEARTBEAT_INTERVAL = Duration.ofMillis(500);
+
+  private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
+  private static final int MAX_REDIRECT_DELAY_MS = 500;
 
   private final EventLoop loop;
+  private final HangableLoop ownLoop;
   private final RandomGenerator random;
   private final Transport transport;
   private final FakeCloud.Machine machine;
-  private final Map<String, Endpoint> nodes;
-  private final List<String> names;
-  private final Function<String, Job> jobs;
-  private final Duration report;
-  private final Duration lease;
-  private final double faults;
-  private final BiConsumer<FakeWorker, String> onStart;
-  private final Consumer<String> onDone;
-  private final Map<String, Piece> pieces = new LinkedHashMap<>();
-  private final Set<String> images = new HashSet<>();
-  private final List<Runnable> missed = new ArrayList<>();
-  private int at;
+  private final Map<String, Endpoint> controllers;
+  private final List<String> controllerNames;
+  private final WorkerSettings settings;
+  private final WorkerTasks tasks;
+  private int currentController;
   private long agentEpoch = 1;
   private long sequence;
-  private long token;
+  private long fencingToken;
   private Duration leaseRenewedAt;
-  private boolean reporting;
-  private boolean hung;
-  private boolean dead;
-  private boolean sick;
-  private Double notice;
+  private Duration lastHeartbeatAt = Duration.ZERO;
+  private boolean awaitingReply;
   private boolean changed;
-  private Duration lastReport = Duration.ZERO;
-
-  private static final class Piece {
-    private final String task;
-    private final int attempt;
-    private String status = "pulling";
-    private String cause;
-    private boolean saved;
-
-    Piece(String task, int attempt) {
-      this.task = task;
-      this.attempt = attempt;
-    }
-  }
+  private Double preemptionNoticeSeconds;
 
-  /**
-   * @param faults the share of tasks that fail for no reason of the job's or the machine's
-   */
+  /** Starts at once; the first heartbeat goes to a random one of the controllers. */
   public FakeWorker(
       EventLoop loop,
       RandomGenerator random,
       Transport transport,
       FakeCloud.Machine machine,
-      Map<String, Endpoint> nodes,
-      Function<String, Job> jobs,
-      Duration report,
-      Duration lease,
-      double faults,
-      BiConsumer<FakeWorker, String> onStart,
-      Consumer<String> onDone) {
+      Map<String, Endpoint> controllers,
+      WorkerSettings settings,
+      Workload workload) {
     this.loop = loop;
+    this.ownLoop = new HangableLoop(loop);
     this.random = random;
     this.transport = transport;
     this.machine = machine;
-    this.nodes = nodes;
-    this.names = List.copyOf(nodes.keySet());
-    this.jobs = jobs;
-    this.report = report;
-    this.lease = lease;
-    this.faults = faults;
-    this.onStart = onStart;
-    this.onDone = onDone;
+    this.controllers = controllers;
+    this.controllerNames = List.copyOf(controllers.keySet());
+    this.settings = settings;
+    this.tasks = new WorkerTasks(this, random, workload, settings.failureShare());
     this.leaseRenewedAt = loop.now();
-    this.at = random.nextInt(names.size());
-    later(Duration.ZERO, this::cycle);
-    later(Duration.ZERO, this::checkLease);
+    this.currentController = random.nextInt(controllerNames.size());
+    ownLoop.schedule(Duration.ZERO, this::checkHeartbeat);
+    ownLoop.schedule(Duration.ZERO, this::checkLease);
   }
 
+  /** 1 at first, and one more with each lease that has expired. */
   public long agentEpoch() {
     return agentEpoch;
   }
@@ -116,330 +88,208 @@
   }
 
   /**
-   * The tasks on the machine in the users' sense: with their image, and not exited. A machine that
-   * hangs past its lease has none, since killing them is the first thing it does when it goes on.
+   * The tasks that run, by the users' rules: with their image, and not exited. A machine that hangs
+   * past its lease has none, since it kills them before it does anything else.
    */
   public List<String> runningTasks() {
-    List<String> result = new ArrayList<>();
-    if (hung && loop.now().minus(leaseRenewedAt).compareTo(lease) > 0) {
-      return result;
-    }
-    for (Piece piece : pieces.values()) {
-      if (piece.status.equals("running") || piece.status.equals("saving")) {
-        result.add(piece.task);
-      }
-    }
-    return result;
+    return ownLoop.isHung() && isLeaseExpired() ? List.of() : tasks.running();
   }
 
-  /** When the last report that was answered was sent, or the session began. */
-  public Duration leaseRenewedAt() {
-    return leaseRenewedAt;
+  /** The tasks that take resources of the machine: those that fetch their image, too. */
+  public List<String> assignedTasks() {
+    return tasks.assigned();
   }
 
-  /** What the machine has for its tasks, those that fetch their image among them, by task. */
-  public List<String> assignedTasks() {
-    List<String> result = new ArrayList<>();
-    for (Piece piece : pieces.values()) {
-      if (piece.cause == null) {
-        result.add(piece.task);
-      }
-    }
-    return result;
+  /** When the last heartbeat that was answered was sent, or the agent's epoch began. */
+  public Duration leaseRenewedAt() {
+    return leaseRenewedAt;
   }
 
+  /** Ends the machine with its tasks; nothing it does is seen any more. */
   public void kill() {
-    dead = true;
-    pieces.clear();
+    ownLoop.kill();
+    tasks.clear();
   }
 
+  /** Does nothing for so long; what arrives meanwhile is processed afterwards, in order. */
   public void hang(Duration duration) {
-    if (!hung) {
-      hung = true;
-      loop.schedule(
-          duration,
-          () -> {
-            hung = false;
-            if (!dead) {
-              expire();
-              List<Runnable> late = List.copyOf(missed);
-              missed.clear();
-              late.forEach(Runnable::run);
-            }
-          });
-    }
+    ownLoop.hang(duration, this::expireLease);
   }
 
-  /** Every task fails here for so long. */
+  /** Tasks that start within this time fail. */
   public void failTasksFor(Duration length) {
-    sick = true;
-    loop.schedule(length, () -> sick = false);
+    tasks.setFailing(true);
+    loop.schedule(length, () -> tasks.setFailing(false));
   }
 
+  /** From now on heartbeats say that the machine will be preempted in so many seconds. */
   public void setPreemptionNotice(double seconds) {
-    notice = seconds;
+    preemptionNoticeSeconds = seconds;
     changed = true;
   }
 
-  /** Sends a report at once unless one is under way. */
+  /** Sends a heartbeat at once unless one is unanswered. */
   public void sendHeartbeatNow() {
-    if (!reporting && !hung && !dead) {
-      send();
+    if (!awaitingReply && ownLoop.isRunning()) {
+      sendHeartbeat();
     }
   }
 
-  /** What the worker would report now. */
-  public byte[] report() {
+  /** The body of the heartbeat that would be sent now. */
+  public byte[] heartbeatBody() {
     return Json.toBytes(describe());
   }
 
-  /** How often the worker has described itself, in reports and in answers. */
+  /** How often the worker has described itself, in heartbeats and in answers to requests. */
   public long heartbeatCount() {
     return sequence;
   }
 
-  /** Tells that what runs is being saved, or that it runs, and does neither. */
-  public void setCheckpointing(boolean saving) {
-    for (Piece piece : pieces.values()) {
-      if (piece.cause == null && !piece.status.equals("pulling")) {
-        piece.status = saving ? "saving" : "running";
-      }
-    }
+  /** Heartbeats say of the running tasks that they save a checkpoint, or run; they do neither. */
+  public void setCheckpointing(boolean value) {
+    tasks.pretendCheckpointing(value);
   }
 
-  private void later(Duration delay, Runnable task) {
-    loop.schedule(delay, () -> awake(task));
+  /** One of its running tasks completes now. */
+  public void completeOneTask() {
+    tasks.completeOne();
   }
 
-  private void awake(Runnable task) {
-    if (hung) {
-      missed.add(() -> awake(task));
-    } else if (!dead) {
-      task.run();
-    }
+  /** What heartbeats say has changed, so that the next one is due soon. */
+  void markChanged() {
+    changed = true;
+  }
+
+  /** Runs the event later, unless the worker is dead by then, and not while it hangs. */
+  void schedule(Duration delay, Runnable event) {
+    ownLoop.schedule(delay, event);
   }
 
   private void checkLease() {
-    expire();
-    later(Duration.ofMillis(100), this::checkLease);
+    expireLease();
+    schedule(CHECK_INTERVAL, this::checkLease);
   }
 
-  private void expire() {
-    if (loop.now().minus(leaseRenewedAt).compareTo(lease) > 0) {
-      pieces.clear();
+  private boolean isLeaseExpired() {
+    return loop.now().minus(leaseRenewedAt).compareTo(settings.lease()) > 0;
+  }
+
+  private void expireLease() {
+    if (isLeaseExpired()) {
+      tasks.clear();
       agentEpoch++;
       leaseRenewedAt = loop.now();
       changed = true;
     }
   }
 
-  private void cycle() {
-    later(Duration.ofMillis(100), this::cycle);
-    Duration since = loop.now().minus(lastReport);
-    boolean due = since.compareTo(report) >= 0;
-    if (!reporting && (due || changed && since.toMillis() >= 500)) {
-      send();
+  private void checkHeartbeat() {
+    schedule(CHECK_INTERVAL, this::checkHeartbeat);
+    Duration since = loop.now().minus(lastHeartbeatAt);
+    boolean isDue = since.compareTo(settings.heartbeatInterval()) >= 0;
+    boolean isNewsDue = changed && since.compareTo(MIN_HEARTBEAT_INTERVAL) >= 0;
+    if (!awaitingReply && (isDue || isNewsDue)) {
+      sendHeartbeat();
     }
   }
 
-  private void send() {
-    reporting = true;
+  private void sendHeartbeat() {
+    awaitingReply = true;
     changed = false;
-    lastReport = loop.now();
-    Duration sent = loop.now();
-    long sentSession = agentEpoch;
+    lastHeartbeatAt = loop.now();
+    Duration sentAt = loop.now();
+    long sentEpoch = agentEpoch;
+    Endpoint controller = controllers.get(controllerNames.get(currentController));
     transport
-        .send(
-            nodes.get(names.get(at)),
-            Request.post("/v1/report", Json.toBytes(describe())),
-            ANSWER_LIMIT)
-        .whenComplete((reply, failure) -> awake(() -> answered(reply, failure, sent, sentSession)));
+        .send(controller, Request.post("/v1/report", heartbeatBody()), REPLY_TIMEOUT)
+        .whenComplete(
+            (reply, failure) -> ownLoop.run(() -> processReply(reply, failure, sentAt, sentEpoch)));
   }
 
-  private void answered(Reply reply, Throwable failure, Duration sent, long sentSession) {
-    expire();
+  private void processReply(Reply reply, Throwable failure, Duration sentAt, long sentEpoch) {
+    expireLease();
     try {
-      JsonNode body = failure == null ? Json.parseObject(reply.body()) : null;
-      if (failure == null && reply.status() == 200) {
-        reporting = false;
-        if (sentSession == agentEpoch && raise(body)) {
-          leaseRenewedAt = leaseRenewedAt.compareTo(sent) > 0 ? leaseRenewedAt : sent;
-          obey(body.path("orders"));
-        }
+      if (failure != null) {
+        tryOtherController("");
+        return;
+      }
+      JsonNode body = Json.parseObject(reply.body());
+      if (reply.status() != 200) {
+        tryOtherController(body.path("foreman").asText(""));
         return;
       }
-      String named = failure == null ? body.path("foreman").asText("") : "";
-      int index = names.indexOf(named);
-      boolean direct = index >= 0 && index != at;
-      at = direct ? index : (at + 1) % names.size();
-      later(
-          direct ? Duration.ofMillis(random.nextInt(500)) : Duration.ofSeconds(1),
-          () -> {
-            reporting = false;
-            changed = true;
-            lastReport = Duration.ZERO;
-          });
+      awaitingReply = false;
+      if (sentEpoch == agentEpoch && acceptToken(body)) {
+        leaseRenewedAt = leaseRenewedAt.compareTo(sentAt) > 0 ? leaseRenewedAt : sentAt;
+        tasks.execute(body.path("orders"));
+      }
     } catch (MalformedMessageException e) {
-      throw new IllegalStateException("a node's answer to a worker: " + e.getMessage());
+      throw new IllegalStateException("a controller's answer to a worker: " + e.getMessage());
     }
   }
 
-  private boolean raise(JsonNode body) {
-    long given = body.path("baton").longValue();
-    if (!body.has("baton") || given < token) {
+  /** Turns to the controller that was named as leader, or to the next one. */
+  private void tryOtherController(String leader) {
+    int index = controllerNames.indexOf(leader);
+    boolean isRedirect = index >= 0 && index != currentController;
+    currentController = isRedirect ? index : (currentController + 1) % controllerNames.size();
+    Duration delay =
+        isRedirect ? Duration.ofMillis(random.nextInt(MAX_REDIRECT_DELAY_MS)) : RETRY_DELAY;
+    schedule(
+        delay,
+        () -> {
+          awaitingReply = false;
+          changed = true;
+          lastHeartbeatAt = Duration.ZERO;
+        });
+  }
+
+  /** Whether the message's fencing token is not older than the newest one seen. */
+  private boolean acceptToken(JsonNode body) {
+    long token = body.path("baton").longValue();
+    if (!body.has("baton") || token < fencingToken) {
       return false;
     }
-    changed |= given > token;
-    token = given;
+    changed |= token > fencingToken;
+    fencingToken = token;
     return true;
   }
 
-  private void obey(JsonNode orders) {
-    for (JsonNode order : orders) {
-      String task = order.path("piece").asText();
-      int attempt = order.path("try").intValue();
-      String key = task + "#" + attempt;
-      Piece piece = pieces.get(key);
-      switch (order.path("verb").asText()) {
-        case "launch" -> {
-          if (piece == null) {
-            launch(key, new Piece(task, attempt));
-          }
-        }
-        case "halt" -> {
-          if (piece != null) {
-            halt(piece, order.path("leeway_s").doubleValue());
-          }
-        }
-        default -> {
-          if (piece != null && piece.cause != null) {
-            pieces.remove(key);
-          }
-        }
-      }
-    }
-  }
-
-  private void launch(String key, Piece piece) {
-    boolean busy =
-        pieces.values().stream()
-            .anyMatch(other -> other.task.equals(piece.task) && other.cause == null);
-    pieces.put(key, piece);
-    Job job = jobs.apply(TaskId.parse(piece.task).jobId());
-    if (job == null) {
-      exit(piece, "no_such");
-    } else if (busy) {
-      exit(piece, "busy");
-    } else {
-      Duration fetch = images.contains(job.image()) ? Duration.ZERO : Duration.ofSeconds(2);
-      later(
-          fetch,
-          () -> {
-            if (pieces.get(key) == piece && piece.cause == null) {
-              images.add(job.image());
-              piece.status = "running";
-              changed = true;
-              onStart.accept(this, piece.task);
-              Duration run = job.estimatedRunTime().dividedBy(2).plusMillis(random.nextLong(4000));
-              boolean fails =
-                  sick || job.jobClass().equals(FAILING_JOB_CLASS) || random.nextDouble() < faults;
-              later(fails ? run.dividedBy(3) : run, () -> finish(key, piece, fails));
-            }
-          });
-    }
-    changed = true;
-  }
-
-  private void finish(String key, Piece piece, boolean fails) {
-    if (pieces.get(key) == piece && piece.status.equals("running")) {
-      exit(piece, fails ? "error" : "done");
-      if (!fails) {
-        onDone.accept(piece.task);
-      }
-    }
-  }
-
-  /** One of its running tasks completes now. */
-  public void completeOneTask() {
-    for (Map.Entry<String, Piece> entry : pieces.entrySet()) {
-      if (entry.getValue().status.equals("running")) {
-        finish(entry.getKey(), entry.getValue(), false);
-        return;
-      }
-    }
-  }
-
-  private void halt(Piece piece, double grace) {
-    Job job = jobs.apply(TaskId.parse(piece.task).jobId());
-    if (piece.cause != null) {
-      return;
-    }
-    boolean saves = job != null && !job.checkpointInterval().isZero();
-    if (piece.status.equals("running")
-        && saves
-        && grace >= job.checkpointDuration().toMillis() / 1e3) {
-      piece.status = "saving";
-      changed = true;
-      later(
-          job.checkpointDuration(),
-          () -> {
-            if (piece.cause == null) {
-              piece.saved = true;
-              exit(piece, "stopped");
-            }
-          });
-    } else if (!piece.status.equals("saving") || grace == 0) {
-      exit(piece, "stopped");
-    }
-  }
-
-  private void exit(Piece piece, String cause) {
-    piece.status = "ended";
-    piece.cause = cause;
-    changed = true;
-  }
-
   private ObjectNode describe() {
     sequence++;
-    ObjectNode node = Json.object().put("spindle", machine.name);
-    node.put("endpoint", machine.address()).put("build", machine.type.name());
-    node.put("yard", machine.zone).put("loaners", machine.spot);
-    node.put("shift", agentEpoch).put("tick", sequence).put("baton", token);
-    node.put("warning_s", notice);
-    ArrayNode list = node.putArray("pieces");
-    for (Piece piece : pieces.values()) {
-      ObjectNode item = list.addObject().put("piece", piece.task).put("try", piece.attempt);
-      item.put("status", piece.status);
-      if (piece.cause != null) {
-        item.put("cause", piece.cause).put("kept", piece.saved);
-      }
-    }
+    ObjectNode node = Json.object().put("spindle", machine.name());
+    node.put("endpoint", machine.address()).put("build", machine.type().name());
+    node.put("yard", machine.zone()).put("loaners", machine.isSpot());
+    node.put("shift", agentEpoch).put("tick", sequence).put("baton", fencingToken);
+    node.put("warning_s", preemptionNoticeSeconds);
+    node.set("pieces", tasks.describe());
     return node;
   }
 
   @Override
   public CompletableFuture<Reply> handle(Request request) {
     CompletableFuture<Reply> result = new CompletableFuture<>();
-    awake(() -> result.complete(answer(request)));
+    ownLoop.run(() -> result.complete(answer(request)));
     return result;
   }
 
   private Reply answer(Request request) {
-    expire();
+    expireLease();
     if (request.path().equals("/inspect")) {
-      return Reply.json(200, Json.toBytes(describe()));
+      return Reply.json(200, heartbeatBody());
     }
     try {
       JsonNode body = Json.parseObject(request.body());
       if (!body.has("baton") || !body.has("shift")) {
         return Reply.json(400, new byte[0]);
       }
-      if (body.path("baton").longValue() < token || body.path("shift").longValue() != agentEpoch) {
-        return Reply.json(409, Json.toBytes(describe()));
+      boolean isStale = body.path("baton").longValue() < fencingToken;
+      if (isStale || body.path("shift").longValue() != agentEpoch) {
+        return Reply.json(409, heartbeatBody());
       }
-      raise(body);
-      obey(body.path("orders"));
-      return Reply.json(200, Json.toBytes(describe()));
+      acceptToken(body);
+      tasks.execute(body.path("orders"));
+      return Reply.json(200, heartbeatBody());
     } catch (MalformedMessageException e) {
       return Reply.json(400, new byte[0]);
     }
--- /dev/null
+++ b/src/test/java/io/cherryspool/sim/fakes/KeyValueStore.java
@@ -0,0 +1,150 @@
+package io.cherryspool.sim.fakes;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.cherryspool.wire.Json;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+
+/**
+ * The keys of a {@link FakeStateStore} with their versions, and the events of all revisions, in the
+ * form in which the protocol carries them.
+ */
+final class KeyValueStore {
+  private final TreeMap<String, Item> items = new TreeMap<>();
+  private final List<ObjectNode> events = new ArrayList<>();
+  private long revision;
+
+  /** A key's value, the revision that wrote it, and the lease it is attached to, 0 for none. */
+  private record Item(JsonNode value, long version, long lease) {}
+
+  /** A copy of everything in the store. Immutable. */
+  static final class Contents {
+    /** Of a store that nothing was ever written to. */
+    static final Contents EMPTY = new Contents(Map.of(), List.of(), 0);
+
+    private final Map<String, Item> items;
+    private final List<ObjectNode> events;
+    private final long revision;
+
+    private Contents(Map<String, Item> items, List<ObjectNode> events, long revision) {
+      this.items = items;
+      this.events = events;
+      this.revision = revision;
+    }
+  }
+
+  Contents copy() {
+    return new Contents(new TreeMap<>(items), List.copyOf(events), revision);
+  }
+
+  void replaceWith(Contents contents) {
+    items.clear();
+    items.putAll(contents.items);
+    events.clear();
+    events.addAll(contents.events);
+    revision = contents.revision;
+  }
+
+  long revision() {
+    return revision;
+  }
+
+  /** The value of a key; null where there is no such key. */
+  JsonNode value(String key) {
+    Item item = items.get(key);
+    return item == null ? null : item.value;
+  }
+
+  boolean hasKeyEndingWith(String suffix) {
+    return items.keySet().stream().anyMatch(key -> key.endsWith(suffix));
+  }
+
+  /** The keys of those conditions that do not hold. */
+  ArrayNode failedConditions(JsonNode conditions) {
+    ArrayNode failed = Json.array();
+    for (JsonNode condition : conditions) {
+      Item item = items.get(condition.path("path").asText());
+      long version = item == null ? 0 : item.version;
+      if (version != condition.path("stamp").longValue()) {
+        failed.add(condition.path("path").asText());
+      }
+    }
+    return failed;
+  }
+
+  /** Applies puts and deletes as one revision, and passes each key that is put to the listener. */
+  void apply(JsonNode changes, Consumer<String> onPut) {
+    revision++;
+    for (JsonNode change : changes) {
+      if (change.has("delete")) {
+        remove(change.path("delete").asText());
+      } else {
+        String key = change.path("put").asText();
+        items.put(key, new Item(change.path("v"), revision, change.path("tenancy").longValue()));
+        ObjectNode event = Json.object().put("put", key).put("stamp", revision);
+        event.set("v", change.path("v"));
+        events.add(event);
+        onPut.accept(key);
+      }
+    }
+  }
+
+  /** Removes, as one revision, the keys that are attached to the lease. */
+  void removeAttached(long lease) {
+    revision++;
+    List<String> attached = new ArrayList<>();
+    items.forEach(
+        (key, item) -> {
+          if (item.lease == lease) {
+            attached.add(key);
+          }
+        });
+    attached.forEach(this::remove);
+  }
+
+  private void remove(String key) {
+    if (items.remove(key) != null) {
+      events.add(Json.object().put("delete", key).put("stamp", revision));
+    }
+  }
+
+  /** One page of the keys with this prefix, from the first key behind {@code after} on. */
+  ObjectNode page(String prefix, String after, int limit) {
+    ObjectNode page = Json.object();
+    ArrayNode entries = page.putArray("entries");
+    boolean hasMore = false;
+    for (Map.Entry<String, Item> item : items.tailMap(after, false).entrySet()) {
+      if (item.getKey().startsWith(prefix)) {
+        hasMore = entries.size() == limit;
+        if (hasMore) {
+          break;
+        }
+        ObjectNode entry = entries.addObject().put("path", item.getKey());
+        entry.set("v", item.getValue().value);
+        entry.put("stamp", item.getValue().version);
+      }
+    }
+    return page.put("has_next", hasMore).put("epoch", revision);
+  }
+
+  /** The events of keys with this prefix after a revision, oldest first. */
+  ArrayNode eventsAfter(long after, String prefix) {
+    ArrayNode found = Json.array();
+    for (int i = events.size() - 1; i >= 0; i--) {
+      ObjectNode event = events.get(i);
+      if (event.path("stamp").longValue() <= after) {
+        break;
+      }
+      String key = event.has("put") ? event.path("put").asText() : event.path("delete").asText();
+      if (key.startsWith(prefix)) {
+        found.insert(0, event);
+      }
+    }
+    return found;
+  }
+}
--- /dev/null
+++ b/src/test/java/io/cherryspool/sim/fakes/WatchQueue.java
@@ -0,0 +1,71 @@
+package io.cherryspool.sim.fakes;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.cherryspool.http.Reply;
+import io.cherryspool.lifecycle.EventLoop;
+import io.cherryspool.wire.Json;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.BooleanSupplier;
+
+/** The watches of a {@link FakeStateStore} that wait for an event. */
+final class WatchQueue {
+  private final EventLoop loop;
+  private final KeyValueStore store;
+  private final BooleanSupplier isDown;
+  private final List<Watch> waiting = new ArrayList<>();
+
+  private record Watch(long after, String prefix, CompletableFuture<Reply> reply) {}
+
+  /**
+   * @param isDown whether the state store is down, so that no watch is answered
+   */
+  WatchQueue(EventLoop loop, KeyValueStore store, BooleanSupplier isDown) {
+    this.loop = loop;
+    this.store = store;
+    this.isDown = isDown;
+  }
+
+  /** Answers with the events after a revision, once there is one or the time is over. */
+  CompletableFuture<Reply> follow(long after, String prefix, Duration wait) {
+    Watch watch = new Watch(after, prefix, new CompletableFuture<>());
+    if (wait.isZero() || hasEvents(watch)) {
+      answer(watch);
+    } else {
+      waiting.add(watch);
+      loop.schedule(wait, () -> timeOut(watch));
+    }
+    return watch.reply;
+  }
+
+  private void timeOut(Watch watch) {
+    if (!isDown.getAsBoolean() && waiting.remove(watch)) {
+      answer(watch);
+    }
+  }
+
+  /** Answers the watches that have an event by now. */
+  void answerReady() {
+    if (isDown.getAsBoolean()) {
+      return;
+    }
+    for (Watch watch : List.copyOf(waiting)) {
+      if (hasEvents(watch)) {
+        waiting.remove(watch);
+        answer(watch);
+      }
+    }
+  }
+
+  private boolean hasEvents(Watch watch) {
+    return !store.eventsAfter(watch.after, watch.prefix).isEmpty();
+  }
+
+  private void answer(Watch watch) {
+    ObjectNode answer = Json.object().put("epoch", store.revision());
+    answer.set("events", store.eventsAfter(watch.after, watch.prefix));
+    watch.reply.complete(Reply.json(200, Json.toBytes(answer)));
+  }
+}
--- /dev/null
+++ b/src/test/java/io/cherryspool/sim/fakes/WorkerTasks.java
@@ -0,0 +1,200 @@
+package io.cherryspool.sim.fakes;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import io.cherryspool.model.Job;
+import io.cherryspool.model.TaskId;
+import io.cherryspool.sim.fakes.TaskAttempt.ExitCause;
+import io.cherryspool.wire.Json;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Predicate;
+import java.util.random.RandomGenerator;
+
+/**
+ * The attempts at tasks on a {@link FakeWorker}. A task fetches its image, runs for half of its
+ * estimate and up to 4 s more, and exits; a failing one exits after a third of that.
+ */
+final class WorkerTasks {
+  private static final Duration IMAGE_FETCH = Duration.ofSeconds(2);
+  private static final int RUN_SPREAD_MS = 4000;
+
+  private final FakeWorker worker;
+  private final RandomGenerator random;
+  private final Workload workload;
+  private final double failureShare;
+  private final Map<String, TaskAttempt> attempts = new LinkedHashMap<>();
+  private final Set<String> images = new HashSet<>();
+  private boolean failing;
+
+  /**
+   * @param failureShare the share of tasks that fail for no reason of the job's or the machine's
+   */
+  WorkerTasks(FakeWorker worker, RandomGenerator random, Workload workload, double failureShare) {
+    this.worker = worker;
+    this.random = random;
+    this.workload = workload;
+    this.failureShare = failureShare;
+  }
+
+  /** Tasks that run or save a checkpoint. */
+  List<String> running() {
+    return tasks(attempt -> attempt.isRunning() || attempt.isCheckpointing());
+  }
+
+  /** Tasks that have not exited. */
+  List<String> assigned() {
+    return tasks(attempt -> !attempt.hasExited());
+  }
+
+  private List<String> tasks(Predicate<TaskAttempt> condition) {
+    List<String> result = new ArrayList<>();
+    for (TaskAttempt attempt : attempts.values()) {
+      if (condition.test(attempt)) {
+        result.add(attempt.task());
+      }
+    }
+    return result;
+  }
+
+  /** Kills all tasks; images stay. */
+  void clear() {
+    attempts.clear();
+  }
+
+  /** Whether every task that starts from now on fails. */
+  void setFailing(boolean value) {
+    failing = value;
+  }
+
+  void pretendCheckpointing(boolean value) {
+    attempts.values().forEach(attempt -> attempt.pretendCheckpointing(value));
+  }
+
+  /** One of the running tasks completes now. */
+  void completeOne() {
+    for (TaskAttempt attempt : attempts.values()) {
+      if (attempt.isRunning()) {
+        finish(attempt, false);
+        return;
+      }
+    }
+  }
+
+  ArrayNode describe() {
+    ArrayNode list = Json.array();
+    attempts.values().forEach(attempt -> list.add(attempt.describe()));
+    return list;
+  }
+
+  /** Carries out the commands of a heartbeat's answer or of a direct request. */
+  void execute(JsonNode commands) {
+    for (JsonNode command : commands) {
+      String task = command.path("piece").asText();
+      int number = command.path("try").intValue();
+      TaskAttempt known = attempts.get(TaskAttempt.key(task, number));
+      switch (command.path("verb").asText()) {
+        case "launch" -> {
+          if (known == null) {
+            start(new TaskAttempt(task, number));
+          }
+        }
+        case "halt" -> {
+          if (known != null) {
+            stop(known, command.path("leeway_s").doubleValue());
+          }
+        }
+        default -> {
+          if (known != null && known.hasExited()) {
+            attempts.remove(known.key());
+          }
+        }
+      }
+    }
+  }
+
+  private void start(TaskAttempt attempt) {
+    boolean isDuplicate = assigned().contains(attempt.task());
+    attempts.put(attempt.key(), attempt);
+    Optional<Job> job = job(attempt);
+    if (job.isEmpty()) {
+      exit(attempt, ExitCause.UNKNOWN_JOB);
+    } else if (isDuplicate) {
+      exit(attempt, ExitCause.DUPLICATE);
+    } else {
+      Duration fetch = images.contains(job.get().image()) ? Duration.ZERO : IMAGE_FETCH;
+      worker.schedule(fetch, () -> run(attempt, job.get()));
+    }
+    worker.markChanged();
+  }
+
+  private Optional<Job> job(TaskAttempt attempt) {
+    return workload.job(TaskId.parse(attempt.task()).jobId());
+  }
+
+  private boolean isPresent(TaskAttempt attempt) {
+    return attempts.get(attempt.key()) == attempt;
+  }
+
+  private void run(TaskAttempt attempt, Job job) {
+    if (!isPresent(attempt) || attempt.hasExited()) {
+      return;
+    }
+    images.add(job.image());
+    attempt.run();
+    worker.markChanged();
+    workload.taskStarted(worker, attempt.task());
+    Duration runTime =
+        job.estimatedRunTime().dividedBy(2).plusMillis(random.nextLong(RUN_SPREAD_MS));
+    boolean fails =
+        failing
+            || job.jobClass().equals(FakeWorker.FAILING_JOB_CLASS)
+            || random.nextDouble() < failureShare;
+    worker.schedule(fails ? runTime.dividedBy(3) : runTime, () -> finish(attempt, fails));
+  }
+
+  private void finish(TaskAttempt attempt, boolean fails) {
+    if (isPresent(attempt) && attempt.isRunning()) {
+      exit(attempt, fails ? ExitCause.ERROR : ExitCause.DONE);
+      if (!fails) {
+        workload.taskCompleted(attempt.task());
+      }
+    }
+  }
+
+  private void stop(TaskAttempt attempt, double graceSeconds) {
+    if (attempt.hasExited()) {
+      return;
+    }
+    Optional<Job> job = job(attempt).filter(found -> !found.checkpointInterval().isZero());
+    boolean mayCheckpoint =
+        attempt.isRunning()
+            && job.isPresent()
+            && graceSeconds >= job.get().checkpointDuration().toMillis() / 1e3;
+    if (mayCheckpoint) {
+      attempt.checkpoint();
+      worker.markChanged();
+      worker.schedule(job.get().checkpointDuration(), () -> finishCheckpoint(attempt));
+    } else if (!attempt.isCheckpointing() || graceSeconds == 0) {
+      exit(attempt, ExitCause.STOPPED);
+    }
+  }
+
+  private void finishCheckpoint(TaskAttempt attempt) {
+    if (!attempt.hasExited()) {
+      attempt.exitWithCheckpoint();
+      worker.markChanged();
+    }
+  }
+
+  private void exit(TaskAttempt attempt, ExitCause cause) {
+    attempt.exit(cause);
+    worker.markChanged();
+  }
+}
--- a/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
@@ -37,7 +37,7 @@
   private void runTasks(long seed) {
     begin(seed, 12);
     cluster.run(20 + seed % 5);
-    assertFalse(cluster.workersRunning(job).isEmpty(), "tasks run");
+    assertFalse(cluster.fleet().workersRunning(job).isEmpty(), "tasks run");
   }
 
   private void begin(long seed, int tasks) {
@@ -53,11 +53,11 @@
 
   private void cancelThrough(SimulatedController node) {
     cluster.users().cancel(job.id(), node.address());
-    for (int i = 0; i < 150 && cluster.rules().cancelTold(job.id()) == null; i++) {
+    for (int i = 0; i < 150 && !cluster.rules().isCancelConfirmed(job.id()); i++) {
       cluster.run(0.001);
     }
-    assertNotNull(cluster.rules().cancelTold(job.id()), "another node confirmed the cancel");
-    assertFalse(cluster.workersRunning(job).isEmpty(), "its tasks run on");
+    assertTrue(cluster.rules().isCancelConfirmed(job.id()), "another node confirmed the cancel");
+    assertFalse(cluster.fleet().workersRunning(job).isEmpty(), "its tasks run on");
   }
 
   /** The service is silent for all until well after the limit. */
@@ -65,7 +65,7 @@
     Duration start = cluster.time().now();
     cluster.stateStoreOutage(OUTAGE);
     cluster.run(10);
-    List<FakeWorker> still = cluster.workersRunning(job);
+    List<FakeWorker> still = cluster.fleet().workersRunning(job);
     assertFalse(still.isEmpty(), "its tasks run on");
     assertTrue(
         still.stream().anyMatch(worker -> worker.leaseRenewedAt().compareTo(start) > 0),
@@ -74,11 +74,11 @@
 
   /** What the rule checker watched to the end, said once more. */
   private void allGoneInTime() {
-    Duration limit = cluster.rules().cancelTold(job.id()).plus(SimulatedCluster.CANCEL_LIMIT);
+    Duration limit = cluster.rules().cancelConfirmedAt(job.id()).orElseThrow().plus(SimulatedCluster.CANCEL_LIMIT);
     cluster.run(limit.minus(cluster.time().now()).plusMillis(100));
-    assertEquals(List.of(), cluster.workersRunning(job), "gone within the limit");
+    assertEquals(List.of(), cluster.fleet().workersRunning(job), "gone within the limit");
     cluster.run(OUTAGE.plusSeconds(20));
-    assertEquals(List.of(), cluster.workersRunning(job), "and not back after the outage");
+    assertEquals(List.of(), cluster.fleet().workersRunning(job), "and not back after the outage");
   }
 
   /** Moments from the refusal to the outage, in seconds; a new leader is elected after about 4. */
@@ -162,7 +162,7 @@
       cluster.schedule(
           0.1 + 0.4 * seed,
           () ->
-              cluster.workersRunning(job).stream()
+              cluster.fleet().workersRunning(job).stream()
                   .limit(2)
                   .forEach(worker -> middle.strike.accept(this, worker)));
       old.refuseByStateStore(Duration.ofSeconds(14));
@@ -186,10 +186,11 @@
     cluster.run(0.1);
     cluster.users().cancel(job.id(), cluster.nodeAfter(old).address());
     cluster.run(0.15);
-    assertNotNull(cluster.rules().cancelTold(job.id()), "another node confirmed the cancel");
+    assertTrue(cluster.rules().isCancelConfirmed(job.id()), "another node confirmed the cancel");
     cluster.stateStoreOutage(OUTAGE);
     cluster.run(4);
-    assertFalse(cluster.workersRunning(job).isEmpty(), "tasks began, or went on, in the gap");
+    assertFalse(
+        cluster.fleet().workersRunning(job).isEmpty(), "tasks began, or went on, in the gap");
     allGoneInTime();
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
@@ -49,7 +49,7 @@
     cluster.state().loseReplies(0);
     cluster.run(60);
     allEnd(jobs);
-    assertNotNull(cluster.rules().cancelTold(cancelled.id()));
+    assertTrue(cluster.rules().isCancelConfirmed(cancelled.id()));
   }
 
   /**
@@ -63,18 +63,18 @@
     settle(seed, 3);
     // The limit of red is 64 processors.
     Job first = submit("red", 16, 4, LONG);
-    for (int i = 0; i < 60 && cluster.runningTaskCount(first) < 16; i++) {
+    for (int i = 0; i < 60 && cluster.fleet().runningTaskCount(first) < 16; i++) {
       cluster.run(1);
     }
-    assertEquals(16, cluster.runningTaskCount(first), "the team is at its limit");
+    assertEquals(16, cluster.fleet().runningTaskCount(first), "the team is at its limit");
     Job second = submit("red", 8, 4, Duration.ofSeconds(10));
     cluster.run(2);
-    List<FakeWorker> lost = cluster.workersRunning(first).stream().limit(2).toList();
+    List<FakeWorker> lost = cluster.fleet().workersRunning(first).stream().limit(2).toList();
     SimulatedController old = cluster.leader();
     for (SimulatedController node : cluster.nodes()) {
       cluster
           .network()
-          .cut(node.address().host(), lost.get(0).machine().host, Duration.ofSeconds(40));
+          .cut(node.address().host(), lost.get(0).machine().host(), Duration.ofSeconds(40));
     }
     lost.get(1).hang(Duration.ofSeconds(seed % 2 == 0 ? 10 : 30));
     cluster.run(0.2);
@@ -82,9 +82,9 @@
     cluster.run(0.1 * seed);
     old.crash(Duration.ofMillis(300 + 500 * seed));
     cluster.run(16);
-    assertNotNull(cluster.rules().cancelTold(first.id()));
+    assertTrue(cluster.rules().isCancelConfirmed(first.id()));
     assertTrue(
-        cluster.runningTaskCount(second) + cluster.rules().doneTasks(second.id()) == 8,
+        cluster.fleet().runningTaskCount(second) + cluster.rules().completedTaskCount(second.id()) == 8,
         "what is proved free is used");
     cluster.run(75);
     allEnd(List.of(first, second));
@@ -118,8 +118,8 @@
         seed % 2 == 0 ? null : old.name(), cluster.leader().name(), "the work changed hands");
     cluster.run(40);
     for (Job job : jobs) {
-      assertNotNull(cluster.rules().cancelTold(job.id()), "the cancel was confirmed");
-      assertEquals(List.of(), cluster.workersRunning(job));
+      assertTrue(cluster.rules().isCancelConfirmed(job.id()), "the cancel was confirmed");
+      assertEquals(List.of(), cluster.fleet().workersRunning(job));
     }
   }
 
@@ -194,7 +194,10 @@
       cluster.schedule(
           i / 4.0,
           () -> {
-            Job job = cluster.job(number % 2 == 0 ? "red" : "blue", 1, 1, Duration.ofSeconds(3));
+            Job job =
+                cluster
+                    .jobs()
+                    .create(number % 2 == 0 ? "red" : "blue", 1, 1, Duration.ofSeconds(3));
             jobs.add(job);
             cluster.users().submit(job);
             if (number % 4 == 0) {
@@ -203,13 +206,13 @@
           });
     }
     cluster.run(60);
-    int startsMidway = cluster.rules().starts();
+    int startsMidway = cluster.rules().startCount();
     assertTrue(startsMidway > 120, "starts are not starved: " + startsMidway);
     cluster.run(75);
-    cluster.rules().quietFrom(cluster.time().now());
+    cluster.rules().setFaultsEndedAt(cluster.time().now());
     assertEquals(480, jobs.size());
     allEnd(jobs);
-    cluster.rules().checkServed();
+    cluster.rules().checkAllServed();
     cluster.run(1);
   }
 
@@ -218,23 +221,23 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void tasksOfOneJobEndFarApartAcrossChangesOfLeader(long seed) {
     settle(seed, 3);
-    Job job = cluster.job("blue", 3, 8, Duration.ofSeconds(20));
+    Job job = cluster.jobs().create("blue", 3, 8, Duration.ofSeconds(20));
     cluster.users().submit(job);
     cluster.run(16);
-    FakeWorker slow = cluster.workersRunning(job).get(0);
+    FakeWorker slow = cluster.fleet().workersRunning(job).get(0);
     slow.hang(Duration.ofSeconds(14));
     cluster.network().recordHeartbeats();
-    while (cluster.rules().doneTasks(job.id()) == 0) {
+    while (cluster.rules().completedTaskCount(job.id()) == 0) {
       cluster.run(0.05);
     }
     cluster.run(0.1 * seed);
     cluster.leader().crash(Duration.ofMillis(200));
     cluster.run(6);
     cluster.network().replayHeartbeats(addresses());
-    assertFalse(cluster.rules().doneTasks(job.id()) == 3, "one is still to end");
+    assertFalse(cluster.rules().completedTaskCount(job.id()) == 3, "one is still to end");
     cluster.leader().crash(Duration.ofMillis(200));
     cluster.run(60);
-    assertTrue(cluster.rules().ended(job.id()));
-    assertNull(cluster.rules().cancelTold(job.id()));
+    assertTrue(cluster.rules().hasEnded(job.id()));
+    assertFalse(cluster.rules().isCancelConfirmed(job.id()));
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/DeadMachineTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/DeadMachineTest.java
@@ -18,10 +18,10 @@
   void aMachineThatDoesNotAnswerWhenAskedIsGivenUpSoon(long seed) {
     RandomizedRun simulation = new RandomizedRun(seed);
     simulation.playQuietly(60);
-    String machine = simulation.cluster().killBusiestMachine();
+    String machine = simulation.cluster().fleet().killBusiest();
     simulation.playQuietly(1);
-    assertTrue(simulation.cluster().isRented(machine));
+    assertTrue(simulation.cluster().cloud().isRunning(machine));
     simulation.playQuietly(5.8);
-    assertFalse(simulation.cluster().isRented(machine));
+    assertFalse(simulation.cluster().cloud().isRunning(machine));
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
@@ -37,9 +37,9 @@
     assertTrue(old.isLeader(), "the old one still answers its workers");
     cluster.users().cancel(job.id(), next.address());
     cluster.run(0.2);
-    assertNotNull(cluster.rules().cancelTold(job.id()));
+    assertTrue(cluster.rules().isCancelConfirmed(job.id()));
     cluster.run(SimulatedCluster.CANCEL_LIMIT.plusMillis(100));
-    assertEquals(0, cluster.runningTaskCount(job));
+    assertEquals(0, cluster.fleet().runningTaskCount(job));
     cluster.run(40);
   }
 
@@ -50,7 +50,7 @@
     settle(seed, 3);
     Job job = submit("blue", 16, 4, Duration.ofSeconds(40));
     awaitRunning(job, 16);
-    List<FakeWorker> lost = cluster.workersRunning(job).stream().limit(3).toList();
+    List<FakeWorker> lost = cluster.fleet().workersRunning(job).stream().limit(3).toList();
     Duration length = Duration.ofSeconds(8 + 4 * seed);
     cluster.network().dropInbound(host(lost.get(0)), length);
     cluster.network().mute(host(lost.get(1)), length);
@@ -122,13 +122,13 @@
     settle(seed, 3);
     Job job = submit("blue", 16, 4, Duration.ofSeconds(30));
     awaitRunning(job, 16);
-    long before = cluster.expiredLeases();
+    long before = cluster.fleet().expiredLeases();
     cluster
         .nodes()
         .forEach(node -> node.crash(SimulatedCluster.LEASE.plusSeconds(4).plusMillis(300 * seed)));
     cluster.run(SimulatedCluster.LEASE.plusSeconds(3));
-    assertTrue(cluster.expiredLeases() > before, "their tasks are gone");
-    assertFalse(cluster.rules().ended(job.id()));
+    assertTrue(cluster.fleet().expiredLeases() > before, "their tasks are gone");
+    assertFalse(cluster.rules().hasEnded(job.id()));
     cluster.run(100);
     allEnd(List.of(job));
   }
@@ -162,14 +162,14 @@
   void jobsBoundToOneZoneLoseMachines(long seed) {
     settle(seed, 3);
     String zone = SimulatedCluster.ZONES.get((int) seed % 3);
-    Job bound = cluster.zoneBoundJob("blue", 6, 4, Duration.ofSeconds(15), zone, false);
-    Job together = cluster.zoneBoundJob("red", 6, 4, Duration.ofSeconds(15), null, true);
+    Job bound = cluster.jobs().createZoneBound("blue", 6, 4, Duration.ofSeconds(15), zone, false);
+    Job together = cluster.jobs().createZoneBound("red", 6, 4, Duration.ofSeconds(15), null, true);
     cluster.users().submit(bound);
     cluster.users().submit(together);
     awaitRunning(bound, 2);
     awaitRunning(together, 2);
-    cluster.workersRunning(bound).forEach(FakeWorker::kill);
-    cluster.workersRunning(together).stream().limit(1).forEach(FakeWorker::kill);
+    cluster.fleet().workersRunning(bound).forEach(FakeWorker::kill);
+    cluster.fleet().workersRunning(together).stream().limit(1).forEach(FakeWorker::kill);
     cluster.leader().crash(Duration.ofMillis(200 * seed));
     cluster.run(150);
     allEnd(List.of(bound, together));
@@ -197,8 +197,8 @@
     cluster.cloud().setDown(true);
     cluster.run(4);
     List<FakeWorker> kept =
-        cluster.workersRunning(job).stream()
-            .filter(worker -> worker.machine().zone.equals(old.zone()))
+        cluster.fleet().workersRunning(job).stream()
+            .filter(worker -> worker.machine().zone().equals(old.zone()))
             .toList();
     assertFalse(kept.isEmpty(), "the zone works on");
     cluster.run(45);
--- a/src/test/java/io/cherryspool/sim/faults/LostWorkersTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LostWorkersTest.java
@@ -23,14 +23,14 @@
     if (!mesh) {
       simulation.cluster().setMeshDown(true);
     }
-    long before = simulation.cluster().expiredLeases();
+    long before = simulation.cluster().fleet().expiredLeases();
     String cut = simulation.cluster().cutLeaderFromWorkers(Duration.ofSeconds(60));
     simulation.playQuietly(14);
     String next = simulation.cluster().leader().name();
     assertNotNull(next);
     assertNotEquals(cut, next);
     simulation.playQuietly(60);
-    assertEquals(before, simulation.cluster().expiredLeases());
+    assertEquals(before, simulation.cluster().fleet().expiredLeases());
     assertEquals(next, simulation.cluster().leader().name(), "once is enough");
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
@@ -65,8 +65,8 @@
     awaitRunning(job, 12);
     cluster.network().recordHeartbeats();
     cluster.run(3);
-    long before = cluster.expiredLeases();
-    cluster.workersRunning(job).stream()
+    long before = cluster.fleet().expiredLeases();
+    cluster.fleet().workersRunning(job).stream()
         .limit(2)
         .forEach(
             worker -> cluster.network().mute(host(worker), SimulatedCluster.LEASE.plusSeconds(3)));
@@ -75,7 +75,7 @@
       cluster.network().replayHeartbeats(addresses());
       cluster.run(0.5);
     }
-    assertTrue(cluster.expiredLeases() >= before);
+    assertTrue(cluster.fleet().expiredLeases() >= before);
     cluster.run(90);
     allEnd(List.of(job));
   }
@@ -90,14 +90,14 @@
     awaitRunning(job, 12);
     awaitRunning(cancelled, 4);
     for (FakeWorker worker : List.copyOf(cluster.workers())) {
-      if (worker.machine().name.hashCode() % 2 == 0) {
+      if (worker.machine().name().hashCode() % 2 == 0) {
         cluster.network().mute(host(worker), Duration.ofSeconds(6 + 5 * seed));
       }
     }
     cluster.run(3);
     cluster.users().cancel(cancelled.id());
     cluster.run(2);
-    assertNotNull(cluster.rules().cancelTold(cancelled.id()));
+    assertTrue(cluster.rules().isCancelConfirmed(cancelled.id()));
     cluster.run(140);
     allEnd(List.of(job, cancelled));
   }
@@ -151,13 +151,13 @@
     leader.refuseByStateStore(Duration.ofSeconds(14));
     cluster.run(0.1);
     cluster.users().cancel(job.id(), cluster.nodeAfter(leader).address());
-    for (int i = 0; i < 400 && cluster.rules().cancelTold(job.id()) == null; i++) {
+    for (int i = 0; i < 400 && !cluster.rules().isCancelConfirmed(job.id()); i++) {
       cluster.run(0.1);
     }
-    assertNotNull(cluster.rules().cancelTold(job.id()), "confirmed though it is slow");
+    assertTrue(cluster.rules().isCancelConfirmed(job.id()), "confirmed though it is slow");
     cluster.stateStoreOutage(SimulatedCluster.CANCEL_LIMIT.plusSeconds(10));
     cluster.run(SimulatedCluster.CANCEL_LIMIT.plusMillis(100));
-    assertEquals(0, cluster.runningTaskCount(job));
+    assertEquals(0, cluster.fleet().runningTaskCount(job));
     cluster.state().delayReplies(0);
     cluster.run(60);
   }
@@ -172,11 +172,11 @@
     jobs.add(submit("blue", 60, 4, Duration.ofSeconds(10)));
     jobs.add(submit("red", 40, 4, Duration.ofSeconds(10)));
     cluster.run(20);
-    Job urgent = cluster.urgentJob("red", 4, 4, Duration.ofSeconds(5));
+    Job urgent = cluster.jobs().createUrgent("red", 4, 4, Duration.ofSeconds(5));
     cluster.users().submit(urgent);
     cluster.run(25);
     assertTrue(
-        cluster.runningTaskCount(urgent) + cluster.rules().doneTasks(urgent.id()) > 0,
+        cluster.fleet().runningTaskCount(urgent) + cluster.rules().completedTaskCount(urgent.id()) > 0,
         "urgent work does not wait for the rest");
     cluster.run(60);
     cluster.network().setMaxExtraDelay(0);
--- a/src/test/java/io/cherryspool/sim/faults/RandomFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/RandomFaultsTest.java
@@ -27,7 +27,7 @@
     RandomizedRun simulation = new RandomizedRun(seed);
     simulation.play(300, 200);
     assertTrue(
-        simulation.cluster().rules().starts() > 100,
-        "only " + simulation.cluster().rules().starts() + " starts");
+        simulation.cluster().rules().startCount() > 100,
+        "only " + simulation.cluster().rules().startCount() + " starts");
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/UnchangedHeartbeatTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/UnchangedHeartbeatTest.java
@@ -39,7 +39,7 @@
     // Users ask every 5 s, so that they hear of an end so much later.
     cluster.run(5);
     allEnd(small);
-    assertTrue(cluster.runningTaskCount(waiting) < 80, "some of the large job still waits");
+    assertTrue(cluster.fleet().runningTaskCount(waiting) < 80, "some of the large job still waits");
     // A round each second takes in what time alone changes.
     assertTrue(each <= PLANS_PER_JOB + APART_S, each + " plans for each small job");
   }
--- /dev/null
+++ b/src/test/java/io/cherryspool/sim/loopback/EventLoopCalls.java
@@ -0,0 +1,48 @@
+package io.cherryspool.sim.loopback;
+
+import io.cherryspool.http.NettyEventLoop;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+import java.util.function.Supplier;
+
+/** Calls from other threads to what lives on an event loop. */
+public final class EventLoopCalls {
+  private static final long TIMEOUT_S = 30;
+
+  private EventLoopCalls() {}
+
+  /** Runs the function on the loop and returns its value. */
+  public static <T> T call(NettyEventLoop loop, Supplier<T> function) {
+    CompletableFuture<T> result = new CompletableFuture<>();
+    loop.execute(() -> result.complete(function.get()));
+    return await(result);
+  }
+
+  /** Runs the task on the loop and returns once it is done. */
+  public static void run(NettyEventLoop loop, Runnable task) {
+    call(
+        loop,
+        () -> {
+          task.run();
+          return true;
+        });
+  }
+
+  /**
+   * Waits for a value that the loop completes.
+   *
+   * @throws IllegalStateException if there is none within 30 s, or the thread is interrupted
+   */
+  public static <T> T await(CompletableFuture<T> result) {
+    try {
+      return result.get(TIMEOUT_S, TimeUnit.SECONDS);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      throw new IllegalStateException(e);
+    } catch (ExecutionException | TimeoutException e) {
+      throw new IllegalStateException("no answer on the event loop", e);
+    }
+  }
+}
--- a/src/test/java/io/cherryspool/sim/loopback/LocalCluster.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LocalCluster.java
@@ -2,7 +2,6 @@
 
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.http.NettyEventLoop;
-import io.cherryspool.http.NettyHttpClient;
 import io.cherryspool.http.NettyHttpServer;
 import io.cherryspool.model.Job;
 import io.cherryspool.model.MachineType;
@@ -10,6 +9,8 @@
 import io.cherryspool.sim.fakes.FakeCloud;
 import io.cherryspool.sim.fakes.FakeStateStore;
 import io.cherryspool.sim.fakes.FakeWorker;
+import io.cherryspool.sim.fakes.WorkerSettings;
+import io.cherryspool.sim.fakes.Workload;
 import io.cherryspool.wire.MalformedMessageException;
 import io.cherryspool.wire.UserProtocol;
 import java.io.BufferedReader;
@@ -23,19 +24,21 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 
 /**
- * The stand-ins on real sockets of this machine, for whoever wants to see the program at work: a
- * state service, a cloud, and a worker for each machine it rents. Writes the settings of three
- * nodes into a folder; see README.
+ * A program that runs a fake state store, a fake cloud and fake workers on loopback addresses, to
+ * try the controllers by hand, and writes the settings of three of them into a folder; README.md
+ * tells how. It prints each task that starts or is done.
  */
 public final class LocalCluster {
   private static final List<String> ZONES = LoopbackNodes.ZONES;
   private static final Endpoint STATE = new Endpoint("127.0.0.1", 2379);
   private static final Endpoint CLOUD = new Endpoint("127.0.0.1", 8443);
-  private static final Duration REPORT = Duration.ofMillis(2500);
-  private static final Duration LEASE = Duration.ofSeconds(16);
+  private static final WorkerSettings WORKER_SETTINGS =
+      new WorkerSettings(Duration.ofMillis(2500), Duration.ofSeconds(16), 0);
+  private static final Duration FIRST_BOOT = Duration.ofMillis(2500);
   private static final int MACHINES = 12;
   private static final int SOCKETS = 64;
   private static final MachineType BOX =
@@ -45,27 +48,26 @@
   private final NettyEventLoop loop = new NettyEventLoop();
   private final SplittableRandom random = new SplittableRandom();
   private final FakeStateStore state = new FakeStateStore(loop, random.split(), 0);
-  private final FakeCloud cloud =
-      new FakeCloud(loop, random.split(), List.of(BOX), MACHINES, "127.1.", this::boot, this::end);
-  private final NettyHttpClient client = new NettyHttpClient(loop, SOCKETS);
   private final LoopbackNodes nodes =
       new LoopbackNodes(
           ZONES.size(),
           "127.0.0.",
           8080,
-          STATE,
-          CLOUD,
-          REPORT,
-          LEASE,
+          new LoopbackNodes.Services(STATE, CLOUD),
+          WORKER_SETTINGS,
           new LoopbackNodes.Limits(150, 60, 1000, 128),
           LoopbackRoutes.DIRECT);
-  private final Map<String, FakeWorker> workers = new HashMap<>();
+  private final LoopbackWorkers workers =
+      new LoopbackWorkers(loop, random, nodes.addresses(), WORKER_SETTINGS, new PrintedTasks());
+  private final FakeCloud cloud =
+      new FakeCloud(
+          loop, random.split(), List.of(BOX), MACHINES, "127.1.", workers::boot, workers::end);
   private final Map<String, Job> descriptions = new HashMap<>();
 
   /** Takes the folder for the settings, and runs until it is stopped. */
   public static void main(String[] args) throws Exception {
     if (args.length != 1) {
-      System.err.println("usage: Playground FOLDER");
+      System.err.println("usage: LocalCluster FOLDER");
       System.exit(2);
     }
     new LocalCluster().run(Path.of(args[0]));
@@ -75,13 +77,13 @@
     state.onPut(this::describe);
     new NettyHttpServer(loop, state, SOCKETS).bind(STATE);
     new NettyHttpServer(loop, cloud, SOCKETS).bind(CLOUD);
-    loop.execute(() -> ZONES.forEach(zone -> cloud.addMachine("box", zone, false, REPORT)));
+    loop.execute(() -> ZONES.forEach(zone -> cloud.addMachine("box", zone, false, FIRST_BOOT)));
     Files.createDirectories(folder);
     for (int i = 0; i < ZONES.size(); i++) {
       Path file = nodes.write(folder, i);
       System.out.println("settings of " + LoopbackNodes.name(i) + ": " + file);
     }
-    System.out.println("a line with \"lose\" makes the state service lose its data");
+    System.out.println("a line with \"lose\" makes the state store lose its data");
     readCommands();
     loop.awaitTermination();
   }
@@ -92,48 +94,32 @@
     for (String line = in.readLine(); line != null; line = in.readLine()) {
       if (line.strip().equals("lose")) {
         loop.execute(state::loseAllData);
-        System.out.println("the state service has lost its data");
+        System.out.println("the state store has lost its data");
       }
     }
   }
 
-  private void boot(FakeCloud.Machine machine) {
-    FakeWorker worker =
-        new FakeWorker(
-            loop,
-            random.split(),
-            client,
-            machine,
-            nodes.addresses(),
-            descriptions::get,
-            REPORT,
-            LEASE,
-            0,
-            (on, task) -> System.out.println(task + " runs on " + on.machine().name),
-            task -> System.out.println(task + " is done"));
-    workers.put(machine.name, worker);
-    // Binding waits for the loop, on which this runs.
-    new Thread(() -> listen(machine, worker), machine.name).start();
-  }
+  /** Prints what becomes of tasks. */
+  private final class PrintedTasks implements Workload {
+    @Override
+    public Optional<Job> job(String id) {
+      return Optional.ofNullable(descriptions.get(id));
+    }
 
-  private void listen(FakeCloud.Machine machine, FakeWorker worker) {
-    try {
-      new NettyHttpServer(loop, worker, SOCKETS).bind(Endpoint.parse(machine.address()));
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
+    @Override
+    public void taskStarted(FakeWorker worker, String task) {
+      System.out.println(task + " runs on " + worker.machine().name());
     }
-  }
 
-  private void end(FakeCloud.Machine machine) {
-    FakeWorker worker = workers.remove(machine.name);
-    if (worker != null) {
-      worker.kill();
+    @Override
+    public void taskCompleted(String task) {
+      System.out.println(task + " is done");
     }
   }
 
   /**
-   * Users upload what a job's tasks are to run; here it is what they told the service. It outlives
-   * the state service's data.
+   * Keeps the description of a job as it is written to the state store. Real users upload what the
+   * tasks are to run; this stands for it, and so outlives the state store's data.
    */
   private void describe(String key) {
     if (key.contains("/jobs/")) {
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackCluster.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackCluster.java
@@ -12,29 +12,18 @@
 import io.cherryspool.model.Resources;
 import io.cherryspool.sim.fakes.FakeCloud;
 import io.cherryspool.sim.fakes.FakeStateStore;
-import io.cherryspool.sim.fakes.FakeWorker;
+import io.cherryspool.sim.fakes.WorkerSettings;
 import io.cherryspool.wire.StateStoreProtocol;
 import java.time.Duration;
 import java.time.Instant;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.ExecutionException;
-import java.util.concurrent.ExecutorService;
-import java.util.concurrent.Executors;
-import java.util.concurrent.TimeUnit;
-import java.util.concurrent.TimeoutException;
-import java.util.function.Supplier;
 
 /**
- * What stands around the controllers whose costs are measured: a state service, a cloud and a fleet
- * of workers, the last two on one event loop of this process, and all on addresses of the loopback
- * network.
+ * What controllers that run as processes of their own need around them, on loopback addresses: a
+ * fake state store on one event loop of this process, and a fake cloud with its workers on another.
  */
 public final class LoopbackCluster {
   public static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(2500);
@@ -44,9 +33,7 @@
   private static final int CLOUD_PORT = 18443;
   private static final int NODE_PORT = 18080;
   private static final int SOCKETS = 256;
-  private static final int SOCKETS_PER_WORKER = 4;
-  private static final Duration CALL_LIMIT = Duration.ofSeconds(10);
-  private static final long ANSWER_S = 30;
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
   private static final MachineType BOX =
       new MachineType(
           "box",
@@ -64,22 +51,14 @@
   private final NettyEventLoop loop = new NettyEventLoop();
   private final SplittableRandom random = new SplittableRandom(1);
 
-  /** Of its own, so that a fleet that begins to report does not make the state service silent. */
+  /** Of its own, so that the state store answers while a whole fleet sends its first heartbeats. */
   private final NettyEventLoop stateLoop = new NettyEventLoop();
 
   private final FakeStateStore state = new FakeStateStore(stateLoop, random.split(), 0);
   private final FakeCloud cloud;
   private final NettyHttpClient client = new NettyHttpClient(loop, SOCKETS);
   private final LoopbackNodes nodes;
-  private final Map<String, Endpoint> workerAddresses;
-  private final ExecutorService binding = Executors.newSingleThreadExecutor();
-  private final List<FakeWorker> workers = new ArrayList<>();
-  private final Map<String, Job> jobs = new HashMap<>();
-  private final Map<String, Integer> completions = new HashMap<>();
-  private final Set<String> tasksStartedTwice = new HashSet<>();
-  private final Set<String> tasksEndedLate = new HashSet<>();
-  private int startedTasks;
-  private volatile long lastStart;
+  private final LoopbackFleet fleet;
 
   /**
    * @param services the second part of the loopback addresses of services and controllers; the
@@ -89,25 +68,24 @@
     this(services, controllers, size, limits, LoopbackRoutes.DIRECT);
   }
 
-  /** As above, with links that the routes lead over. */
+  /** As above, with links that take these routes. */
   LoopbackCluster(
       int services, int controllers, int size, LoopbackNodes.Limits limits, LoopbackRoutes routes) {
     this.size = size;
     String network = "127." + services + ".";
     stateAddress = new Endpoint(network + "1.1", STATE_PORT);
     cloudAddress = new Endpoint(network + "1.2", CLOUD_PORT);
+    WorkerSettings workerSettings = new WorkerSettings(HEARTBEAT_INTERVAL, LEASE, 0);
     nodes =
         new LoopbackNodes(
             controllers,
             network + "0.",
             NODE_PORT,
-            stateAddress,
-            cloudAddress,
-            HEARTBEAT_INTERVAL,
-            LEASE,
+            new LoopbackNodes.Services(stateAddress, cloudAddress),
+            workerSettings,
             limits,
             routes);
-    workerAddresses = nodes.workerAddresses();
+    fleet = new LoopbackFleet(loop, random, nodes.workerAddresses(), workerSettings);
     cloud =
         new FakeCloud(
             loop,
@@ -115,7 +93,7 @@
             List.of(BOX),
             size,
             "127." + (services + 1) + ".",
-            this::boot,
+            fleet::boot,
             machine -> {});
   }
 
@@ -142,102 +120,46 @@
         Instant.EPOCH);
   }
 
-  /** The services listen; there is no machine yet. */
+  /** Requests and changes that a state store has processed. */
+  public record StateStoreLoad(long requests, long changes) {}
+
+  /** Binds the state store and the cloud; there is no machine yet. */
   public void listen() throws InterruptedException {
     new NettyHttpServer(stateLoop, state, SOCKETS).bind(stateAddress);
     new NettyHttpServer(loop, cloud, SOCKETS).bind(cloudAddress);
   }
 
+  /** The machines and what they run. */
+  public LoopbackFleet fleet() {
+    return fleet;
+  }
+
   public LoopbackNodes nodes() {
     return nodes;
   }
 
-  /** All machines boot and begin to report, spread over one report's time. */
+  /** Boots all machines, spread over one heartbeat interval. */
   public void bootWorkers() {
-    onLoop(
+    EventLoopCalls.run(
+        loop,
         () -> {
           for (int i = 0; i < size; i++) {
             String zone = LoopbackNodes.ZONES.get(i % LoopbackNodes.ZONES.size());
             cloud.addMachine(
                 BOX.name(), zone, true, HEARTBEAT_INTERVAL.multipliedBy(i).dividedBy(size));
           }
-          return null;
         });
   }
 
-  private void boot(FakeCloud.Machine machine) {
-    FakeWorker worker =
-        new FakeWorker(
-            loop,
-            random.split(),
-            new NettyHttpClient(loop, SOCKETS_PER_WORKER),
-            machine,
-            workerAddresses,
-            jobs::get,
-            HEARTBEAT_INTERVAL,
-            LEASE,
-            0,
-            this::started,
-            task -> completions.merge(task, 1, Integer::sum));
-    workers.add(worker);
-    // Binding waits for the loop, on which this runs.
-    binding.execute(() -> listen(machine, worker));
-  }
-
-  private void listen(FakeCloud.Machine machine, FakeWorker worker) {
-    try {
-      new NettyHttpServer(loop, worker, SOCKETS).bind(Endpoint.parse(machine.address()));
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
-    }
-  }
-
-  private void started(FakeWorker on, String task) {
-    startedTasks++;
-    lastStart = System.nanoTime();
-    for (FakeWorker other : workers) {
-      if (other != on && other.runningTasks().contains(task)) {
-        // A loop that is behind ends the tasks of a lease that is over too late.
-        boolean over = loop.now().minus(other.leaseRenewedAt()).compareTo(LEASE) > 0;
-        (over ? tasksEndedLate : tasksStartedTwice).add(task);
-      }
-    }
-  }
-
-  /** The state service loses its data. */
+  /** The state store loses its data. */
   public void loseStateStoreData() {
-    CompletableFuture<Void> done = new CompletableFuture<>();
-    stateLoop.execute(
-        () -> {
-          state.loseAllData();
-          done.complete(null);
-        });
-    await(done);
-  }
-
-  /** Requests and changes that the state service has taken. */
-  public long[] stateLoad() {
-    CompletableFuture<long[]> load = new CompletableFuture<>();
-    stateLoop.execute(() -> load.complete(new long[] {state.requests(), state.changes()}));
-    return await(load);
+    EventLoopCalls.run(stateLoop, state::loseAllData);
   }
 
-  /**
-   * Tasks that were started while another machine, whose lease was over, had not ended them yet:
-   * the stand-ins' loop was behind, and a run with such tasks tells little.
-   */
-  public Set<String> tasksEndedLate() {
-    return onLoop(() -> Set.copyOf(tasksEndedLate));
-  }
-
-  /** Tasks that were started on one machine while they were on another. */
-  public Set<String> tasksStartedTwice() {
-    return onLoop(() -> Set.copyOf(tasksStartedTwice));
-  }
-
-  /** How often each task has completed. */
-  Map<String, Integer> completions() {
-    return onLoop(() -> Map.copyOf(completions));
+  /** What the state store has processed since it was started. */
+  public StateStoreLoad stateStoreLoad() {
+    return EventLoopCalls.call(
+        stateLoop, () -> new StateStoreLoad(state.requestCount(), state.changeCount()));
   }
 
   /** How many machines there are. */
@@ -245,59 +167,12 @@
     return size;
   }
 
-  /** So many running tasks complete now, whatever they were to take. */
-  public void finishTasks(int count) {
-    onLoop(
-        () -> {
-          workers.stream()
-              .filter(worker -> !worker.runningTasks().isEmpty())
-              .limit(count)
-              .forEach(FakeWorker::completeOneTask);
-          return null;
-        });
-  }
-
-  /** How many tasks are on machines now. */
-  public int runningTaskCount() {
-    return onLoop(() -> workers.stream().mapToInt(worker -> worker.runningTasks().size()).sum());
-  }
-
-  /** The workers may be given the tasks of this job. Call it on the loop. */
-  public void addJobDescription(Job job) {
-    jobs.put(job.id(), job);
-  }
-
-  /** When a task was last started, by this machine's steady clock. */
-  long lastStart() {
-    return lastStart;
-  }
-
-  /** How many tasks were ever started. */
-  public int startedTasks() {
-    return onLoop(() -> startedTasks);
-  }
-
-  /** How many reports the workers have made. */
-  public long heartbeatCount() {
-    return onLoop(() -> workers.stream().mapToLong(FakeWorker::heartbeatCount).sum());
-  }
-
-  /** How many leases have run out, which a measurement should not meet. */
-  public long expiredLeases() {
-    return onLoop(() -> workers.stream().mapToLong(worker -> worker.agentEpoch() - 1).sum());
-  }
-
-  /** The worker of the given number; numbers beyond the last begin again. Call it on the loop. */
-  public FakeWorker worker(int number) {
-    return workers.get(number % workers.size());
-  }
-
-  /** Asks a node something. Call it on the loop. */
+  /** Sends a request to a node. Call it on the loop. */
   public CompletableFuture<Reply> ask(String node, Request request) {
-    return client.send(nodes.addresses().get(node), request, CALL_LIMIT);
+    return client.send(nodes.addresses().get(node), request, REQUEST_TIMEOUT);
   }
 
-  /** Commits a change as some other node might. */
+  /** Commits a change to the state store, as a node might. */
   public CompletableFuture<Reply> commit(StateStoreProtocol.Change change) {
     CompletableFuture<Reply> result = new CompletableFuture<>();
     Request request = StateStoreProtocol.transactionRequest(Map.of(), List.of(change));
@@ -308,22 +183,4 @@
   public NettyEventLoop loop() {
     return loop;
   }
-
-  private <T> T onLoop(Supplier<T> question) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    loop.execute(() -> answer.complete(question.get()));
-    return await(answer);
-  }
-
-  /** Waits for something that is told on the loop. */
-  public static <T> T await(CompletableFuture<T> answer) {
-    try {
-      return answer.get(ANSWER_S, TimeUnit.SECONDS);
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
-      throw new IllegalStateException(e);
-    } catch (ExecutionException | TimeoutException e) {
-      throw new IllegalStateException("no answer on the loop", e);
-    }
-  }
 }
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackFixture.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackFixture.java
@@ -105,7 +105,7 @@
                 cluster
                     .ask(LoopbackNodes.name(number), request)
                     .whenComplete((reply, failure) -> answer.complete(reply)));
-    return LoopbackCluster.await(answer);
+    return EventLoopCalls.await(answer);
   }
 
   String submit(int tasks, double seconds) throws InterruptedException {
@@ -129,7 +129,7 @@
     // The stand-in workers run a task for half of the estimate and up to 4 s more.
     Job job = LoopbackCluster.job(id, tasks, 2, Duration.ofMillis((long) (seconds * 2000)));
     jobs.put(id, job);
-    cluster.loop().execute(() -> cluster.addJobDescription(job));
+    cluster.loop().execute(() -> cluster.fleet().addJobDescription(job));
     return job;
   }
 
@@ -200,9 +200,9 @@
 
   /** No task was on two machines, no answer is lost, and each has the end that it must have. */
   void checkAnswers() {
-    assertEquals(Set.of(), cluster.tasksStartedTwice());
-    Map<String, Integer> completed = cluster.completions();
-    boolean leasesHeld = cluster.expiredLeases() == 0;
+    assertEquals(Set.of(), cluster.fleet().tasksStartedTwice());
+    Map<String, Integer> completed = cluster.fleet().completions();
+    boolean leasesHeld = cluster.fleet().expiredLeases() == 0;
     jobs.forEach(
         (id, job) -> {
           assertEquals(cancelled.contains(id) ? "withdrawn" : "done", ends.get(id), id);
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackNodes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackNodes.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.cherryspool.http.Endpoint;
+import io.cherryspool.sim.fakes.WorkerSettings;
 import io.cherryspool.wire.Json;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.time.Duration;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -19,10 +19,8 @@
   private final int count;
   private final String network;
   private final int port;
-  private final Endpoint state;
-  private final Endpoint cloud;
-  private final Duration report;
-  private final Duration lease;
+  private final Services services;
+  private final WorkerSettings workers;
   private final Limits limits;
   private final LoopbackRoutes routes;
   private final Map<String, Endpoint> addresses = new LinkedHashMap<>();
@@ -33,24 +31,27 @@
    */
   public record Limits(double stateRequests, double stateWrites, int sockets, double teamCpus) {}
 
-  /** The nodes have the first addresses of the network; {@code port + 1} is for their own words. */
+  /** Where the services listen. */
+  public record Services(Endpoint state, Endpoint cloud) {}
+
+  /**
+   * @param network the first three parts of the nodes' addresses, with a dot; the last one is 1 for
+   *     the first node
+   * @param port for users and workers; {@code port + 1} is for the other nodes
+   */
   LoopbackNodes(
       int count,
       String network,
       int port,
-      Endpoint state,
-      Endpoint cloud,
-      Duration report,
-      Duration lease,
+      Services services,
+      WorkerSettings workers,
       Limits limits,
       LoopbackRoutes routes) {
     this.count = count;
     this.network = network;
     this.port = port;
-    this.state = state;
-    this.cloud = cloud;
-    this.report = report;
-    this.lease = lease;
+    this.services = services;
+    this.workers = workers;
     this.limits = limits;
     this.routes = routes;
     for (int i = 0; i < count; i++) {
@@ -105,8 +106,8 @@
         peer.put("site", zone(i)).put("endpoint", routes.peer(index, i, mesh(i)).toString());
       }
     }
-    String reached = routes.state(index, state).toString();
-    root.putObject("services").put("cloud", cloud.toString()).put("state", reached);
+    String reached = routes.state(index, services.state).toString();
+    root.putObject("services").put("cloud", services.cloud.toString()).put("state", reached);
     root.set("facts", facts());
     return root;
   }
@@ -117,8 +118,8 @@
     team.put("cpus_max", limits.teamCpus);
     facts
         .putObject("workers")
-        .put("report_s", report.toMillis() / 1e3)
-        .put("lease_s", (double) lease.toSeconds())
+        .put("report_s", workers.heartbeatInterval().toMillis() / 1e3)
+        .put("lease_s", (double) workers.lease().toSeconds())
         .put("cancel_s", 36.0);
     facts
         .putObject("state")
--- a/src/test/java/io/cherryspool/sim/loopback/LostStateLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LostStateLoopbackTest.java
@@ -45,7 +45,7 @@
     submit(4, 0.5);
     submit(40, 14);
     String first = submit(8, 60);
-    until("tasks run", () -> cluster.runningTaskCount() >= 20);
+    until("tasks run", () -> cluster.fleet().runningTaskCount() >= 20);
     cancel(first);
     submit(6, 9);
     pollFor(3);
@@ -64,7 +64,7 @@
     startControllers(operators);
     submit(4, 1);
     until("all jobs have ended", this::allEnded);
-    assertEquals(0, cluster.expiredLeases(), "no worker lost its tasks");
+    assertEquals(0, cluster.fleet().expiredLeases(), "no worker lost its tasks");
     checkAnswers();
   }
 }
--- a/src/test/java/io/cherryspool/sim/loopback/PartitionLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/loopback/PartitionLoopbackTest.java
@@ -80,7 +80,7 @@
     cluster.bootWorkers();
     submit(30, 12);
     String cancelled = submit(6, 60);
-    until("tasks run", () -> cluster.runningTaskCount() >= 20);
+    until("tasks run", () -> cluster.fleet().runningTaskCount() >= 20);
 
     // The state service alone is lost to the leader, which passes its users on; a follower ends.
     int leader = awaitLeader();
--- a/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
@@ -49,7 +49,7 @@
     cluster.run(90);
     allEnd(jobs);
     for (Job job : jobs) {
-      int done = cluster.rules().doneTasks(job.id());
+      int done = cluster.rules().completedTaskCount(job.id());
       assertTrue(cluster.rules().isCancelRequested(job.id()) || done == job.taskCount(), job.id());
     }
   }
@@ -63,7 +63,7 @@
     assertNotNull(cluster.state().value("c/incarnation"));
     assertEquals(1, cluster.state().value("c/incarnation").path("number").intValue());
     assertTrue(cluster.currentLeader().isPresent(), "somebody leads again");
-    assertEquals(0, cluster.expiredLeases(), "no worker lost its tasks meanwhile");
+    assertEquals(0, cluster.fleet().expiredLeases(), "no worker lost its tasks meanwhile");
     assertTrue(
         cluster.state().value("c/incarnation").path("complete").asBoolean(),
         "the one that led rebuilds, so that nothing has to be waited for");
@@ -111,10 +111,10 @@
       cluster.nodes().stream()
           .filter(node -> node != leader)
           .forEach(node -> node.cutFromStateStore(Duration.ofMillis(2500)));
-      Job lost = cluster.job("guest", 6, 0.25, Duration.ofSeconds(70));
+      Job lost = cluster.jobs().create("guest", 6, 0.25, Duration.ofSeconds(70));
       cluster.users().submit(lost, leader.address());
       cluster.run(2.2);
-      int running = cluster.runningTaskCount(lost);
+      int running = cluster.fleet().runningTaskCount(lost);
       assertTrue(running > 0, "its tasks run");
       cluster.state().loseAllData();
       leader.crash(Duration.ofSeconds(30));
@@ -125,7 +125,7 @@
         cluster.state().loseAllData();
       }
       cluster.run(15);
-      assertTrue(cluster.runningTaskCount(lost) >= running, "its tasks run on");
+      assertTrue(cluster.fleet().runningTaskCount(lost) >= running, "its tasks run on");
       unknown += cluster.state().hasKeyEndingWith("/unknown/" + lost.id()) ? 1 : 0;
       jobs.add(lost);
       // Another job may have been accepted through the leader alone: a cut-off node passes it on.
@@ -207,7 +207,7 @@
     // Asked at all nodes all the time: none may answer before it knows all that was told.
     cluster.users().storm(60);
     for (SimulatedController node : cluster.nodes()) {
-      Job job = cluster.job("guest", 1, 0.5, Duration.ofSeconds(3));
+      Job job = cluster.jobs().create("guest", 1, 0.5, Duration.ofSeconds(3));
       cluster.users().submit(job, node.address());
       last.add(job);
     }
@@ -234,14 +234,14 @@
     Job job = submit("blue", 60, 4, Duration.ofSeconds(6 + seed % 5));
     cluster.run(6);
     FakeStateStore.Backup saved = cluster.state().backup();
-    int started = cluster.rules().starts();
+    int started = cluster.rules().startCount();
     cluster.run(4 + seed % 6);
-    assertTrue(cluster.rules().starts() > started, "tasks were started meanwhile");
+    assertTrue(cluster.rules().startCount() > started, "tasks were started meanwhile");
     cluster.state().restore(saved);
     for (SimulatedController node : cluster.nodes()) {
       node.crash(Duration.ofMillis(200 + 300 * (seed % 4)));
     }
     cluster.run(150);
-    assertTrue(cluster.rules().ended(job.id()));
+    assertTrue(cluster.rules().hasEnded(job.id()));
   }
 }
--- a/src/test/java/io/cherryspool/sim/loststate/SnapshotRecoveryTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/SnapshotRecoveryTest.java
@@ -5,10 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.config.RecoverySettings;
+import io.cherryspool.http.Request;
 import io.cherryspool.model.Job;
 import io.cherryspool.sim.cluster.DirectedFaultsFixture;
 import io.cherryspool.sim.cluster.SimulatedCluster;
 import io.cherryspool.sim.cluster.SimulatedController;
+import io.cherryspool.sim.time.ProcessInbox;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -50,7 +53,7 @@
     jobs.add(submit("red", 3, 2, Duration.ofSeconds(2)));
     jobs.add(submit("blue", 20, 4, Duration.ofSeconds(25)));
     cluster.run(14);
-    assertTrue(cluster.rules().ended(jobs.get(0).id()), "one is done");
+    assertTrue(cluster.rules().hasEnded(jobs.get(0).id()), "one is done");
     return jobs;
   }
 
@@ -62,7 +65,7 @@
     loseEverything(seed);
     cluster.run(110);
     allEnd(jobs);
-    assertEquals(0, cluster.expiredLeases(), "what ran went on running");
+    assertEquals(0, cluster.fleet().expiredLeases(), "what ran went on running");
   }
 
   /** Tasks begin and end after the newest snapshot; what runs is adopted, what is done counts. */
@@ -77,12 +80,12 @@
     cluster.run(6 + seed);
     Job late = submit("guest", 5, 0.5, Duration.ofSeconds(60));
     cluster.run(5);
-    int running = cluster.runningTaskCount(late);
+    int running = cluster.fleet().runningTaskCount(late);
     assertTrue(running > 0, "its tasks run");
     loseEverything(seed);
     cluster.run(25);
-    assertTrue(cluster.runningTaskCount(late) >= running, "tasks of an unknown job run on");
-    assertFalse(cluster.rules().ended(late.id()));
+    assertTrue(cluster.fleet().runningTaskCount(late) >= running, "tasks of an unknown job run on");
+    assertFalse(cluster.rules().hasEnded(late.id()));
     cluster.users().resubmit(late);
     jobs.add(late);
     cluster.run(120);
@@ -125,27 +128,26 @@
     begin(1, Set.of("lane"));
     Job job = submit("blue", 6, 4, Duration.ofSeconds(30));
     cluster.run(12);
-    assertEquals(6, cluster.runningTaskCount(job));
+    assertEquals(6, cluster.fleet().runningTaskCount(job));
     for (SimulatedController node : cluster.nodes()) {
       node.snapshotStore().dropWrites();
     }
     // One machine dies with what it runs; whether that had ended, no report will tell.
-    cluster.killBusiestMachine();
+    cluster.fleet().killBusiest();
     cluster.run(0.2);
-    int left = cluster.runningTaskCount(job);
+    int left = cluster.fleet().runningTaskCount(job);
     assertTrue(left < 6, "some of them are gone");
     loseEverything(1);
     cluster.run(70);
     assertTrue(cluster.state().hasKeyEndingWith("/held/" + job.id()), "the job is held");
-    assertFalse(cluster.rules().ended(job.id()), "nothing of it was run again");
+    assertFalse(cluster.rules().hasEnded(job.id()), "nothing of it was run again");
     assertEquals(
-        409,
-        cluster.postRecoveryCommand("resolve", "{\"job\":\"req-999998\",\"decision\":\"repeat\"}"));
+        409, postRecoveryCommand("resolve", "{\"job\":\"req-999998\",\"decision\":\"repeat\"}"));
     String decision = "{\"job\":\"" + job.id() + "\",\"decision\":\"repeat\"}";
-    assertEquals(200, cluster.postRecoveryCommand("resolve", decision));
-    assertEquals(409, cluster.postRecoveryCommand("resolve", decision), "it is not held any more");
+    assertEquals(200, postRecoveryCommand("resolve", decision));
+    assertEquals(409, postRecoveryCommand("resolve", decision), "it is not held any more");
     cluster.run(70);
-    assertTrue(cluster.rules().ended(job.id()), "it was run again once that was decided");
+    assertTrue(cluster.rules().hasEnded(job.id()), "it was run again once that was decided");
   }
 
   /** Nothing remembers anything but the workers: what they run is left alone, and no job begins. */
@@ -154,14 +156,14 @@
     begin(1, Set.of());
     Job job = submit("blue", 6, 4, Duration.ofSeconds(60));
     cluster.run(12);
-    assertEquals(6, cluster.runningTaskCount(job));
+    assertEquals(6, cluster.fleet().runningTaskCount(job));
     loseEverything(0);
     cluster.nodes().forEach(node -> node.snapshotStore().deleteAll());
     cluster.run(40);
-    assertEquals(6, cluster.runningTaskCount(job), "it runs on");
+    assertEquals(6, cluster.fleet().runningTaskCount(job), "it runs on");
     cluster.users().resubmit(job);
     cluster.run(80);
-    assertTrue(cluster.rules().ended(job.id()));
+    assertTrue(cluster.rules().hasEnded(job.id()));
   }
 
   @Test
@@ -173,11 +175,26 @@
     cluster.nodes().forEach(node -> node.snapshotStore().deleteAll());
     cluster.run(40);
     String repeat = "{\"job\":\"" + job.id() + "\",\"decision\":\"repeat\"}";
-    assertEquals(409, cluster.postRecoveryCommand("resolve", repeat), "nobody has described it");
+    assertEquals(409, postRecoveryCommand("resolve", repeat), "nobody has described it");
     String abandon = "{\"job\":\"" + job.id() + "\",\"decision\":\"abandon\"}";
     cluster.users().stopAsking(job.id());
-    assertEquals(200, cluster.postRecoveryCommand("resolve", abandon));
+    assertEquals(200, postRecoveryCommand("resolve", abandon));
     cluster.run(8);
-    assertEquals(0, cluster.runningTaskCount(job), "its tasks are stopped");
+    assertEquals(0, cluster.fleet().runningTaskCount(job), "its tasks are stopped");
+  }
+
+  /** Posts to the operators' API of the first node; the status of the answer, 0 without one. */
+  private int postRecoveryCommand(String command, String body) {
+    int[] status = {0};
+    cluster
+        .network()
+        .from("operator", ProcessInbox.alwaysOpen())
+        .send(
+            cluster.nodes().get(0).address(),
+            Request.post("/recovery/" + command, body.getBytes(StandardCharsets.UTF_8)),
+            Duration.ofSeconds(2))
+        .thenAccept(reply -> status[0] = reply.status());
+    cluster.run(2.5);
+    return status[0];
   }
 }
--- a/src/test/java/io/cherryspool/sim/partition/LinkCut.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkCut.java
@@ -78,7 +78,7 @@
     int number = 0;
     for (FakeWorker worker : cluster.workers()) {
       if (cuts(worker, node, number++)) {
-        fail(cluster, own, worker.machine().host, mode, length);
+        fail(cluster, own, worker.machine().host(), mode, length);
       }
     }
   }
@@ -86,7 +86,7 @@
   private boolean cuts(FakeWorker worker, SimulatedController node, int number) {
     return switch (workers) {
       case NONE -> false;
-      case ONE_ZONE -> worker.machine().zone.equals(node.zone());
+      case ONE_ZONE -> worker.machine().zone().equals(node.zone());
       case MOST -> number % 4 != 0;
       case ALL -> true;
     };
--- a/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
@@ -84,14 +84,14 @@
             cluster.cloud().machinesDeleted() - deleted);
     cluster.run(QUIET);
     for (Job job : jobs) {
-      if (!cluster.rules().ended(job.id())) {
+      if (!cluster.rules().hasEnded(job.id())) {
         throw new AssertionError(job.id() + " has no end");
       }
     }
     return new Cost(
         cost.changes,
         cost.mostInAMinute,
-        cluster.rules().starts() - tasks,
+        cluster.rules().startCount() - tasks,
         cost.unserved,
         cost.added,
         cost.deleted);
@@ -102,7 +102,8 @@
       return;
     }
     cluster.schedule(4, this::arrive);
-    Job job = cluster.job(jobs.size() % 2 == 0 ? "red" : "blue", 4, 3, Duration.ofSeconds(12));
+    Job job =
+        cluster.jobs().create(jobs.size() % 2 == 0 ? "red" : "blue", 4, 3, Duration.ofSeconds(12));
     jobs.add(job);
     tasks += job.taskCount();
     cluster.users().submit(job);
--- a/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
@@ -147,10 +147,10 @@
     List<String> busy =
         cluster.workers().stream()
             .filter(worker -> !worker.runningTasks().isEmpty())
-            .map(worker -> worker.machine().name)
+            .map(worker -> worker.machine().name())
             .toList();
     int added = cluster.cloud().machinesAdded();
-    long leases = cluster.expiredLeases();
+    long leases = cluster.fleet().expiredLeases();
     SimulatedController node = cluster.leader();
     new LinkCut(LinkCut.StateLink.UP, false, LinkCut.Workers.ALL, LinkCut.Way.BOTH)
         .apply(cluster, node, LinkFaults.Mode.HOLD, CUT);
@@ -159,10 +159,10 @@
     }
     assertTrue(busy.size() > 2, "the cut meets work");
     for (String machine : busy) {
-      assertTrue(cluster.isRented(machine), machine + " is deleted");
+      assertTrue(cluster.cloud().isRunning(machine), machine + " is deleted");
     }
     assertEquals(added, cluster.cloud().machinesAdded(), "machines are rented");
-    assertEquals(leases, cluster.expiredLeases(), "leases");
+    assertEquals(leases, cluster.fleet().expiredLeases(), "leases");
     cluster.users().cancel(jobs.get(1).id());
     cluster.run(90);
     allEnd(jobs);
@@ -198,15 +198,15 @@
     String zone = cluster.nodeAfter(leader).zone();
     List<String> there =
         cluster.workers().stream()
-            .filter(worker -> worker.machine().zone.equals(zone))
-            .map(worker -> worker.machine().name)
+            .filter(worker -> worker.machine().zone().equals(zone))
+            .map(worker -> worker.machine().name())
             .toList();
     cluster.network().cutZone(zone, SimulatedCluster.LEASE.plusSeconds(4));
     cluster.run(SimulatedCluster.LEASE.plusSeconds(3));
     if (there.size() > 1) {
       assertEquals("hold-zones", leader.verdict().orElseThrow().name());
       for (String machine : there) {
-        assertTrue(cluster.isRented(machine), machine + " is deleted");
+        assertTrue(cluster.cloud().isRunning(machine), machine + " is deleted");
       }
     }
     cluster.users().cancel(jobs.get(0).id());
@@ -226,7 +226,7 @@
     int unserved = cluster.users().unservedRequests();
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
-      Job job = cluster.job("red", 1, 1, Duration.ofSeconds(2));
+      Job job = cluster.jobs().create("red", 1, 1, Duration.ofSeconds(2));
       cluster.users().submit(job, node.address());
       jobs.add(job);
       cluster.run(0.3);
@@ -236,7 +236,7 @@
     }
     cluster.users().cancel(jobs.get(7).id(), node.address());
     cluster.run(0.3);
-    assertTrue(cluster.rules().cancelTold(jobs.get(7).id()) != null, "cancelled at once");
+    assertTrue(cluster.rules().isCancelConfirmed(jobs.get(7).id()), "cancelled at once");
     assertTrue(
         cluster.users().unservedRequests() - unserved <= 1, "one may meet the first refusal");
     cluster.run(40);
@@ -252,7 +252,7 @@
   void aLeaderCutOffAsItIsElectedMakesWay(long seed) {
     settle(seed, 3);
     List<Job> jobs = work();
-    long leases = cluster.expiredLeases();
+    long leases = cluster.fleet().expiredLeases();
     SimulatedController old = cluster.leader();
     old.crash(Duration.ofMillis(500));
     for (int i = 0; i < 1000 && cluster.leaderOtherThan(old).isEmpty(); i++) {
@@ -262,7 +262,7 @@
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(40));
     cluster.run(14);
     assertTrue(cluster.leaderOtherThan(next).isPresent(), "another leads");
-    assertEquals(leases, cluster.expiredLeases(), "leases");
+    assertEquals(leases, cluster.fleet().expiredLeases(), "leases");
     cluster.users().cancel(jobs.get(1).id());
     cluster.run(90);
     allEnd(jobs);
@@ -281,8 +281,8 @@
     List<String> answers = new ArrayList<>();
     cluster
         .network()
-        .from(worker.machine().host, ProcessInbox.alwaysOpen())
-        .send(node.address(), Request.post("/v1/report", worker.report()), CUT)
+        .from(worker.machine().host(), ProcessInbox.alwaysOpen())
+        .send(node.address(), Request.post("/v1/report", worker.heartbeatBody()), CUT)
         .thenAccept(reply -> answers.add(new String(reply.body(), StandardCharsets.UTF_8)));
     cluster.run(0.5);
     assertEquals(1, answers.size());
--- a/src/test/java/io/cherryspool/sim/partition/RandomVerdictsTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/RandomVerdictsTest.java
@@ -72,7 +72,7 @@
     RandomizedRun simulation =
         new RandomizedRun(SimulatedCluster.withVerdicts(seed, new ByChance(seed)));
     simulation.play(TROUBLES, 260);
-    assertTrue(simulation.cluster().rules().starts() > 50);
+    assertTrue(simulation.cluster().rules().startCount() > 50);
   }
 
   @ParameterizedTest
