--- a/src/test/java/io/cherryspool/sim/check/FirstViolation.java
+++ b/src/test/java/io/cherryspool/sim/check/FirstViolation.java
@@ -3,8 +3,8 @@
 import io.cherryspool.sim.time.VirtualTime;
 
 /**
- * Keeps the first violation of a rule until it is thrown: an error thrown inside a future's callback
- * would only fail that future.
+ * Keeps the first violation of a rule until it is thrown: an error thrown inside a future's
+ * callback would only fail that future.
  */
 final class FirstViolation {
   private final VirtualTime time;
--- a/src/test/java/io/cherryspool/sim/check/ProgressRules.java
+++ b/src/test/java/io/cherryspool/sim/check/ProgressRules.java
@@ -141,8 +141,7 @@
     Map<String, List<JobObservations>> classes = new HashMap<>();
     for (JobObservations each : jobs.values()) {
       if (each.isAccepted()) {
-        violation.noteIf(
-            !each.hasEnded(), "unserved", each.job().id() + " unfinished at the end");
+        violation.noteIf(!each.hasEnded(), "unserved", each.job().id() + " unfinished at the end");
         if (!each.isCancelRequested()) {
           classes.computeIfAbsent(each.job().jobClass(), key -> new ArrayList<>()).add(each);
         }
--- a/src/test/java/io/cherryspool/sim/check/RuleChecker.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleChecker.java
@@ -174,7 +174,8 @@
             observations.isCancelOverdue(time.now(), cancelLimit), "ran_cancelled", task);
       }
     }
-    use.forEach((team, sum) -> violation.noteIf(!teams.get(team).isWithinQuota(sum), "quota", team));
+    use.forEach(
+        (team, sum) -> violation.noteIf(!teams.get(team).isWithinQuota(sum), "quota", team));
     violation.throwIfAny();
   }
 
@@ -203,8 +204,7 @@
       violation.noteIf(missing > 0, "not_done", id);
       observations.ended(status, time.now());
     } else if (isCancelled) {
-      violation.noteIf(
-          !observations.isCancelRequested(), "went_back", id + " cancelled unasked");
+      violation.noteIf(!observations.isCancelRequested(), "went_back", id + " cancelled unasked");
       observations.cancelConfirmed(time.now());
       observations.ended(status, time.now());
     }
--- a/src/test/java/io/cherryspool/sim/check/RuleCheckerTest.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleCheckerTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** That the checks of the simulation can fail: each is told of what it must not let pass. */
+/** That each check of the simulation can fail: it receives what it must not let pass. */
 class RuleCheckerTest {
   private final SimulatedCluster cluster = SimulatedCluster.of(1, 3);
   private final RuleChecker rules = cluster.rules();
@@ -29,13 +29,13 @@
     assertTrue(error.getMessage().startsWith(rule + ":"), error.getMessage());
   }
 
-  private void told(Job job, String status) {
+  private void receive(Job job, String status) {
     rules.statusReceived(job.id(), status, cluster.time().now());
   }
 
   @Test
   void anEndThatIsTakenBackOrWasNeverReached() {
-    told(accepted(1), "done");
+    receive(accepted(1), "done");
     breaks("not_done");
   }
 
@@ -43,20 +43,20 @@
   void aDoneJobThatRunsAgain() {
     Job job = accepted(1);
     rules.taskCompleted(job.id() + "/0");
-    told(job, "done");
-    told(job, "running");
+    receive(job, "done");
+    receive(job, "running");
     breaks("went_back");
   }
 
   @Test
   void aCancelThatNobodyAskedFor() {
-    told(accepted(1), "withdrawn");
+    receive(accepted(1), "withdrawn");
     breaks("went_back");
   }
 
   @Test
   void anAcceptedJobThatIsNotFound() {
-    told(accepted(1), "404");
+    receive(accepted(1), "404");
     breaks("forgotten");
   }
 
@@ -69,9 +69,9 @@
     rules.check(cluster.workers());
   }
 
-  /** Unanswered for 75 s after the troubles, and not a second less. */
+  /** Unanswered for 75 s after the faults, and not a second less. */
   @Test
-  void aJobThatNobodyAnswersForAfterTheTroubles() {
+  void aJobThatNobodyAnswersForAfterTheFaults() {
     accepted(1);
     cluster.run(200);
     rules.setFaultsEndedAt(cluster.time().now());
@@ -92,7 +92,7 @@
     Job left = accepted(1);
     rules.setFaultsEndedAt(cluster.time().now());
     for (int i = 0; i <= 90; i++) {
-      told(left, "pending");
+      receive(left, "pending");
       rules.checkProgress(cluster.workers());
       cluster.run(1);
     }
@@ -127,7 +127,7 @@
       for (int i = 0; i < job.taskCount(); i++) {
         rules.taskCompleted(job.id() + "/" + i);
       }
-      told(job, "done");
+      receive(job, "done");
     }
     rules.checkAllServed();
     breaks("largest_late");
@@ -137,7 +137,7 @@
   void startsAfterACancelAreCounted() {
     Job job = accepted(1);
     rules.cancelRequested(job.id());
-    told(job, "withdrawn");
+    receive(job, "withdrawn");
     cluster.run(5);
     rules.taskStarted(anyMachine(), job.id() + "/0", List.of());
     assertEquals(1, rules.startCountAfterCancel());
--- a/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
@@ -12,6 +12,8 @@
 
 /** Injects faults of every kind, drawn by chance: alone, in pairs and in threes. */
 final class FaultInjector {
+  private static final int KINDS = 37;
+
   private final SimulatedCluster cluster;
   private final SplittableRandom random;
   private final double end;
@@ -56,40 +58,28 @@
     }
   }
 
+  /** One fault of a random kind. The kinds have numbers, which decide what a seed injects. */
   private void strike() {
     Duration length = Duration.ofMillis(2000 + random.nextLong(25_000));
     SimulatedController node = cluster.nodes().get(random.nextInt(cluster.nodes().size()));
     SimulatedController leader = cluster.currentLeader().orElse(node);
-    switch (random.nextInt(37)) {
+    int kind = random.nextInt(KINDS);
+    injectControllerFault(kind, node, leader, length);
+    injectServiceFault(kind, node, leader, length);
+    injectWorkerFault(kind, node, length);
+    injectNetworkFault(kind, length);
+    injectLoad(kind, length);
+  }
+
+  /** Faults of controllers and of the heartbeats between them. */
+  private void injectControllerFault(
+      int kind, SimulatedController node, SimulatedController leader, Duration length) {
+    switch (kind) {
       case 0 -> node.crash(Duration.ofMillis(200 + random.nextLong(8000)));
       case 1 ->
           cluster
               .nodes()
               .forEach(item -> item.crash(Duration.ofMillis(500 + random.nextLong(8000))));
-      case 2 -> cluster.stateStoreOutage(length);
-      case 3 -> {
-        cluster.cloud().setDown(true);
-        later(length, () -> cluster.cloud().setDown(false));
-      }
-      case 4 -> node.cutFromStateStore(length);
-      case 5 -> {
-        for (FakeCloud.Machine machine : cluster.cloud().up()) {
-          if (random.nextInt(3) > 0) {
-            cluster.network().cut(node.address().host(), machine.host(), length);
-          }
-        }
-      }
-      case 6 -> anyWorker().ifPresent(worker -> worker.hang(length));
-      case 7 -> anyWorker().ifPresent(FakeWorker::kill);
-      case 8 ->
-          anyWorker()
-              .ifPresent(
-                  worker -> {
-                    worker.setPreemptionNotice(6);
-                    cluster.schedule(6, () -> cluster.cloud().reclaim(worker.machine().name()));
-                  });
-      case 9 ->
-          anyWorker().ifPresent(worker -> cluster.network().dropInbound(host(worker), length));
       case 10 -> node.isolate(length);
       case 11 -> {
         // Back at once, and maybe gone again in the middle of the election that follows.
@@ -99,8 +89,6 @@
       case 12 -> leader.isolate(length);
       case 13 -> node.freeze(length);
       case 14 -> leader.freeze(Duration.ofMillis(500 + random.nextLong(40_000)));
-      case 15 ->
-          cluster.network().cutZone(anyZone(), Duration.ofMillis(5000 + random.nextLong(45_000)));
       case 16 -> {
         cluster.setMeshDown(true);
         later(length, () -> cluster.setMeshDown(false));
@@ -111,49 +99,89 @@
           cluster.schedule(6 * i, () -> each.crash(Duration.ofMillis(200 + random.nextLong(6000))));
         }
       }
+      case 23 -> node.crash(Duration.ofMillis(12_000 + random.nextLong(78_000)));
+      default -> {
+        // A fault of another group.
+      }
+    }
+  }
+
+  /** Faults of the state store and the cloud. */
+  private void injectServiceFault(
+      int kind, SimulatedController node, SimulatedController leader, Duration length) {
+    switch (kind) {
+      case 2 -> cluster.stateStoreOutage(length);
+      case 3 -> {
+        cluster.cloud().setDown(true);
+        later(length, () -> cluster.cloud().setDown(false));
+      }
+      case 4 -> node.cutFromStateStore(length);
       case 18 -> {
         cluster.state().delayCommits(0.1 + random.nextDouble() / 2);
         later(length, () -> cluster.state().delayCommits(0));
       }
       case 19 -> node.refuseByStateStore(length);
       case 20 -> leader.refuseByStateStore(length);
-      case 21 -> {
-        cluster.users().storm(8);
-        later(length, () -> cluster.users().storm(1));
-      }
-      case 22 -> guests.run();
-      case 23 -> node.crash(Duration.ofMillis(12_000 + random.nextLong(78_000)));
-      case 24 -> anyWorker().ifPresent(worker -> worker.failTasksFor(length.multipliedBy(3)));
       case 25 -> {
         cluster.state().loseReplies(0.1 + random.nextDouble() / 2);
         later(length, () -> cluster.state().loseReplies(0));
       }
-      case 26 -> cluster.network().recordHeartbeats();
-      case 27 -> someWorkers(worker -> cluster.network().mute(host(worker), length));
-      case 28 -> someWorkers(worker -> cluster.network().dropInbound(host(worker), length));
-      case 29 -> cancelRunning();
-      case 30 -> {
-        cluster.users().cancelAtEnd(0.5);
-        later(length, () -> cluster.users().cancelAtEnd(0));
-      }
-      case 31 -> {
-        cluster.users().lookClosely(true);
-        later(length, () -> cluster.users().lookClosely(false));
-      }
       case 32 -> gap(leader);
+      case 33 -> {
+        cluster.cloud().setFastBoot(true);
+        later(length.multipliedBy(2), () -> cluster.cloud().setFastBoot(false));
+      }
       case 34 -> {
         cluster.state().delayReplies(1500);
         later(length, () -> cluster.state().delayReplies(0));
       }
+      default -> {
+        // A fault of another group.
+      }
+    }
+  }
+
+  /** Faults of machines and of their links. */
+  private void injectWorkerFault(int kind, SimulatedController node, Duration length) {
+    switch (kind) {
+      case 5 -> {
+        for (FakeCloud.Machine machine : cluster.cloud().up()) {
+          if (random.nextInt(3) > 0) {
+            cluster.network().cut(node.address().host(), machine.host(), length);
+          }
+        }
+      }
+      case 6 -> anyWorker().ifPresent(worker -> worker.hang(length));
+      case 7 -> anyWorker().ifPresent(FakeWorker::kill);
+      case 8 ->
+          anyWorker()
+              .ifPresent(
+                  worker -> {
+                    worker.setPreemptionNotice(6);
+                    cluster.schedule(6, () -> cluster.cloud().reclaim(worker.machine().name()));
+                  });
+      case 9 ->
+          anyWorker().ifPresent(worker -> cluster.network().dropInbound(host(worker), length));
+      case 24 -> anyWorker().ifPresent(worker -> worker.failTasksFor(length.multipliedBy(3)));
+      case 27 -> someWorkers(worker -> cluster.network().dropOutbound(host(worker), length));
+      case 28 -> someWorkers(worker -> cluster.network().dropInbound(host(worker), length));
+      default -> {
+        // A fault of another group.
+      }
+    }
+  }
+
+  /** Faults of the network, among them a copy of each heartbeat for the next leader. */
+  private void injectNetworkFault(int kind, Duration length) {
+    switch (kind) {
+      case 15 ->
+          cluster.network().cutZone(anyZone(), Duration.ofMillis(5000 + random.nextLong(45_000)));
+      case 26 -> cluster.network().recordHeartbeats();
       case 35 -> {
         cluster.network().setMaxExtraDelay(600);
         later(length, () -> cluster.network().setMaxExtraDelay(0));
       }
-      case 33 -> {
-        cluster.cloud().setFastBoot(true);
-        later(length.multipliedBy(2), () -> cluster.cloud().setFastBoot(false));
-      }
-      default -> {
+      case 36 -> {
         String zone = anyZone();
         for (SimulatedController item : cluster.nodes()) {
           for (FakeCloud.Machine machine : cluster.cloud().up()) {
@@ -163,10 +191,36 @@
           }
         }
       }
+      default -> {
+        // A fault of another group.
+      }
+    }
+  }
+
+  /** Users who do more than usual. */
+  private void injectLoad(int kind, Duration length) {
+    switch (kind) {
+      case 21 -> {
+        cluster.users().setPollingFactor(8);
+        later(length, () -> cluster.users().setPollingFactor(1));
+      }
+      case 22 -> guests.run();
+      case 29 -> cancelRunning();
+      case 30 -> {
+        cluster.users().setCancelAtEndShare(0.5);
+        later(length, () -> cluster.users().setCancelAtEndShare(0));
+      }
+      case 31 -> {
+        cluster.users().setCloseWatch(true);
+        later(length, () -> cluster.users().setCloseWatch(false));
+      }
+      default -> {
+        // A fault of another group.
+      }
     }
   }
 
-  /** The leader alone loses the state service, jobs are cancelled, then all lose it for long. */
+  /** The leader alone loses the state store, jobs are cancelled, then all lose it for long. */
   private void gap(SimulatedController leader) {
     leader.refuseByStateStore(Duration.ofSeconds(14));
     double pause = 0.2 + random.nextDouble() * 6;
--- a/src/test/java/io/cherryspool/sim/cluster/RandomizedRun.java
+++ b/src/test/java/io/cherryspool/sim/cluster/RandomizedRun.java
@@ -9,13 +9,13 @@
 import java.util.SplittableRandom;
 
 /**
- * A random day: work of every kind arrives at a cluster that has random troubles. The rules are
- * checked after each step, and at the end every job that nobody cancelled must be done.
+ * A random run: work of every kind arrives at a cluster with random faults. The rules are checked
+ * after each event, and at the end every job that nobody cancelled must be done.
  */
 public final class RandomizedRun {
   private final SimulatedCluster cluster;
   private final SplittableRandom random;
-  private double arrivalEnd;
+  private double lastArrivalS;
 
   public RandomizedRun(long seed) {
     this(SimulatedCluster.random(seed));
@@ -30,57 +30,60 @@
     return cluster;
   }
 
-  /** Plays a day: troubles for a while, then quiet until everything has to be over. */
-  public void play(double troubles, double quiet) {
-    play(troubles, quiet, new FaultInjector(cluster, troubles - 30, this::visit)::begin);
+  /** Runs with faults for so many seconds, then without, until everything has to be over. */
+  public void run(double faultSeconds, double quietSeconds) {
+    run(
+        faultSeconds,
+        quietSeconds,
+        new FaultInjector(cluster, faultSeconds - 30, this::submitGuestWork)::begin);
   }
 
-  /** Plays a day on which the state service loses its data again and again. */
-  public void playWithLosses(double troubles, double quiet) {
-    play(troubles, quiet, new StateLossInjector(cluster, troubles - 30)::begin);
+  /** As above; the faults are losses of the state store's data, and others around them. */
+  public void runWithStateLosses(double faultSeconds, double quietSeconds) {
+    run(faultSeconds, quietSeconds, new StateLossInjector(cluster, faultSeconds - 30)::begin);
   }
 
-  private void play(double troubles, double quiet, Runnable faults) {
-    arrivalEnd = troubles;
+  private void run(double faultSeconds, double quietSeconds, Runnable faults) {
+    lastArrivalS = faultSeconds;
     cluster.network().setDuplicatingHeartbeats(true);
-    cluster.schedule(troubles, () -> cluster.network().setDuplicatingHeartbeats(false));
-    cluster.schedule(1, this::arrive);
+    cluster.schedule(faultSeconds, () -> cluster.network().setDuplicatingHeartbeats(false));
+    cluster.schedule(1, this::submitWork);
     faults.run();
-    cluster.run(troubles + SimulatedCluster.CANCEL_LIMIT.toSeconds());
-    // The last of the troubles is over; from here on nothing excuses silence or idle room.
+    cluster.run(faultSeconds + SimulatedCluster.CANCEL_LIMIT.toSeconds());
+    // The last fault is over; from here on nothing excuses silence or idle room.
     cluster.rules().setFaultsEndedAt(cluster.time().now());
-    watch();
-    cluster.run(quiet - SimulatedCluster.CANCEL_LIMIT.toSeconds());
+    checkProgress();
+    cluster.run(quietSeconds - SimulatedCluster.CANCEL_LIMIT.toSeconds());
     cluster.rules().checkAllServed();
     cluster.rules().check(cluster.workers());
   }
 
-  /** Plays on with arriving work and no troubles but those that the caller makes. */
-  public void playQuietly(double seconds) {
-    if (arrivalEnd == 0) {
-      arrivalEnd = Double.MAX_VALUE;
-      cluster.schedule(1, this::arrive);
+  /** Goes on with arriving work and no faults but those that the caller makes. */
+  public void runWithoutFaults(double seconds) {
+    if (lastArrivalS == 0) {
+      lastArrivalS = Double.MAX_VALUE;
+      cluster.schedule(1, this::submitWork);
     }
     cluster.run(seconds);
   }
 
-  private void watch() {
+  private void checkProgress() {
     cluster.rules().checkProgress(cluster.workers());
-    cluster.schedule(1, this::watch);
+    cluster.schedule(1, this::checkProgress);
   }
 
-  private void arrive() {
-    if (cluster.time().seconds() > arrivalEnd) {
+  private void submitWork() {
+    if (cluster.time().seconds() > lastArrivalS) {
       return;
     }
-    cluster.schedule(0.5 + random.nextDouble() * 6, this::arrive);
+    cluster.schedule(0.5 + random.nextDouble() * 6, this::submitWork);
     if (random.nextInt(10) == 0) {
       cluster.users().submitInvalid(job("lane", "red", Priority.NORMAL, 1, 1));
       cluster.users().askForUnknownJob();
     }
     boolean broken = random.nextInt(12) == 0;
     int size = 1 + random.nextInt(random.nextInt(10) == 0 ? 80 : 8);
-    arrive(
+    submitWork(
         broken ? FakeWorker.FAILING_JOB_CLASS : "lane",
         random.nextBoolean() ? "red" : "blue",
         random.nextInt(3) == 0 ? Priority.HIGH : Priority.NORMAL,
@@ -90,14 +93,14 @@
   }
 
   /** A team without a guarantee brings one array, or many single tasks at once. */
-  private void visit() {
+  private void submitGuestWork() {
     int tasks = random.nextBoolean() ? 1 : 400;
     for (int i = 0; i < 40; i += tasks) {
-      arrive("visit", "guest", Priority.LOW, tasks, 0.25, false);
+      submitWork("visit", "guest", Priority.LOW, tasks, 0.25, false);
     }
   }
 
-  private void arrive(
+  private void submitWork(
       String jobClass, String team, Priority priority, int size, double cpus, boolean cancelled) {
     Job job = job(jobClass, team, priority, size, cpus);
     cluster.users().submit(job);
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
@@ -28,6 +28,9 @@
  * randomized runs {@link FaultInjector} does.
  *
  * <p>All that happens is derived from the seed. Single-threaded.
+ *
+ * <p>It is longer than other classes, since tests reach every part of a run through it: each of its
+ * methods is a few lines.
  */
 public final class SimulatedCluster {
   public static final List<String> ZONES = List.of("a", "b", "c");
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
@@ -14,17 +14,17 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 
-/** A controller's place, in which processes come and go. */
+/** A node of a {@link SimulatedCluster}, on which processes of the controller come and go. */
 public final class SimulatedController {
   private final SimulatedCluster cluster;
   private final RandomGenerator random;
   private final int index;
   private final Endpoint address;
   private final InMemorySnapshotStore snapshotStore = new InMemorySnapshotStore();
-  private ProcessInbox gate;
-  private boolean still;
-  private boolean alone;
-  private int life;
+  private ProcessInbox inbox;
+  private boolean frozen;
+  private boolean isolated;
+  private int processCount;
   private Controller controller;
 
   SimulatedController(
@@ -35,11 +35,12 @@
     this.address = address;
   }
 
+  /** Starts a process, which knows nothing of the one before. */
   void start() {
-    life++;
+    processCount++;
     ProcessInbox own = new ProcessInbox();
-    gate = own;
-    still = false;
+    inbox = own;
+    frozen = false;
     controller =
         new Controller(
             cluster.settings().settings(index),
@@ -50,7 +51,7 @@
                 heartbeat -> broadcast(own, heartbeat),
                 new SplittableRandom(random.nextLong()),
                 () -> Instant.EPOCH.plus(cluster.time().now()),
-                name() + "-life-" + life,
+                name() + "-life-" + processCount,
                 () -> "",
                 cluster
                     .settings()
@@ -69,7 +70,7 @@
   }
 
   private void broadcast(ProcessInbox own, Mesh.PeerHeartbeat heartbeat) {
-    if (own.isClosed() || alone || cluster.isMeshDown()) {
+    if (own.isClosed() || isolated || cluster.isMeshDown()) {
       return;
     }
     for (SimulatedController other : cluster.nodes()) {
@@ -85,12 +86,13 @@
   }
 
   private void receive(Mesh.PeerHeartbeat heartbeat) {
-    if (controller != null && !alone) {
+    if (controller != null && !isolated) {
       Controller live = controller;
-      gate.pass(() -> live.receive(heartbeat));
+      inbox.deliver(() -> live.receive(heartbeat));
     }
   }
 
+  /** The name in its settings. */
   public String name() {
     return ClusterSettings.name(index);
   }
@@ -103,17 +105,17 @@
     return ClusterSettings.zone(index);
   }
 
-  /** What its process does about its links now; empty while it is away. */
+  /** The verdict of its process on its links; empty while no process runs. */
   public Optional<Verdict> verdict() {
     return Optional.ofNullable(controller).map(Controller::verdict);
   }
 
-  /** Whether its process leads now and may act for the controllers. */
+  /** Whether its process leads and may command workers. */
   public boolean isLeader() {
     return controller != null && controller.isLeading();
   }
 
-  /** What its disk holds, whichever process wrote it. */
+  /** Its disk, which outlives its processes. */
   public InMemorySnapshotStore snapshotStore() {
     return snapshotStore;
   }
@@ -123,27 +125,28 @@
     return controller != null && controller.isRebuilding();
   }
 
-  /** Loses the state service and the other controllers, but not its workers. */
+  /** Cuts the node off from the state store and the other controllers, but not from workers. */
   public void isolate(Duration length) {
-    alone = true;
+    isolated = true;
     cutFromStateStore(length);
-    cluster.time().schedule(length, () -> alone = false);
+    cluster.time().schedule(length, () -> isolated = false);
   }
 
+  /** What the node and the state store send each other arrives only after so long. */
   public void cutFromStateStore(Duration length) {
     cluster.network().cut(address.host(), ClusterSettings.STATE.host(), length);
   }
 
-  /** The state service refuses this node alone. */
+  /** The state store answers 503 to this node alone, for so long. */
   public void refuseByStateStore(Duration length) {
     cluster.network().refuseRequests(address.host(), ClusterSettings.STATE.host(), length);
   }
 
-  /** Does nothing for so long, while its clocks run on. */
+  /** The process does nothing for so long, while its clock goes on. */
   public void freeze(Duration length) {
-    if (controller != null && !still) {
-      still = true;
-      ProcessInbox own = gate;
+    if (controller != null && !frozen) {
+      frozen = true;
+      ProcessInbox own = inbox;
       own.freeze();
       long seed = random.nextLong();
       cluster
@@ -152,16 +155,17 @@
               length,
               () -> {
                 if (!own.isClosed()) {
-                  still = false;
+                  frozen = false;
                   own.resume(seed);
                 }
               });
     }
   }
 
+  /** Ends the process, and starts another after so long. */
   public void crash(Duration down) {
     if (controller != null) {
-      gate.close();
+      inbox.close();
       controller = null;
       cluster.network().close(address);
       cluster.time().schedule(down, this::start);
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
@@ -20,92 +20,93 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The users: they submit, ask and cancel through any node, come again where they are told to, and
- * hold what they are told against the rules.
+ * The users: they submit, poll and cancel through any node, retry when a node tells them to, and
+ * report all they receive to the {@link RuleChecker}.
  */
 public final class SimulatedUsers {
-  private static final int MOST_TRIES = 40;
+  private static final int MAX_TRIES = 40;
 
   private final VirtualTime time;
-  private final SimulatedNetwork net;
+  private final SimulatedNetwork network;
   private final RandomGenerator random;
   private final RuleChecker rules;
   private final List<Endpoint> nodes;
-  private int storm = 1;
-  private boolean lookClosely;
-  private double cancelAtEnd;
-  private final Set<String> forgotten = new HashSet<>();
+  private int pollingFactor = 1;
+  private boolean closeWatch;
+  private double cancelAtEndShare;
+  private final Set<String> notAskedAbout = new HashSet<>();
   private int unservedRequests;
 
   SimulatedUsers(
       VirtualTime time,
-      SimulatedNetwork net,
+      SimulatedNetwork network,
       RandomGenerator random,
       RuleChecker rules,
       List<Endpoint> nodes) {
     this.time = time;
-    this.net = net;
+    this.network = network;
     this.random = random;
     this.rules = rules;
     this.nodes = nodes;
   }
 
-  /** Questions come so many times as often. */
   /** How many requests were answered 503, or not at all. */
   public int unservedRequests() {
     return unservedRequests;
   }
 
-  public void storm(int factor) {
-    storm = factor;
+  /** Users poll so many times as often as usual. */
+  public void setPollingFactor(int factor) {
+    pollingFactor = factor;
   }
 
   /**
-   * Whether they ask at all nodes, within milliseconds and several times, right after a job was
+   * Whether users ask all nodes, within milliseconds and several times, right after a job was
    * accepted, ended or confirmed as cancelled, and submit it again.
    */
-  public void lookClosely(boolean value) {
-    lookClosely = value;
+  public void setCloseWatch(boolean value) {
+    closeWatch = value;
   }
 
   /** This share of the jobs that end is cancelled at the moment of the end. */
-  public void cancelAtEnd(double share) {
-    cancelAtEnd = share;
+  public void setCancelAtEndShare(double share) {
+    cancelAtEndShare = share;
   }
 
+  /** Submits through a random node. */
   public void submit(Job job) {
     rules.jobSubmitted(job);
     submit(job, anyNode(), 0);
   }
 
-  /** Submits through one node. */
+  /** Submits through this node. */
   public void submit(Job job, Endpoint node) {
     rules.jobSubmitted(job);
     submit(job, node, 0);
   }
 
-  /** Submits a known job once more. */
+  /** Submits a job once more, unchanged. */
   public void resubmit(Job job) {
     submit(job, anyNode(), 0);
   }
 
   private void submit(Job job, Endpoint node, int tries) {
-    ask(
+    send(
         node,
         Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(job))),
         5,
         (status, body, sent) -> {
           if (status == 200 || status == 201) {
             boolean first = rules.jobAccepted(job.id());
-            told(job.id(), body.path("status").asText(), sent);
+            statusReceived(job.id(), body.path("status").asText(), sent);
             if (first) {
               poll(job.id());
-              look(job);
+              watchClosely(job);
             }
           } else if (status == 400 || status == 422) {
             rules.jobRejected(job.id());
             rules.noteViolationIf(true, "refused", job.id() + " with " + status + ": " + body);
-          } else if (tries < MOST_TRIES) {
+          } else if (tries < MAX_TRIES) {
             after(1, () -> submit(job, anyNode(), tries + 1));
           }
         });
@@ -124,98 +125,101 @@
   }
 
   private void submitInvalid(ObjectNode body, int tries) {
-    ask(
+    send(
         anyNode(),
         Request.post("/api/jobs", Json.toBytes(body)),
         5,
         (status, answer, sent) -> {
-          rules.noteViolationIf(status == 200 || status == 201, "accepted what can't run", body.toString());
-          if (status != 400 && status != 422 && tries < MOST_TRIES) {
+          rules.noteViolationIf(
+              status == 200 || status == 201, "accepted what can't run", body.toString());
+          if (status != 400 && status != 422 && tries < MAX_TRIES) {
             after(1, () -> submitInvalid(body, tries + 1));
           }
         });
   }
 
-  /** Asks no more about a job, as its operator has told the user to. */
+  /** Users stop polling a job, as after an operator has abandoned it. */
   public void stopAsking(String id) {
-    forgotten.add(id);
+    notAskedAbout.add(id);
   }
 
   private void poll(String id) {
-    if (forgotten.contains(id)) {
+    if (notAskedAbout.contains(id)) {
       return;
     }
-    ask(id, anyNode());
-    after(rules.hasEnded(id) ? 40 : 5.0 / storm, () -> poll(id));
+    send(id, anyNode());
+    after(rules.hasEnded(id) ? 40 : 5.0 / pollingFactor, () -> poll(id));
   }
 
-  private void ask(String id, Endpoint node) {
-    ask(
+  private void send(String id, Endpoint node) {
+    send(
         node,
         Request.get("/api/jobs/" + id),
         2,
         (status, body, sent) -> {
           if (status == 200) {
-            told(id, body.path("status").asText(), sent);
+            statusReceived(id, body.path("status").asText(), sent);
           } else if (status == 404) {
-            told(id, "404", sent);
+            statusReceived(id, "404", sent);
           }
         });
   }
 
-  /** Asks about a job that nobody submitted, and cancels it. */
+  /** Polls and cancels a job that nobody submitted. */
   void askForUnknownJob() {
     String id = "req-999999";
-    ask(id, anyNode());
-    ask(
+    send(id, anyNode());
+    send(
         anyNode(),
         Request.post("/api/jobs/" + id + "/withdraw", new byte[0]),
         5,
         (status, body, sent) -> rules.noteViolationIf(status == 200, "invented", id));
   }
 
+  /** Cancels through a random node, until it is confirmed. */
   public void cancel(String id) {
     cancel(id, anyNode());
   }
 
+  /** Cancels through this node, until it is confirmed. */
   public void cancel(String id, Endpoint node) {
     rules.cancelRequested(id);
-    ask(
+    send(
         node,
         Request.post("/api/jobs/" + id + "/withdraw", new byte[0]),
         5,
         (status, body, sent) -> {
           if (status == 200) {
-            told(id, body.path("status").asText(), sent);
+            statusReceived(id, body.path("status").asText(), sent);
           } else {
             if (status == 404) {
-              told(id, "404", sent);
+              statusReceived(id, "404", sent);
             }
             after(1, () -> cancel(id, node));
           }
         });
   }
 
-  /** A task is done; some users cancel just as the last one of a job is. */
+  /** A task has completed; some users cancel a job just as its last task completes. */
   void taskFinished(String task) {
     String id = TaskId.parse(task).jobId();
-    if (cancelAtEnd > 0
+    if (cancelAtEndShare > 0
         && rules.completedTaskCount(id) == rules.job(id).taskCount()
-        && random.nextDouble() < cancelAtEnd) {
+        && random.nextDouble() < cancelAtEndShare) {
       after(random.nextDouble() / 5, () -> cancel(id));
     }
   }
 
-  private void told(String id, String status, Duration sent) {
+  private void statusReceived(String id, String status, Duration sent) {
     boolean ended = rules.hasEnded(id);
     rules.statusReceived(id, status, sent);
     if (rules.hasEnded(id) && !ended) {
-      look(rules.job(id));
+      watchClosely(rules.job(id));
     }
   }
 
-  private void look(Job job) {
-    if (!lookClosely) {
+  private void watchClosely(Job job) {
+    if (!closeWatch) {
       return;
     }
     boolean cancel = !rules.hasEnded(job.id()) && random.nextInt(8) == 0;
@@ -226,9 +230,9 @@
             random.nextInt(15) / 1e3,
             () -> {
               if (way == 0) {
-                submit(job, node, MOST_TRIES);
+                submit(job, node, MAX_TRIES);
               } else {
-                ask(job.id(), node);
+                send(job.id(), node);
               }
             });
       }
@@ -251,15 +255,16 @@
     void take(int status, JsonNode body, Duration sent);
   }
 
-  private void ask(Endpoint node, Request request, int limit, Answer answer) {
+  private void send(Endpoint node, Request request, int limit, Answer answer) {
     Duration sent = time.now();
-    net.from("user", ProcessInbox.alwaysOpen())
+    network
+        .from("user", ProcessInbox.alwaysOpen())
         .send(node, request, Duration.ofSeconds(limit))
         .whenComplete(
             (reply, failure) -> {
               try {
                 answer.take(
-                    counted(failure == null ? reply.status() : 0),
+                    countUnserved(failure == null ? reply.status() : 0),
                     failure == null && reply.body().length > 0
                         ? Json.parseObject(reply.body())
                         : Json.object(),
@@ -270,7 +275,7 @@
             });
   }
 
-  private int counted(int status) {
+  private int countUnserved(int status) {
     unservedRequests += status == 0 || status == 503 ? 1 : 0;
     return status;
   }
--- a/src/test/java/io/cherryspool/sim/cluster/StateLossInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/StateLossInjector.java
@@ -9,14 +9,16 @@
 import java.util.SplittableRandom;
 
 /**
- * Makes the state service lose its data again and again, each time with one or two other faults
+ * Makes the state store lose its data again and again, each time with one or two other faults
  * around the same moment. No process ends within the last moments before a loss, since it alone may
- * know what it told its users in them; docs/recovery.md says so.
+ * know what it confirmed to its users in them; docs/recovery.md says so.
  */
 final class StateLossInjector {
   /** How far back the service may be set. */
   private static final int SAVED = 120;
 
+  private static final int KINDS = 14;
+
   private final SimulatedCluster cluster;
   private final SplittableRandom random;
   private final double end;
@@ -70,12 +72,20 @@
     saved.clear();
   }
 
+  /** Another fault of a random kind, around the moment of a loss. */
   private void companion() {
     Duration length = Duration.ofMillis(500 + random.nextLong(9000));
     SimulatedController node = cluster.nodes().get(random.nextInt(cluster.nodes().size()));
     SimulatedController leader = cluster.currentLeader().orElse(node);
-    switch (random.nextInt(14)) {
-      case 0 -> cluster.stateStoreOutage(length);
+    int kind = random.nextInt(KINDS);
+    injectNodeFault(kind, node, leader, length);
+    injectOtherFault(kind, length);
+  }
+
+  /** Faults of controllers, their links and the heartbeats between them. */
+  private void injectNodeFault(
+      int kind, SimulatedController node, SimulatedController leader, Duration length) {
+    switch (kind) {
       case 1 -> node.cutFromStateStore(length);
       case 2 -> leader.refuseByStateStore(length);
       case 3 -> node.isolate(length);
@@ -86,6 +96,16 @@
         cluster.time().schedule(length, () -> cluster.setMeshDown(false));
       }
       case 7 -> cluster.network().cutZone(node.zone(), length);
+      default -> {
+        // A fault of another group.
+      }
+    }
+  }
+
+  /** Faults of the state store and of machines, and users who look closely. */
+  private void injectOtherFault(int kind, Duration length) {
+    switch (kind) {
+      case 0 -> cluster.stateStoreOutage(length);
       case 8 -> {
         cluster.state().delayCommits(0.3 + random.nextDouble() / 2);
         cluster.time().schedule(length, () -> cluster.state().delayCommits(0));
@@ -108,9 +128,12 @@
               .skip(random.nextInt(Math.max(1, cluster.workers().size())))
               .findFirst()
               .ifPresent(worker -> cluster.network().dropInbound(worker.machine().host(), length));
+      case 13 -> {
+        cluster.users().setCloseWatch(true);
+        cluster.time().schedule(length, () -> cluster.users().setCloseWatch(false));
+      }
       default -> {
-        cluster.users().lookClosely(true);
-        cluster.time().schedule(length, () -> cluster.users().lookClosely(false));
+        // A fault of another group.
       }
     }
   }
--- a/src/test/java/io/cherryspool/sim/fakes/ControlledTransport.java
+++ b/src/test/java/io/cherryspool/sim/fakes/ControlledTransport.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One node's connection to the state service, on which a test decides what becomes of single
- * messages. All others take a millisecond each way.
+ * One node's connection to the state store, on which a test decides the fate of single messages.
+ * All others take a millisecond each way.
  */
 public final class ControlledTransport implements Transport {
   /** What readings, watches and transactions have in their targets. */
--- a/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
@@ -20,7 +20,12 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** A stand-in for the cloud: rents machines, boots workers on them, and tells of them late. */
+/**
+ * A working cloud without real machines: it starts and deletes instances, boots workers on them,
+ * and lists them as they were some seconds ago. It can be down.
+ *
+ * <p>All methods must be called on the event loop.
+ */
 public final class FakeCloud implements RequestHandler {
   private static final int PORT = 9000;
 
@@ -150,7 +155,7 @@
     return machinesDeleted;
   }
 
-  /** How many machines they have rented, or the test has added. */
+  /** How many machines the controllers have requested, or the test has added. */
   public int machinesAdded() {
     return count;
   }
--- a/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.model.Job;
@@ -19,7 +18,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The gap: the state service refuses the leader alone, another node confirms cancels, then the
+ * The gap: the state store refuses the leader alone, another node confirms cancels, then the
  * service is down for all for longer than the cancel limit, while workers go on reporting to the
  * old leader, which can't know of the cancels. Their tasks must be gone within the limit of the
  * confirmation; the rule checker looks after each step.
@@ -53,10 +52,7 @@
 
   private void cancelThrough(SimulatedController node) {
     cluster.users().cancel(job.id(), node.address());
-    for (int i = 0; i < 150 && !cluster.rules().isCancelConfirmed(job.id()); i++) {
-      cluster.run(0.001);
-    }
-    assertTrue(cluster.rules().isCancelConfirmed(job.id()), "another node confirmed the cancel");
+    awaitCancelConfirmed(job, 0.001, 150);
     assertFalse(cluster.fleet().workersRunning(job).isEmpty(), "its tasks run on");
   }
 
@@ -74,7 +70,12 @@
 
   /** What the rule checker watched to the end, said once more. */
   private void allGoneInTime() {
-    Duration limit = cluster.rules().cancelConfirmedAt(job.id()).orElseThrow().plus(SimulatedCluster.CANCEL_LIMIT);
+    Duration limit =
+        cluster
+            .rules()
+            .cancelConfirmedAt(job.id())
+            .orElseThrow()
+            .plus(SimulatedCluster.CANCEL_LIMIT);
     cluster.run(limit.minus(cluster.time().now()).plusMillis(100));
     assertEquals(List.of(), cluster.fleet().workersRunning(job), "gone within the limit");
     cluster.run(OUTAGE.plusSeconds(20));
@@ -99,7 +100,7 @@
 
   /**
    * As above, with a new leader elected before the outage, or just not. The service refuses that
-   * one too, or it would hear of the cancel while it is confirmed.
+   * one too, or it would read of the cancel while it is confirmed.
    */
   @ParameterizedTest
   @CsvSource({"1,3.1", "2,3.5", "3,3.9", "4,4.2", "5,4.5", "6,5", "7,6", "8,9", "9,12", "10,20"})
@@ -124,7 +125,9 @@
     HANG_PAST_THE_LEASE((test, worker) -> worker.hang(Duration.ofSeconds(30))),
     DEAF(
         (test, worker) -> test.cluster.network().dropInbound(host(worker), Duration.ofSeconds(20))),
-    MUTE((test, worker) -> test.cluster.network().mute(host(worker), Duration.ofSeconds(20))),
+    MUTE(
+        (test, worker) ->
+            test.cluster.network().dropOutbound(host(worker), Duration.ofSeconds(20))),
     /** Reports, commands and answers between the two wait, and then arrive all the same. */
     HELD_UP((test, worker) -> test.cluster.network().cut(test.oldHost(), host(worker), HOLD)),
     HELD_UP_AND_HUNG(
--- a/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.model.Job;
@@ -19,20 +18,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Where two troubles meet, each brought about on purpose. The rules are checked after every step;
- * each test says besides that the meeting came about, and what users may expect of it.
+ * Where two faults meet, each injected on purpose. The rules are checked after every event; each
+ * test says besides that the meeting came about, and what users may expect of it.
  */
 class CombinedFaultsTest extends DirectedFaultsFixture {
 
-  /** Submissions, cancels, ends, rounds and elections are carried out; nobody is told so. */
+  /** Submissions, cancels, ends, rounds and elections are carried out, and no answer says so. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void allTransactionsAreCarriedOutAndTheirAnswersLost(long seed) {
     settle(seed, 3);
     List<Job> jobs = new ArrayList<>();
-    cluster.users().lookClosely(true);
+    cluster.users().setCloseWatch(true);
     jobs.add(submit("red", 4, 4, Duration.ofSeconds(6)));
-    Job cancelled = submit("blue", 6, 4, LONG);
+    Job cancelled = submit("blue", 6, 4, LONG_RUN_TIME);
     jobs.add(cancelled);
     cluster.run(8);
     cluster.state().loseReplies(1);
@@ -42,13 +41,13 @@
     SimulatedController old = cluster.leader();
     old.crash(Duration.ofSeconds(20));
     cluster.run(9);
-    assertNotEquals(old.name(), cluster.leader().name(), "elected though nobody heard so");
+    assertNotEquals(old.name(), cluster.leader().name(), "elected though no answer said so");
     assertNotNull(
         cluster.state().value("c/outcomes/" + cancelled.id()), "the cancel was carried out");
     cluster.run(6);
     cluster.state().loseReplies(0);
     cluster.run(60);
-    allEnd(jobs);
+    assertAllEnded(jobs);
     assertTrue(cluster.rules().isCancelConfirmed(cancelled.id()));
   }
 
@@ -62,7 +61,7 @@
   void aTeamAtItsLimitLosesMachinesAndItsLeaderAsItsJobsAreCancelled(long seed) {
     settle(seed, 3);
     // The limit of red is 64 processors.
-    Job first = submit("red", 16, 4, LONG);
+    Job first = submit("red", 16, 4, LONG_RUN_TIME);
     for (int i = 0; i < 60 && cluster.fleet().runningTaskCount(first) < 16; i++) {
       cluster.run(1);
     }
@@ -84,10 +83,11 @@
     cluster.run(16);
     assertTrue(cluster.rules().isCancelConfirmed(first.id()));
     assertTrue(
-        cluster.fleet().runningTaskCount(second) + cluster.rules().completedTaskCount(second.id()) == 8,
+        cluster.fleet().runningTaskCount(second) + cluster.rules().completedTaskCount(second.id())
+            == 8,
         "what is proved free is used");
     cluster.run(75);
-    allEnd(List.of(first, second));
+    assertAllEnded(List.of(first, second));
   }
 
   /** Cancels in the seconds in which the leadership is transferred, through every node. */
@@ -97,7 +97,7 @@
     settle(seed, 3 + (int) seed % 3);
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      jobs.add(submit(i % 2 == 0 ? "red" : "blue", 2, 3, LONG));
+      jobs.add(submit(i % 2 == 0 ? "red" : "blue", 2, 3, LONG_RUN_TIME));
     }
     cluster.run(25);
     SimulatedController old = cluster.leader();
@@ -106,7 +106,8 @@
     } else {
       cluster.cutLeaderFromWorkers(Duration.ofSeconds(30));
     }
-    // The leader makes way after about 10 s, and one that ended is replaced after 1 to 5 s.
+    // The leader hands leadership over after about 10 s, and one that ended is replaced after 1 to
+    // 5 s.
     double from = seed % 2 == 0 ? 0 : 7;
     for (int i = 0; i < jobs.size(); i++) {
       Job job = jobs.get(i);
@@ -143,13 +144,13 @@
     cluster.run(15);
     cluster.state().delayCommits(0);
     cluster.run(75);
-    allEnd(jobs);
+    assertAllEnded(jobs);
   }
 
-  /** Old reports, of machines that ran other tasks then, are the first that a new leader hears. */
+  /** Old heartbeats, of machines that ran other tasks then, are the first a new leader receives. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void oldReportsReachEveryControllerJustAsANewLeaderBegins(long seed) {
+  void oldHeartbeatsReachEveryControllerJustAsANewLeaderBegins(long seed) {
     settle(seed, 3);
     List<Job> jobs = new ArrayList<>();
     jobs.add(submit("red", 8, 4, Duration.ofSeconds(4)));
@@ -169,19 +170,20 @@
                     .forEach(
                         wait ->
                             cluster.schedule(
-                                wait / 1e3, () -> cluster.network().replayHeartbeats(addresses())));
+                                wait / 1e3,
+                                () -> cluster.network().replayHeartbeats(controllerAddresses())));
               }
             });
     cluster.leader().crash(Duration.ofMillis(300));
     cluster.run(12);
-    assertTrue(copies[0] > 0, "a new leader began and heard them");
+    assertTrue(copies[0] > 0, "a new leader began and received them");
     cluster.run(80);
-    allEnd(jobs);
+    assertAllEnded(jobs);
   }
 
   /**
    * One-task jobs come four a second for two minutes, a quarter of them cancelled, and the state
-   * service takes 25 changes a second. All are served or told when to come back.
+   * service takes 25 changes a second. All are served, or answered when to retry.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -211,12 +213,14 @@
     cluster.run(75);
     cluster.rules().setFaultsEndedAt(cluster.time().now());
     assertEquals(480, jobs.size());
-    allEnd(jobs);
+    assertAllEnded(jobs);
     cluster.rules().checkAllServed();
     cluster.run(1);
   }
 
-  /** Two tasks end far apart, with another leader each time, and a copy of the first's report. */
+  /**
+   * Two tasks end far apart, with another leader each time, and a copy of the first's heartbeat.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void tasksOfOneJobEndFarApartAcrossChangesOfLeader(long seed) {
@@ -233,7 +237,7 @@
     cluster.run(0.1 * seed);
     cluster.leader().crash(Duration.ofMillis(200));
     cluster.run(6);
-    cluster.network().replayHeartbeats(addresses());
+    cluster.network().replayHeartbeats(controllerAddresses());
     assertFalse(cluster.rules().completedTaskCount(job.id()) == 3, "one is still to end");
     cluster.leader().crash(Duration.ofMillis(200));
     cluster.run(60);
--- a/src/test/java/io/cherryspool/sim/faults/DeadMachineTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/DeadMachineTest.java
@@ -8,20 +8,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The tasks of dead machines waited for three reports' time and more, and short urgent jobs lost
- * their deadlines by that alone. With no machine ever taken for mute each seed fails, as the
- * machine is still rented.
+ * The tasks of dead machines waited for three heartbeat intervals and more, and short urgent jobs
+ * lost their deadlines by that alone. With no machine ever taken for unresponsive each seed fails,
+ * as the machine is still rented.
  */
 class DeadMachineTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void aMachineThatDoesNotAnswerWhenAskedIsGivenUpSoon(long seed) {
-    RandomizedRun simulation = new RandomizedRun(seed);
-    simulation.playQuietly(60);
-    String machine = simulation.cluster().fleet().killBusiest();
-    simulation.playQuietly(1);
-    assertTrue(simulation.cluster().cloud().isRunning(machine));
-    simulation.playQuietly(5.8);
-    assertFalse(simulation.cluster().cloud().isRunning(machine));
+    RandomizedRun run = new RandomizedRun(seed);
+    run.runWithoutFaults(60);
+    String machine = run.cluster().fleet().killBusiest();
+    run.runWithoutFaults(1);
+    assertTrue(run.cluster().cloud().isRunning(machine));
+    run.runWithoutFaults(5.8);
+    assertFalse(run.cluster().cloud().isRunning(machine));
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.model.Job;
@@ -24,16 +23,11 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void jobsAreCancelledThroughTheNextLeaderWhileTheOldOneIsStillReached(long seed) {
     settle(seed, 3 + (int) seed % 3);
-    Job job = submit("blue", 12, 4, LONG);
+    Job job = submit("blue", 12, 4, LONG_RUN_TIME);
     awaitRunning(job, 12);
     SimulatedController old = cluster.leader();
     old.isolate(Duration.ofSeconds(45));
-    SimulatedController next = null;
-    for (int i = 0; i < 10_000 && next == null; i++) {
-      cluster.run(0.001);
-      next = cluster.leaderOtherThan(old).orElse(null);
-    }
-    assertNotNull(next, "another is elected");
+    SimulatedController next = awaitLeaderOtherThan(old, 0.001);
     assertTrue(old.isLeader(), "the old one still answers its workers");
     cluster.users().cancel(job.id(), next.address());
     cluster.run(0.2);
@@ -43,17 +37,15 @@
     cluster.run(40);
   }
 
-  /** Machines with long tasks can't be reached, or don't hear the next leader's answers. */
+  /** Machines with long tasks can't be reached, or don't receive the next leader's answers. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void aLeaderEndsWhileMachinesWithLongTasksCannotBeAsked(long seed) {
-    settle(seed, 3);
-    Job job = submit("blue", 16, 4, Duration.ofSeconds(40));
-    awaitRunning(job, 16);
+    Job job = settleWithJob(seed, 16, Duration.ofSeconds(40), 16);
     List<FakeWorker> lost = cluster.fleet().workersRunning(job).stream().limit(3).toList();
     Duration length = Duration.ofSeconds(8 + 4 * seed);
     cluster.network().dropInbound(host(lost.get(0)), length);
-    cluster.network().mute(host(lost.get(1)), length);
+    cluster.network().dropOutbound(host(lost.get(1)), length);
     for (SimulatedController node : cluster.nodes()) {
       cluster.network().cut(node.address().host(), host(lost.get(2)), length);
     }
@@ -63,24 +55,21 @@
     cluster.run(8);
     assertNotEquals(old.name(), cluster.leader().name());
     cluster.run(120);
-    allEnd(List.of(job));
+    assertAllEnded(List.of(job));
   }
 
   /** Hand over and back, all end, one returns, within a second. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void controllersHandOverAndBackThenAllEndAndOneReturns(long seed) {
-    settle(seed, 3);
-    Job job = submit("blue", 16, 4, Duration.ofSeconds(60));
-    Job cancelled = submit("red", 8, 4, LONG);
-    awaitRunning(job, 16);
+    TwoJobs jobs = settleWithTwoJobs(seed, 16, Duration.ofSeconds(60), 16);
     cluster.run(10);
     SimulatedController first = cluster.leader();
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(14));
     cluster.run(15);
     assertNotEquals(first.name(), cluster.leader().name(), "handed over");
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(9));
-    cluster.users().cancel(cancelled.id());
+    cluster.users().cancel(jobs.cancelled().id());
     cluster.run(0.1 * seed);
     for (SimulatedController node : cluster.nodes()) {
       node.crash(node == first ? Duration.ofMillis(100 + 130 * seed) : Duration.ofSeconds(20));
@@ -88,19 +77,16 @@
     cluster.run(12);
     assertEquals(first.name(), cluster.leader().name(), "the one that returned");
     cluster.run(90);
-    allEnd(List.of(job, cancelled));
+    assertAllEnded(jobs.all());
   }
 
-  /** Ten in two minutes, some of the changes inside an outage of the state service. */
+  /** Ten in two minutes, some of the changes inside an outage of the state store. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void leadersChangeTenTimesInTwoMinutes(long seed) {
-    settle(seed, 3);
-    Job job = submit("blue", 24, 4, Duration.ofSeconds(35));
-    Job cancelled = submit("red", 8, 4, LONG);
-    awaitRunning(job, 8);
+    TwoJobs jobs = settleWithTwoJobs(seed, 24, Duration.ofSeconds(35), 8);
     cluster.schedule(40 + seed, () -> cluster.stateStoreOutage(Duration.ofSeconds(15)));
-    cluster.schedule(45, () -> cluster.users().cancel(cancelled.id()));
+    cluster.schedule(45, () -> cluster.users().cancel(jobs.cancelled().id()));
     for (int i = 0; i < 10; i++) {
       cluster.schedule(
           12 * i,
@@ -112,16 +98,14 @@
     }
     cluster.run(125);
     cluster.run(90);
-    allEnd(List.of(job, cancelled));
+    assertAllEnded(jobs.all());
   }
 
   /** For longer than a worker's lease nobody answers; then all is taken up again. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void allControllersAreAwayForLongerThanALease(long seed) {
-    settle(seed, 3);
-    Job job = submit("blue", 16, 4, Duration.ofSeconds(30));
-    awaitRunning(job, 16);
+    Job job = settleWithJob(seed, 16, Duration.ofSeconds(30), 16);
     long before = cluster.fleet().expiredLeases();
     cluster
         .nodes()
@@ -130,18 +114,15 @@
     assertTrue(cluster.fleet().expiredLeases() > before, "their tasks are gone");
     assertFalse(cluster.rules().hasEnded(job.id()));
     cluster.run(100);
-    allEnd(List.of(job));
+    assertAllEnded(List.of(job));
   }
 
   /** A zone with workers and a controller, the leader in some of the days, is away for long. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void aZoneIsCutOffForLongerThanALease(long seed) {
-    settle(seed, 3);
-    Job job = submit("blue", 16, 4, Duration.ofSeconds(40));
-    Job cancelled = submit("red", 8, 4, LONG);
-    awaitRunning(job, 8);
-    awaitRunning(cancelled, 4);
+    TwoJobs jobs = settleWithTwoJobs(seed, 16, Duration.ofSeconds(40), 8);
+    awaitRunning(jobs.cancelled(), 4);
     String zone =
         seed % 2 == 0 ? cluster.leader().zone() : SimulatedCluster.ZONES.get((int) seed % 3);
     cluster.network().cutZone(zone, SimulatedCluster.LEASE.plusSeconds(5 + 5 * seed));
@@ -151,9 +132,9 @@
             .filter(node -> !node.zone().equals(zone))
             .findFirst()
             .orElseThrow();
-    cluster.users().cancel(cancelled.id(), outside.address());
+    cluster.users().cancel(jobs.cancelled().id(), outside.address());
     cluster.run(140);
-    allEnd(List.of(job, cancelled));
+    assertAllEnded(jobs.all());
   }
 
   /** Jobs that may run in one zone only, arrays too, lose the machines there with the leader. */
@@ -172,7 +153,7 @@
     cluster.fleet().workersRunning(together).stream().limit(1).forEach(FakeWorker::kill);
     cluster.leader().crash(Duration.ofMillis(200 * seed));
     cluster.run(150);
-    allEnd(List.of(bound, together));
+    assertAllEnded(List.of(bound, together));
   }
 
   /**
@@ -183,15 +164,10 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void aCutOffLeaderKeepsItsZoneAliveWhileTheCloudIsOut(long seed) {
-    settle(seed, 3);
-    Job job = submit("blue", 20, 4, LONG);
-    awaitRunning(job, 18);
+    Job job = settleWithJob(seed, 20, LONG_RUN_TIME, 18);
     SimulatedController old = cluster.leader();
     cluster.network().cutZone(old.zone(), Duration.ofSeconds(60));
-    for (int i = 0; i < 1000 && cluster.leaderOtherThan(old).isEmpty(); i++) {
-      cluster.run(0.01);
-    }
-    assertTrue(cluster.leaderOtherThan(old).isPresent(), "another is elected");
+    awaitLeaderOtherThan(old, 0.01);
     // It reads the list of machines, and then can delete none.
     cluster.run(0.8 + 0.2 * seed);
     cluster.cloud().setDown(true);
@@ -204,6 +180,6 @@
     cluster.run(45);
     cluster.cloud().setDown(false);
     cluster.run(300);
-    allEnd(List.of(job));
+    assertAllEnded(List.of(job));
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/LostWorkersTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LostWorkersTest.java
@@ -17,20 +17,21 @@
 class LostWorkersTest {
   @ParameterizedTest
   @CsvSource({"1,true", "2,true", "3,true", "4,true", "5,true", "6,true", "7,false", "8,false"})
-  void aLeaderThatWorkersDoNotReachMakesWayBeforeTheirLeasesRunOut(long seed, boolean mesh) {
-    RandomizedRun simulation = new RandomizedRun(seed);
-    simulation.playQuietly(60);
+  void aLeaderThatWorkersDoNotReachHandsLeadershipOverBeforeTheirLeasesRunOut(
+      long seed, boolean mesh) {
+    RandomizedRun run = new RandomizedRun(seed);
+    run.runWithoutFaults(60);
     if (!mesh) {
-      simulation.cluster().setMeshDown(true);
+      run.cluster().setMeshDown(true);
     }
-    long before = simulation.cluster().fleet().expiredLeases();
-    String cut = simulation.cluster().cutLeaderFromWorkers(Duration.ofSeconds(60));
-    simulation.playQuietly(14);
-    String next = simulation.cluster().leader().name();
+    long before = run.cluster().fleet().expiredLeases();
+    String cut = run.cluster().cutLeaderFromWorkers(Duration.ofSeconds(60));
+    run.runWithoutFaults(14);
+    String next = run.cluster().leader().name();
     assertNotNull(next);
     assertNotEquals(cut, next);
-    simulation.playQuietly(60);
-    assertEquals(before, simulation.cluster().fleet().expiredLeases());
-    assertEquals(next, simulation.cluster().leader().name(), "once is enough");
+    run.runWithoutFaults(60);
+    assertEquals(before, run.cluster().fleet().expiredLeases());
+    assertEquals(next, run.cluster().leader().name(), "once is enough");
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
@@ -1,7 +1,6 @@
 package io.cherryspool.sim.faults;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.model.Job;
@@ -23,15 +22,15 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void cancelsAndQuestionsMeetTheEndOfTheLastTask(long seed) {
     settle(seed, 3);
-    cluster.users().cancelAtEnd(1);
-    cluster.users().lookClosely(true);
+    cluster.users().setCancelAtEndShare(1);
+    cluster.users().setCloseWatch(true);
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       jobs.add(submit(i % 2 == 0 ? "red" : "blue", 1 + i % 3, 2, Duration.ofSeconds(3)));
       cluster.run(1);
     }
     cluster.run(60);
-    allEnd(jobs);
+    assertAllEnded(jobs);
   }
 
   /** Transactions without an answer are carried out after newer ones of the same controller. */
@@ -53,70 +52,65 @@
     cluster.run(12);
     cluster.state().delayCommits(0);
     cluster.run(75);
-    allEnd(jobs);
+    assertAllEnded(jobs);
   }
 
-  /** Reports come again at a leader that has acted on newer ones, also from earlier sessions. */
+  /** Heartbeats arrive again at a leader that has acted on newer ones, also of earlier epochs. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void reportsOfEarlierSessionsAndAttemptsComeAfterNewerOnes(long seed) {
-    settle(seed, 3);
-    Job job = submit("blue", 16, 4, Duration.ofSeconds(25));
-    awaitRunning(job, 12);
+  void heartbeatsOfEarlierEpochsAndAttemptsArriveAfterNewerOnes(long seed) {
+    Job job = settleWithJob(seed, 16, Duration.ofSeconds(25), 12);
     cluster.network().recordHeartbeats();
     cluster.run(3);
     long before = cluster.fleet().expiredLeases();
     cluster.fleet().workersRunning(job).stream()
         .limit(2)
         .forEach(
-            worker -> cluster.network().mute(host(worker), SimulatedCluster.LEASE.plusSeconds(3)));
+            worker ->
+                cluster
+                    .network()
+                    .dropOutbound(host(worker), SimulatedCluster.LEASE.plusSeconds(3)));
     cluster.leader().crash(Duration.ofMillis(200 * seed));
     for (int i = 0; i < 60; i++) {
-      cluster.network().replayHeartbeats(addresses());
+      cluster.network().replayHeartbeats(controllerAddresses());
       cluster.run(0.5);
     }
     assertTrue(cluster.fleet().expiredLeases() >= before);
     cluster.run(90);
-    allEnd(List.of(job));
+    assertAllEnded(List.of(job));
   }
 
   /** Workers can't open connections to any controller, while direct commands reach them. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void machinesAreMuteWhileCommandsReachThem(long seed) {
-    settle(seed, 3);
-    Job job = submit("blue", 16, 4, Duration.ofSeconds(30));
-    Job cancelled = submit("red", 8, 4, LONG);
-    awaitRunning(job, 12);
-    awaitRunning(cancelled, 4);
+  void machinesOpenNoConnectionsWhileCommandsReachThem(long seed) {
+    TwoJobs jobs = settleWithTwoJobs(seed, 16, Duration.ofSeconds(30), 12);
+    awaitRunning(jobs.cancelled(), 4);
     for (FakeWorker worker : List.copyOf(cluster.workers())) {
       if (worker.machine().name().hashCode() % 2 == 0) {
-        cluster.network().mute(host(worker), Duration.ofSeconds(6 + 5 * seed));
+        cluster.network().dropOutbound(host(worker), Duration.ofSeconds(6 + 5 * seed));
       }
     }
     cluster.run(3);
-    cluster.users().cancel(cancelled.id());
+    cluster.users().cancel(jobs.cancelled().id());
     cluster.run(2);
-    assertTrue(cluster.rules().isCancelConfirmed(cancelled.id()));
+    assertTrue(cluster.rules().isCancelConfirmed(jobs.cancelled().id()));
     cluster.run(140);
-    allEnd(List.of(job, cancelled));
+    assertAllEnded(jobs.all());
   }
 
   /** A command, or its answer, is held up for seconds, and the machine hangs and then goes on. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void commandsAreHeldUpAndTheMachinesGoOn(long seed) {
-    settle(seed, 3);
     List<Job> jobs = new ArrayList<>();
-    Job usual = submit("blue", 8, 4, Duration.ofSeconds(40));
-    awaitRunning(usual, 8);
-    jobs.add(usual);
+    jobs.add(settleWithJob(seed, 8, Duration.ofSeconds(40), 8));
     for (int i = 0; i < 8; i++) {
       jobs.add(submit(i % 2 == 0 ? "red" : "blue", 4, 2, Duration.ofSeconds(12)));
       SimulatedController leader = cluster.leader();
       Duration length = Duration.ofMillis(2000 + 900 * seed);
       if (cluster.workers().isEmpty()) {
-        // All were given up as mute, and the next ones boot.
+        // All were given up as unresponsive, and the next ones boot.
         cluster.run(10);
       }
       List<FakeWorker> all = List.copyOf(cluster.workers());
@@ -133,28 +127,23 @@
       cluster.run(2.5);
     }
     cluster.run(200);
-    allEnd(jobs);
+    assertAllEnded(jobs);
   }
 
-  /** The state service is slow, then down for longer than the limit, while users cancel and ask. */
+  /** The state store is slow, then down for longer than the limit, while users cancel and ask. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void theStateServiceIsSlowAndThenDownWhileUsersCancelAndAsk(long seed) {
-    settle(seed, 3);
-    Job job = submit("blue", 12, 4, LONG);
-    awaitRunning(job, 12);
-    cluster.users().storm(8);
-    cluster.users().lookClosely(true);
+    Job job = settleWithJob(seed, 12, LONG_RUN_TIME, 12);
+    cluster.users().setPollingFactor(8);
+    cluster.users().setCloseWatch(true);
     cluster.state().delayReplies(1600);
     cluster.run(3);
     SimulatedController leader = cluster.leader();
     leader.refuseByStateStore(Duration.ofSeconds(14));
     cluster.run(0.1);
     cluster.users().cancel(job.id(), cluster.nodeAfter(leader).address());
-    for (int i = 0; i < 400 && !cluster.rules().isCancelConfirmed(job.id()); i++) {
-      cluster.run(0.1);
-    }
-    assertTrue(cluster.rules().isCancelConfirmed(job.id()), "confirmed though it is slow");
+    awaitCancelConfirmed(job, 0.1, 400);
     cluster.stateStoreOutage(SimulatedCluster.CANCEL_LIMIT.plusSeconds(10));
     cluster.run(SimulatedCluster.CANCEL_LIMIT.plusMillis(100));
     assertEquals(0, cluster.fleet().runningTaskCount(job));
@@ -176,12 +165,13 @@
     cluster.users().submit(urgent);
     cluster.run(25);
     assertTrue(
-        cluster.fleet().runningTaskCount(urgent) + cluster.rules().completedTaskCount(urgent.id()) > 0,
+        cluster.fleet().runningTaskCount(urgent) + cluster.rules().completedTaskCount(urgent.id())
+            > 0,
         "urgent work does not wait for the rest");
     cluster.run(60);
     cluster.network().setMaxExtraDelay(0);
     cluster.run(100);
     jobs.add(urgent);
-    allEnd(jobs);
+    assertAllEnded(jobs);
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/UnchangedHeartbeatTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/UnchangedHeartbeatTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each round gives out a newer token, which every machine shows in its next report. That was taken
- * for news: one small job made the leader plan for all machines again and again while work waited.
+ * Each round gives out a newer token, which every machine shows in its next heartbeat. That was
+ * taken for news: one small job made the leader plan for all machines again and again while work
+ * waited.
  */
 class UnchangedHeartbeatTest extends DirectedFaultsFixture {
   private static final int SMALL_JOBS = 12;
@@ -36,9 +37,9 @@
       cluster.run(APART_S);
     }
     double each = (planned() - before) / SMALL_JOBS;
-    // Users ask every 5 s, so that they hear of an end so much later.
+    // Users ask every 5 s, so that they receive an end so much later.
     cluster.run(5);
-    allEnd(small);
+    assertAllEnded(small);
     assertTrue(cluster.fleet().runningTaskCount(waiting) < 80, "some of the large job still waits");
     // A round each second takes in what time alone changes.
     assertTrue(each <= PLANS_PER_JOB + APART_S, each + " plans for each small job");
--- a/src/test/java/io/cherryspool/sim/loopback/ControllerProcess.java
+++ b/src/test/java/io/cherryspool/sim/loopback/ControllerProcess.java
@@ -40,7 +40,7 @@
   /** The processor time of a thread, also of one that has ended, as it was last seen. */
   private record Used(ThreadCpuTimes.Group group, long nanos) {}
 
-  /** What had been used, and how long it had taken, when the log told of an event. */
+  /** What had been used, and how long it had taken, when the log had a line. */
   public record Reached(ThreadCpuTimes used, double wallMillis) {}
 
   /** Starts the command in the directory; its log goes to the file. */
@@ -80,7 +80,9 @@
     return new Reached(used(), (System.nanoTime() - startNanos) / 1e6);
   }
 
-  /** When the log first told of this at or after the moment, by the steady clock; -1 if never. */
+  /**
+   * When the log first had the text at or after a moment, by {@link System#nanoTime}; -1 if never.
+   */
   public long firstLogLineAt(String text, long since) {
     synchronized (lines) {
       for (Line line : lines) {
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackFixture.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackFixture.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Controllers as processes of their own and a few dozen stand-in workers, on real sockets of this
+ * Controllers as processes of their own and a few dozen fake workers, on real sockets of this
  * machine, with users whose record of their jobs' answers is kept here.
  */
 abstract class LoopbackFixture {
@@ -126,7 +126,7 @@
 
   private Job newJob(int tasks, double seconds) {
     String id = String.format("req-%06d", jobs.size() + 1);
-    // The stand-in workers run a task for half of the estimate and up to 4 s more.
+    // The fake workers run a task for half of the estimate and up to 4 s more.
     Job job = LoopbackCluster.job(id, tasks, 2, Duration.ofMillis((long) (seconds * 2000)));
     jobs.put(id, job);
     cluster.loop().execute(() -> cluster.fleet().addJobDescription(job));
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackNodes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackNodes.java
@@ -26,8 +26,8 @@
   private final Map<String, Endpoint> addresses = new LinkedHashMap<>();
 
   /**
-   * What the state service takes a second, how many sockets a node may hold, and how many
-   * processors the one team may use, 0 for as many as there are.
+   * What the state store takes a second, how many sockets a node may hold, and how many processors
+   * the one team may use, 0 for as many as there are.
    */
   public record Limits(double stateRequests, double stateWrites, int sockets, double teamCpus) {}
 
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackRoutes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackRoutes.java
@@ -23,7 +23,7 @@
         }
       };
 
-  /** Where the controller reaches the state service. */
+  /** Where the controller reaches the state store. */
   Endpoint state(int controller, Endpoint service);
 
   /** Where the one controller reaches the other for its heartbeats. */
--- a/src/test/java/io/cherryspool/sim/loopback/LostStateLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LostStateLoopbackTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Five controllers as processes of their own and a few dozen stand-in workers, on real sockets of
- * this machine. The state service's data is deleted while work runs, once under the controllers and
- * once together with all of them; each job's answers are held against a record kept here.
+ * Five controllers as processes of their own and a few dozen fake workers, on real sockets of this
+ * machine. The state store's data is deleted while work runs, once under the controllers and once
+ * together with all of them; each job's answers are held against a record kept here.
  */
 class LostStateLoopbackTest extends LoopbackFixture {
   private static final int SERVICES = 81;
--- a/src/test/java/io/cherryspool/sim/loopback/PartitionLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/loopback/PartitionLoopbackTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Three controllers as processes and a dozen stand-in workers, with a relay on each link of the
+ * Three controllers as processes and a dozen fake workers, with a relay on each link of the
  * controllers. Chosen links fail, alone and together, and two controllers are ended while links are
  * down. No task may start twice, and no answer may be lost.
  */
@@ -82,7 +82,7 @@
     String cancelled = submit(6, 60);
     until("tasks run", () -> cluster.fleet().runningTaskCount() >= 20);
 
-    // The state service alone is lost to the leader, which passes its users on; a follower ends.
+    // The state store alone is lost to the leader, which forwards its users; a follower ends.
     int leader = awaitLeader();
     int follower = (leader + 1) % CONTROLLERS;
     ROUTES.state(leader).setMode(TcpRelay.Mode.RESET);
@@ -93,7 +93,8 @@
     ROUTES.state(leader).setMode(TcpRelay.Mode.PASS);
     start(follower, Optional.empty());
 
-    // No report reaches the leader, and the others' heartbeats are held on the way to it.
+    // No heartbeat of workers reaches the leader, and the others' heartbeats are held on the way to
+    // it.
     int second = awaitLeader();
     cancel(cancelled);
     ROUTES.workers(second).setMode(TcpRelay.Mode.HOLD_REQUESTS);
--- a/src/test/java/io/cherryspool/sim/loopback/RelayedRoutes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/RelayedRoutes.java
@@ -51,7 +51,7 @@
     return relayed("workers " + controller, controller, CONTROLLER_PORT, address);
   }
 
-  /** The controller's link to the state service. */
+  /** The controller's link to the state store. */
   TcpRelay state(int controller) {
     return relays.get("state " + controller);
   }
@@ -61,7 +61,7 @@
     return relays.get("peer " + from + " " + to);
   }
 
-  /** What workers report to the controller. */
+  /** The workers' link to the controller. */
   TcpRelay workers(int controller) {
     return relays.get("workers " + controller);
   }
--- a/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The state service loses its data while tasks run, start, end and are cancelled. The users' record
- * of what they submitted and were told is kept on the side, and the rules are checked against it
+ * The state store loses its data while tasks run, start, end and are cancelled. The users' record
+ * of what they submitted and received is kept on the side, and the rules are checked against it
  * after each step.
  */
 class LostStateTest extends DirectedFaultsFixture {
@@ -34,7 +34,7 @@
     List<Job> jobs = new ArrayList<>();
     jobs.add(submit("red", 4, 4, Duration.ofSeconds(3)));
     jobs.add(submit("blue", 30, 4, Duration.ofSeconds(12)));
-    Job cancelled = submit("blue", 6, 4, LONG);
+    Job cancelled = submit("blue", 6, 4, LONG_RUN_TIME);
     jobs.add(cancelled);
     cluster.run(12 + seed % 4);
     jobs.add(submit("red", 6, 2, Duration.ofSeconds(20)));
@@ -47,7 +47,7 @@
 
   private void allIsWell(List<Job> jobs) {
     cluster.run(90);
-    allEnd(jobs);
+    assertAllEnded(jobs);
     for (Job job : jobs) {
       int done = cluster.rules().completedTaskCount(job.id());
       assertTrue(cluster.rules().isCancelRequested(job.id()) || done == job.taskCount(), job.id());
@@ -97,7 +97,7 @@
   }
 
   /**
-   * The leader accepts a job and starts its tasks, and is lost with the data before the others hear
+   * The leader accepts a job and starts its tasks, and is lost with the data before the others read
    * of it, but for an answer that may come to them late. Its tasks are left alone, its user is not
    * told that there is no such job, and submits it again.
    */
@@ -197,15 +197,15 @@
 
   /**
    * Each node has just accepted a job of which no other has heard, nor has its own copy: all of
-   * them are told to users and must be in what one of the nodes rebuilds.
+   * them are confirmed to users and must be in what one of the nodes rebuilds.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void whatEachNodeToldLastIsKept(long seed) {
     List<Job> jobs = busyCluster(seed, 3 + (int) seed % 3);
     List<Job> last = new ArrayList<>();
-    // Asked at all nodes all the time: none may answer before it knows all that was told.
-    cluster.users().storm(60);
+    // Asked at all nodes all the time: none may answer before it knows all that was confirmed.
+    cluster.users().setPollingFactor(60);
     for (SimulatedController node : cluster.nodes()) {
       Job job = cluster.jobs().create("guest", 1, 0.5, Duration.ofSeconds(3));
       cluster.users().submit(job, node.address());
@@ -224,7 +224,7 @@
 
   /**
    * The service is set back and all controllers end, so that no node remembers anything. Workers
-   * run tasks that the records have as free; only their reports tell.
+   * run tasks that the records have as free; only their heartbeats show it.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
--- a/src/test/java/io/cherryspool/sim/loststate/RepeatedStateLossTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/RepeatedStateLossTest.java
@@ -7,21 +7,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random days on which the state service loses its data again and again, among other faults. */
+/** Random runs in which the state store loses its data again and again, among other faults. */
 class RepeatedStateLossTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void theRulesHoldAndEverythingEnds(long seed) {
     new RandomizedRun(SimulatedCluster.recovering(seed, 3 + (int) seed % 3))
-        .playWithLosses(240, 240);
+        .runWithStateLosses(240, 240);
   }
 
-  /** On days of every other fault nothing is taken for a loss. */
+  /** In runs with every other fault nothing is taken for a loss. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void noOtherFaultIsTakenForALoss(long seed) {
     SimulatedCluster cluster = SimulatedCluster.recovering(seed, 3 + (int) seed % 3);
-    new RandomizedRun(cluster).play(240, 240);
+    new RandomizedRun(cluster).run(240, 240);
     assertEquals(0, cluster.state().value("c/incarnation").path("number").intValue());
   }
 }
--- a/src/test/java/io/cherryspool/sim/loststate/SnapshotRecoveryTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/SnapshotRecoveryTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The state service loses its data, and all controllers end with it: what is left is the snapshots
- * on their disks and what the workers run.
+ * The state store loses its data, and all controllers end with it: what is left is the snapshots on
+ * their disks and what the workers run.
  */
 class SnapshotRecoveryTest extends DirectedFaultsFixture {
   private static final Duration EVERY = Duration.ofSeconds(5);
@@ -64,7 +64,7 @@
     List<Job> jobs = seenBySnapshots();
     loseEverything(seed);
     cluster.run(110);
-    allEnd(jobs);
+    assertAllEnded(jobs);
     assertEquals(0, cluster.fleet().expiredLeases(), "what ran went on running");
   }
 
@@ -89,7 +89,7 @@
     cluster.users().resubmit(late);
     jobs.add(late);
     cluster.run(120);
-    allEnd(jobs);
+    assertAllEnded(jobs);
   }
 
   /** The newest snapshot is torn; the one before it is used. */
@@ -103,7 +103,7 @@
     }
     loseEverything(1);
     cluster.run(110);
-    allEnd(jobs);
+    assertAllEnded(jobs);
   }
 
   /** Only one node has its disk back; it is waited for, since it remembers most. */
@@ -119,7 +119,7 @@
       }
     }
     cluster.run(110);
-    allEnd(jobs);
+    assertAllEnded(jobs);
   }
 
   /** A class whose tasks an operator wants to be asked about is not run again unasked. */
@@ -132,7 +132,7 @@
     for (SimulatedController node : cluster.nodes()) {
       node.snapshotStore().dropWrites();
     }
-    // One machine dies with what it runs; whether that had ended, no report will tell.
+    // One machine dies with what it runs; whether that had ended, no heartbeat will show.
     cluster.fleet().killBusiest();
     cluster.run(0.2);
     int left = cluster.fleet().runningTaskCount(job);
--- a/src/test/java/io/cherryspool/sim/network/LinkFaults.java
+++ b/src/test/java/io/cherryspool/sim/network/LinkFaults.java
@@ -18,7 +18,7 @@
   public enum Mode {
     /** It is lost. */
     DROP,
-    /** Its sender is told at once that the connection is reset. */
+    /** The connection is reset, which its sender notices at once. */
     RESET,
     /** It arrives when the fault ends. */
     HOLD,
--- a/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
+++ b/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
@@ -22,37 +22,36 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The simulated network. A cut between two hosts holds requests and answers and delivers them when
- * it ends, whether or not the sender has given up; a zone may be cut off from everything outside it
- * in the same way. Now and then an answer is lost. A host may be deaf: what it sends arrives, and
- * nothing reaches it; or mute: it can't open connections, and others reach it. Copies of workers'
- * reports may come late, or be kept for the next leader. Single directions between two hosts fail
- * by {@link #linkFaults}.
+ * The simulated network. A cut between two hosts, or around a zone, holds requests and replies and
+ * delivers them when it ends, whether or not the sender has given up. Now and then a reply is lost.
+ * A host may receive nothing while what it sends arrives, or open no connection while others reach
+ * it. Heartbeats of workers may arrive again, late, or be recorded and replayed. Single directions
+ * between two hosts fail by {@link #linkFaults}.
  */
 public final class SimulatedNetwork {
-  private static final double LOST_ANSWER = 0.002;
-  private static final double COPIED = 0.02;
-  private static final int COPY_LATEST_MS = 70_000;
-  private static final int MOST_KEPT = 200;
+  private static final double LOST_REPLY_SHARE = 0.002;
+  private static final double DUPLICATED_SHARE = 0.02;
+  private static final int MAX_DUPLICATE_DELAY_MS = 70_000;
+  private static final int MAX_RECORDED = 200;
 
   private final VirtualTime time;
   private final RandomGenerator random;
   private final UnaryOperator<String> zoneOf;
   private final Map<Endpoint, Host> hosts = new HashMap<>();
-  private final Set<String> deaf = new HashSet<>();
-  private final Set<String> mute = new HashSet<>();
+  private final Set<String> withoutInbound = new HashSet<>();
+  private final Set<String> withoutOutbound = new HashSet<>();
   private final Set<String> cuts = new HashSet<>();
   private final Set<String> refused = new HashSet<>();
   private final Set<String> cutZones = new HashSet<>();
   private final LinkFaults linkFaults;
-  private final List<Request> kept = new ArrayList<>();
-  private int slowMs;
-  private boolean copies;
-  private boolean keeping;
+  private final List<Request> recorded = new ArrayList<>();
+  private int maxExtraDelayMs;
+  private boolean duplicating;
+  private boolean recording;
   private final Map<String, List<Runnable>> held = new HashMap<>();
 
-  /** Who listens at an address, and how it is reached. */
-  private record Host(RequestHandler handler, ProcessInbox gate) {}
+  /** What listens at an address, and the inbox of its process. */
+  private record Host(RequestHandler handler, ProcessInbox inbox) {}
 
   /**
    * @param zoneOf the zone of a host, empty for what no zone holds
@@ -68,19 +67,21 @@
     listen(at, handler, ProcessInbox.alwaysOpen());
   }
 
-  public void listen(Endpoint at, RequestHandler handler, ProcessInbox gate) {
-    hosts.put(at, new Host(handler, gate));
+  public void listen(Endpoint at, RequestHandler handler, ProcessInbox inbox) {
+    hosts.put(at, new Host(handler, inbox));
   }
 
+  /** Nothing listens at the address any more; requests to it fail. */
   public void close(Endpoint at) {
     hosts.remove(at);
   }
 
-  /** Faults of single directions. */
+  /** Faults of single directions between two hosts. */
   public LinkFaults linkFaults() {
     return linkFaults;
   }
 
+  /** Holds what the two hosts send each other for so long. */
   public void cut(String a, String b, Duration duration) {
     String pair = pair(a, b);
     if (cuts.add(pair)) {
@@ -88,19 +89,15 @@
     }
   }
 
-  /** What the one host asks of the other is answered 503 for so long; open watches wait. */
+  /** Requests of the one host to the other are answered 503 for so long; open watches wait. */
   public void refuseRequests(String from, String to, Duration duration) {
-    String way = way(from, to);
+    String way = from + ">" + to;
     if (refused.add(way)) {
       time.schedule(duration, () -> release(refused, way));
     }
   }
 
-  private static String way(String from, String to) {
-    return from + ">" + to;
-  }
-
-  /** The zone reaches nothing outside it and is reached by nothing; inside, all goes on. */
+  /** Cuts the zone off from everything outside it for so long. */
   public void cutZone(String zone, Duration duration) {
     if (cutZones.add(zone)) {
       time.schedule(duration, () -> release(cutZones, zone));
@@ -115,18 +112,18 @@
     }
   }
 
-  /** What a message that is worth nothing later takes from host to host; empty if it is lost. */
+  /** The extra delay of a datagram from host to host; empty if it is lost. */
   public Optional<Duration> datagramDelay(String from, String to) {
     Optional<LinkFaults.Mode> mode = linkFaults.mode(from, to);
     boolean delayed = mode.filter(LinkFaults.Mode.DELAY::equals).isPresent();
-    if (barrier(from, to) != null || mode.isPresent() && !delayed) {
+    if (cutBetween(from, to) != null || mode.isPresent() && !delayed) {
       return Optional.empty();
     }
     return Optional.of(delayed ? LinkFaults.DELAY : Duration.ZERO);
   }
 
-  /** The cut that holds what goes between the two hosts, or null. */
-  private String barrier(String a, String b) {
+  /** The cut that holds messages between the two hosts; null if there is none. */
+  private String cutBetween(String a, String b) {
     String pair = pair(a, b);
     if (cuts.contains(pair)) {
       return pair;
@@ -144,81 +141,82 @@
     return null;
   }
 
-  /** Nothing reaches the host for so long, while its own messages arrive. */
+  /** Drops what is sent to the host for so long; what it sends arrives. */
   public void dropInbound(String host, Duration duration) {
-    if (deaf.add(host)) {
-      time.schedule(duration, () -> deaf.remove(host));
+    if (withoutInbound.add(host)) {
+      time.schedule(duration, () -> withoutInbound.remove(host));
     }
   }
 
-  /** The host opens no connection for so long, while others reach it. */
-  public void mute(String host, Duration duration) {
-    if (mute.add(host)) {
-      time.schedule(duration, () -> mute.remove(host));
+  /** The host opens no connection for so long; others reach it. */
+  public void dropOutbound(String host, Duration duration) {
+    if (withoutOutbound.add(host)) {
+      time.schedule(duration, () -> withoutOutbound.remove(host));
     }
   }
 
-  /** Every message takes up to so much longer; 0 ends it. */
+  /** Each message is delayed by a random time of up to so much more; 0 for none. */
   public void setMaxExtraDelay(int millis) {
-    slowMs = millis;
+    maxExtraDelayMs = millis;
   }
 
-  /** Whether copies of reports come, from at once to well over a lease later. */
+  /** Whether some heartbeats arrive twice, the second time up to well over a lease later. */
   public void setDuplicatingHeartbeats(boolean on) {
-    copies = on;
+    duplicating = on;
   }
 
-  /** From now on a copy of some reports is kept for {@link #replayHeartbeats}. */
+  /** From now on heartbeats are recorded for {@link #replayHeartbeats}, up to a limit. */
   public void recordHeartbeats() {
-    keeping = true;
+    recording = true;
   }
 
-  /** The copies kept reach all of these, before anything that is sent from now on. */
+  /** The recorded heartbeats reach all of these now, before anything sent from now on. */
   public void replayHeartbeats(Iterable<Endpoint> all) {
     for (Endpoint each : all) {
-      for (Request request : List.copyOf(kept)) {
-        handOver(each, request);
+      for (Request request : List.copyOf(recorded)) {
+        redeliver(each, request);
       }
     }
   }
 
-  /** Keeps no copies any more, and drops those that it kept. */
+  /** Stops recording, and discards what was recorded. */
   public void discardRecordedHeartbeats() {
-    kept.clear();
-    keeping = false;
+    recorded.clear();
+    recording = false;
   }
 
-  private void handOver(Endpoint to, Request request) {
+  private void redeliver(Endpoint to, Request request) {
     Host host = hosts.get(to);
     if (host != null) {
-      host.gate.pass(() -> host.handler.handle(request));
+      host.inbox.deliver(() -> host.handler.handle(request));
     }
   }
 
-  private void maybeCopy(Endpoint to, Request request) {
+  private void recordOrDuplicate(Endpoint to, Request request) {
     boolean report = request.path().equals("/v1/report");
-    if (keeping && report && kept.size() < MOST_KEPT) {
-      kept.add(request);
+    if (recording && report && recorded.size() < MAX_RECORDED) {
+      recorded.add(request);
     }
-    if (copies && report && random.nextDouble() < COPIED) {
-      time.schedule(Duration.ofMillis(random.nextInt(COPY_LATEST_MS)), () -> handOver(to, request));
+    if (duplicating && report && random.nextDouble() < DUPLICATED_SHARE) {
+      time.schedule(
+          Duration.ofMillis(random.nextInt(MAX_DUPLICATE_DELAY_MS)), () -> redeliver(to, request));
     }
   }
 
-  /** The sockets of one host; answers reach it only as its gate lets them. */
-  public Transport from(String host, ProcessInbox gate) {
+  /** The sockets of a process on one host; replies reach it through its inbox. */
+  public Transport from(String host, ProcessInbox inbox) {
     return (to, request, deadline) -> {
       CompletableFuture<Reply> result = new CompletableFuture<>();
-      time.schedule(deadline, () -> fail(result, gate, "no answer from " + to));
-      if (mute.contains(host)) {
+      time.schedule(deadline, () -> fail(result, inbox, "no answer from " + to));
+      if (withoutOutbound.contains(host)) {
         return result;
       }
-      maybeCopy(to, request);
+      recordOrDuplicate(to, request);
       if (isReset(host, to.host())) {
-        carry(host, host, () -> fail(result, gate, "reset by " + to));
+        carry(host, host, () -> fail(result, inbox, "reset by " + to));
         return result;
       }
-      carry(host, to.host(), () -> deliver(host, to, request, result, gate));
+      carry(host, to.host(), () -> deliver(host, to, request, result, inbox));
       return result;
     };
   }
@@ -228,27 +226,27 @@
       Endpoint to,
       Request request,
       CompletableFuture<Reply> result,
-      ProcessInbox gate) {
+      ProcessInbox inbox) {
     Host host = hosts.get(to);
     if (host == null) {
-      fail(result, gate, "refused by " + to);
+      fail(result, inbox, "refused by " + to);
       return;
     }
-    if (refused.contains(way(from, to.host()))) {
+    if (refused.contains(from + ">" + to.host())) {
       Reply trouble = Reply.json(503, "{\"error\":\"trouble\"}".getBytes(StandardCharsets.UTF_8));
-      carry(to.host(), from, () -> gate.pass(() -> result.complete(trouble)));
+      carry(to.host(), from, () -> inbox.deliver(() -> result.complete(trouble)));
       return;
     }
-    host.gate.pass(
+    host.inbox.deliver(
         () ->
             host.handler
                 .handle(request)
                 .thenAccept(
                     reply -> {
                       if (isReset(to.host(), from)) {
-                        carry(from, from, () -> fail(result, gate, "reset by " + to));
-                      } else if (random.nextDouble() >= LOST_ANSWER) {
-                        answer(from, to.host(), () -> gate.pass(() -> result.complete(reply)));
+                        carry(from, from, () -> fail(result, inbox, "reset by " + to));
+                      } else if (random.nextDouble() >= LOST_REPLY_SHARE) {
+                        answer(from, to.host(), () -> inbox.deliver(() -> result.complete(reply)));
                       }
                     }));
   }
@@ -258,24 +256,25 @@
   }
 
   private void answer(String from, String to, Runnable arrival) {
-    if (refused.contains(way(from, to))) {
-      held.computeIfAbsent(way(from, to), key -> new ArrayList<>())
+    if (refused.contains(from + ">" + to)) {
+      held.computeIfAbsent(from + ">" + to, key -> new ArrayList<>())
           .add(() -> carry(to, from, arrival));
     } else {
       carry(to, from, arrival);
     }
   }
 
-  private static void fail(CompletableFuture<Reply> result, ProcessInbox gate, String why) {
-    gate.pass(() -> result.completeExceptionally(new IOException(why)));
+  private static void fail(CompletableFuture<Reply> result, ProcessInbox inbox, String why) {
+    inbox.deliver(() -> result.completeExceptionally(new IOException(why)));
   }
 
   private void carry(String from, String to, Runnable arrival) {
-    Duration delay = Duration.ofNanos(300_000 + random.nextLong(3_000_000 + slowMs * 1_000_000L));
+    Duration delay =
+        Duration.ofNanos(300_000 + random.nextLong(3_000_000 + maxExtraDelayMs * 1_000_000L));
     time.schedule(
         delay,
         () -> {
-          if (deaf.contains(to)) {
+          if (withoutInbound.contains(to)) {
             return;
           }
           LinkFaults.Mode fault = linkFaults.mode(from, to).orElse(null);
@@ -287,9 +286,9 @@
             time.schedule(held ? linkFaults.remaining(from, to) : LinkFaults.DELAY, arrival);
             return;
           }
-          String barrier = barrier(from, to);
-          if (barrier != null) {
-            held.computeIfAbsent(barrier, key -> new ArrayList<>()).add(arrival);
+          String cutBetween = cutBetween(from, to);
+          if (cutBetween != null) {
+            held.computeIfAbsent(cutBetween, key -> new ArrayList<>()).add(arrival);
           } else {
             arrival.run();
           }
--- a/src/test/java/io/cherryspool/sim/partition/FlappingLinksTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/FlappingLinksTest.java
@@ -10,7 +10,7 @@
 
 /**
  * Links that fail every few seconds, at whichever node leads. On the sources before, refusals of 3
- * s by the state service in every 6 s changed the leader with nearly every flap.
+ * s by the state store in every 6 s changed the leader with nearly every flap.
  */
 class FlappingLinksTest {
   /** The most changes of leader in a minute that flapping links may cause. */
--- a/src/test/java/io/cherryspool/sim/partition/LinkCut.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkCut.java
@@ -14,7 +14,7 @@
  */
 record LinkCut(StateLink state, boolean peers, Workers workers, Way way) {
 
-  /** The link to the state service. */
+  /** The link to the state store. */
   enum StateLink {
     UP,
     /** The service refuses this node alone. */
--- a/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
@@ -28,9 +28,9 @@
 
   /** What flaps, at whichever node leads then. */
   public enum Link {
-    /** The state service refuses the leader. */
+    /** The state store refuses the leader. */
     STATE_REFUSED,
-    /** The state service does not answer the leader; what is sent arrives later. */
+    /** The state store does not answer the leader; what is sent arrives later. */
     STATE_SILENT,
     /** No heartbeat goes between any nodes. */
     PEERS,
--- /dev/null
+++ b/src/test/java/io/cherryspool/sim/partition/NodeWithoutStateStoreTest.java
@@ -0,0 +1,92 @@
+package io.cherryspool.sim.partition;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.cherryspool.http.Request;
+import io.cherryspool.model.Job;
+import io.cherryspool.sim.cluster.DirectedFaultsFixture;
+import io.cherryspool.sim.cluster.SimulatedController;
+import io.cherryspool.sim.fakes.FakeWorker;
+import io.cherryspool.sim.time.ProcessInbox;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** What users and workers may expect of a node that does not reach the state store. */
+class NodeWithoutStateStoreTest extends DirectedFaultsFixture {
+  private static final Duration CUT = Duration.ofSeconds(12);
+
+  /** Users who send to a node that the state store refuses are served by another, through it. */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void itForwardsUsersToANodeThatReachesTheStateStore(long seed) {
+    settle(seed, 3);
+    SimulatedController node =
+        seed % 2 == 0 ? cluster.leader() : cluster.nodeAfter(cluster.leader());
+    node.refuseByStateStore(CUT);
+    cluster.run(0.5 * seed);
+    int unserved = cluster.users().unservedRequests();
+    List<Job> jobs = new ArrayList<>();
+    for (int i = 0; i < 8; i++) {
+      Job job = cluster.jobs().create("red", 1, 1, Duration.ofSeconds(2));
+      cluster.users().submit(job, node.address());
+      jobs.add(job);
+      cluster.run(0.3);
+      assertTrue(
+          cluster.state().hasKeyEndingWith("c/jobs/" + job.id()),
+          job.id() + " is accepted at once");
+    }
+    cluster.users().cancel(jobs.get(7).id(), node.address());
+    cluster.run(0.3);
+    assertTrue(cluster.rules().isCancelConfirmed(jobs.get(7).id()), "cancelled at once");
+    assertTrue(
+        cluster.users().unservedRequests() - unserved <= 1, "one may meet the first refusal");
+    cluster.run(40);
+    assertAllEnded(jobs);
+  }
+
+  /** It knows the leader by the heartbeats between controllers. */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void itRedirectsWorkersToTheLeaderThatItsPeersName(long seed) {
+    settle(seed, 3);
+    SimulatedController leader = cluster.leader();
+    SimulatedController node = cluster.nodeAfter(leader);
+    node.cutFromStateStore(CUT);
+    cluster.run(8);
+    FakeWorker worker = cluster.workers().iterator().next();
+    List<String> answers = new ArrayList<>();
+    cluster
+        .network()
+        .from(worker.machine().host(), ProcessInbox.alwaysOpen())
+        .send(node.address(), Request.post("/v1/report", worker.heartbeatBody()), CUT)
+        .thenAccept(reply -> answers.add(new String(reply.body(), StandardCharsets.UTF_8)));
+    cluster.run(0.5);
+    assertEquals(1, answers.size());
+    assertTrue(answers.get(0).contains(leader.name()), answers.get(0));
+  }
+
+  /** Or two nodes that take each other for healthy would forward a request back and forth. */
+  @ParameterizedTest
+  @ValueSource(strings = {"", "?forwarded"})
+  void aForwardedRequestIsNotForwardedAgain(String mark) {
+    settle(1, 3);
+    Job job = submit("red", 1, 1, LONG_RUN_TIME);
+    awaitRunning(job, 1);
+    SimulatedController node = cluster.leader();
+    node.refuseByStateStore(CUT);
+    cluster.run(4);
+    List<Integer> answers = new ArrayList<>();
+    cluster
+        .network()
+        .from("user", ProcessInbox.alwaysOpen())
+        .send(node.address(), Request.get("/api/jobs/" + job.id() + mark), CUT)
+        .thenAccept(reply -> answers.add(reply.status()));
+    cluster.run(2);
+    assertEquals(List.of(mark.isEmpty() ? 200 : 503), answers);
+  }
+}
--- a/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
@@ -3,15 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.cherryspool.http.Request;
 import io.cherryspool.model.Job;
 import io.cherryspool.sim.cluster.DirectedFaultsFixture;
 import io.cherryspool.sim.cluster.SimulatedCluster;
 import io.cherryspool.sim.cluster.SimulatedController;
-import io.cherryspool.sim.fakes.FakeWorker;
 import io.cherryspool.sim.network.LinkFaults;
-import io.cherryspool.sim.time.ProcessInbox;
-import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -41,7 +37,7 @@
   /** Work for which a second start or a lost answer would show. */
   private List<Job> work() {
     Job longer = submit("blue", 12, 4, Duration.ofSeconds(30));
-    Job cancelled = submit("red", 6, 4, LONG);
+    Job cancelled = submit("red", 6, 4, LONG_RUN_TIME);
     awaitRunning(longer, 6);
     awaitRunning(cancelled, 2);
     cluster.run(8);
@@ -63,7 +59,7 @@
     }
     cluster.schedule(3, () -> jobs.add(submit("red", 4, 2, Duration.ofSeconds(4))));
     cluster.run(100);
-    allEnd(jobs);
+    assertAllEnded(jobs);
     long changes = cluster.state().value("c/term").path("term").longValue() - terms;
     assertTrue(changes <= FOR_THE_CUT + failing, changes + " changes of leader");
     assertTrue(cluster.currentLeader().isPresent(), "somebody leads");
@@ -106,11 +102,11 @@
         cluster.nodeAfter(cluster.nodeAfter(leader)).crash(Duration.ofSeconds(5));
       }
       cluster.run(110);
-      allEnd(jobs);
+      assertAllEnded(jobs);
     }
   }
 
-  /** With an outage of the state service, and late copies of reports, in the middle of the cut. */
+  /** With an outage of the state store, and late copies of heartbeats, in the middle of the cut. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void aCutMeetsAnOutageAndLateCopies(long seed) {
@@ -128,20 +124,20 @@
     cluster.users().cancel(jobs.get(1).id());
     cluster.network().setDuplicatingHeartbeats(false);
     cluster.run(110);
-    allEnd(jobs);
+    assertAllEnded(jobs);
   }
 
   /**
-   * A leader that reaches the state service and none of its workers takes none of them for dead: no
-   * machine with tasks is deleted, none is rented in its place, and no task loses its lease. With
+   * A leader that reaches the state store and none of its workers takes none of them for dead: no
+   * machine with tasks is deleted, none is added in its place, and no task loses its lease. With
    * the hold of the fleet taken out of PartitionRule, machines are deleted.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void aLeaderDeletesAndRentsNothingOnItsOwnSilence(long seed) {
+  void aLeaderDeletesAndAddsNoMachineOnItsOwnSilence(long seed) {
     settle(seed, 3);
     List<Job> jobs = work();
-    // Nothing waits, so that nothing is to be rented for.
+    // Nothing waits, so that no machine is to be added.
     awaitRunning(jobs.get(0), 12);
     awaitRunning(jobs.get(1), 6);
     List<String> busy =
@@ -161,14 +157,14 @@
     for (String machine : busy) {
       assertTrue(cluster.cloud().isRunning(machine), machine + " is deleted");
     }
-    assertEquals(added, cluster.cloud().machinesAdded(), "machines are rented");
+    assertEquals(added, cluster.cloud().machinesAdded(), "machines are added");
     assertEquals(leases, cluster.fleet().expiredLeases(), "leases");
     cluster.users().cancel(jobs.get(1).id());
     cluster.run(90);
-    allEnd(jobs);
+    assertAllEnded(jobs);
   }
 
-  /** A leader that the state service alone does not answer records nothing, and says so. */
+  /** A leader that the state store alone does not answer records nothing, and says so. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void aLeaderWithoutTheStateServiceHoldsPlacing(long seed) {
@@ -185,13 +181,15 @@
     assertEquals("serve", cluster.leader().verdict().orElseThrow().name());
   }
 
-  /** A zone that nobody hears waits for its leases, and its return starts nothing twice. */
+  /**
+   * A zone from which no heartbeat comes waits for its leases, and its return starts nothing twice.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void aZoneThatNobodyHearsIsHeld(long seed) {
+  void aZoneWithoutHeartbeatsIsHeld(long seed) {
     settle(seed, 3);
     List<Job> jobs = new ArrayList<>();
-    jobs.add(submit("blue", 20, 4, LONG));
+    jobs.add(submit("blue", 20, 4, LONG_RUN_TIME));
     awaitRunning(jobs.get(0), 16);
     cluster.run(8);
     SimulatedController leader = cluster.leader();
@@ -211,36 +209,7 @@
     }
     cluster.users().cancel(jobs.get(0).id());
     cluster.run(60);
-    allEnd(jobs);
-  }
-
-  /** Users who come to a node that the state service refuses are served by another, through it. */
-  @ParameterizedTest
-  @ValueSource(longs = {1, 2, 3, 4})
-  void aNodeThatIsRefusedPassesItsUsersOn(long seed) {
-    settle(seed, 3);
-    SimulatedController node =
-        seed % 2 == 0 ? cluster.leader() : cluster.nodeAfter(cluster.leader());
-    node.refuseByStateStore(CUT);
-    cluster.run(0.5 * seed);
-    int unserved = cluster.users().unservedRequests();
-    List<Job> jobs = new ArrayList<>();
-    for (int i = 0; i < 8; i++) {
-      Job job = cluster.jobs().create("red", 1, 1, Duration.ofSeconds(2));
-      cluster.users().submit(job, node.address());
-      jobs.add(job);
-      cluster.run(0.3);
-      assertTrue(
-          cluster.state().hasKeyEndingWith("c/jobs/" + job.id()),
-          job.id() + " is accepted at once");
-    }
-    cluster.users().cancel(jobs.get(7).id(), node.address());
-    cluster.run(0.3);
-    assertTrue(cluster.rules().isCancelConfirmed(jobs.get(7).id()), "cancelled at once");
-    assertTrue(
-        cluster.users().unservedRequests() - unserved <= 1, "one may meet the first refusal");
-    cluster.run(40);
-    allEnd(jobs);
+    assertAllEnded(jobs);
   }
 
   /**
@@ -249,63 +218,19 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void aLeaderCutOffAsItIsElectedMakesWay(long seed) {
+  void aLeaderCutOffAsItIsElectedHandsLeadershipOver(long seed) {
     settle(seed, 3);
     List<Job> jobs = work();
     long leases = cluster.fleet().expiredLeases();
     SimulatedController old = cluster.leader();
     old.crash(Duration.ofMillis(500));
-    for (int i = 0; i < 1000 && cluster.leaderOtherThan(old).isEmpty(); i++) {
-      cluster.run(0.01);
-    }
-    SimulatedController next = cluster.leaderOtherThan(old).orElseThrow();
+    SimulatedController next = awaitLeaderOtherThan(old, 0.01);
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(40));
     cluster.run(14);
     assertTrue(cluster.leaderOtherThan(next).isPresent(), "another leads");
     assertEquals(leases, cluster.fleet().expiredLeases(), "leases");
     cluster.users().cancel(jobs.get(1).id());
     cluster.run(90);
-    allEnd(jobs);
-  }
-
-  /** A node without the state service knows the leader by its heartbeats. */
-  @ParameterizedTest
-  @ValueSource(longs = {1, 2, 3})
-  void aNodeWithoutTheStateServiceNamesTheLeaderToWorkers(long seed) {
-    settle(seed, 3);
-    SimulatedController leader = cluster.leader();
-    SimulatedController node = cluster.nodeAfter(leader);
-    node.cutFromStateStore(CUT);
-    cluster.run(8);
-    FakeWorker worker = cluster.workers().iterator().next();
-    List<String> answers = new ArrayList<>();
-    cluster
-        .network()
-        .from(worker.machine().host(), ProcessInbox.alwaysOpen())
-        .send(node.address(), Request.post("/v1/report", worker.heartbeatBody()), CUT)
-        .thenAccept(reply -> answers.add(new String(reply.body(), StandardCharsets.UTF_8)));
-    cluster.run(0.5);
-    assertEquals(1, answers.size());
-    assertTrue(answers.get(0).contains(leader.name()), answers.get(0));
-  }
-
-  /** Two nodes that take each other for well would pass a request to and fro. */
-  @ParameterizedTest
-  @ValueSource(strings = {"", "?forwarded"})
-  void aRequestThatWasPassedOnIsNotPassedOnAgain(String mark) {
-    settle(1, 3);
-    Job job = submit("red", 1, 1, LONG);
-    awaitRunning(job, 1);
-    SimulatedController node = cluster.leader();
-    node.refuseByStateStore(CUT);
-    cluster.run(4);
-    List<Integer> answers = new ArrayList<>();
-    cluster
-        .network()
-        .from("user", ProcessInbox.alwaysOpen())
-        .send(node.address(), Request.get("/api/jobs/" + job.id() + mark), CUT)
-        .thenAccept(reply -> answers.add(reply.status()));
-    cluster.run(2);
-    assertEquals(List.of(mark.isEmpty() ? 200 : 503), answers);
+    assertAllEnded(jobs);
   }
 }
--- a/src/test/java/io/cherryspool/sim/partition/RandomVerdictsTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/RandomVerdictsTest.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * No verdict on links can break a rule, whatever it is: on random days of faults of every kind the
- * nodes obey verdicts drawn by chance, which know nothing of their links. Leases, terms, tokens and
- * deletions alone have to hold; the rules are checked after each step, and all work ends.
+ * No verdict on links can break a rule, whatever it is: in random runs with faults of every kind
+ * the nodes obey verdicts drawn by chance, which know nothing of their links. Leases, terms, tokens
+ * and deletions alone have to hold; the rules are checked after each step, and all work ends.
  */
 class RandomVerdictsTest {
   private static final int ONE_IN = 12;
 
-  /** Once the troubles are over verdicts are right again, so that work can end. */
+  /** Once the faults are over verdicts are right again, so that work can end. */
   private static final double TROUBLES = 240;
 
   /** Verdicts by chance, each of which holds for some seconds. */
@@ -69,10 +69,9 @@
   }
 
   private static void play(long seed) {
-    RandomizedRun simulation =
-        new RandomizedRun(SimulatedCluster.withVerdicts(seed, new ByChance(seed)));
-    simulation.play(TROUBLES, 260);
-    assertTrue(simulation.cluster().rules().startCount() > 50);
+    RandomizedRun run = new RandomizedRun(SimulatedCluster.withVerdicts(seed, new ByChance(seed)));
+    run.run(TROUBLES, 260);
+    assertTrue(run.cluster().rules().startCount() > 50);
   }
 
   @ParameterizedTest
--- a/src/test/java/io/cherryspool/sim/time/ProcessInbox.java
+++ b/src/test/java/io/cherryspool/sim/time/ProcessInbox.java
@@ -6,50 +6,53 @@
 import java.util.Random;
 
 /**
- * Everything that reaches a process passes here: its timers, what comes from the network, the
- * answers to its calls. A process that has ended lets nothing in any more; one that stands still
- * takes in all that came meanwhile when it goes on, in any order.
+ * The events that reach a simulated process: its timers, messages from the network, answers to its
+ * requests. Events of a process that has ended are dropped; those of a frozen one are kept until it
+ * is resumed.
  */
 public final class ProcessInbox {
-  private final List<Runnable> held = new ArrayList<>();
-  private boolean still;
-  private boolean isClosed;
+  private final List<Runnable> heldEvents = new ArrayList<>();
+  private boolean frozen;
+  private boolean closed;
 
-  /** A host that neither ends nor stands still, as far as the simulation goes. */
+  /** The inbox of a host that the simulation neither ends nor freezes. */
   public static ProcessInbox alwaysOpen() {
     return new ProcessInbox();
   }
 
   public boolean isClosed() {
-    return isClosed;
+    return closed;
   }
 
-  public void pass(Runnable event) {
-    if (isClosed) {
+  /** Runs the event now, later or never, as the state of the process demands. */
+  public void deliver(Runnable event) {
+    if (closed) {
       return;
     }
-    if (still) {
-      held.add(event);
+    if (frozen) {
+      heldEvents.add(event);
     } else {
       event.run();
     }
   }
 
+  /** The process ends. */
   public void close() {
-    isClosed = true;
-    held.clear();
+    closed = true;
+    heldEvents.clear();
   }
 
+  /** The process does nothing until {@link #resume}, while time goes on. */
   public void freeze() {
-    still = true;
+    frozen = true;
   }
 
-  /** Goes on; the seed says what is taken in first. */
+  /** Runs the events that were kept, in an order that the seed decides. */
   public void resume(long seed) {
-    still = false;
-    List<Runnable> late = new ArrayList<>(held);
-    held.clear();
-    Collections.shuffle(late, new Random(seed));
-    late.forEach(this::pass);
+    frozen = false;
+    List<Runnable> events = new ArrayList<>(heldEvents);
+    heldEvents.clear();
+    Collections.shuffle(events, new Random(seed));
+    events.forEach(this::deliver);
   }
 }
--- a/src/test/java/io/cherryspool/sim/time/VirtualTime.java
+++ b/src/test/java/io/cherryspool/sim/time/VirtualTime.java
@@ -4,11 +4,11 @@
 import java.time.Duration;
 import java.util.PriorityQueue;
 
-/** Simulated time: events run in order of time, then of their making. */
+/** Simulated time. Events run in order of their time, and then in that of their scheduling. */
 public final class VirtualTime implements EventLoop {
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private long nanos;
-  private long made;
+  private long scheduledCount;
 
   private static final class Event implements Comparable<Event> {
     private final long at;
@@ -32,18 +32,19 @@
     return Duration.ofNanos(nanos);
   }
 
+  /** The time since the start, in seconds. */
   public double seconds() {
     return nanos / 1e9;
   }
 
   @Override
   public Timer schedule(Duration delay, Runnable task) {
-    Event event = new Event(nanos + Math.max(0, delay.toNanos()), made++, task);
+    Event event = new Event(nanos + Math.max(0, delay.toNanos()), scheduledCount++, task);
     events.add(event);
     return () -> event.task = null;
   }
 
-  /** Runs the next event; if there is none before the end, it is the end, and false. */
+  /** Runs the next event; if there is none by the end, sets the time to the end, and is false. */
   public boolean runNextEvent(Duration end) {
     Event next = events.peek();
     if (next == null || next.at > end.toNanos()) {
@@ -59,10 +60,10 @@
   }
 
   /**
-   * A process's view of time: what it scheduled dies with it, and waits while it stands still; the
-   * clock goes on.
+   * The event loop of one process: its timers go through its inbox, so that they end with it and
+   * wait while it is frozen.
    */
-  public EventLoop eventLoopOf(ProcessInbox gate) {
+  public EventLoop eventLoopOf(ProcessInbox inbox) {
     return new EventLoop() {
       @Override
       public Duration now() {
@@ -76,7 +77,7 @@
             VirtualTime.this.schedule(
                 delay,
                 () ->
-                    gate.pass(
+                    inbox.deliver(
                         () -> {
                           if (!cancelled[0]) {
                             task.run();
