--- a/src/test/java/io/cherryspool/sim/driver/CostDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostDriver.java
@@ -194,7 +194,7 @@
     int number = ++jobCount;
     String id = LoadGenerator.jobId(number);
     Job unplaceable = LoadGenerator.job(id, RECORD_CHANGES + 1, List.of("none"));
-    load.write(Records.jobKey(id), Records.jobKey(unplaceable, RECORD_CHANGES + 1));
+    load.write(Records.jobKey(id), Records.encodeJob(unplaceable, RECORD_CHANGES + 1));
     meter.pause(SETTLE_TIME);
     meter.measure(
         "progress record changed",
@@ -202,7 +202,7 @@
         RECORD_CHANGES,
         () ->
             load.atRate(RECORD_CHANGES, RECORD_CHANGES_PER_S, i -> load.writeProgress(number, i)));
-    load.write(Records.outcomeKey(id), Records.outcomeKey(Outcome.CANCELLED));
+    load.write(Records.outcomeKey(id), Records.encodeOutcome(Outcome.CANCELLED));
     meter.pause(SETTLE_TIME);
   }
 
