--- a/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
+++ b/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
@@ -53,9 +53,7 @@
   /** What listens at an address, and the inbox of its process. */
   private record Host(RequestHandler handler, ProcessInbox inbox) {}
 
-  /**
-   * @param zoneOf the zone of a host, empty for what no zone holds
-   */
+  /** The function answers the zone of a host, empty for what is in none. */
   public SimulatedNetwork(VirtualTime time, RandomGenerator random, UnaryOperator<String> zoneOf) {
     this.time = time;
     this.linkFaults = new LinkFaults(time);
