--- a/src/test/java/io/cherryspool/sim/loopback/PartitionLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/loopback/PartitionLoopbackTest.java
@@ -82,7 +82,16 @@
     String cancelled = submit(6, 60);
     until("tasks run", () -> cluster.fleet().runningTaskCount() >= 20);
 
-    // The state store alone is lost to the leader, which forwards its users; a follower ends.
+    loseStateStoreAtTheLeaderAsAFollowerEnds();
+    cutTheLeaderFromWorkersAndPeersAndEndIt(cancelled);
+    flapTheLeadersLink();
+    until("all jobs have ended", this::allEnded);
+    checkAnswers();
+    awaitAllUp();
+  }
+
+  /** The state store alone is lost to the leader, which forwards its users. */
+  private void loseStateStoreAtTheLeaderAsAFollowerEnds() throws Exception {
     int leader = awaitLeader();
     int follower = (leader + 1) % CONTROLLERS;
     ROUTES.state(leader).setMode(TcpRelay.Mode.RESET);
@@ -92,41 +101,40 @@
     pollFor(3);
     ROUTES.state(leader).setMode(TcpRelay.Mode.PASS);
     start(follower, Optional.empty());
+  }
 
-    // No heartbeat of workers reaches the leader, and the others' heartbeats are held on the way to
-    // it.
-    int second = awaitLeader();
+  /** No worker's heartbeat reaches the leader, and those of its peers are held on the way. */
+  private void cutTheLeaderFromWorkersAndPeersAndEndIt(String cancelled) throws Exception {
+    int leader = awaitLeader();
     cancel(cancelled);
-    ROUTES.workers(second).setMode(TcpRelay.Mode.HOLD_REQUESTS);
-    for (int i = 0; i < CONTROLLERS; i++) {
-      if (i != second) {
-        ROUTES.peer(i, second).setMode(TcpRelay.Mode.HOLD_REQUESTS);
-      }
-    }
+    setInboundMode(leader, TcpRelay.Mode.HOLD_REQUESTS);
     submit(8, 6);
     pollFor(5);
-    kill(second);
+    kill(leader);
     pollFor(2);
-    ROUTES.workers(second).setMode(TcpRelay.Mode.PASS);
+    setInboundMode(leader, TcpRelay.Mode.PASS);
+    start(leader, Optional.empty());
+  }
+
+  private void setInboundMode(int node, TcpRelay.Mode mode) {
+    ROUTES.workers(node).setMode(mode);
     for (int i = 0; i < CONTROLLERS; i++) {
-      if (i != second) {
-        ROUTES.peer(i, second).setMode(TcpRelay.Mode.PASS);
+      if (i != node) {
+        ROUTES.peer(i, node).setMode(mode);
       }
     }
-    start(second, Optional.empty());
+  }
 
-    // The link of whoever leads flaps.
+  /** The state store's replies to whichever node leads are held again and again. */
+  private void flapTheLeadersLink() throws Exception {
     submit(10, 5);
     for (int i = 0; i < 4; i++) {
-      int now = Math.max(0, leader());
-      ROUTES.state(now).setMode(TcpRelay.Mode.HOLD_ANSWERS);
+      int leader = Math.max(0, leader());
+      ROUTES.state(leader).setMode(TcpRelay.Mode.HOLD_ANSWERS);
       pollFor(1);
-      ROUTES.state(now).setMode(TcpRelay.Mode.PASS);
+      ROUTES.state(leader).setMode(TcpRelay.Mode.PASS);
       pollFor(1);
     }
-    until("all jobs have ended", this::allEnded);
-    checkAnswers();
-    awaitAllUp();
   }
 
   private void awaitAllUp() throws InterruptedException {
