--- a/src/test/java/io/cherryspool/sim/check/RuleCheckerTest.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleCheckerTest.java
@@ -12,15 +12,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** That the checks of the simulation can fail: each is told of what it must not let pass. */
+/** That each check of the simulation can fail: it receives what it must not let pass. */
 class RuleCheckerTest {
   private final SimulatedCluster cluster = SimulatedCluster.of(1, 3);
   private final RuleChecker rules = cluster.rules();
 
   private Job accepted(int tasks) {
-    Job job = cluster.job("blue", tasks, 4, Duration.ofSeconds(20));
-    rules.submitted(job);
-    rules.accepted(job.id());
+    Job job = cluster.jobs().create("blue", tasks, 4, Duration.ofSeconds(20));
+    rules.jobSubmitted(job);
+    rules.jobAccepted(job.id());
     return job;
   }
 
@@ -29,34 +29,34 @@
     assertTrue(error.getMessage().startsWith(rule + ":"), error.getMessage());
   }
 
-  private void told(Job job, String status) {
-    rules.told(job.id(), status, cluster.time().now());
+  private void receive(Job job, String status) {
+    rules.statusReceived(job.id(), status, cluster.time().now());
   }
 
   @Test
   void anEndThatIsTakenBackOrWasNeverReached() {
-    told(accepted(1), "done");
+    receive(accepted(1), "done");
     breaks("not_done");
   }
 
   @Test
   void aDoneJobThatRunsAgain() {
     Job job = accepted(1);
-    rules.finished(job.id() + "/0");
-    told(job, "done");
-    told(job, "running");
+    rules.taskCompleted(job.id() + "/0");
+    receive(job, "done");
+    receive(job, "running");
     breaks("went_back");
   }
 
   @Test
   void aCancelThatNobodyAskedFor() {
-    told(accepted(1), "withdrawn");
+    receive(accepted(1), "withdrawn");
     breaks("went_back");
   }
 
   @Test
   void anAcceptedJobThatIsNotFound() {
-    told(accepted(1), "404");
+    receive(accepted(1), "404");
     breaks("forgotten");
   }
 
@@ -65,21 +65,21 @@
     Duration asked = cluster.time().now();
     cluster.run(1);
     Job job = accepted(1);
-    rules.told(job.id(), "404", asked);
+    rules.statusReceived(job.id(), "404", asked);
     rules.check(cluster.workers());
   }
 
-  /** Unanswered for 75 s after the troubles, and not a second less. */
+  /** Unanswered for 75 s after the faults, and not a second less. */
   @Test
-  void aJobThatNobodyAnswersForAfterTheTroubles() {
+  void aJobThatNobodyAnswersForAfterTheFaults() {
     accepted(1);
     cluster.run(200);
-    rules.quietFrom(cluster.time().now());
+    rules.setFaultsEndedAt(cluster.time().now());
     cluster.run(75);
-    rules.checkQuiet(cluster.workers());
+    rules.checkProgress(cluster.workers());
     rules.check(cluster.workers());
     cluster.run(0.1);
-    rules.checkQuiet(cluster.workers());
+    rules.checkProgress(cluster.workers());
     breaks("forgotten");
   }
 
@@ -87,16 +87,16 @@
   @Test
   void aJobThatIsLeftWaitingAlthoughThereIsRoom() {
     cluster.run(25);
-    Job keeps = cluster.job("red", 1, 4, Duration.ofSeconds(400));
+    Job keeps = cluster.jobs().create("red", 1, 4, Duration.ofSeconds(400));
     cluster.users().submit(keeps);
     Job left = accepted(1);
-    rules.quietFrom(cluster.time().now());
+    rules.setFaultsEndedAt(cluster.time().now());
     for (int i = 0; i <= 90; i++) {
-      told(left, "pending");
-      rules.checkQuiet(cluster.workers());
+      receive(left, "pending");
+      rules.checkProgress(cluster.workers());
       cluster.run(1);
     }
-    rules.checkQuiet(cluster.workers());
+    rules.checkProgress(cluster.workers());
     assertEquals(1, cluster.workers().size(), "one machine, with room for three more");
     breaks("left_waiting");
   }
@@ -104,8 +104,8 @@
   @Test
   void anAcceptedJobWithoutAnEnd() {
     Job other = accepted(1);
-    rules.finished(other.id() + "/0");
-    rules.checkServed();
+    rules.taskCompleted(other.id() + "/0");
+    rules.checkAllServed();
     breaks("nothing_ran");
   }
 
@@ -119,28 +119,28 @@
     cluster.run(30);
     FakeWorker machine = anyMachine();
     for (Job job : jobs.subList(2, 11)) {
-      rules.started(machine, job.id() + "/0", List.of());
+      rules.taskStarted(machine, job.id() + "/0", List.of());
     }
     cluster.run(220);
-    jobs.subList(0, 2).forEach(job -> rules.started(machine, job.id() + "/0", List.of()));
+    jobs.subList(0, 2).forEach(job -> rules.taskStarted(machine, job.id() + "/0", List.of()));
     for (Job job : jobs) {
       for (int i = 0; i < job.taskCount(); i++) {
-        rules.finished(job.id() + "/" + i);
+        rules.taskCompleted(job.id() + "/" + i);
       }
-      told(job, "done");
+      receive(job, "done");
     }
-    rules.checkServed();
+    rules.checkAllServed();
     breaks("largest_late");
   }
 
   @Test
   void startsAfterACancelAreCounted() {
     Job job = accepted(1);
-    rules.cancelAsked(job.id());
-    told(job, "withdrawn");
+    rules.cancelRequested(job.id());
+    receive(job, "withdrawn");
     cluster.run(5);
-    rules.started(anyMachine(), job.id() + "/0", List.of());
-    assertEquals(1, rules.startsAfterCancel());
+    rules.taskStarted(anyMachine(), job.id() + "/0", List.of());
+    assertEquals(1, rules.startCountAfterCancel());
   }
 
   private FakeWorker anyMachine() {
--- a/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
@@ -20,7 +20,12 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** A stand-in for the cloud: rents machines, boots workers on them, and tells of them late. */
+/**
+ * A working cloud without real machines: it starts and deletes instances, boots workers on them,
+ * and lists them as they were some seconds ago. It can be down.
+ *
+ * <p>All methods must be called on the event loop.
+ */
 public final class FakeCloud implements RequestHandler {
   private static final int PORT = 9000;
 
@@ -47,25 +52,48 @@
   private boolean down;
   private boolean fast;
 
-  /** A rented machine. */
+  /** An instance that the cloud has started, from the request on. */
   public static final class Machine {
-    public final String name;
-    public final String host;
-    public final MachineType type;
-    public final String zone;
-    public final boolean spot;
-    final Duration since;
-    boolean up;
-
-    Machine(String name, String host, MachineType type, String zone, boolean spot, Duration now) {
+    private final String name;
+    private final String host;
+    private final MachineType type;
+    private final String zone;
+    private final boolean spot;
+    private final Duration requestedAt;
+    private boolean up;
+
+    private Machine(
+        String name, String host, MachineType type, String zone, boolean spot, Duration now) {
       this.name = name;
       this.host = host;
       this.type = type;
       this.zone = zone;
       this.spot = spot;
-      this.since = now;
+      this.requestedAt = now;
+    }
+
+    public String name() {
+      return name;
+    }
+
+    /** Its address without the port. */
+    public String host() {
+      return host;
+    }
+
+    public MachineType type() {
+      return type;
     }
 
+    public String zone() {
+      return zone;
+    }
+
+    public boolean isSpot() {
+      return spot;
+    }
+
+    /** Where its worker listens. */
     public String address() {
       return host + ":" + PORT;
     }
@@ -103,6 +131,12 @@
     return machines.values().stream().filter(machine -> machine.up).toList();
   }
 
+  /** Whether the cloud has this machine up, as far as it knows. */
+  public boolean isRunning(String name) {
+    Machine machine = machines.get(name);
+    return machine != null && machine.up;
+  }
+
   /** The cloud takes a machine away. */
   public void reclaim(String name) {
     Machine machine = machines.remove(name);
@@ -121,7 +155,7 @@
     return machinesDeleted;
   }
 
-  /** How many machines they have rented, or the test has added. */
+  /** How many machines the controllers have requested, or the test has added. */
   public int machinesAdded() {
     return count;
   }
@@ -129,7 +163,8 @@
   @Override
   public CompletableFuture<Reply> handle(Request request) {
     if (down) {
-      return FakeStateStore.completedReply(503, Json.object().put("error", "trouble"));
+      return CompletableFuture.completedFuture(
+          Reply.json(503, Json.toBytes(Json.object().put("error", "trouble"))));
     }
     CompletableFuture<Reply> result = new CompletableFuture<>();
     loop.schedule(Duration.ofMillis(50 + random.nextLong(200)), () -> answer(request, result));
@@ -219,7 +254,7 @@
           .put("yard", machine.zone)
           .put("loaners", machine.spot)
           .put("status", machine.up ? "running" : "booting")
-          .put("held_s", loop.now().minus(machine.since).toMillis() / 1e3);
+          .put("held_s", loop.now().minus(machine.requestedAt).toMillis() / 1e3);
     }
     loop.schedule(LIST_LAG, () -> listed = list);
   }
--- a/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.cherryspool.model.Job;
@@ -19,20 +18,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Where two troubles meet, each brought about on purpose. The rules are checked after every step;
- * each test says besides that the meeting came about, and what users may expect of it.
+ * Where two faults meet, each injected on purpose. The rules are checked after every event; each
+ * test says besides that the meeting came about, and what users may expect of it.
  */
 class CombinedFaultsTest extends DirectedFaultsFixture {
 
-  /** Submissions, cancels, ends, rounds and elections are carried out; nobody is told so. */
+  /** Submissions, cancels, ends, rounds and elections are carried out, and no answer says so. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void allTransactionsAreCarriedOutAndTheirAnswersLost(long seed) {
     settle(seed, 3);
     List<Job> jobs = new ArrayList<>();
-    cluster.users().lookClosely(true);
+    cluster.users().setCloseWatch(true);
     jobs.add(submit("red", 4, 4, Duration.ofSeconds(6)));
-    Job cancelled = submit("blue", 6, 4, LONG);
+    Job cancelled = submit("blue", 6, 4, LONG_RUN_TIME);
     jobs.add(cancelled);
     cluster.run(8);
     cluster.state().loseReplies(1);
@@ -42,14 +41,14 @@
     SimulatedController old = cluster.leader();
     old.crash(Duration.ofSeconds(20));
     cluster.run(9);
-    assertNotEquals(old.name(), cluster.leader().name(), "elected though nobody heard so");
+    assertNotEquals(old.name(), cluster.leader().name(), "elected though no answer said so");
     assertNotNull(
         cluster.state().value("c/outcomes/" + cancelled.id()), "the cancel was carried out");
     cluster.run(6);
     cluster.state().loseReplies(0);
     cluster.run(60);
-    allEnd(jobs);
-    assertNotNull(cluster.rules().cancelTold(cancelled.id()));
+    assertAllEnded(jobs);
+    assertTrue(cluster.rules().isCancelConfirmed(cancelled.id()));
   }
 
   /**
@@ -62,19 +61,19 @@
   void aTeamAtItsLimitLosesMachinesAndItsLeaderAsItsJobsAreCancelled(long seed) {
     settle(seed, 3);
     // The limit of red is 64 processors.
-    Job first = submit("red", 16, 4, LONG);
-    for (int i = 0; i < 60 && cluster.runningTaskCount(first) < 16; i++) {
+    Job first = submit("red", 16, 4, LONG_RUN_TIME);
+    for (int i = 0; i < 60 && cluster.fleet().runningTaskCount(first) < 16; i++) {
       cluster.run(1);
     }
-    assertEquals(16, cluster.runningTaskCount(first), "the team is at its limit");
+    assertEquals(16, cluster.fleet().runningTaskCount(first), "the team is at its limit");
     Job second = submit("red", 8, 4, Duration.ofSeconds(10));
     cluster.run(2);
-    List<FakeWorker> lost = cluster.workersRunning(first).stream().limit(2).toList();
+    List<FakeWorker> lost = cluster.fleet().workersRunning(first).stream().limit(2).toList();
     SimulatedController old = cluster.leader();
     for (SimulatedController node : cluster.nodes()) {
       cluster
           .network()
-          .cut(node.address().host(), lost.get(0).machine().host, Duration.ofSeconds(40));
+          .cut(node.address().host(), lost.get(0).machine().host(), Duration.ofSeconds(40));
     }
     lost.get(1).hang(Duration.ofSeconds(seed % 2 == 0 ? 10 : 30));
     cluster.run(0.2);
@@ -82,12 +81,13 @@
     cluster.run(0.1 * seed);
     old.crash(Duration.ofMillis(300 + 500 * seed));
     cluster.run(16);
-    assertNotNull(cluster.rules().cancelTold(first.id()));
+    assertTrue(cluster.rules().isCancelConfirmed(first.id()));
     assertTrue(
-        cluster.runningTaskCount(second) + cluster.rules().doneTasks(second.id()) == 8,
+        cluster.fleet().runningTaskCount(second) + cluster.rules().completedTaskCount(second.id())
+            == 8,
         "what is proved free is used");
     cluster.run(75);
-    allEnd(List.of(first, second));
+    assertAllEnded(List.of(first, second));
   }
 
   /** Cancels in the seconds in which the leadership is transferred, through every node. */
@@ -97,7 +97,7 @@
     settle(seed, 3 + (int) seed % 3);
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      jobs.add(submit(i % 2 == 0 ? "red" : "blue", 2, 3, LONG));
+      jobs.add(submit(i % 2 == 0 ? "red" : "blue", 2, 3, LONG_RUN_TIME));
     }
     cluster.run(25);
     SimulatedController old = cluster.leader();
@@ -106,7 +106,8 @@
     } else {
       cluster.cutLeaderFromWorkers(Duration.ofSeconds(30));
     }
-    // The leader makes way after about 10 s, and one that ended is replaced after 1 to 5 s.
+    // The leader hands leadership over after about 10 s, and one that ended is replaced after 1 to
+    // 5 s.
     double from = seed % 2 == 0 ? 0 : 7;
     for (int i = 0; i < jobs.size(); i++) {
       Job job = jobs.get(i);
@@ -118,8 +119,8 @@
         seed % 2 == 0 ? null : old.name(), cluster.leader().name(), "the work changed hands");
     cluster.run(40);
     for (Job job : jobs) {
-      assertNotNull(cluster.rules().cancelTold(job.id()), "the cancel was confirmed");
-      assertEquals(List.of(), cluster.workersRunning(job));
+      assertTrue(cluster.rules().isCancelConfirmed(job.id()), "the cancel was confirmed");
+      assertEquals(List.of(), cluster.fleet().workersRunning(job));
     }
   }
 
@@ -143,13 +144,13 @@
     cluster.run(15);
     cluster.state().delayCommits(0);
     cluster.run(75);
-    allEnd(jobs);
+    assertAllEnded(jobs);
   }
 
-  /** Old reports, of machines that ran other tasks then, are the first that a new leader hears. */
+  /** Old heartbeats, of machines that ran other tasks then, are the first a new leader receives. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void oldReportsReachEveryControllerJustAsANewLeaderBegins(long seed) {
+  void oldHeartbeatsReachEveryControllerJustAsANewLeaderBegins(long seed) {
     settle(seed, 3);
     List<Job> jobs = new ArrayList<>();
     jobs.add(submit("red", 8, 4, Duration.ofSeconds(4)));
@@ -169,19 +170,20 @@
                     .forEach(
                         wait ->
                             cluster.schedule(
-                                wait / 1e3, () -> cluster.network().replayHeartbeats(addresses())));
+                                wait / 1e3,
+                                () -> cluster.network().replayHeartbeats(controllerAddresses())));
               }
             });
     cluster.leader().crash(Duration.ofMillis(300));
     cluster.run(12);
-    assertTrue(copies[0] > 0, "a new leader began and heard them");
+    assertTrue(copies[0] > 0, "a new leader began and received them");
     cluster.run(80);
-    allEnd(jobs);
+    assertAllEnded(jobs);
   }
 
   /**
    * One-task jobs come four a second for two minutes, a quarter of them cancelled, and the state
-   * service takes 25 changes a second. All are served or told when to come back.
+   * service takes 25 changes a second. All are served, or answered when to retry.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -194,7 +196,10 @@
       cluster.schedule(
           i / 4.0,
           () -> {
-            Job job = cluster.job(number % 2 == 0 ? "red" : "blue", 1, 1, Duration.ofSeconds(3));
+            Job job =
+                cluster
+                    .jobs()
+                    .create(number % 2 == 0 ? "red" : "blue", 1, 1, Duration.ofSeconds(3));
             jobs.add(job);
             cluster.users().submit(job);
             if (number % 4 == 0) {
@@ -203,38 +208,40 @@
           });
     }
     cluster.run(60);
-    int startsMidway = cluster.rules().starts();
+    int startsMidway = cluster.rules().startCount();
     assertTrue(startsMidway > 120, "starts are not starved: " + startsMidway);
     cluster.run(75);
-    cluster.rules().quietFrom(cluster.time().now());
+    cluster.rules().setFaultsEndedAt(cluster.time().now());
     assertEquals(480, jobs.size());
-    allEnd(jobs);
-    cluster.rules().checkServed();
+    assertAllEnded(jobs);
+    cluster.rules().checkAllServed();
     cluster.run(1);
   }
 
-  /** Two tasks end far apart, with another leader each time, and a copy of the first's report. */
+  /**
+   * Two tasks end far apart, with another leader each time, and a copy of the first's heartbeat.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void tasksOfOneJobEndFarApartAcrossChangesOfLeader(long seed) {
     settle(seed, 3);
-    Job job = cluster.job("blue", 3, 8, Duration.ofSeconds(20));
+    Job job = cluster.jobs().create("blue", 3, 8, Duration.ofSeconds(20));
     cluster.users().submit(job);
     cluster.run(16);
-    FakeWorker slow = cluster.workersRunning(job).get(0);
+    FakeWorker slow = cluster.fleet().workersRunning(job).get(0);
     slow.hang(Duration.ofSeconds(14));
     cluster.network().recordHeartbeats();
-    while (cluster.rules().doneTasks(job.id()) == 0) {
+    while (cluster.rules().completedTaskCount(job.id()) == 0) {
       cluster.run(0.05);
     }
     cluster.run(0.1 * seed);
     cluster.leader().crash(Duration.ofMillis(200));
     cluster.run(6);
-    cluster.network().replayHeartbeats(addresses());
-    assertFalse(cluster.rules().doneTasks(job.id()) == 3, "one is still to end");
+    cluster.network().replayHeartbeats(controllerAddresses());
+    assertFalse(cluster.rules().completedTaskCount(job.id()) == 3, "one is still to end");
     cluster.leader().crash(Duration.ofMillis(200));
     cluster.run(60);
-    assertTrue(cluster.rules().ended(job.id()));
-    assertNull(cluster.rules().cancelTold(job.id()));
+    assertTrue(cluster.rules().hasEnded(job.id()));
+    assertFalse(cluster.rules().isCancelConfirmed(job.id()));
   }
 }
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackFixture.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackFixture.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Controllers as processes of their own and a few dozen stand-in workers, on real sockets of this
+ * Controllers as processes of their own and a few dozen fake workers, on real sockets of this
  * machine, with users whose record of their jobs' answers is kept here.
  */
 abstract class LoopbackFixture {
@@ -105,7 +105,7 @@
                 cluster
                     .ask(LoopbackNodes.name(number), request)
                     .whenComplete((reply, failure) -> answer.complete(reply)));
-    return LoopbackCluster.await(answer);
+    return EventLoopCalls.await(answer);
   }
 
   String submit(int tasks, double seconds) throws InterruptedException {
@@ -126,10 +126,10 @@
 
   private Job newJob(int tasks, double seconds) {
     String id = String.format("req-%06d", jobs.size() + 1);
-    // The stand-in workers run a task for half of the estimate and up to 4 s more.
+    // The fake workers run a task for half of the estimate and up to 4 s more.
     Job job = LoopbackCluster.job(id, tasks, 2, Duration.ofMillis((long) (seconds * 2000)));
     jobs.put(id, job);
-    cluster.loop().execute(() -> cluster.addJobDescription(job));
+    cluster.loop().execute(() -> cluster.fleet().addJobDescription(job));
     return job;
   }
 
@@ -200,9 +200,9 @@
 
   /** No task was on two machines, no answer is lost, and each has the end that it must have. */
   void checkAnswers() {
-    assertEquals(Set.of(), cluster.tasksStartedTwice());
-    Map<String, Integer> completed = cluster.completions();
-    boolean leasesHeld = cluster.expiredLeases() == 0;
+    assertEquals(Set.of(), cluster.fleet().tasksStartedTwice());
+    Map<String, Integer> completed = cluster.fleet().completions();
+    boolean leasesHeld = cluster.fleet().expiredLeases() == 0;
     jobs.forEach(
         (id, job) -> {
           assertEquals(cancelled.contains(id) ? "withdrawn" : "done", ends.get(id), id);
--- a/src/test/java/io/cherryspool/sim/loopback/LostStateLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LostStateLoopbackTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Five controllers as processes of their own and a few dozen stand-in workers, on real sockets of
- * this machine. The state service's data is deleted while work runs, once under the controllers and
- * once together with all of them; each job's answers are held against a record kept here.
+ * Five controllers as processes of their own and a few dozen fake workers, on real sockets of this
+ * machine. The state store's data is deleted while work runs, once under the controllers and once
+ * together with all of them; each job's answers are held against a record kept here.
  */
 class LostStateLoopbackTest extends LoopbackFixture {
   private static final int SERVICES = 81;
@@ -45,7 +45,7 @@
     submit(4, 0.5);
     submit(40, 14);
     String first = submit(8, 60);
-    until("tasks run", () -> cluster.runningTaskCount() >= 20);
+    until("tasks run", () -> cluster.fleet().runningTaskCount() >= 20);
     cancel(first);
     submit(6, 9);
     pollFor(3);
@@ -64,7 +64,7 @@
     startControllers(operators);
     submit(4, 1);
     until("all jobs have ended", this::allEnded);
-    assertEquals(0, cluster.expiredLeases(), "no worker lost its tasks");
+    assertEquals(0, cluster.fleet().expiredLeases(), "no worker lost its tasks");
     checkAnswers();
   }
 }
--- a/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The state service loses its data while tasks run, start, end and are cancelled. The users' record
- * of what they submitted and were told is kept on the side, and the rules are checked against it
+ * The state store loses its data while tasks run, start, end and are cancelled. The users' record
+ * of what they submitted and received is kept on the side, and the rules are checked against it
  * after each step.
  */
 class LostStateTest extends DirectedFaultsFixture {
@@ -34,7 +34,7 @@
     List<Job> jobs = new ArrayList<>();
     jobs.add(submit("red", 4, 4, Duration.ofSeconds(3)));
     jobs.add(submit("blue", 30, 4, Duration.ofSeconds(12)));
-    Job cancelled = submit("blue", 6, 4, LONG);
+    Job cancelled = submit("blue", 6, 4, LONG_RUN_TIME);
     jobs.add(cancelled);
     cluster.run(12 + seed % 4);
     jobs.add(submit("red", 6, 2, Duration.ofSeconds(20)));
@@ -47,9 +47,9 @@
 
   private void allIsWell(List<Job> jobs) {
     cluster.run(90);
-    allEnd(jobs);
+    assertAllEnded(jobs);
     for (Job job : jobs) {
-      int done = cluster.rules().doneTasks(job.id());
+      int done = cluster.rules().completedTaskCount(job.id());
       assertTrue(cluster.rules().isCancelRequested(job.id()) || done == job.taskCount(), job.id());
     }
   }
@@ -63,7 +63,7 @@
     assertNotNull(cluster.state().value("c/incarnation"));
     assertEquals(1, cluster.state().value("c/incarnation").path("number").intValue());
     assertTrue(cluster.currentLeader().isPresent(), "somebody leads again");
-    assertEquals(0, cluster.expiredLeases(), "no worker lost its tasks meanwhile");
+    assertEquals(0, cluster.fleet().expiredLeases(), "no worker lost its tasks meanwhile");
     assertTrue(
         cluster.state().value("c/incarnation").path("complete").asBoolean(),
         "the one that led rebuilds, so that nothing has to be waited for");
@@ -97,7 +97,7 @@
   }
 
   /**
-   * The leader accepts a job and starts its tasks, and is lost with the data before the others hear
+   * The leader accepts a job and starts its tasks, and is lost with the data before the others read
    * of it, but for an answer that may come to them late. Its tasks are left alone, its user is not
    * told that there is no such job, and submits it again.
    */
@@ -111,10 +111,10 @@
       cluster.nodes().stream()
           .filter(node -> node != leader)
           .forEach(node -> node.cutFromStateStore(Duration.ofMillis(2500)));
-      Job lost = cluster.job("guest", 6, 0.25, Duration.ofSeconds(70));
+      Job lost = cluster.jobs().create("guest", 6, 0.25, Duration.ofSeconds(70));
       cluster.users().submit(lost, leader.address());
       cluster.run(2.2);
-      int running = cluster.runningTaskCount(lost);
+      int running = cluster.fleet().runningTaskCount(lost);
       assertTrue(running > 0, "its tasks run");
       cluster.state().loseAllData();
       leader.crash(Duration.ofSeconds(30));
@@ -125,7 +125,7 @@
         cluster.state().loseAllData();
       }
       cluster.run(15);
-      assertTrue(cluster.runningTaskCount(lost) >= running, "its tasks run on");
+      assertTrue(cluster.fleet().runningTaskCount(lost) >= running, "its tasks run on");
       unknown += cluster.state().hasKeyEndingWith("/unknown/" + lost.id()) ? 1 : 0;
       jobs.add(lost);
       // Another job may have been accepted through the leader alone: a cut-off node passes it on.
@@ -197,17 +197,17 @@
 
   /**
    * Each node has just accepted a job of which no other has heard, nor has its own copy: all of
-   * them are told to users and must be in what one of the nodes rebuilds.
+   * them are confirmed to users and must be in what one of the nodes rebuilds.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void whatEachNodeToldLastIsKept(long seed) {
     List<Job> jobs = busyCluster(seed, 3 + (int) seed % 3);
     List<Job> last = new ArrayList<>();
-    // Asked at all nodes all the time: none may answer before it knows all that was told.
-    cluster.users().storm(60);
+    // Asked at all nodes all the time: none may answer before it knows all that was confirmed.
+    cluster.users().setPollingFactor(60);
     for (SimulatedController node : cluster.nodes()) {
-      Job job = cluster.job("guest", 1, 0.5, Duration.ofSeconds(3));
+      Job job = cluster.jobs().create("guest", 1, 0.5, Duration.ofSeconds(3));
       cluster.users().submit(job, node.address());
       last.add(job);
     }
@@ -224,7 +224,7 @@
 
   /**
    * The service is set back and all controllers end, so that no node remembers anything. Workers
-   * run tasks that the records have as free; only their reports tell.
+   * run tasks that the records have as free; only their heartbeats show it.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
@@ -234,14 +234,14 @@
     Job job = submit("blue", 60, 4, Duration.ofSeconds(6 + seed % 5));
     cluster.run(6);
     FakeStateStore.Backup saved = cluster.state().backup();
-    int started = cluster.rules().starts();
+    int started = cluster.rules().startCount();
     cluster.run(4 + seed % 6);
-    assertTrue(cluster.rules().starts() > started, "tasks were started meanwhile");
+    assertTrue(cluster.rules().startCount() > started, "tasks were started meanwhile");
     cluster.state().restore(saved);
     for (SimulatedController node : cluster.nodes()) {
       node.crash(Duration.ofMillis(200 + 300 * (seed % 4)));
     }
     cluster.run(150);
-    assertTrue(cluster.rules().ended(job.id()));
+    assertTrue(cluster.rules().hasEnded(job.id()));
   }
 }
--- a/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
@@ -28,9 +28,9 @@
 
   /** What flaps, at whichever node leads then. */
   public enum Link {
-    /** The state service refuses the leader. */
+    /** The state store refuses the leader. */
     STATE_REFUSED,
-    /** The state service does not answer the leader; what is sent arrives later. */
+    /** The state store does not answer the leader; what is sent arrives later. */
     STATE_SILENT,
     /** No heartbeat goes between any nodes. */
     PEERS,
@@ -84,14 +84,14 @@
             cluster.cloud().machinesDeleted() - deleted);
     cluster.run(QUIET);
     for (Job job : jobs) {
-      if (!cluster.rules().ended(job.id())) {
+      if (!cluster.rules().hasEnded(job.id())) {
         throw new AssertionError(job.id() + " has no end");
       }
     }
     return new Cost(
         cost.changes,
         cost.mostInAMinute,
-        cluster.rules().starts() - tasks,
+        cluster.rules().startCount() - tasks,
         cost.unserved,
         cost.added,
         cost.deleted);
@@ -102,7 +102,8 @@
       return;
     }
     cluster.schedule(4, this::arrive);
-    Job job = cluster.job(jobs.size() % 2 == 0 ? "red" : "blue", 4, 3, Duration.ofSeconds(12));
+    Job job =
+        cluster.jobs().create(jobs.size() % 2 == 0 ? "red" : "blue", 4, 3, Duration.ofSeconds(12));
     jobs.add(job);
     tasks += job.taskCount();
     cluster.users().submit(job);
