--- a/src/main/java/io/cherryspool/controller/LeaderTerms.java
+++ b/src/main/java/io/cherryspool/controller/LeaderTerms.java
@@ -30,6 +30,8 @@
   private LeaderTerm current;
 
   /**
+   * Creates the leader terms.
+   *
    * @param newTerm makes the leader of the records' current term, without starting it
    */
   LeaderTerms(
--- a/src/main/java/io/cherryspool/controller/PeerHeartbeats.java
+++ b/src/main/java/io/cherryspool/controller/PeerHeartbeats.java
@@ -21,6 +21,8 @@
   private final Optional<RecoveryModule> recovery;
 
   /**
+   * Creates the peer heartbeats.
+   *
    * @param clientAddress where this node answers users' requests
    */
   PeerHeartbeats(
--- a/src/main/java/io/cherryspool/controller/api/JobRoutes.java
+++ b/src/main/java/io/cherryspool/controller/api/JobRoutes.java
@@ -26,6 +26,8 @@
   private final Meters meters;
 
   /**
+   * Creates the job routes.
+   *
    * @param forwarder empty if requests are not to be forwarded
    */
   public JobRoutes(
--- a/src/main/java/io/cherryspool/controller/api/LinksApi.java
+++ b/src/main/java/io/cherryspool/controller/api/LinksApi.java
@@ -31,6 +31,8 @@
   public record Observations(Duration now, LinkSummary own, ReachabilityMatrix matrix) {}
 
   /**
+   * Creates the links API.
+   *
    * @param node the name of this node
    * @param peers the names of the other nodes, in the order of the answer
    */
--- a/src/main/java/io/cherryspool/controller/api/NodeApi.java
+++ b/src/main/java/io/cherryspool/controller/api/NodeApi.java
@@ -26,6 +26,8 @@
   private final Optional<RecoveryModule> recovery;
 
   /**
+   * Creates the node API.
+   *
    * @param recovery empty on a node that doesn't look for lost records
    */
   public NodeApi(
--- a/src/main/java/io/cherryspool/controller/api/RequestForwarder.java
+++ b/src/main/java/io/cherryspool/controller/api/RequestForwarder.java
@@ -31,6 +31,8 @@
   private int nextIndex;
 
   /**
+   * Creates the request forwarder.
+   *
    * @param peers the latest heartbeats of the other nodes, without those too old to count
    */
   public RequestForwarder(Transport transport, Supplier<List<Mesh.PeerHeartbeat>> peers) {
--- a/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
+++ b/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
@@ -24,6 +24,8 @@
   private final boolean hasPeers;
 
   /**
+   * Creates the state store health.
+   *
    * @param recovery empty on a node that doesn't look for lost records
    * @param hasPeers whether there are other nodes
    */
--- a/src/main/java/io/cherryspool/controller/api/SubmissionValidator.java
+++ b/src/main/java/io/cherryspool/controller/api/SubmissionValidator.java
@@ -24,6 +24,8 @@
   private final int maxRecordBytes;
 
   /**
+   * Creates the submission validator.
+   *
    * @param teams the known teams by name
    * @param machineTypes the machine types; null while they are not known
    * @param maxRecordBytes the state store's limit on the size of a value
--- a/src/main/java/io/cherryspool/controller/api/UserApi.java
+++ b/src/main/java/io/cherryspool/controller/api/UserApi.java
@@ -30,6 +30,8 @@
   private final int failureCap;
 
   /**
+   * Creates the user API.
+   *
    * @param isBehindPeers whether other nodes read the state store while this one does not
    * @param failureCap the failures of one task after which it counts as failing
    */
--- a/src/main/java/io/cherryspool/controller/api/WorkerApi.java
+++ b/src/main/java/io/cherryspool/controller/api/WorkerApi.java
@@ -30,6 +30,8 @@
   private final Meters meters;
 
   /**
+   * Creates the worker API.
+   *
    * @param nodeName the name of this node
    * @param recovery empty on a node that doesn't look for lost records
    */
--- a/src/main/java/io/cherryspool/controller/election/Election.java
+++ b/src/main/java/io/cherryspool/controller/election/Election.java
@@ -43,6 +43,8 @@
   private EventLoop.Timer timer;
 
   /**
+   * Creates the election.
+   *
    * @param self the process that is to lead
    * @param reachability decides how long leases are and how long a candidate waits
    */
--- a/src/main/java/io/cherryspool/controller/election/StateStoreLease.java
+++ b/src/main/java/io/cherryspool/controller/election/StateStoreLease.java
@@ -10,6 +10,8 @@
   private boolean isRenewing;
 
   /**
+   * Creates the state store lease.
+   *
    * @param requestSentAt when the request that was answered by this lease was sent, on the event
    *     loop's clock
    */
--- a/src/main/java/io/cherryspool/controller/metrics/RecoveryMeters.java
+++ b/src/main/java/io/cherryspool/controller/metrics/RecoveryMeters.java
@@ -16,6 +16,8 @@
   private final SnapshotWriter snapshots;
 
   /**
+   * Creates the recovery meters.
+   *
    * @param snapshots null if none are taken
    */
   public RecoveryMeters(Recovery recovery, ClusterRecords records, SnapshotWriter snapshots) {
--- a/src/main/java/io/cherryspool/controller/ownership/Ownership.java
+++ b/src/main/java/io/cherryspool/controller/ownership/Ownership.java
@@ -47,6 +47,8 @@
   private Listener listener;
 
   /**
+   * Creates the ownership.
+   *
    * @param records are followed from {@link #start} to {@link #stop}
    */
   public Ownership(ClusterRecords records) {
--- a/src/main/java/io/cherryspool/controller/provisioning/InstanceList.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/InstanceList.java
@@ -37,6 +37,8 @@
   private Duration completeSince;
 
   /**
+   * Creates the instance list.
+   *
    * @param onRead is run after each complete reading
    */
   InstanceList(EventLoop loop, CloudCallSlot calls, Fleet fleet, Runnable onRead) {
--- a/src/main/java/io/cherryspool/controller/provisioning/InstanceRequests.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/InstanceRequests.java
@@ -45,6 +45,8 @@
   private record Request(String name, ScalingPlan.Offering offering, int count) {}
 
   /**
+   * Creates the instance requests.
+   *
    * @param namePrefix makes the names of this term's requests unlike those of any other
    * @param listLag how far the cloud's list may be behind
    */
--- a/src/main/java/io/cherryspool/controller/provisioning/MachineTypeCatalog.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/MachineTypeCatalog.java
@@ -40,6 +40,8 @@
   private EventLoop.Timer timer;
 
   /**
+   * Creates the machine type catalog.
+   *
    * @param isLeader whether this node may record the machine types
    */
   public MachineTypeCatalog(
--- a/src/main/java/io/cherryspool/controller/provisioning/Provisioner.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/Provisioner.java
@@ -81,6 +81,8 @@
       BooleanSupplier mayChangeFleet) {}
 
   /**
+   * Creates the provisioner.
+   *
    * @param onListRead is run after each complete reading of the cloud's list
    */
   public Provisioner(
--- a/src/main/java/io/cherryspool/controller/recovery/ElectionClusterNode.java
+++ b/src/main/java/io/cherryspool/controller/recovery/ElectionClusterNode.java
@@ -23,6 +23,8 @@
   private boolean hasWorkerShownToken;
 
   /**
+   * Creates the election cluster node.
+   *
    * @param heartbeatsByNode the latest heartbeats of the other nodes
    * @param heartbeatLifetime how long after its receipt a heartbeat counts
    * @param onServingChanged called when the records can be relied on again, or no longer
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
@@ -47,6 +47,8 @@
   private final Optional<SnapshotWriter> snapshots;
 
   /**
+   * Creates the recovery API.
+   *
    * @param snapshots empty if none are taken
    */
   RecoveryApi(
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
@@ -48,6 +48,8 @@
       InstantSource clock) {}
 
   /**
+   * Creates the recovery module.
+   *
    * @param target where snapshots go; empty if none are taken
    * @param snapshotInterval how often they are taken
    */
--- a/src/main/java/io/cherryspool/controller/release/TerminationEvidence.java
+++ b/src/main/java/io/cherryspool/controller/release/TerminationEvidence.java
@@ -24,6 +24,8 @@
   private final Duration termStart;
 
   /**
+   * Creates the termination evidence.
+   *
    * @param termStart when the leader's term began, by the event loop
    */
   public TerminationEvidence(
--- a/src/test/java/io/cherryspool/sim/check/RuleChecker.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleChecker.java
@@ -35,6 +35,8 @@
   private int startCountAfterCancel;
 
   /**
+   * Creates the rule checker.
+   *
    * @param cancelLimit the tasks of a cancelled job are gone so long after the confirmation
    */
   public RuleChecker(VirtualTime time, Collection<Team> teams, Duration cancelLimit) {
--- a/src/test/java/io/cherryspool/sim/cluster/ClusterSettings.java
+++ b/src/test/java/io/cherryspool/sim/cluster/ClusterSettings.java
@@ -60,6 +60,8 @@
   private final OperatorSettings operatorSettings;
 
   /**
+   * Creates the cluster settings.
+   *
    * @param recovery how nodes rebuild lost records; empty if they don't
    */
   ClusterSettings(int controllers, double stateWritesPerS, Optional<RecoverySettings> recovery) {
--- a/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
@@ -20,6 +20,8 @@
   private final Runnable guests;
 
   /**
+   * Creates the fault injector.
+   *
    * @param end when the last may begin, in seconds
    * @param guests brings work of a team without a guarantee
    */
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedFleet.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedFleet.java
@@ -28,6 +28,8 @@
   private final Map<String, FakeWorker> workers = new TreeMap<>();
 
   /**
+   * Creates the simulated fleet.
+   *
    * @param random from which each worker splits its own as it boots
    * @param controllers addresses by name; may be filled in later than this, before a machine boots
    */
--- a/src/test/java/io/cherryspool/sim/cluster/StateLossInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/StateLossInjector.java
@@ -25,6 +25,8 @@
   private final Deque<FakeStateStore.Backup> saved = new ArrayDeque<>();
 
   /**
+   * Creates the state loss injector.
+   *
    * @param end when the last may begin, in seconds
    */
   StateLossInjector(SimulatedCluster cluster, double end) {
--- a/src/test/java/io/cherryspool/sim/driver/ControllerLogs.java
+++ b/src/test/java/io/cherryspool/sim/driver/ControllerLogs.java
@@ -8,6 +8,8 @@
   private final List<ControllerProcess> controllers;
 
   /**
+   * Creates the controller logs.
+   *
    * @param controllers read at each call, so that a process may be added or removed
    */
   ControllerLogs(List<ControllerProcess> controllers) {
--- a/src/test/java/io/cherryspool/sim/driver/CostMeter.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostMeter.java
@@ -22,6 +22,8 @@
   }
 
   /**
+   * Creates the cost meter.
+   *
    * @param controllers the processes, the leader first
    */
   CostMeter(List<ControllerProcess> controllers, LoopbackFleet fleet, CostReport report) {
--- a/src/test/java/io/cherryspool/sim/driver/LoadGenerator.java
+++ b/src/test/java/io/cherryspool/sim/driver/LoadGenerator.java
@@ -28,6 +28,8 @@
   private final Duration settleTime;
 
   /**
+   * Creates the load generator.
+   *
    * @param node the node that users' requests are sent to
    * @param settleTime how long to wait at the end of each load, so that its effects are measured
    */
--- a/src/test/java/io/cherryspool/sim/fakes/FakeStateStore.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeStateStore.java
@@ -64,6 +64,8 @@
   }
 
   /**
+   * Creates the fake state store.
+   *
    * @param unansweredShare the share of transactions that are applied, maybe late, and never
    *     answered
    */
--- a/src/test/java/io/cherryspool/sim/fakes/WatchQueue.java
+++ b/src/test/java/io/cherryspool/sim/fakes/WatchQueue.java
@@ -20,6 +20,8 @@
   private record Watch(long after, String prefix, CompletableFuture<Reply> reply) {}
 
   /**
+   * Creates the watch queue.
+   *
    * @param isDown whether the state store is down, so that no watch is answered
    */
   WatchQueue(EventLoop loop, KeyValueStore store, BooleanSupplier isDown) {
--- a/src/test/java/io/cherryspool/sim/fakes/WorkerTasks.java
+++ b/src/test/java/io/cherryspool/sim/fakes/WorkerTasks.java
@@ -34,6 +34,8 @@
   private boolean failing;
 
   /**
+   * Creates the worker tasks.
+   *
    * @param failureShare the share of tasks that fail for no reason of the job's or the machine's
    */
   WorkerTasks(FakeWorker worker, RandomGenerator random, Workload workload, double failureShare) {
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackCluster.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackCluster.java
@@ -61,6 +61,8 @@
   private final LoopbackFleet fleet;
 
   /**
+   * Creates the loopback cluster.
+   *
    * @param services the second part of the loopback addresses of services and controllers; the
    *     workers have the one after it
    */
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackNodes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackNodes.java
@@ -35,6 +35,8 @@
   public record Services(Endpoint state, Endpoint cloud) {}
 
   /**
+   * Creates the loopback nodes.
+   *
    * @param network the first three parts of the nodes' addresses, with a dot; the last one is 1 for
    *     the first node
    * @param port for users and workers; {@code port + 1} is for the other nodes
--- a/src/test/java/io/cherryspool/sim/loopback/RelayedRoutes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/RelayedRoutes.java
@@ -16,6 +16,8 @@
   private final Map<String, TcpRelay> relays = new HashMap<>();
 
   /**
+   * Creates the relayed routes.
+   *
    * @param network the first three parts of the relays' addresses, with a dot
    */
   RelayedRoutes(String network) {
