--- a/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
+++ b/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
@@ -74,8 +74,8 @@
     Optional<Duration> peersRead =
         reachability.matrix().latestStateRead(timings.stateStoreLease(), loop.now());
     return ownRead == null
-        || peersRead.isPresent()
-            && peersRead.get().minus(ownRead).compareTo(timings.staleReadLag()) > 0;
+        || (peersRead.isPresent()
+            && peersRead.get().minus(ownRead).compareTo(timings.staleReadLag()) > 0);
   }
 
   /** Whether the state store may not answer this node, so that another serves users better. */
--- a/src/main/java/io/cherryspool/controller/election/NodeLeases.java
+++ b/src/main/java/io/cherryspool/controller/election/NodeLeases.java
@@ -80,7 +80,7 @@
 
   /** Whether the lease with this number is the current one or the replacement. */
   boolean isHeld(long leaseId) {
-    return current != null && current.id() == leaseId || isReplacement(leaseId);
+    return (current != null && current.id() == leaseId) || isReplacement(leaseId);
   }
 
   /** Whether the lease with this number is the replacement. */
--- a/src/main/java/io/cherryspool/controller/leader/FailoverReconciliation.java
+++ b/src/main/java/io/cherryspool/controller/leader/FailoverReconciliation.java
@@ -76,7 +76,7 @@
     Duration listCompleteAt = termStart.plus(Durations.multiply(listLag, 2));
     boolean areLeasesExpired = now.compareTo(leasesExpiredAt) > 0;
     boolean isAllKnown =
-        areLeasesExpired || provisioner.isListReadSince(listCompleteAt) && isEveryMachineFenced();
+        areLeasesExpired || (provisioner.isListReadSince(listCompleteAt) && isEveryMachineFenced());
     if (isAllKnown && state.tasks().adoption().isAllRecorded()) {
       LOG.info(
           "failover after a loss of state: reconciled what ran, ms={}, complete by {}",
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
@@ -161,7 +161,7 @@
       return completed(error(400, e.getMessage()));
     }
     boolean isRepeat = decision.equals("repeat");
-    if (!UserProtocol.isJobId(id) || !isRepeat && !decision.equals("abandon")) {
+    if (!UserProtocol.isJobId(id) || (!isRepeat && !decision.equals("abandon"))) {
       return completed(error(400, "job must be a job's id, and decision repeat or abandon"));
     }
     return records
--- a/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
+++ b/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
@@ -25,7 +25,7 @@
  */
 public final class DemandEstimator {
   /** Over how long arrivals are averaged: a few large jobs must not look like a lasting change. */
-  private static final Duration ARRIVAL_WINDOW = Duration.ofSeconds(300);
+  private static final Duration ARRIVAL_WINDOW = Duration.ofMinutes(5);
 
   /** Short enough that machines are not kept for work which has ceased to come. */
   private static final Duration RECENT_WINDOW = Duration.ofSeconds(90);
--- a/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
+++ b/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
@@ -219,7 +219,7 @@
             task < end && !isFull();
             task = shard.nextNotDone(task + 1)) {
           PendingReleases.Release release = releases.get(task);
-          if (shard.ownedAttempt(task) == null || release != null && !release.isDone()) {
+          if (shard.ownedAttempt(task) == null || (release != null && !release.isDone())) {
             addFree(task, shard.history(task), release);
           }
         }
--- a/src/main/java/io/cherryspool/controller/rounds/MachineViewCache.java
+++ b/src/main/java/io/cherryspool/controller/rounds/MachineViewCache.java
@@ -23,7 +23,7 @@
  */
 final class MachineViewCache {
   /** For so long a job whose task failed on a machine is not placed there again. */
-  private static final Duration FAILED_JOB_EXCLUSION = Duration.ofSeconds(120);
+  private static final Duration FAILED_JOB_EXCLUSION = Duration.ofMinutes(2);
 
   private final FencingTokenSource tokens;
   private final Fleet fleet;
--- a/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
@@ -122,7 +122,7 @@
               if (kind == StateStoreException.Kind.RATE_LIMITED) {
                 rateLimiter.drain();
               }
-              if (kind == StateStoreException.Kind.OUTCOME_UNKNOWN || unanswered && refused) {
+              if (kind == StateStoreException.Kind.OUTCOME_UNKNOWN || (unanswered && refused)) {
                 loop.schedule(RETRY_DELAY, () -> sendAgain(transaction, round));
                 return;
               }
--- a/src/main/java/io/cherryspool/scheduler/BinPool.java
+++ b/src/main/java/io/cherryspool/scheduler/BinPool.java
@@ -108,6 +108,7 @@
    *
    * @param zone the zone, null for all zones
    */
+  @SuppressWarnings("JdkObsolete") // callers remove bins from its middle while they iterate
   List<Bin> rank(Job job, String zone) {
     List<Bin> result = new ArrayList<>();
     for (Bin bin : bins) {
@@ -118,7 +119,6 @@
       }
     }
     result.sort(Comparator.comparingDouble(Bin::score));
-    // Callers remove bins while they iterate.
     return new LinkedList<>(result);
   }
 
@@ -169,7 +169,7 @@
       int room = entry.getValue();
       if (best == null
           || room > mostRoom
-          || room == mostRoom && entry.getKey().compareTo(best) < 0) {
+          || (room == mostRoom && entry.getKey().compareTo(best) < 0)) {
         best = entry.getKey();
         mostRoom = room;
       }
--- a/src/main/java/io/cherryspool/scheduler/ScaleOutPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/ScaleOutPlanner.java
@@ -56,7 +56,7 @@
     while (left > 0) {
       Optional<Offering> best = fleet.cheapestOffering(job, Set.of());
       if (best.isEmpty()
-          || !isOverdue && demand.demandOn(selector).cpus(costWeight(best.get())) <= cpus) {
+          || (!isOverdue && demand.demandOn(selector).cpus(costWeight(best.get())) <= cpus)) {
         return;
       }
       left = fleet.placeOnRequested(job, left, best.get());
--- a/src/main/java/io/cherryspool/store/GroupCommit.java
+++ b/src/main/java/io/cherryspool/store/GroupCommit.java
@@ -140,7 +140,7 @@
         continue;
       }
       if (group.size() == limit
-          || !group.isEmpty() && bytes + pending.bytes > MAX_TRANSACTION_BYTES) {
+          || (!group.isEmpty() && bytes + pending.bytes > MAX_TRANSACTION_BYTES)) {
         break;
       }
       group.add(pending);
--- a/src/main/java/io/cherryspool/store/IncarnationRecords.java
+++ b/src/main/java/io/cherryspool/store/IncarnationRecords.java
@@ -61,7 +61,7 @@
   boolean isSuperseded() {
     // Only the first incarnation's prefix covers the identity record; after a rebuild it is among
     // the keys only if it has changed meanwhile.
-    return hasOtherIdentity || !hasIdentity && keySpace.incarnation().number() == 0;
+    return hasOtherIdentity || (!hasIdentity && keySpace.incarnation().number() == 0);
   }
 
   /** The records by their keys as {@link Records} names them, without the bundles. */
--- a/src/main/java/io/cherryspool/store/RateLimiter.java
+++ b/src/main/java/io/cherryspool/store/RateLimiter.java
@@ -171,9 +171,9 @@
     // writes per second, and an indivisible one of more changes than the class is ever left. Both
     // pass once the bucket is full.
     return before == 0
-        && (changes == 1 && availableWrites >= Math.max(1, reserved)
-            || changes > maxTransactionChanges(writeClass)
-                && availableWrites >= FULL_FRACTION * writeBucketSize);
+        && ((changes == 1 && availableWrites >= Math.max(1, reserved))
+            || (changes > maxTransactionChanges(writeClass)
+                && availableWrites >= FULL_FRACTION * writeBucketSize));
   }
 
   /** Acquires a request that must not be delayed, even beyond this node's share. */
