--- a/src/test/java/io/cherryspool/controller/release/CrashLoopBackoffTest.java
+++ b/src/test/java/io/cherryspool/controller/release/CrashLoopBackoffTest.java
@@ -76,7 +76,7 @@
     assertFalse(backoff.isCrashLooping(entry));
   }
 
-  /** A new leader has only the records, in which lapses count as failures as well. */
+  /** A new leader has only the records, in which expired leases count as failures as well. */
   @Test
   void aNewLeaderTakesWhatFailedInAllItsTriesForACrashLoop() {
     assertTrue(backoff.isCrashLooping(recorded(1, 1, 1)));
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
@@ -20,7 +20,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The users: they submit, poll and cancel through any node, retry when a node tells them to, and
+ * The users: they submit, poll and cancel through any node, retry when a node asks them to, and
  * report all they receive to the {@link RuleChecker}.
  */
 public final class SimulatedUsers {
--- a/src/test/java/io/cherryspool/sim/driver/CostDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostDriver.java
@@ -97,7 +97,7 @@
     cluster.listen();
     startControllers();
     meter.measure("idle, no machines, first seconds", Kind.WHOLE, 0, this::idle);
-    meter.measure("workers begin to report, 30 s", Kind.WHOLE, 0, this::bootWorkers);
+    meter.measure("workers begin to send heartbeats, 30 s", Kind.WHOLE, 0, this::bootWorkers);
     measureArray(TASKS_PER_MACHINE * machines);
     meter.pause(LATE_WRITE_TIME);
     if (measuresMemory) {
@@ -114,14 +114,14 @@
   }
 
   private void measureTime() throws InterruptedException {
-    meter.measure("idle, all machines report", Kind.IDLE, 0, this::idle);
+    meter.measure("idle, all machines send heartbeats", Kind.IDLE, 0, this::idle);
     measureHeartbeats();
     measureReading();
     measureJobs();
     meter.pause(LATE_WRITE_TIME);
     measureArrays();
     meter.pause(LATE_WRITE_TIME);
-    meter.measure("idle, all machines report, at the end", Kind.IDLE, 0, this::idle);
+    meter.measure("idle, all machines send heartbeats, at the end", Kind.IDLE, 0, this::idle);
   }
 
   private void startControllers() throws IOException, InterruptedException {
@@ -151,17 +151,17 @@
 
   private void measureHeartbeats() throws InterruptedException {
     meter.measure(
-        "unchanged report",
+        "unchanged heartbeat",
         Kind.UNCHANGED_REPORTS,
         UNCHANGED_HEARTBEATS,
         () -> load.atRate(UNCHANGED_HEARTBEATS, HEARTBEATS_PER_S, this::sendUnchanged));
     meter.measure(
-        "changed report, beyond an unchanged one",
+        "changed heartbeat, beyond an unchanged one",
         Kind.CHANGED_REPORTS,
         CHANGED_HEARTBEATS,
         () -> load.atRate(CHANGED_HEARTBEATS, CHANGED_HEARTBEATS_PER_S, this::sendChanged));
     meter.measure(
-        "report redirected by " + ASKED_NODE,
+        "heartbeat redirected by " + ASKED_NODE,
         Kind.EVENTS,
         REDIRECTS,
         () -> load.atRate(REDIRECTS, REQUESTS_PER_S, this::sendToFollower));
--- a/src/test/java/io/cherryspool/sim/driver/CostReport.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostReport.java
@@ -21,7 +21,7 @@
   enum Kind {
     /** Nothing but what always goes on; the other windows are compared with these. */
     IDLE,
-    /** Told as it is, by the second. */
+    /** Printed as it is, by the second. */
     WHOLE,
     /** Something happened a known number of times. */
     EVENTS,
@@ -37,7 +37,7 @@
       Kind kind,
       int events,
       double seconds,
-      long reports,
+      long heartbeats,
       List<ThreadCpuTimes> used) {}
 
   void add(Window window) {
@@ -67,7 +67,7 @@
         new MarkdownTable(
             "processor ms a second",
             "s",
-            "reports a second",
+            "heartbeats a second",
             "leader: event loop",
             "compiler",
             "VM and others",
@@ -80,7 +80,7 @@
         table.row(
             window.name,
             window.seconds,
-            window.reports / window.seconds,
+            window.heartbeats / window.seconds,
             leader.millis(ThreadCpuTimes.Group.LOOP) / window.seconds,
             leader.millis(ThreadCpuTimes.Group.COMPILER) / window.seconds,
             leader.millis(ThreadCpuTimes.Group.OTHER) / window.seconds,
@@ -97,7 +97,7 @@
         new MarkdownTable(
             "processor ms each, beyond idling",
             "events",
-            "reports",
+            "heartbeats",
             "leader: event loop",
             "compiler",
             "VM and others",
@@ -121,7 +121,7 @@
     return table;
   }
 
-  /** A worker that reports without being due puts its next report off. */
+  /** A worker that sends a heartbeat without being due puts its next one off. */
   private double events(Window window) {
     return window.kind == Kind.UNCHANGED_REPORTS ? reportsBeyondIdle(window) : window.events;
   }
@@ -143,7 +143,7 @@
   }
 
   private double reportsBeyondIdle(Window window) {
-    return window.reports - whenIdle(Window::reports) * window.seconds;
+    return window.heartbeats - whenIdle(Window::heartbeats) * window.seconds;
   }
 
   private double beyondIdle(Window window, int node, ToDoubleFunction<ThreadCpuTimes> part) {
--- a/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
@@ -45,7 +45,7 @@
   private final Consumer<Machine> boot;
   private final Consumer<Machine> end;
   private final TreeMap<String, Machine> machines = new TreeMap<>();
-  private final Map<String, ArrayNode> rentals = new HashMap<>();
+  private final Map<String, ArrayNode> provided = new HashMap<>();
   private ObjectNode listed = Json.object();
   private int count;
   private int machinesDeleted;
@@ -184,7 +184,7 @@
           if (request.method().equals("GET")) {
             reply(result, listed);
           } else {
-            rent(body, result);
+            provide(body, result);
           }
         }
       }
@@ -193,9 +193,9 @@
     }
   }
 
-  private void rent(JsonNode body, CompletableFuture<Reply> result) {
+  private void provide(JsonNode body, CompletableFuture<Reply> result) {
     String name = body.path("hire").asText();
-    ArrayNode names = rentals.get(name);
+    ArrayNode names = provided.get(name);
     if (names == null) {
       names = Json.array();
       int wanted = body.path("how_many").intValue();
@@ -211,7 +211,7 @@
         result.complete(Reply.json(503, Json.toBytes(Json.object().put("error", "no capacity"))));
         return;
       }
-      rentals.put(name, names);
+      provided.put(name, names);
     }
     ObjectNode answer = Json.object();
     answer.set("spindles", names);
--- a/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
@@ -124,9 +124,9 @@
   enum Middle {
     HANG((test, worker) -> worker.hang(Duration.ofSeconds(12))),
     HANG_PAST_THE_LEASE((test, worker) -> worker.hang(Duration.ofSeconds(30))),
-    DEAF(
+    NOT_RECEIVING(
         (test, worker) -> test.cluster.network().dropInbound(host(worker), Duration.ofSeconds(20))),
-    MUTE(
+    UNRESPONSIVE(
         (test, worker) ->
             test.cluster.network().dropOutbound(host(worker), Duration.ofSeconds(20))),
     /** Reports, commands and answers between the two wait, and then arrive all the same. */
--- a/src/test/java/io/cherryspool/sim/faults/DeadMachineTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/DeadMachineTest.java
@@ -10,7 +10,7 @@
 /**
  * The tasks of dead machines waited for three heartbeat intervals and more, and short urgent jobs
  * lost their deadlines by that alone. With no machine ever taken for unresponsive each seed fails,
- * as the machine is still rented.
+ * as the machine still runs.
  */
 class DeadMachineTest {
   @ParameterizedTest
--- a/src/test/java/io/cherryspool/sim/faults/RandomFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/RandomFaultsTest.java
@@ -9,8 +9,8 @@
 /**
  * Seeded runs with random faults, in each of which the rules are checked after every event.
  *
- * <p>That this can fail was tried by breaking fences one at a time: judging tasks lapsed after two
- * heartbeat intervals instead of the worker lease gave ran_twice and quota, and answering polls
+ * <p>That this can fail was tried by breaking fences one at a time: judging leases expired after
+ * two heartbeat intervals instead of the worker lease gave ran_twice and quota, and answering polls
  * from the copy without bringing it up to date gave went_back, each within the first seeds.
  * Dropping the term condition of a round alone changed nothing here, since the records' own
  * versions stop the same writes; {@code TerminationEvidenceTest} covers the fences that random days
--- a/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
@@ -86,7 +86,7 @@
     }
   }
 
-  /** The leader is lost with the data: others remember a little less, and workers more. */
+  /** The leader is lost with the data: others retain a little less, and workers more. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void theLeaderIsLostWithTheData(long seed) {
@@ -99,10 +99,10 @@
   /**
    * The leader accepts a job and starts its tasks, and is lost with the data before the others read
    * of it, but for an answer that may come to them late. Its tasks are left alone, its user is not
-   * told that there is no such job, and submits it again.
+   * answered that there is no such job, and submits it again.
    */
   @Test
-  void workersRunAJobThatNobodyRemembers() {
+  void workersRunAJobThatNoNodeRetains() {
     int unknown = 0;
     // With seed 8 the tasks come to a machine that has to fetch their image first.
     for (long seed : new long[] {1, 2, 3, 4, 5, 6, 7, 12}) {
@@ -196,8 +196,8 @@
   }
 
   /**
-   * Each node has just accepted a job of which no other has heard, nor has its own copy: all of
-   * them are confirmed to users and must be in what one of the nodes rebuilds.
+   * Each node has just accepted a job that no other knows, nor has its own copy: all of them are
+   * confirmed to users and must be in what one of the nodes rebuilds.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -223,8 +223,8 @@
   }
 
   /**
-   * The service is set back and all controllers end, so that no node remembers anything. Workers
-   * run tasks that the records have as free; only their heartbeats show it.
+   * The service is set back and all controllers end, so that no node retains anything. Workers run
+   * tasks that the records have as free; only their heartbeats show it.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
--- a/src/test/java/io/cherryspool/sim/loststate/SnapshotRecoveryTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/SnapshotRecoveryTest.java
@@ -106,7 +106,7 @@
     assertAllEnded(jobs);
   }
 
-  /** Only one node has its disk back; it is waited for, since it remembers most. */
+  /** Only one node has its disk back; it is waited for, since it retains most. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void oneDiskIsEnough(long seed) {
@@ -150,7 +150,9 @@
     assertTrue(cluster.rules().hasEnded(job.id()), "it was run again once that was decided");
   }
 
-  /** Nothing remembers anything but the workers: what they run is left alone, and no job begins. */
+  /**
+   * No node retains anything, only the workers do: what they run is left alone, and no job begins.
+   */
   @Test
   void withoutSnapshotsWhatRunsIsKeptUntilItsUsersComeAgain() {
     begin(1, Set.of());
--- a/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
@@ -214,7 +214,8 @@
 
   /**
    * A leader that was cut off from its workers as it was elected did not miss them, since it had
-   * never heard them: 317 tasks were killed by their lease. Without NEVER_HEARD the leases run out.
+   * never received their heartbeats: 317 tasks were killed by their lease. Without NEVER_SEEN the
+   * leases run out.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
