--- a/src/main/java/io/cherryspool/cli/NodeLauncher.java
+++ b/src/main/java/io/cherryspool/cli/NodeLauncher.java
@@ -107,7 +107,7 @@
   }
 
   private void receiveHeartbeat(Mesh.PeerHeartbeat heartbeat) {
-    controller.receive(heartbeat);
+    controller.receivePeerHeartbeat(heartbeat);
   }
 
   /** The hook only enqueues the stops: they run on the event loop, in this order. */
--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -144,9 +144,9 @@
   }
 
   /** Takes in a heartbeat of another node. */
-  public void receive(Mesh.PeerHeartbeat heartbeat) {
+  public void receivePeerHeartbeat(Mesh.PeerHeartbeat heartbeat) {
     terms.observeTerm(heartbeat.term());
-    reachability.receive(heartbeat, loop.now());
+    reachability.receivePeerHeartbeat(heartbeat, loop.now());
   }
 
   @Override
@@ -170,7 +170,7 @@
   private void judgeLinks(Duration now) {
     FleetReachability fleet = terms.fleetReachability();
     Verdict before = reachability.verdict();
-    Verdict verdict = reachability.judge(now, terms.isTermUnderWay(), isLeading(), fleet);
+    Verdict verdict = reachability.evaluate(now, terms.isTermUnderWay(), isLeading(), fleet);
     if (verdict instanceof Verdict.HandOverLeadership handover) {
       election.handOverTo(handover.successor());
     }
--- a/src/main/java/io/cherryspool/controller/ControllerModule.java
+++ b/src/main/java/io/cherryspool/controller/ControllerModule.java
@@ -262,7 +262,7 @@
             reachability::mayPlaceTasks,
             reachability::mayChangeFleet,
             reachability::isZoneEvictionSuspended,
-            reachability.machineRule()));
+            reachability.machineEvictionRule()));
   }
 
   @Override
--- a/src/main/java/io/cherryspool/controller/ControllerNodeService.java
+++ b/src/main/java/io/cherryspool/controller/ControllerNodeService.java
@@ -39,7 +39,9 @@
 
   @Override
   public void workerRedirected(WorkerHeartbeat heartbeat) {
-    reachability.redirectedWorkers().recordVisit(heartbeat.machine(), heartbeat.zone(), loop.now());
+    reachability
+        .redirectedWorkers()
+        .recordRedirect(heartbeat.machine(), heartbeat.zone(), loop.now());
   }
 
   @Override
--- a/src/main/java/io/cherryspool/controller/ServiceClients.java
+++ b/src/main/java/io/cherryspool/controller/ServiceClients.java
@@ -90,7 +90,7 @@
             observed(
                 request -> !StateStoreProtocol.isWatch(request),
                 reply -> reply.status() == HTTP_UNAVAILABLE,
-                reachability.stateLink()),
+                reachability.stateStoreLink()),
             settings.stateStoreAddress(),
             timings.stateStoreTimeout());
     Duration refreshGap = Duration.ofNanos((long) (2e9 * nodes / limits.requestsPerSecond()));
--- a/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
+++ b/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
@@ -72,7 +72,7 @@
   public boolean isBehindPeers() {
     Duration ownRead = records.lastConfirmedAt();
     Optional<Duration> peersRead =
-        reachability.matrix().latestStateRead(timings.stateStoreLease(), loop.now());
+        reachability.matrix().latestStateStoreRead(timings.stateStoreLease(), loop.now());
     return ownRead == null
         || (peersRead.isPresent()
             && peersRead.get().minus(ownRead).compareTo(timings.staleReadLag()) > 0);
@@ -85,7 +85,7 @@
 
   /** The state of the link to the state store, by the last requests. */
   LinkState linkState() {
-    return reachability.stateLink().state(loop.now());
+    return reachability.stateStoreLink().state(loop.now());
   }
 
   /**
--- a/src/main/java/io/cherryspool/controller/metrics/ReachabilityMeters.java
+++ b/src/main/java/io/cherryspool/controller/metrics/ReachabilityMeters.java
@@ -30,7 +30,7 @@
 
   @Override
   public void bindTo(MeterRegistry registry) {
-    bindLink(registry, "state", reachability.stateLink());
+    bindLink(registry, "state", reachability.stateStoreLink());
     bindLink(registry, "cloud", reachability.cloudLink());
     bindGauge(registry, "cherryspool.links.zones.flaps", meters -> reachability.zoneFlapCount());
     bindGauge(registry, "cherryspool.links.peers.down", meters -> peersDown());
--- a/src/main/java/io/cherryspool/controller/provisioning/MachineRemoval.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/MachineRemoval.java
@@ -98,12 +98,12 @@
             machine.contact().isUnresponsive(),
             list.contains(machine.name())
                 && permissions.isZoneEvictionSuspended().test(machine.zone()));
-    Optional<MachineEvictionRule.Fault> fault =
-        permissions.evictionRule().judge(observation, steadyFor);
+    Optional<MachineEvictionRule.EvictionReason> fault =
+        permissions.evictionRule().evaluate(observation, steadyFor);
     if (fault.isPresent()) {
       markForDeletion(
           machine.name(),
-          fault.get() == MachineEvictionRule.Fault.NOT_RECEIVING
+          fault.get() == MachineEvictionRule.EvictionReason.NOT_RECEIVING
               ? "it sends heartbeats and does not receive the replies"
               : "it has been silent for " + silentFor.toSeconds() + " s");
     } else if (machine.history().isFaulty()) {
--- a/src/main/java/io/cherryspool/controller/provisioning/Provisioner.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/Provisioner.java
@@ -138,7 +138,7 @@
   private void step() {
     Duration begun = loop.now();
     // What came while this node stood still, or was far behind, waits in its sockets.
-    health.recordStep(begun, stepInterval);
+    health.recordTick(begun, stepInterval);
     timer = loop.schedule(stepInterval, this::step);
     act();
     Duration pause = Durations.multiply(loop.now().minus(begun), COST_SHARE);
@@ -168,7 +168,7 @@
     if (!list.isRead()) {
       return;
     }
-    removal.markFailed(now, health.steadyFor(now));
+    removal.markFailed(now, health.healthyFor(now));
     if (removal.hasMarked()) {
       removal.deleteMarked();
     } else if (requests.hasUnanswered()) {
--- a/src/main/java/io/cherryspool/mesh/Mesh.java
+++ b/src/main/java/io/cherryspool/mesh/Mesh.java
@@ -15,7 +15,8 @@
    * @param node the sender's name
    * @param term the highest term that it knows
    * @param isStateStoreReachable whether it reaches the state store
-   * @param stateReadAgeMillis how long ago it sent its last read of the state store that succeeded
+   * @param stateStoreReadAgeMillis how long ago it sent its last read of the state store that
+   *     succeeded
    * @param redirectedWorkers how many workers lately sent it heartbeats although it had redirected
    *     them to the leader
    * @param writeRateTenths how many changes of records it lately wrote, in tenths a second
@@ -26,7 +27,7 @@
       String node,
       long term,
       boolean isStateStoreReachable,
-      int stateReadAgeMillis,
+      int stateStoreReadAgeMillis,
       int redirectedWorkers,
       int writeRateTenths,
       RetainedRecordsSummary retainedRecords,
--- a/src/main/java/io/cherryspool/mesh/PeerHeartbeatCodec.java
+++ b/src/main/java/io/cherryspool/mesh/PeerHeartbeatCodec.java
@@ -26,7 +26,7 @@
       packer.packString(heartbeat.node());
       packer.packLong(heartbeat.term());
       packer.packBoolean(heartbeat.isStateStoreReachable());
-      packer.packInt(heartbeat.stateReadAgeMillis());
+      packer.packInt(heartbeat.stateStoreReadAgeMillis());
       packer.packInt(heartbeat.redirectedWorkers());
       packer.packInt(heartbeat.writeRateTenths());
       packer.packInt(heartbeat.retainedRecords().recoveryPhase());
--- a/src/main/java/io/cherryspool/reachability/LocalHealth.java
+++ b/src/main/java/io/cherryspool/reachability/LocalHealth.java
@@ -8,8 +8,8 @@
  */
 public final class LocalHealth {
   private final Duration tolerance;
-  private Duration nextStepDue;
-  private Duration steadySince;
+  private Duration nextTickDue;
+  private Duration healthySince;
 
   /**
    * The health of a node that has run no step yet.
@@ -21,25 +21,25 @@
   }
 
   /** Records that a step runs now; the next one is due after the interval. */
-  public void recordStep(Duration now, Duration interval) {
-    if (nextStepDue == null || now.minus(nextStepDue).compareTo(tolerance) > 0) {
-      steadySince = now;
+  public void recordTick(Duration now, Duration interval) {
+    if (nextTickDue == null || now.minus(nextTickDue).compareTo(tolerance) > 0) {
+      healthySince = now;
     }
-    nextStepDue = now.plus(interval);
+    nextTickDue = now.plus(interval);
   }
 
   /** Moves the next step to this interval from now, instead of when it was due. */
   public void postpone(Duration now, Duration interval) {
-    nextStepDue = now.plus(interval);
+    nextTickDue = now.plus(interval);
   }
 
   /** Counts the steady time from now, because what was received before tells nothing of links. */
   public void reset(Duration now) {
-    steadySince = now;
+    healthySince = now;
   }
 
   /** For how long all steps have run in time; zero before the first. */
-  public Duration steadyFor(Duration now) {
-    return steadySince == null ? Duration.ZERO : now.minus(steadySince);
+  public Duration healthyFor(Duration now) {
+    return healthySince == null ? Duration.ZERO : now.minus(healthySince);
   }
 }
--- a/src/main/java/io/cherryspool/reachability/MachineEvictionRule.java
+++ b/src/main/java/io/cherryspool/reachability/MachineEvictionRule.java
@@ -27,7 +27,7 @@
   private final Duration unreachableZoneTimeout;
 
   /** Why a machine is given up. */
-  public enum Fault {
+  public enum EvictionReason {
     /** Nothing arrives from it. */
     SILENT,
     /** Its heartbeats arrive, and it receives no answer. */
@@ -64,14 +64,14 @@
    *
    * @param steadyFor for how long this node has kept up; a longer silence may be its own
    */
-  public Optional<Fault> judge(Observation machine, Duration steadyFor) {
+  public Optional<EvictionReason> evaluate(Observation machine, Duration steadyFor) {
     Duration timeout = silenceTimeout(machine);
     if (machine.silentFor().compareTo(timeout) > 0 && steadyFor.compareTo(timeout) > 0) {
-      return Optional.of(Fault.SILENT);
+      return Optional.of(EvictionReason.SILENT);
     }
     if (machine.notReceivingFor().isPresent()
         && machine.notReceivingFor().get().compareTo(notReceivingTimeout(machine)) > 0) {
-      return Optional.of(Fault.NOT_RECEIVING);
+      return Optional.of(EvictionReason.NOT_RECEIVING);
     }
     return Optional.empty();
   }
--- a/src/main/java/io/cherryspool/reachability/NodeView.java
+++ b/src/main/java/io/cherryspool/reachability/NodeView.java
@@ -11,7 +11,7 @@
  * @param node the node's name
  * @param now the time of the judgement, by the node's monotonic clock
  * @param leadership what the node is to the cluster
- * @param stateLink its link to the state store
+ * @param stateStoreLink its link to the state store
  * @param fleet how well it reaches its machines
  * @param matrix what the other nodes' heartbeats say
  */
@@ -19,7 +19,7 @@
     String node,
     Duration now,
     Leadership leadership,
-    StateLink stateLink,
+    StateStoreLink stateStoreLink,
     Fleet fleet,
     ReachabilityMatrix matrix) {
 
@@ -36,12 +36,12 @@
   /**
    * The node's role, and how leadership changed before.
    *
-   * @param steadyFor for how long this node has led, been able to answer, and kept up
+   * @param healthyFor for how long this node has led, been able to answer, and kept up
    * @param penalty how often leaders of the cluster changed lately, see {@link FlapDamper}
    * @param handover to whom the last leader handed leadership over, if it did
    */
   public record Leadership(
-      Role role, Duration steadyFor, double penalty, Optional<Handover> handover) {}
+      Role role, Duration healthyFor, double penalty, Optional<Handover> handover) {}
 
   /**
    * A leader handed leadership over.
@@ -56,7 +56,7 @@
    *
    * @param isFlapping whether it fails again and again
    */
-  public record StateLink(LinkState state, boolean isFlapping) {}
+  public record StateStoreLink(LinkState state, boolean isFlapping) {}
 
   /**
    * The machines of a leader; none for any other node.
--- a/src/main/java/io/cherryspool/reachability/PartitionRule.java
+++ b/src/main/java/io/cherryspool/reachability/PartitionRule.java
@@ -43,7 +43,7 @@
   }
 
   @Override
-  public Verdict judge(NodeView view) {
+  public Verdict evaluate(NodeView view) {
     return switch (view.leadership().role()) {
       case LEADER -> judgeLeader(view);
       case CANDIDATE -> judgeCandidate(view);
@@ -52,7 +52,7 @@
   }
 
   private static Verdict judgeFollower(NodeView view) {
-    return view.stateLink().state() == LinkState.DOWN
+    return view.stateStoreLink().state() == LinkState.DOWN
         ? new Verdict.ForwardRequests(Reason.STATE_UNREACHABLE)
         : new Verdict.Serve();
   }
@@ -64,7 +64,7 @@
         return handover.get();
       }
     }
-    if (view.stateLink().state() == LinkState.DOWN) {
+    if (view.stateStoreLink().state() == LinkState.DOWN) {
       return new Verdict.SuspendPlacement(Reason.STATE_UNREACHABLE);
     }
     if (mayMachinesStillOwnTasks(view)) {
@@ -108,7 +108,7 @@
 
   private boolean isSteady(NodeView view) {
     Duration required = Durations.multiply(timings.workerHeartbeatOverdueAfter(), 2);
-    return view.leadership().steadyFor().compareTo(required) >= 0;
+    return view.leadership().healthyFor().compareTo(required) >= 0;
   }
 
   /** The handover to the node to which most of the missing workers come; empty if to none. */
@@ -166,7 +166,7 @@
     if (handover != null && handover.formerLeader().equals(view.node())) {
       return new Verdict.DelayCandidacy(lease, Reason.HANDED_OVER_LAST);
     }
-    if (view.stateLink().isFlapping()) {
+    if (view.stateStoreLink().isFlapping()) {
       return new Verdict.DelayCandidacy(
           Durations.divide(lease, FLAPPING_DELAY_DIVISOR), Reason.STATE_LINK_FLAPS);
     }
--- a/src/main/java/io/cherryspool/reachability/Reachability.java
+++ b/src/main/java/io/cherryspool/reachability/Reachability.java
@@ -28,8 +28,8 @@
   private final ReachabilityTimings timings;
   private final boolean isDampingEnabled;
   private final VerdictRule rule;
-  private final MachineEvictionRule machineRule;
-  private final RequestLink stateLink;
+  private final MachineEvictionRule machineEvictionRule;
+  private final RequestLink stateStoreLink;
   private final RequestLink cloudLink;
   private final ZoneLinks zones;
   private final RedirectedWorkers redirectedWorkers = new RedirectedWorkers();
@@ -64,8 +64,8 @@
     this.timings = timings;
     this.isDampingEnabled = isDampingEnabled;
     this.rule = rule;
-    this.machineRule = new MachineEvictionRule(timings);
-    this.stateLink = new RequestLink(timings.stateCallTimeout(), timings.flapHalfLife());
+    this.machineEvictionRule = new MachineEvictionRule(timings);
+    this.stateStoreLink = new RequestLink(timings.stateStoreCallTimeout(), timings.flapHalfLife());
     this.cloudLink = new RequestLink(timings.leaderLease(), timings.flapHalfLife());
     this.zones = new ZoneLinks(timings.flapHalfLife());
     Duration tolerance = Durations.divide(timings.peerHeartbeatInterval(), 2);
@@ -76,8 +76,8 @@
   }
 
   /** The link to the state store. */
-  public RequestLink stateLink() {
-    return stateLink;
+  public RequestLink stateStoreLink() {
+    return stateStoreLink;
   }
 
   /** The link to the cloud. */
@@ -101,12 +101,12 @@
   }
 
   /** When a single machine is given up. */
-  public MachineEvictionRule machineRule() {
-    return machineRule;
+  public MachineEvictionRule machineEvictionRule() {
+    return machineEvictionRule;
   }
 
   /** Takes in a heartbeat from another node. */
-  public void receive(Mesh.PeerHeartbeat heartbeat, Duration now) {
+  public void receivePeerHeartbeat(Mesh.PeerHeartbeat heartbeat, Duration now) {
     matrix = matrix.withHeartbeat(heartbeat, now);
   }
 
@@ -117,17 +117,17 @@
    * @param mayAnswerWorkers whether it may answer workers
    * @param observed how well it reaches its machines
    */
-  public Verdict judge(
+  public Verdict evaluate(
       Duration now, boolean isLeading, boolean mayAnswerWorkers, FleetReachability observed) {
-    loopHealth.recordStep(now, timings.peerHeartbeatInterval());
-    leaderHealth.recordStep(now, timings.peerHeartbeatInterval());
+    loopHealth.recordTick(now, timings.peerHeartbeatInterval());
+    leaderHealth.recordTick(now, timings.peerHeartbeatInterval());
     if (!mayAnswerWorkers) {
       leaderHealth.reset(now);
     }
     fleet = observed;
     zones.observe(observed, now);
     NodeView.Role role = isLeading ? NodeView.Role.LEADER : NodeView.Role.FOLLOWER;
-    verdict = rule.judge(view(role, now, Optional.empty()));
+    verdict = rule.evaluate(view(role, now, Optional.empty()));
     return verdict;
   }
 
@@ -161,7 +161,7 @@
 
   /** How long to wait before standing for leader, so that better placed nodes go first. */
   public Duration candidacyDelay(Duration now, Optional<NodeView.Handover> handover) {
-    Verdict judged = rule.judge(view(NodeView.Role.CANDIDATE, now, handover));
+    Verdict judged = rule.evaluate(view(NodeView.Role.CANDIDATE, now, handover));
     return judged instanceof Verdict.DelayCandidacy delayed ? delayed.delay() : Duration.ZERO;
   }
 
@@ -198,8 +198,8 @@
   }
 
   /** Whether this node's own link to the state store fails too often to be relied on. */
-  public boolean isStateLinkFlapping(Duration now) {
-    return isDampingEnabled && stateLink.damper().isFlapping(now);
+  public boolean isStateStoreLinkFlapping(Duration now) {
+    return isDampingEnabled && stateStoreLink.damper().isFlapping(now);
   }
 
   /** How often zones became unreachable in this term. */
@@ -212,8 +212,8 @@
     return new NodeView(
         node,
         now,
-        new NodeView.Leadership(role, leaderHealth.steadyFor(now), penalty, handover),
-        new NodeView.StateLink(stateLink.state(now), isStateLinkFlapping(now)),
+        new NodeView.Leadership(role, leaderHealth.healthyFor(now), penalty, handover),
+        new NodeView.StateStoreLink(stateStoreLink.state(now), isStateStoreLinkFlapping(now)),
         new NodeView.Fleet(fleet, zones.unreachableZones(), zones.fleetUnreachableFor(now)),
         matrix);
   }
@@ -226,11 +226,11 @@
    */
   public LinkSummary linkSummary(Duration now, boolean isLeading, String address) {
     boolean wasStalled =
-        loopHealth.steadyFor(now).compareTo(timings.workerHeartbeatOverdueAfter()) < 0;
+        loopHealth.healthyFor(now).compareTo(timings.workerHeartbeatOverdueAfter()) < 0;
     return new LinkSummary(
         isLeading,
         address,
-        stateLink.state(now),
+        stateStoreLink.state(now),
         cloudLink.state(now),
         wasStalled,
         (int) Math.round(10 * leadershipLosses.penalty(now)),
--- a/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
+++ b/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
@@ -61,11 +61,11 @@
    * When any of the nodes sent its latest read of the state store that succeeded, as far as fresh
    * heartbeats tell; empty if none tells of one.
    */
-  public Optional<Duration> latestStateRead(Duration maxAge, Duration now) {
+  public Optional<Duration> latestStateStoreRead(Duration maxAge, Duration now) {
     Duration latest = null;
     for (Row row : rows.values()) {
       if (row.isFresh(maxAge, now) && row.heartbeat.isStateStoreReachable()) {
-        Duration sentAt = row.receivedAt.minusMillis(row.heartbeat.stateReadAgeMillis());
+        Duration sentAt = row.receivedAt.minusMillis(row.heartbeat.stateStoreReadAgeMillis());
         latest = latest == null || sentAt.compareTo(latest) > 0 ? sentAt : latest;
       }
     }
--- a/src/main/java/io/cherryspool/reachability/ReachabilityTimings.java
+++ b/src/main/java/io/cherryspool/reachability/ReachabilityTimings.java
@@ -12,7 +12,7 @@
  * @param taskLeaseExpiry how long after a worker's last renewal its tasks have surely ended
  * @param leaderLease the length of a leader's lease while leaders do not change often
  * @param maxLeaderAuthority the longest that a leader may answer workers without the state store
- * @param stateCallTimeout how long a request to the state store may take
+ * @param stateStoreCallTimeout how long a request to the state store may take
  * @param flapHalfLife in what time a penalty for flaps halves
  */
 public record ReachabilityTimings(
@@ -22,7 +22,7 @@
     Duration taskLeaseExpiry,
     Duration leaderLease,
     Duration maxLeaderAuthority,
-    Duration stateCallTimeout,
+    Duration stateStoreCallTimeout,
     Duration flapHalfLife) {
 
   private static final int MAX_MISSED_PEER_HEARTBEATS = 3;
--- a/src/main/java/io/cherryspool/reachability/RedirectedWorkers.java
+++ b/src/main/java/io/cherryspool/reachability/RedirectedWorkers.java
@@ -24,7 +24,7 @@
   private record Visit(String zone, Duration at) {}
 
   /** Records that a worker of the zone came, and was redirected. */
-  public void recordVisit(String machine, String zone, Duration now) {
+  public void recordRedirect(String machine, String zone, Duration now) {
     visits.remove(machine);
     visits.put(machine, new Visit(zone, now));
     evictExpired(now);
--- a/src/main/java/io/cherryspool/reachability/VerdictRule.java
+++ b/src/main/java/io/cherryspool/reachability/VerdictRule.java
@@ -4,5 +4,5 @@
 @FunctionalInterface
 public interface VerdictRule {
   /** What the node does about its links. */
-  Verdict judge(NodeView view);
+  Verdict evaluate(NodeView view);
 }
--- a/src/test/java/io/cherryspool/controller/fleet/ZonePartitionTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/ZonePartitionTest.java
@@ -47,7 +47,7 @@
       view.addMachine(machine.zone(), listed.contains(machine.name()), contact);
     }
     Reachability reachability = ReachabilityFixture.reachability("node-0", List.of("node-1"));
-    reachability.judge(now, true, true, view.build());
+    reachability.evaluate(now, true, true, view.build());
     zones.removeIf(zone -> !reachability.isZoneEvictionSuspended(zone));
     return zones;
   }
--- a/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
@@ -127,7 +127,7 @@
             () -> true,
             () -> true,
             zone -> false,
-            ReachabilityFixture.reachability("node-0", List.of()).machineRule()));
+            ReachabilityFixture.reachability("node-0", List.of()).machineEvictionRule()));
   }
 
   private static Timings timings() {
--- a/src/test/java/io/cherryspool/reachability/HandoverPermissionsTest.java
+++ b/src/test/java/io/cherryspool/reachability/HandoverPermissionsTest.java
@@ -23,7 +23,7 @@
     Reachability reachability =
         new Reachability(
             "leader", List.of("a", "b"), ReachabilityFixture.TIMINGS, true, view -> verdict);
-    assertEquals(verdict, reachability.judge(NOW, true, true, FleetReachability.EMPTY));
+    assertEquals(verdict, reachability.evaluate(NOW, true, true, FleetReachability.EMPTY));
     return reachability;
   }
 
@@ -50,7 +50,7 @@
             true,
             true,
             leader.isZoneEvictionSuspended("any"));
-    assertEquals(Optional.empty(), leader.machineRule().judge(silent, NOW));
+    assertEquals(Optional.empty(), leader.machineEvictionRule().evaluate(silent, NOW));
   }
 
   @Test
--- a/src/test/java/io/cherryspool/reachability/LeadershipTransferTest.java
+++ b/src/test/java/io/cherryspool/reachability/LeadershipTransferTest.java
@@ -28,9 +28,9 @@
     Verdict verdict = new Verdict.Serve();
     for (; now.compareTo(end) < 0; now = now.plus(HEARTBEAT_INTERVAL)) {
       for (Mesh.PeerHeartbeat heartbeat : heartbeats) {
-        reachability.receive(heartbeat, now);
+        reachability.receivePeerHeartbeat(heartbeat, now);
       }
-      verdict = reachability.judge(now, true, mayAnswerWorkers, fleet);
+      verdict = reachability.evaluate(now, true, mayAnswerWorkers, fleet);
     }
     return verdict instanceof Verdict.HandOverLeadership handover ? handover.successor() : null;
   }
--- a/src/test/java/io/cherryspool/reachability/MachineEvictionRuleTest.java
+++ b/src/test/java/io/cherryspool/reachability/MachineEvictionRuleTest.java
@@ -13,13 +13,13 @@
 
   private final MachineEvictionRule rule = new MachineEvictionRule(ReachabilityFixture.TIMINGS);
 
-  private Optional<MachineEvictionRule.Fault> judge(
+  private Optional<MachineEvictionRule.EvictionReason> judge(
       int silentSeconds,
       Optional<Duration> notReceivingFor,
       boolean ownsTasks,
       boolean isUnresponsive,
       boolean isZoneEvictionSuspended) {
-    return rule.judge(
+    return rule.evaluate(
         new MachineEvictionRule.Observation(
             Duration.ofSeconds(silentSeconds),
             notReceivingFor,
@@ -33,14 +33,16 @@
   void aSilentMachineIsGivenUpAfterThreeHeartbeats() {
     assertEquals(Optional.empty(), judge(14, RECEIVING, true, false, false));
     assertEquals(
-        Optional.of(MachineEvictionRule.Fault.SILENT), judge(15, RECEIVING, true, false, false));
+        Optional.of(MachineEvictionRule.EvictionReason.SILENT),
+        judge(15, RECEIVING, true, false, false));
   }
 
   @Test
   void oneThatOwnsTasksAndAnswersNoCallIsGivenUpAfterTwoHeartbeats() {
     assertEquals(Optional.empty(), judge(8, RECEIVING, true, true, false));
     assertEquals(
-        Optional.of(MachineEvictionRule.Fault.SILENT), judge(9, RECEIVING, true, true, false));
+        Optional.of(MachineEvictionRule.EvictionReason.SILENT),
+        judge(9, RECEIVING, true, true, false));
     assertEquals(Optional.empty(), judge(9, RECEIVING, false, true, false));
   }
 
@@ -48,7 +50,8 @@
   void inAnUnreachableZoneAMachineIsGivenUpOnlyAfterTwoLeases() {
     assertEquals(Optional.empty(), judge(44, RECEIVING, true, true, true));
     assertEquals(
-        Optional.of(MachineEvictionRule.Fault.SILENT), judge(45, RECEIVING, true, true, true));
+        Optional.of(MachineEvictionRule.EvictionReason.SILENT),
+        judge(45, RECEIVING, true, true, true));
     assertEquals(
         Optional.empty(), judge(1, Optional.of(Duration.ofSeconds(44)), true, false, true));
   }
@@ -58,11 +61,11 @@
     Optional<Duration> notReceivingFor = Optional.of(Duration.ofSeconds(21));
     assertEquals(Optional.empty(), judge(1, notReceivingFor, true, false, false));
     assertEquals(
-        Optional.of(MachineEvictionRule.Fault.NOT_RECEIVING),
+        Optional.of(MachineEvictionRule.EvictionReason.NOT_RECEIVING),
         judge(1, notReceivingFor, false, false, false));
     notReceivingFor = Optional.of(Duration.ofSeconds(23));
     assertEquals(
-        Optional.of(MachineEvictionRule.Fault.NOT_RECEIVING),
+        Optional.of(MachineEvictionRule.EvictionReason.NOT_RECEIVING),
         judge(1, notReceivingFor, true, false, false));
   }
 
@@ -71,8 +74,9 @@
   void anObserverThatStoodStillGivesUpNoMachine() {
     MachineEvictionRule.Observation machine =
         new MachineEvictionRule.Observation(Duration.ofSeconds(30), RECEIVING, true, true, false);
-    assertEquals(Optional.empty(), rule.judge(machine, Duration.ofSeconds(7)));
+    assertEquals(Optional.empty(), rule.evaluate(machine, Duration.ofSeconds(7)));
     assertEquals(
-        Optional.of(MachineEvictionRule.Fault.SILENT), rule.judge(machine, Duration.ofSeconds(9)));
+        Optional.of(MachineEvictionRule.EvictionReason.SILENT),
+        rule.evaluate(machine, Duration.ofSeconds(9)));
   }
 }
--- a/src/test/java/io/cherryspool/reachability/PartitionRuleTest.java
+++ b/src/test/java/io/cherryspool/reachability/PartitionRuleTest.java
@@ -24,18 +24,18 @@
 
   private Verdict lead(double seconds, FleetReachability fleet) {
     Duration end = now.plusMillis((long) (seconds * 1000));
-    Verdict verdict = reachability.judge(now, true, true, fleet);
+    Verdict verdict = reachability.evaluate(now, true, true, fleet);
     while (now.compareTo(end) < 0) {
       now = now.plus(HEARTBEAT_INTERVAL);
-      verdict = reachability.judge(now, true, true, fleet);
+      verdict = reachability.evaluate(now, true, true, fleet);
     }
     return verdict;
   }
 
   private void stateFails(double seconds) {
-    reachability.stateLink().failed(now, now);
+    reachability.stateStoreLink().failed(now, now);
     now = now.plusMillis(250);
-    reachability.stateLink().failed(now, now);
+    reachability.stateStoreLink().failed(now, now);
     now = now.plusMillis((long) (seconds * 1000));
   }
 
@@ -45,14 +45,15 @@
     Verdict verdict = lead(0.5, fleet(0, 0, 0));
     assertEquals(new Verdict.SuspendPlacement(Reason.STATE_UNREACHABLE), verdict);
     assertTrue(!reachability.mayPlaceTasks() && !reachability.mayChangeFleet());
-    reachability.stateLink().answered(now);
+    reachability.stateStoreLink().answered(now);
     assertEquals(new Verdict.Serve(), lead(0.5, fleet(0, 0, 0)));
   }
 
   @Test
   void aFollowerWithoutTheStateStoreForwardsUsersRequests() {
     stateFails(1);
-    assertEquals("pass-on", reachability.judge(now, false, false, FleetReachability.EMPTY).name());
+    assertEquals(
+        "pass-on", reachability.evaluate(now, false, false, FleetReachability.EMPTY).name());
   }
 
   @Test
@@ -90,12 +91,12 @@
     }
     for (int i = 0; i < 40; i++) {
       now = now.plus(HEARTBEAT_INTERVAL);
-      reachability.receive(heartbeat("b", 50, LinkState.UP), now);
-      assertEquals("serve", reachability.judge(now, true, true, fifth).name());
+      reachability.receivePeerHeartbeat(heartbeat("b", 50, LinkState.UP), now);
+      assertEquals("serve", reachability.evaluate(now, true, true, fifth).name());
     }
     assertEquals(
         "make-way for b, since the missing workers come to other nodes",
-        describe(reachability.judge(now, true, true, half)));
+        describe(reachability.evaluate(now, true, true, half)));
   }
 
   private static String describe(Verdict verdict) {
@@ -108,9 +109,9 @@
     Verdict verdict = new Verdict.Serve();
     for (int i = 0; i < 40; i++) {
       now = now.plus(HEARTBEAT_INTERVAL);
-      reachability.receive(heartbeat("b", 40, LinkState.DOWN), now);
-      reachability.receive(heartbeat("c", 30, LinkState.UP), now);
-      verdict = reachability.judge(now, true, true, half);
+      reachability.receivePeerHeartbeat(heartbeat("b", 40, LinkState.DOWN), now);
+      reachability.receivePeerHeartbeat(heartbeat("c", 30, LinkState.UP), now);
+      verdict = reachability.evaluate(now, true, true, half);
     }
     assertEquals("make-way for c", verdict.describe());
   }
@@ -141,7 +142,7 @@
   void aNodeWhoseLinkFlapsStandsAfterOthersUntilThePenaltyDecays() {
     for (int i = 0; i < 3; i++) {
       stateFails(1);
-      reachability.stateLink().answered(now);
+      reachability.stateStoreLink().answered(now);
       now = now.plusSeconds(2);
     }
     assertEquals(LEASE.dividedBy(2), delay(null, null));
@@ -157,7 +158,7 @@
     LinkSummary links =
         new LinkSummary(false, "", LinkState.UP, LinkState.UP, false, 9, "", List.of(), List.of());
     for (String name : List.of("b", "c")) {
-      reachability.receive(
+      reachability.receivePeerHeartbeat(
           new Mesh.PeerHeartbeat(name, 7, true, 0, 0, 0, Mesh.RetainedRecordsSummary.NONE, links),
           now);
     }
--- a/src/test/java/io/cherryspool/reachability/ReachabilityTest.java
+++ b/src/test/java/io/cherryspool/reachability/ReachabilityTest.java
@@ -21,10 +21,10 @@
   private void lead(Duration length) {
     FleetReachability fleet = ReachabilityFixture.fleet(0, 9, 0);
     Duration end = now.plus(length);
-    reachability.judge(now, true, true, fleet);
+    reachability.evaluate(now, true, true, fleet);
     while (now.compareTo(end) < 0) {
       now = now.plus(ReachabilityFixture.HEARTBEAT_INTERVAL);
-      reachability.judge(now, true, true, fleet);
+      reachability.evaluate(now, true, true, fleet);
     }
   }
 
@@ -35,8 +35,8 @@
 
   @Test
   void theSummaryOfANodesLinksNamesPeersAndZones() {
-    reachability.receive(heartbeat("b"), now);
-    reachability.redirectedWorkers().recordVisit("host-1", "zone-9", now);
+    reachability.receivePeerHeartbeat(heartbeat("b"), now);
+    reachability.redirectedWorkers().recordRedirect("host-1", "zone-9", now);
     lead(Duration.ofSeconds(2));
     LinkSummary report = reachability.linkSummary(now, true, "10.0.0.1:8080");
     assertEquals(
--- a/src/test/java/io/cherryspool/reachability/RedirectedWorkersTest.java
+++ b/src/test/java/io/cherryspool/reachability/RedirectedWorkersTest.java
@@ -12,9 +12,9 @@
   @Test
   void aWorkerCountsWhileItKeepsComing() {
     RedirectedWorkers redirectedWorkers = new RedirectedWorkers();
-    redirectedWorkers.recordVisit("host-1", "z", START);
-    redirectedWorkers.recordVisit("host-2", "z", START.plusSeconds(5));
-    redirectedWorkers.recordVisit("host-1", "z", START.plusSeconds(6));
+    redirectedWorkers.recordRedirect("host-1", "z", START);
+    redirectedWorkers.recordRedirect("host-2", "z", START.plusSeconds(5));
+    redirectedWorkers.recordRedirect("host-1", "z", START.plusSeconds(6));
     assertEquals(2, redirectedWorkers.count(START.plusSeconds(6)));
     assertEquals(1, redirectedWorkers.count(START.plusSeconds(12)));
     assertEquals(0, redirectedWorkers.count(START.plusSeconds(60)));
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
@@ -90,7 +90,7 @@
   private void receive(Mesh.PeerHeartbeat heartbeat) {
     if (controller != null && !isolated) {
       Controller live = controller;
-      inbox.deliver(() -> live.receive(heartbeat));
+      inbox.deliver(() -> live.receivePeerHeartbeat(heartbeat));
     }
   }
 
--- a/src/test/java/io/cherryspool/sim/partition/RandomVerdicts.java
+++ b/src/test/java/io/cherryspool/sim/partition/RandomVerdicts.java
@@ -27,7 +27,7 @@
   }
 
   @Override
-  public Verdict judge(NodeView view) {
+  public Verdict evaluate(NodeView view) {
     if (view.now().compareTo(faultsEndAt) > 0) {
       return new Verdict.Serve();
     }
