--- a/src/main/java/io/cherryspool/controller/ControllerModule.java
+++ b/src/main/java/io/cherryspool/controller/ControllerModule.java
@@ -231,7 +231,7 @@
             meters),
         newTermSettings(maxChanges),
         newAuthority(),
-        new LeaderTerm.Findings(
+        new LeaderTerm.ContradictionListeners(
             terms::observeTerm, recovery.map(module -> module::reportUnrecordedStart)),
         committer,
         records.term());
--- a/src/main/java/io/cherryspool/controller/LeaderTerms.java
+++ b/src/main/java/io/cherryspool/controller/LeaderTerms.java
@@ -82,7 +82,7 @@
   /** Lets the current term take up a change of the records. */
   void recordsChanged() {
     if (current != null) {
-      current.recordsChanged();
+      current.requestRound();
     }
   }
 
@@ -108,7 +108,7 @@
 
   /** How this node, as leader, receives its machines' heartbeats; empty while it does not lead. */
   FleetReachability fleetReachability() {
-    return current == null ? FleetReachability.EMPTY : current.fleetView();
+    return current == null ? FleetReachability.EMPTY : current.fleetReachability();
   }
 
   /** The number of machines that the current term knows of; 0 while there is no term. */
--- a/src/main/java/io/cherryspool/controller/ServiceClients.java
+++ b/src/main/java/io/cherryspool/controller/ServiceClients.java
@@ -63,7 +63,7 @@
     ReachabilityTimings times =
         new ReachabilityTimings(
             Durations.divide(timings.stateStoreLease(), ControllerModule.HEARTBEATS_PER_LEASE),
-            timings.lateAfter(),
+            timings.heartbeatLateAfter(),
             timings.heartbeatInterval(),
             timings.workerLeaseExpiry(),
             timings.stateStoreLease(),
--- a/src/main/java/io/cherryspool/controller/fleet/CommandDelivery.java
+++ b/src/main/java/io/cherryspool/controller/fleet/CommandDelivery.java
@@ -50,18 +50,18 @@
   }
 
   /** Records that a direct call with these commands is made under the token. */
-  public void beginCall(List<WorkerCommand> commands, long token) {
+  public void recordCallStarted(List<WorkerCommand> commands, long token) {
     inFlightToken = token;
     recordStarts(commands, token);
   }
 
   /** Records that the direct call in flight was answered. */
-  public void callAnswered() {
+  public void recordCallAnswered() {
     inFlightToken = 0;
   }
 
   /** Records that the direct call in flight got no answer; the next may follow at that time. */
-  public void callFailed(Duration nextCallAt) {
+  public void recordCallFailed(Duration nextCallAt) {
     unansweredToken = Math.max(unansweredToken, inFlightToken);
     inFlightToken = 0;
     retryAt = nextCallAt;
--- a/src/main/java/io/cherryspool/controller/fleet/Fleet.java
+++ b/src/main/java/io/cherryspool/controller/fleet/Fleet.java
@@ -78,7 +78,7 @@
   public void removeDeleted(Ownership ownership) {
     for (Iterator<MachineState> all = machines.values().iterator(); all.hasNext(); ) {
       MachineState machine = all.next();
-      if (machine.isDeleted() && ownership.attemptsOn(machine.name()).isEmpty()) {
+      if (machine.isDeleted() && ownership.ownedTasksOn(machine.name()).isEmpty()) {
         all.remove();
       }
     }
--- a/src/main/java/io/cherryspool/controller/fleet/MachineContact.java
+++ b/src/main/java/io/cherryspool/controller/fleet/MachineContact.java
@@ -15,7 +15,7 @@
   /** After one ignored reply the next heartbeat may merely have been sent before it came. */
   private static final int MAX_IGNORED_REPLIES = 1;
 
-  private WorkerHeartbeat latest;
+  private WorkerHeartbeat latestHeartbeat;
   private Duration lastHeartbeatAt;
 
   /** {@link #lastHeartbeatAt} when the machine was last probed, null before that. */
@@ -44,13 +44,13 @@
 
   /** Keeps the heartbeat if it is newer than any before; returns whether it is. */
   public boolean accept(WorkerHeartbeat heartbeat, Duration now) {
-    if (latest != null && !heartbeat.isNewerThan(latest)) {
+    if (latestHeartbeat != null && !heartbeat.isNewerThan(latestHeartbeat)) {
       return false;
     }
-    if (latest == null || heartbeat.agentEpoch() > latest.agentEpoch()) {
+    if (latestHeartbeat == null || heartbeat.agentEpoch() > latestHeartbeat.agentEpoch()) {
       epochSince = now;
     }
-    latest = heartbeat;
+    latestHeartbeat = heartbeat;
     lastHeartbeatAt = now;
     unresponsive = false;
     if (heartbeat.highestFencingToken() >= repliedToken) {
@@ -88,15 +88,15 @@
 
   /** Whether any heartbeat, sent by the machine itself or in reply to a call, came in this term. */
   public boolean hasHeartbeat() {
-    return latest != null;
+    return latestHeartbeat != null;
   }
 
   /**
    * The newest heartbeat, null before the first of this term. Not an {@link Optional}, since it is
    * read for every machine in every round.
    */
-  public WorkerHeartbeat latest() {
-    return latest;
+  public WorkerHeartbeat latestHeartbeat() {
+    return latestHeartbeat;
   }
 
   /** When the newest heartbeat came, null before the first of this term. */
@@ -116,7 +116,7 @@
 
   /** Whether the worker has acknowledged a token higher than this one. */
   public boolean hasTokenAbove(long token) {
-    return latest != null && latest.highestFencingToken() > token;
+    return latestHeartbeat != null && latestHeartbeat.highestFencingToken() > token;
   }
 
   /** How many replies in a row the worker has shown no sign of having received. */
@@ -164,7 +164,7 @@
    * Since when nothing that this leader knows of has kept the agent epoch alive; null before the
    * first heartbeat.
    */
-  public Duration lastKeptAliveAt() {
+  public Duration lastLeaseRenewalAt() {
     boolean isEpochNewer =
         lastReplyAt == null || (epochSince != null && epochSince.compareTo(lastReplyAt) > 0);
     return isEpochNewer ? epochSince : lastReplyAt;
@@ -177,8 +177,8 @@
    * @param lateSince what last came before this is late
    * @param termStart when the leader's term began, which answered nothing before
    */
-  ContactState standing(Duration firstSeen, Duration lateSince, Duration termStart) {
-    if (latest == null) {
+  ContactState contactState(Duration firstSeen, Duration lateSince, Duration termStart) {
+    if (latestHeartbeat == null) {
       return firstSeen.compareTo(lateSince) < 0 ? ContactState.NEVER_SEEN : ContactState.NEW;
     }
     if (isNotReceiving()) {
@@ -193,7 +193,7 @@
 
   /** The task's attempt as the newest heartbeat has it; there must be one. */
   public Optional<WorkerHeartbeat.TaskStatus> findTask(TaskId task, int attempt) {
-    for (WorkerHeartbeat.TaskStatus item : latest.tasks()) {
+    for (WorkerHeartbeat.TaskStatus item : latestHeartbeat.tasks()) {
       if (item.attempt() == attempt && item.task().equals(task)) {
         return Optional.of(item);
       }
--- a/src/main/java/io/cherryspool/controller/fleet/MachineState.java
+++ b/src/main/java/io/cherryspool/controller/fleet/MachineState.java
@@ -79,9 +79,9 @@
     return contact.hasHeartbeat();
   }
 
-  /** See {@link MachineContact#latest()}. */
+  /** See {@link MachineContact#latestHeartbeat()}. */
   public WorkerHeartbeat latestHeartbeat() {
-    return contact.latest();
+    return contact.latestHeartbeat();
   }
 
   /** Whether it is known where its worker takes calls. */
@@ -109,8 +109,8 @@
    * @param lateSince what last came before this is late
    * @param termStart when the leader's term began, which answered nothing before
    */
-  public ContactState contactStanding(Duration lateSince, Duration termStart) {
-    return contact.standing(firstSeen, lateSince, termStart);
+  public ContactState contactState(Duration lateSince, Duration termStart) {
+    return contact.contactState(firstSeen, lateSince, termStart);
   }
 
   /** Whether no direct command sent before may still run on the worker. */
--- a/src/main/java/io/cherryspool/controller/fleet/PlacementHistory.java
+++ b/src/main/java/io/cherryspool/controller/fleet/PlacementHistory.java
@@ -37,7 +37,7 @@
   private final Set<String> images = new LinkedHashSet<>();
 
   /** When the exclusion of each job began. */
-  private final Map<String, Duration> failedJobs = new HashMap<>();
+  private final Map<String, Duration> excludedJobs = new HashMap<>();
 
   /** Jobs of which a task completed here and none has failed since, the oldest first. */
   private final Set<String> succeededJobs = new LinkedHashSet<>();
@@ -92,12 +92,12 @@
     if (succeededJobs.remove(job)) {
       return;
     }
-    failedJobs.merge(job, now, (since, latest) -> isOver(since, now) ? latest : since);
+    excludedJobs.merge(job, now, (since, latest) -> isOver(since, now) ? latest : since);
   }
 
   /** Drops the jobs that may be placed here again; returns whether there were any. */
   boolean removeExpiredExclusions(Duration now) {
-    return !failedJobs.isEmpty() && failedJobs.values().removeIf(since -> isOver(since, now));
+    return !excludedJobs.isEmpty() && excludedJobs.values().removeIf(since -> isOver(since, now));
   }
 
   private static boolean isOver(Duration since, Duration now) {
@@ -105,8 +105,8 @@
   }
 
   /** The jobs that must not be placed here since tasks of theirs failed here, as a copy. */
-  public Set<String> failedJobs() {
-    return Set.copyOf(failedJobs.keySet());
+  public Set<String> excludedJobs() {
+    return Set.copyOf(excludedJobs.keySet());
   }
 
   /** Records a failure that the machine rather than the job is to blame for. */
@@ -117,7 +117,7 @@
   /** Records that a task of the job completed here, which ends a row of failures. */
   public void recordSuccess(String job) {
     failuresInARow = 0;
-    failedJobs.remove(job);
+    excludedJobs.remove(job);
     succeededJobs.remove(job);
     succeededJobs.add(job);
     if (succeededJobs.size() > MAX_SUCCEEDED_JOBS) {
--- a/src/main/java/io/cherryspool/controller/leader/CommandDispatcher.java
+++ b/src/main/java/io/cherryspool/controller/leader/CommandDispatcher.java
@@ -104,7 +104,7 @@
   }
 
   private List<WorkerCommand> commandsFor(MachineState machine) {
-    return planner.commandsFor(machine, state.tasks().ownership().attemptsOn(machine.name()));
+    return planner.commandsFor(machine, state.tasks().ownership().ownedTasksOn(machine.name()));
   }
 
   /** The commands for a direct call, which acknowledges nothing: that can wait for a reply. */
--- a/src/main/java/io/cherryspool/controller/leader/CommandSender.java
+++ b/src/main/java/io/cherryspool/controller/leader/CommandSender.java
@@ -67,16 +67,16 @@
       return;
     }
     long token = tokens.current();
-    delivery.beginCall(commands, token);
+    delivery.recordCallStarted(commands, token);
     workers
         .sendCommands(machine.endpoint(), token, machine.latestHeartbeat().agentEpoch(), commands)
         .whenComplete(
             (heartbeat, failure) -> {
               if (failure == null) {
-                delivery.callAnswered();
+                delivery.recordCallAnswered();
                 listener.commandsAnswered(machine, Optional.of(heartbeat));
               } else {
-                delivery.callFailed(loop.now().plus(pauseAfterFailure));
+                delivery.recordCallFailed(loop.now().plus(pauseAfterFailure));
                 tokens.advance();
                 listener.commandsAnswered(machine, Optional.empty());
               }
--- a/src/main/java/io/cherryspool/controller/leader/HeartbeatHandler.java
+++ b/src/main/java/io/cherryspool/controller/leader/HeartbeatHandler.java
@@ -103,11 +103,11 @@
 
   /** Stops the tasks that can save their progress in time; the rest may still finish in it. */
   private void checkpointTasks(MachineState machine, Duration notice) {
-    for (Ownership.OwnedTask owned : state.tasks().ownership().attemptsOn(machine.name())) {
-      Job job = owned.entry().job();
+    for (Ownership.OwnedTask owned : state.tasks().ownership().ownedTasksOn(machine.name())) {
+      Job job = owned.jobRecord().job();
       boolean savesProgress = !job.checkpointInterval().isZero();
       if (savesProgress && job.checkpointDuration().compareTo(notice) < 0) {
-        state.tasks().stopRequests().add(owned.id(), owned.attempt().number(), notice);
+        state.tasks().stopRequests().add(owned.taskId(), owned.attempt().number(), notice);
         rounds.machineChanged(machine.name());
       }
     }
--- a/src/main/java/io/cherryspool/controller/leader/HistoryCheck.java
+++ b/src/main/java/io/cherryspool/controller/leader/HistoryCheck.java
@@ -16,10 +16,13 @@
   private final ClusterRecords records;
   private final FencingTokenSource tokens;
   private final long term;
-  private final LeaderTerm.Findings findings;
+  private final LeaderTerm.ContradictionListeners findings;
 
   HistoryCheck(
-      ClusterRecords records, FencingTokenSource tokens, long term, LeaderTerm.Findings findings) {
+      ClusterRecords records,
+      FencingTokenSource tokens,
+      long term,
+      LeaderTerm.ContradictionListeners findings) {
     this.records = records;
     this.tokens = tokens;
     this.term = term;
@@ -36,12 +39,12 @@
     if (heartbeat.highestFencingToken() > tokens.current()) {
       // Of a later leader; or, in a lost history, of another leader in a term of this number.
       findings
-          .higherTerm()
+          .onHigherTerm()
           .accept(Math.max(FencingToken.term(heartbeat.highestFencingToken()), term + 1));
       return true;
     }
     // What a heartbeat repeats was checked before; of a start the records never come to know less.
-    return findings.unrecordedStart().isPresent()
+    return findings.onUnrecordedStart().isPresent()
         && records.isReconciled()
         && heartbeat.hasChangedSince(before)
         && reportUnrecordedStart(heartbeat);
@@ -53,7 +56,7 @@
       String job = status.task().jobId();
       boolean isNoted = records.isAbandoned(job) || records.isUnknownJob(job);
       if (!isNoted && !Reconciliation.isStartRecorded(records.job(job), status)) {
-        findings.unrecordedStart().get().accept(status.task() + " try " + status.attempt());
+        findings.onUnrecordedStart().get().accept(status.task() + " try " + status.attempt());
         return true;
       }
     }
--- a/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
@@ -101,11 +101,12 @@
   /**
    * Receivers of what a term finds out and the whole node must know; each may end the term.
    *
-   * @param higherTerm receives a higher term that a worker has shown
-   * @param unrecordedStart receives an attempt that a worker has and no record, where losses of
+   * @param onHigherTerm receives a higher term that a worker has shown
+   * @param onUnrecordedStart receives an attempt that a worker has and no record, where losses of
    *     state are looked for
    */
-  public record Findings(LongConsumer higherTerm, Optional<Consumer<String>> unrecordedStart) {}
+  public record ContradictionListeners(
+      LongConsumer onHigherTerm, Optional<Consumer<String>> onUnrecordedStart) {}
 
   /**
    * Creates a term that has not started.
@@ -116,7 +117,7 @@
       Services services,
       TermSettings settings,
       Authority authority,
-      Findings findings,
+      ContradictionListeners findings,
       RoundCommitter committer,
       long term) {
     this.term = term;
@@ -172,12 +173,12 @@
       Services services, TermSettings settings, Authority authority) {
     return new Provisioner(
         loop,
-        new Provisioner.Cloud(
+        new Provisioner.CloudAccess(
             services.cloud(),
             settings.provisioning(),
             services.records().instanceRequestPrefix() + term + "-",
             authority.mayChangeFleet()),
-        new Provisioner.Cluster(
+        new Provisioner.ClusterState(
             state.fleet(),
             state.tasks().ownership(),
             state.tasks().adoption(),
@@ -215,15 +216,15 @@
   }
 
   /** How this leader reaches its machines. */
-  public FleetReachability fleetView() {
-    Duration lateSince = loop.now().minus(timings.lateAfter());
+  public FleetReachability fleetReachability() {
+    Duration lateSince = loop.now().minus(timings.heartbeatLateAfter());
     FleetReachability.Builder view = new FleetReachability.Builder();
     for (MachineState machine : state.fleet().all()) {
       if (!machine.isDeleted()) {
         view.addMachine(
             machine.zone(),
             provisioner.isListed(machine.name()),
-            machine.contactStanding(lateSince, termStart));
+            machine.contactState(lateSince, termStart));
       }
     }
     return view.build();
@@ -235,7 +236,7 @@
   }
 
   /** Has a round run soon, since the records or this node's links have changed. */
-  public void recordsChanged() {
+  public void requestRound() {
     rounds.requestRound();
   }
 
--- a/src/main/java/io/cherryspool/controller/leader/MachineProber.java
+++ b/src/main/java/io/cherryspool/controller/leader/MachineProber.java
@@ -101,7 +101,7 @@
    * is not taken for dead.
    */
   void probeLate() {
-    Duration lateSince = loop.now().minus(timings.lateAfter());
+    Duration lateSince = loop.now().minus(timings.heartbeatLateAfter());
     for (String name : state.tasks().ownership().owningMachines()) {
       MachineState machine = state.fleet().get(name);
       if (machine != null
--- a/src/main/java/io/cherryspool/controller/leader/OwnershipChangeHandler.java
+++ b/src/main/java/io/cherryspool/controller/leader/OwnershipChangeHandler.java
@@ -45,17 +45,17 @@
   }
 
   @Override
-  public void released(Ownership.OwnedTask owned) {
+  public void attemptReleased(Ownership.OwnedTask owned) {
     state.tasks().pendingReleases().remove(owned);
     state.tasks().stopRequests().remove(owned);
     MachineState machine = state.fleet().get(owned.attempt().machine());
     if (machine != null) {
-      machine.commands().removeStart(WorkerCommand.start(owned.id(), owned.attempt().number()));
+      machine.commands().removeStart(WorkerCommand.start(owned.taskId(), owned.attempt().number()));
     }
   }
 
   @Override
-  public void reloaded() {
+  public void recordsReloaded() {
     dispatcher.recordsReloaded();
     state.demand().recordsReloaded();
     rounds.recordsReloaded();
--- a/src/main/java/io/cherryspool/controller/leader/WorkerCommandPlanner.java
+++ b/src/main/java/io/cherryspool/controller/leader/WorkerCommandPlanner.java
@@ -48,7 +48,7 @@
     }
     for (Ownership.OwnedTask item : owned) {
       if (isStartDue(item, machine)) {
-        commands.add(WorkerCommand.start(item.id(), item.attempt().number()));
+        commands.add(WorkerCommand.start(item.taskId(), item.attempt().number()));
       }
     }
     return commands;
@@ -87,12 +87,12 @@
 
   private boolean isStartDue(Ownership.OwnedTask owned, MachineState machine) {
     return owned.attempt().agentEpoch() == machine.latestHeartbeat().agentEpoch()
-        && owned.entry().outcome() == null
-        && !tasks.adoption().isHeldBack(owned.entry())
+        && owned.jobRecord().outcome() == null
+        && !tasks.adoption().isHeldBack(owned.jobRecord())
         && !tasks.stopRequests().isRequested(owned)
         // An attempt that has ended must not run once more while its end waits to be written.
         && !tasks.pendingReleases().contains(owned)
-        && machine.contact().findTask(owned.id(), owned.attempt().number()).isEmpty();
+        && machine.contact().findTask(owned.taskId(), owned.attempt().number()).isEmpty();
   }
 
   /** The owned task that the status is of, null if there is none. */
@@ -102,7 +102,7 @@
     for (Ownership.OwnedTask candidate : owned) {
       if (candidate.attempt().number() == status.attempt()
           && candidate.attempt().agentEpoch() == epoch
-          && candidate.id().equals(status.task())) {
+          && candidate.taskId().equals(status.task())) {
         return candidate;
       }
     }
--- a/src/main/java/io/cherryspool/controller/ownership/Ownership.java
+++ b/src/main/java/io/cherryspool/controller/ownership/Ownership.java
@@ -22,7 +22,7 @@
 public final class Ownership implements ClusterRecords.RecordsListener, Lifecycle {
 
   /** One owned task, and the attempt that owns it. */
-  public record OwnedTask(JobRecord entry, TaskId id, Attempt attempt) {}
+  public record OwnedTask(JobRecord jobRecord, TaskId taskId, Attempt attempt) {}
 
   /** Acts on changes of the records as they are applied. */
   public interface Listener {
@@ -36,10 +36,10 @@
     void jobEnded(JobRecord entry);
 
     /** The records no longer hold this attempt. */
-    void released(OwnedTask owned);
+    void attemptReleased(OwnedTask owned);
 
     /** The records were read anew, so that everything may have changed. */
-    void reloaded();
+    void recordsReloaded();
   }
 
   private final ClusterRecords records;
@@ -72,7 +72,7 @@
   }
 
   /** What the machine owns, as a live view; empty if nothing. */
-  public List<OwnedTask> attemptsOn(String machine) {
+  public List<OwnedTask> ownedTasksOn(String machine) {
     return byMachine.getOrDefault(machine, List.of());
   }
 
@@ -130,7 +130,7 @@
         }
       }
     }
-    listener.reloaded();
+    listener.recordsReloaded();
   }
 
   private void add(JobRecord entry, Attempt attempt) {
@@ -140,16 +140,16 @@
   }
 
   private void remove(JobRecord entry, Attempt attempt) {
-    List<OwnedTask> list = attemptsOn(attempt.machine());
+    List<OwnedTask> list = ownedTasksOn(attempt.machine());
     for (int i = 0; i < list.size(); i++) {
       OwnedTask owned = list.get(i);
-      if (owned.entry() == entry && owned.attempt().equals(attempt)) {
+      if (owned.jobRecord() == entry && owned.attempt().equals(attempt)) {
         list.remove(i);
         if (list.isEmpty()) {
           byMachine.remove(attempt.machine());
         }
         listener.machineChanged(attempt.machine());
-        listener.released(owned);
+        listener.attemptReleased(owned);
         return;
       }
     }
--- a/src/main/java/io/cherryspool/controller/ownership/StopRequests.java
+++ b/src/main/java/io/cherryspool/controller/ownership/StopRequests.java
@@ -31,10 +31,10 @@
 
   /** The grace period of the stop requested for the attempt, empty if it is to go on. */
   public Optional<Duration> gracePeriodFor(Ownership.OwnedTask owned) {
-    if (owned.entry().outcome() == Outcome.CANCELLED) {
+    if (owned.jobRecord().outcome() == Outcome.CANCELLED) {
       return Optional.of(Duration.ZERO);
     }
-    StopRequest request = requests.get(owned.id());
+    StopRequest request = requests.get(owned.taskId());
     return request != null && request.attempt == owned.attempt().number()
         ? Optional.of(request.gracePeriod)
         : Optional.empty();
@@ -42,9 +42,9 @@
 
   /** Drops the request for an attempt that the records have released. */
   public void remove(Ownership.OwnedTask owned) {
-    StopRequest request = requests.get(owned.id());
+    StopRequest request = requests.get(owned.taskId());
     if (request != null && request.attempt <= owned.attempt().number()) {
-      requests.remove(owned.id());
+      requests.remove(owned.taskId());
     }
   }
 }
--- a/src/main/java/io/cherryspool/controller/provisioning/MachineRemoval.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/MachineRemoval.java
@@ -32,7 +32,7 @@
   private final CloudCallSlot calls;
   private final InstanceList list;
   private final InstanceRequests requests;
-  private final Provisioner.Cluster cluster;
+  private final Provisioner.ClusterState cluster;
   private final FleetPermissions permissions;
   private final Duration listLag;
   private final Set<String> marked = new LinkedHashSet<>();
@@ -42,7 +42,7 @@
       CloudCallSlot calls,
       InstanceList list,
       InstanceRequests requests,
-      Provisioner.Cluster cluster,
+      Provisioner.ClusterState cluster,
       FleetPermissions permissions,
       Duration listLag) {
     this.loop = loop;
@@ -86,7 +86,7 @@
 
   private void markFailedMachine(MachineState machine, Duration now, Duration steadyFor) {
     boolean isIdle =
-        cluster.ownership().attemptsOn(machine.name()).isEmpty()
+        cluster.ownership().ownedTasksOn(machine.name()).isEmpty()
             && !cluster.adoption().hasUnknownUsage(machine);
     machine.setIdle(isIdle, now);
     Duration silentFor = now.minus(machine.lastSeenAt());
--- a/src/main/java/io/cherryspool/controller/provisioning/Provisioner.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/Provisioner.java
@@ -43,7 +43,7 @@
 
   private final EventLoop loop;
   private final CloudCallSlot calls;
-  private final Cluster cluster;
+  private final ClusterState cluster;
   private final FleetPermissions permissions;
   private final BooleanSupplier mayChangeFleet;
   private final Duration stepInterval;
@@ -60,7 +60,7 @@
    * @param adoption what runs without a record after a loss of state
    * @param catalog the machine types, null while they are not known
    */
-  public record Cluster(
+  public record ClusterState(
       Fleet fleet,
       Ownership ownership,
       Adoption adoption,
@@ -74,7 +74,7 @@
    * @param requestPrefix makes the names of this term's requests unlike those of any other
    * @param mayChangeFleet whether no other leader may be changing the fleet
    */
-  public record Cloud(
+  public record CloudAccess(
       CloudClient client,
       ProvisioningLimits limits,
       String requestPrefix,
@@ -87,8 +87,8 @@
    */
   public Provisioner(
       EventLoop loop,
-      Cloud cloud,
-      Cluster cluster,
+      CloudAccess cloud,
+      ClusterState cluster,
       FleetPermissions permissions,
       Runnable onListRead) {
     ProvisioningLimits limits = cloud.limits();
@@ -97,8 +97,9 @@
     this.cluster = cluster;
     this.permissions = permissions;
     this.mayChangeFleet = cloud.mayChangeFleet();
-    this.stepInterval = Duration.ofNanos((long) (PAUSE_NANOS_PER_RATE / limits.cloudRps()));
-    this.idleTimeout = limits.idleKeep();
+    this.stepInterval =
+        Duration.ofNanos((long) (PAUSE_NANOS_PER_RATE / limits.cloudRequestsPerSecond()));
+    this.idleTimeout = limits.idleTimeout();
     this.list = new InstanceList(loop, calls, cluster.fleet(), onListRead);
     this.requests =
         new InstanceRequests(loop, calls, cluster.fleet(), cloud.requestPrefix(), limits.listLag());
@@ -224,8 +225,8 @@
         continue;
       }
       double usedCpus = 0;
-      for (Ownership.OwnedTask owned : cluster.ownership().attemptsOn(machine.name())) {
-        usedCpus += owned.entry().job().perTask().cpus();
+      for (Ownership.OwnedTask owned : cluster.ownership().ownedTasksOn(machine.name())) {
+        usedCpus += owned.jobRecord().job().perTask().cpus();
       }
       result.add(
           new ScalingPlan.ActiveMachine(
--- a/src/main/java/io/cherryspool/controller/provisioning/ProvisioningLimits.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/ProvisioningLimits.java
@@ -5,8 +5,9 @@
 /**
  * The cloud's limits and how long idle machines are kept, from the settings.
  *
- * @param cloudRps the requests that the cloud allows in a second
+ * @param cloudRequestsPerSecond the requests that the cloud allows in a second
  * @param listLag after so long the cloud's list shows every change
- * @param idleKeep for how long a machine without tasks is kept
+ * @param idleTimeout for how long a machine without tasks is kept
  */
-public record ProvisioningLimits(double cloudRps, Duration listLag, Duration idleKeep) {}
+public record ProvisioningLimits(
+    double cloudRequestsPerSecond, Duration listLag, Duration idleTimeout) {}
--- a/src/main/java/io/cherryspool/controller/release/CrashLoopBackoff.java
+++ b/src/main/java/io/cherryspool/controller/release/CrashLoopBackoff.java
@@ -26,7 +26,7 @@
   private static final int MIN_MACHINES = 3;
 
   /** Tries of a crash-looping job at a time. */
-  public static final int MAX_CONCURRENT_TRIES = 2;
+  public static final int MAX_CONCURRENT_RETRIES = 2;
 
   private static final long FIRST_PAUSE_MILLIS = 500;
   private static final Duration MAX_PAUSE = Duration.ofSeconds(30);
@@ -47,7 +47,7 @@
     boolean recordFailure(String machine, Duration now) {
       boolean isFirstOnMachine = machines.add(machine);
       // Those that were under way together count as one try.
-      tries += isEstablished() && now.compareTo(nextTryAt(now)) >= 0 ? 1 : 0;
+      tries += isEstablished() && now.compareTo(nextRetryAt(now)) >= 0 ? 1 : 0;
       lastFailureAt = now;
       return isFirstOnMachine;
     }
@@ -61,7 +61,7 @@
             job,
             machines.size(),
             machine,
-            MAX_CONCURRENT_TRIES);
+            MAX_CONCURRENT_RETRIES);
       }
     }
 
@@ -69,7 +69,7 @@
       return machines.size() >= MIN_MACHINES;
     }
 
-    Duration nextTryAt(Duration now) {
+    Duration nextRetryAt(Duration now) {
       if (lastFailureAt == null) {
         return now;
       }
@@ -115,15 +115,15 @@
   }
 
   /** When the job may be tried again, which may be in the past; now, if nothing is known of it. */
-  public Duration nextTryAt(JobRecord entry, Duration now) {
+  public Duration nextRetryAt(JobRecord entry, Duration now) {
     CrashLoop loop = loops.get(entry.job().id());
-    return loop == null ? now : loop.nextTryAt(now);
+    return loop == null ? now : loop.nextRetryAt(now);
   }
 
   /** All that was ever tried has failed, but for what may be under way as a try. */
   private static boolean isCrashLoopingByRecords(JobRecord entry) {
     JobRecord.FailureCounts failures = entry.failureCounts();
     return failures.totalFailures() >= MIN_MACHINES
-        && failures.failedTasks() >= failures.attemptedTasks() - MAX_CONCURRENT_TRIES;
+        && failures.failedTasks() >= failures.attemptedTasks() - MAX_CONCURRENT_RETRIES;
   }
 }
--- a/src/main/java/io/cherryspool/controller/release/PendingReleases.java
+++ b/src/main/java/io/cherryspool/controller/release/PendingReleases.java
@@ -39,18 +39,18 @@
   /** Adds a release, in place of one of an earlier attempt of the task. */
   public void add(Release release) {
     byJob
-        .computeIfAbsent(release.owned().id().jobId(), key -> new TreeMap<>())
-        .put(release.owned().id().index(), release);
+        .computeIfAbsent(release.owned().taskId().jobId(), key -> new TreeMap<>())
+        .put(release.owned().taskId().index(), release);
   }
 
   /** Whether a release of this very attempt is pending. */
   public boolean contains(Ownership.OwnedTask owned) {
-    Release release = ofJob(owned.id().jobId()).get(owned.id().index());
+    Release release = releasesOf(owned.taskId().jobId()).get(owned.taskId().index());
     return release != null && release.owned().attempt().equals(owned.attempt());
   }
 
   /** The job's releases by task index, in order; a live view, empty if there are none. */
-  public Map<Integer, Release> ofJob(String id) {
+  public Map<Integer, Release> releasesOf(String id) {
     return byJob.getOrDefault(id, Map.of());
   }
 
@@ -71,10 +71,10 @@
   /** Removes the attempt's release, since the records do not have the attempt as owner any more. */
   public void remove(Ownership.OwnedTask owned) {
     if (contains(owned)) {
-      Map<Integer, Release> releases = byJob.get(owned.id().jobId());
-      releases.remove(owned.id().index());
+      Map<Integer, Release> releases = byJob.get(owned.taskId().jobId());
+      releases.remove(owned.taskId().index());
       if (releases.isEmpty()) {
-        byJob.remove(owned.id().jobId());
+        byJob.remove(owned.taskId().jobId());
       }
     }
   }
--- a/src/main/java/io/cherryspool/controller/release/TerminationEvidence.java
+++ b/src/main/java/io/cherryspool/controller/release/TerminationEvidence.java
@@ -81,7 +81,7 @@
   private Verdict assessHeartbeat(Ownership.OwnedTask owned, MachineState machine) {
     Attempt attempt = owned.attempt();
     Optional<WorkerHeartbeat.TaskStatus> found =
-        machine.contact().findTask(owned.id(), attempt.number());
+        machine.contact().findTask(owned.taskId(), attempt.number());
     if (found.isEmpty()) {
       return assessAbsence(owned, machine);
     }
@@ -109,7 +109,7 @@
         || machine.latestHeartbeat().agentEpoch() != owned.attempt().agentEpoch()) {
       return Verdict.OWNED;
     }
-    WorkerCommand start = WorkerCommand.start(owned.id(), owned.attempt().number());
+    WorkerCommand start = WorkerCommand.start(owned.taskId(), owned.attempt().number());
     long startToken = machine.commands().startTokenOr(start, tokens.termBase());
     if (!machine.contact().hasTokenAbove(startToken) || !machine.areCommandsFenced()) {
       return Verdict.NEEDS_FENCING;
@@ -119,7 +119,7 @@
 
   /** Until when this leader or an earlier one may have kept the worker alive. */
   private Duration keptAliveUntil(MachineState machine) {
-    Duration keptAlive = machine.contact().lastKeptAliveAt();
+    Duration keptAlive = machine.contact().lastLeaseRenewalAt();
     Duration byThisLeader = keptAlive == null ? termStart : keptAlive;
     boolean isFenced = machine.contact().hasTokenAbove(tokens.termBase());
     Duration byEarlierLeader = isFenced ? termStart : termStart.plus(timings.authority());
--- a/src/main/java/io/cherryspool/controller/rounds/ClusterViewBuilder.java
+++ b/src/main/java/io/cherryspool/controller/rounds/ClusterViewBuilder.java
@@ -90,7 +90,7 @@
   private Map<String, Resources> usageByTeam() {
     Map<String, Resources> usage = new HashMap<>();
     for (JobRecord job : records.activeJobs()) {
-      int count = job.ownedCount() - pendingReleases.ofJob(job.job().id()).size();
+      int count = job.ownedCount() - pendingReleases.releasesOf(job.job().id()).size();
       if (count > 0) {
         usage.merge(job.job().team(), job.job().perTask().times(count), Resources::plus);
       }
--- a/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
+++ b/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
@@ -143,7 +143,7 @@
     for (JobRecord job : records.activeJobs()) {
       if (job.outcome() == null && !isCrashLooping(job)) {
         Collection<PendingReleases.Release> releases =
-            pendingReleases.ofJob(job.job().id()).values();
+            pendingReleases.releasesOf(job.job().id()).values();
         int running = job.ownedCount() - releases.size();
         int done = job.doneCount() + PendingReleases.countDone(releases);
         int waiting = job.job().taskCount() - done - running;
@@ -155,7 +155,8 @@
   }
 
   private boolean isCrashLooping(JobRecord job) {
-    Collection<PendingReleases.Release> releases = pendingReleases.ofJob(job.job().id()).values();
+    Collection<PendingReleases.Release> releases =
+        pendingReleases.releasesOf(job.job().id()).values();
     return job.doneCount() + PendingReleases.countDone(releases) == 0
         && backoff.isCrashLooping(job);
   }
--- a/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
+++ b/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
@@ -117,23 +117,24 @@
   /** Whether any task of the job was ever done. */
   boolean hasSucceeded(JobRecord job) {
     return job.doneCount() > 0
-        || PendingReleases.countDone(tasks.pendingReleases().ofJob(job.job().id()).values()) > 0;
+        || PendingReleases.countDone(tasks.pendingReleases().releasesOf(job.job().id()).values())
+            > 0;
   }
 
   private CachedView newView(JobRecord record, Duration now) {
     Job job = record.job();
-    Map<Integer, PendingReleases.Release> releases = tasks.pendingReleases().ofJob(job.id());
+    Map<Integer, PendingReleases.Release> releases = tasks.pendingReleases().releasesOf(job.id());
     PendingTaskScan scan = new PendingTaskScan(record, releases, now);
     scan.run();
     List<ClusterView.PendingTask> pending = scan.pending;
     if (!hasSucceeded(record) && tasks.backoff().isCrashLooping(record)) {
-      Duration nextTryAt = tasks.backoff().nextTryAt(record, now);
+      Duration nextTryAt = tasks.backoff().nextRetryAt(record, now);
       if (now.compareTo(nextTryAt) < 0) {
         pending = List.of();
         scan.waitUntil(nextTryAt);
       } else {
         int running = record.ownedCount() - releases.size();
-        pending = selectTries(pending, CrashLoopBackoff.MAX_CONCURRENT_TRIES - running);
+        pending = selectTries(pending, CrashLoopBackoff.MAX_CONCURRENT_RETRIES - running);
       }
     }
     Optional<Map<String, Integer>> byZone =
--- a/src/main/java/io/cherryspool/controller/rounds/LentQuota.java
+++ b/src/main/java/io/cherryspool/controller/rounds/LentQuota.java
@@ -53,6 +53,6 @@
   private boolean isOwned(JobRecord job, TaskId task) {
     return job.outcome() != Outcome.DONE
         && job.shard(job.shardIndexOf(task.index())).shard().ownedAttempt(task.index()) != null
-        && !pendingReleases.ofJob(task.jobId()).containsKey(task.index());
+        && !pendingReleases.releasesOf(task.jobId()).containsKey(task.index());
   }
 }
--- a/src/main/java/io/cherryspool/controller/rounds/MachineViewCache.java
+++ b/src/main/java/io/cherryspool/controller/rounds/MachineViewCache.java
@@ -96,10 +96,10 @@
         && !machine.isMarkedForDeletion()
         && !contact.isUnresponsive()
         && contact.ignoredReplies() == 0
-        && contact.latest().preemptionNotice() == null
+        && contact.latestHeartbeat().preemptionNotice() == null
         && !machine.history().isFaulty()
         && now.minus(contact.lastHeartbeatAt()).compareTo(maxSilence) < 0
-        && now.minus(contact.lastKeptAliveAt()).compareTo(halfLease) < 0
+        && now.minus(contact.lastLeaseRenewalAt()).compareTo(halfLease) < 0
         && contact.hasTokenAbove(tokens.termBase())
         && !tasks.adoption().hasUnknownUsage(machine);
   }
@@ -107,15 +107,15 @@
   private ClusterView.MachineView newView(MachineState machine, MachineType type) {
     Resources free = type.capacity();
     List<ClusterView.RunningTask> running = new ArrayList<>();
-    for (Ownership.OwnedTask owned : tasks.ownership().attemptsOn(machine.name())) {
+    for (Ownership.OwnedTask owned : tasks.ownership().ownedTasksOn(machine.name())) {
       if (!tasks.pendingReleases().contains(owned)) {
-        Job job = owned.entry().job();
+        Job job = owned.jobRecord().job();
         free = free.minus(job.perTask());
         running.add(
             new ClusterView.RunningTask(
-                owned.id(),
+                owned.taskId(),
                 job,
-                machine.history().runningSince(owned.id()).orElse(null),
+                machine.history().runningSince(owned.taskId()).orElse(null),
                 tasks.stopRequests().isRequested(owned)));
       }
     }
@@ -127,7 +127,7 @@
         machine.isDraining(),
         free,
         machine.history().images(),
-        machine.history().failedJobs(),
+        machine.history().excludedJobs(),
         running);
   }
 }
--- a/src/main/java/io/cherryspool/controller/rounds/RoundTransaction.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundTransaction.java
@@ -105,8 +105,8 @@
   private Set<String> addReleases(Duration due, Duration overdue) {
     Set<String> ending = new HashSet<>();
     for (String id : pendingReleases.jobIds()) {
-      Collection<PendingReleases.Release> releases = pendingReleases.ofJob(id).values();
-      JobRecord job = releases.iterator().next().owned().entry();
+      Collection<PendingReleases.Release> releases = pendingReleases.releasesOf(id).values();
+      JobRecord job = releases.iterator().next().owned().jobRecord();
       boolean ends =
           job.outcome() == null
               && job.doneCount() + PendingReleases.countDone(releases) == job.job().taskCount();
@@ -120,7 +120,7 @@
         JobEdit edit = edit(job);
         edit.isOverdue = isOverdue;
         for (PendingReleases.Release release : releases) {
-          edit.shard(job.shardIndexOf(release.owned().id().index()));
+          edit.shard(job.shardIndexOf(release.owned().taskId().index()));
         }
       }
       if (ends) {
@@ -243,8 +243,8 @@
         return known;
       }
       Shard.Editor editor = job.shard(index).shard().edit();
-      for (PendingReleases.Release release : pendingReleases.ofJob(job.job().id()).values()) {
-        int task = release.owned().id().index();
+      for (PendingReleases.Release release : pendingReleases.releasesOf(job.job().id()).values()) {
+        int task = release.owned().taskId().index();
         if (job.shardIndexOf(task) == index) {
           if (release.isDone()) {
             editor.complete(task);
--- a/src/main/java/io/cherryspool/controller/rounds/TerminationCollector.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TerminationCollector.java
@@ -86,7 +86,7 @@
     machinesToExamine.clear();
     for (String name : names) {
       MachineState machine = find(name, now);
-      for (Ownership.OwnedTask owned : tasks.ownership().attemptsOn(name)) {
+      for (Ownership.OwnedTask owned : tasks.ownership().ownedTasksOn(name)) {
         if (tasks.pendingReleases().contains(owned)) {
           continue;
         }
@@ -129,7 +129,7 @@
       Duration now) {
     tasks.pendingReleases().add(new PendingReleases.Release(owned, verdict, now));
     boolean done = verdict == TerminationEvidence.Verdict.DONE;
-    jobViews.attemptEnded(owned.id(), done, now);
+    jobViews.attemptEnded(owned.taskId(), done, now);
     if (machine != null) {
       machine.invalidateView();
     }
@@ -141,11 +141,11 @@
   }
 
   private void recordSuccess(Ownership.OwnedTask owned, MachineState machine, Duration now) {
-    Job job = owned.entry().job();
+    Job job = owned.jobRecord().job();
     tasks.backoff().reset(job.id());
     if (machine != null) {
       machine.history().recordSuccess(job.id());
-      Optional<Duration> since = machine.history().runningSince(owned.id());
+      Optional<Duration> since = machine.history().runningSince(owned.taskId());
       if (since.isPresent()) {
         state.demand().recordRunTime(job, now.minus(since.get()));
       }
@@ -166,11 +166,11 @@
     if (!failed && verdict != TerminationEvidence.Verdict.REFUSED) {
       return;
     }
-    JobRecord job = owned.entry();
+    JobRecord job = owned.jobRecord();
     LOG.info(
         "task {}: task={}, attempt={}, machine={}",
         failed ? "failed" : "was refused",
-        owned.id(),
+        owned.taskId(),
         owned.attempt().number(),
         owned.attempt().machine());
     if (machine == null) {
--- a/src/main/java/io/cherryspool/controller/timing/Timings.java
+++ b/src/main/java/io/cherryspool/controller/timing/Timings.java
@@ -33,7 +33,7 @@
   private static final int CALLS_PER_STATE_STORE_LEASE = 4;
 
   /** After so long without a heartbeat a worker is late, whatever the deviation of its interval. */
-  public Duration lateAfter() {
+  public Duration heartbeatLateAfter() {
     return Durations.divide(Durations.multiply(heartbeatInterval, 5), 4).plusMillis(250);
   }
 
--- a/src/test/java/io/cherryspool/controller/fleet/CommandDeliveryTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/CommandDeliveryTest.java
@@ -22,16 +22,16 @@
 
   @Test
   void aCallWithoutAnswerStaysPendingAndDelaysTheNext() {
-    delivery.beginCall(List.of(), 7);
+    delivery.recordCallStarted(List.of(), 7);
     assertFalse(delivery.mayCall(NOW), "one call at a time");
     assertEquals(7, delivery.highestPendingToken());
-    delivery.callFailed(NOW.plusSeconds(2));
+    delivery.recordCallFailed(NOW.plusSeconds(2));
     assertFalse(delivery.isCallInFlight());
     assertFalse(delivery.mayCall(NOW.plusSeconds(1)));
     assertTrue(delivery.mayCall(NOW.plusSeconds(2)));
-    delivery.beginCall(List.of(), 9);
+    delivery.recordCallStarted(List.of(), 9);
     assertEquals(9, delivery.highestPendingToken());
-    delivery.callAnswered();
+    delivery.recordCallAnswered();
     assertEquals(7, delivery.highestPendingToken(), "the first call may still run");
   }
 
@@ -51,7 +51,7 @@
     delivery.recordDelivered(List.of(START), 7, NOW);
     delivery.recordDelivered(List.of(STOP), 8, NOW);
     assertEquals(7, delivery.startTokenOr(START, 3), "it may still be under way");
-    delivery.beginCall(List.of(START, STOP), 9);
+    delivery.recordCallStarted(List.of(START, STOP), 9);
     assertEquals(9, delivery.startTokenOr(START, 3));
     assertEquals(3, delivery.startTokenOr(STOP, 3), "a stop is no start");
     delivery.removeStart(START);
--- a/src/test/java/io/cherryspool/controller/fleet/PlacementHistoryTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/PlacementHistoryTest.java
@@ -23,16 +23,16 @@
   void aJobThatNeverCompletedATaskHereIsExcludedByOneFailure() {
     history.recordSuccess("req-000002");
     history.recordJobFailure(JOB, NOW);
-    assertEquals(Set.of(JOB), history.failedJobs());
+    assertEquals(Set.of(JOB), history.excludedJobs());
   }
 
   @Test
   void aJobThatCompletedATaskHereIsExcludedByTheSecondFailureInARow() {
     history.recordSuccess(JOB);
     history.recordJobFailure(JOB, NOW);
-    assertEquals(Set.of(), history.failedJobs());
+    assertEquals(Set.of(), history.excludedJobs());
     history.recordJobFailure(JOB, NOW.plusSeconds(1));
-    assertEquals(Set.of(JOB), history.failedJobs());
+    assertEquals(Set.of(JOB), history.excludedJobs());
   }
 
   @Test
@@ -41,7 +41,7 @@
       history.recordSuccess(JOB);
       history.recordJobFailure(JOB, NOW.plusSeconds(i));
     }
-    assertEquals(Set.of(), history.failedJobs());
+    assertEquals(Set.of(), history.excludedJobs());
   }
 
   /** Tasks that were placed before the exclusion may complete during it. */
@@ -49,6 +49,6 @@
   void aSuccessEndsAnExclusion() {
     history.recordJobFailure(JOB, NOW);
     history.recordSuccess(JOB);
-    assertEquals(Set.of(), history.failedJobs());
+    assertEquals(Set.of(), history.excludedJobs());
   }
 }
--- a/src/test/java/io/cherryspool/controller/fleet/ZonePartitionTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/ZonePartitionTest.java
@@ -43,7 +43,7 @@
     Set<String> zones = new HashSet<>();
     for (MachineState machine : fleet) {
       zones.add(machine.zone());
-      ContactState contact = machine.contactStanding(now.minus(late), Duration.ZERO);
+      ContactState contact = machine.contactState(now.minus(late), Duration.ZERO);
       view.addMachine(machine.zone(), listed.contains(machine.name()), contact);
     }
     Reachability reachability = ReachabilityFixture.reachability("node-0", List.of("node-1"));
--- a/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
@@ -84,10 +84,10 @@
             services(loop, replica),
             settings(),
             authority(),
-            new LeaderTerm.Findings(higher -> {}, Optional.empty()),
+            new LeaderTerm.ContradictionListeners(higher -> {}, Optional.empty()),
             committer,
             TERM);
-    replica.onChange(term::recordsChanged);
+    replica.onChange(term::requestRound);
     term.start();
   }
 
--- a/src/test/java/io/cherryspool/controller/leader/WorkerCommandPlannerTest.java
+++ b/src/test/java/io/cherryspool/controller/leader/WorkerCommandPlannerTest.java
@@ -92,8 +92,8 @@
   /** After its acknowledgement, a start that is still under way would run the attempt once more. */
   @Test
   void anEndedAttemptIsNotAcknowledgedWhileACommandHasNoAnswer() {
-    machine.commands().beginCall(List.of(), tokens.current());
-    machine.commands().callFailed(START);
+    machine.commands().recordCallStarted(List.of(), tokens.current());
+    machine.commands().recordCallFailed(START);
     receive(failed());
     assertEquals(List.of(), planner.commandsFor(machine, List.of()));
     tokens.advance();
--- a/src/test/java/io/cherryspool/controller/ownership/OwnershipTest.java
+++ b/src/test/java/io/cherryspool/controller/ownership/OwnershipTest.java
@@ -32,12 +32,12 @@
           public void jobEnded(JobRecord ended) {}
 
           @Override
-          public void released(Ownership.OwnedTask owned) {
-            released.add(owned.id().index());
+          public void attemptReleased(Ownership.OwnedTask owned) {
+            released.add(owned.taskId().index());
           }
 
           @Override
-          public void reloaded() {}
+          public void recordsReloaded() {}
         });
     ownership.onProgress(entry, Shard.EMPTY, entry.shard(0).shard());
   }
@@ -46,10 +46,10 @@
   @Test
   void aJobThatIsDoneOwnsNothingWhateverItsRecordsHold() {
     listen();
-    assertEquals(2, ownership.attemptsOn("host-1").size());
+    assertEquals(2, ownership.ownedTasksOn("host-1").size());
     JobRecordFixture.end(entry, Outcome.DONE);
     ownership.onJobChanged(entry);
-    assertEquals(List.of(), ownership.attemptsOn("host-1"));
+    assertEquals(List.of(), ownership.ownedTasksOn("host-1"));
     assertEquals(0, entry.ownedCount());
     released.sort(null);
     assertEquals(List.of(0, 1), released);
@@ -60,7 +60,7 @@
     listen();
     JobRecordFixture.end(entry, Outcome.CANCELLED);
     ownership.onJobChanged(entry);
-    assertEquals(2, ownership.attemptsOn("host-1").size());
+    assertEquals(2, ownership.ownedTasksOn("host-1").size());
     assertEquals(2, entry.ownedCount());
   }
 }
--- a/src/test/java/io/cherryspool/controller/release/CrashLoopBackoffTest.java
+++ b/src/test/java/io/cherryspool/controller/release/CrashLoopBackoffTest.java
@@ -63,7 +63,7 @@
     double pause = 0;
     for (int i = 0; i < 12; i++) {
       Duration now = Duration.ofMillis((long) (at * 1000));
-      double next = backoff.nextTryAt(entry, now).minus(now).toMillis() / 1000.0;
+      double next = backoff.nextRetryAt(entry, now).minus(now).toMillis() / 1000.0;
       assertTrue(next >= pause, next + " after " + pause);
       pause = next;
       at += pause;
--- a/src/test/java/io/cherryspool/controller/release/TerminationEvidenceTest.java
+++ b/src/test/java/io/cherryspool/controller/release/TerminationEvidenceTest.java
@@ -97,8 +97,8 @@
   /** A start that is still under way could run the attempt once more. */
   @Test
   void anEndedAttemptIsNotFreedWhileACommandHasNoAnswer() {
-    machine.commands().beginCall(List.of(), tokens.current());
-    machine.commands().callFailed(START);
+    machine.commands().recordCallStarted(List.of(), tokens.current());
+    machine.commands().recordCallFailed(START);
     receive(3, tokens.current(), WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR);
     assertEquals(TerminationEvidence.Verdict.NEEDS_FENCING, at(2));
     tokens.advance();
