--- a/src/main/java/io/cherryspool/cli/NodeLauncher.java
+++ b/src/main/java/io/cherryspool/cli/NodeLauncher.java
@@ -69,7 +69,7 @@
             platform.peers().stream().map(Settings.Peer::endpoint).toList(),
             this::receiveHeartbeat);
     controller = controller(platform, settings.operators(), loop, mesh, metrics);
-    int maxConnections = (int) (platform.fdLimit() * (1 - OWN_SOCKETS_FRACTION));
+    int maxConnections = (int) (platform.fileDescriptorLimit() * (1 - OWN_SOCKETS_FRACTION));
     server = new NettyHttpServer(loop, controller, maxConnections);
     metrics.add(controller);
     metrics.add(
@@ -150,7 +150,9 @@
         new Controller.Dependencies(
             new Controller.Environment(loop, Instant::now, new SplittableRandom(entropy[0])),
             new NettyHttpClient(
-                loop, (int) (platform.fdLimit() * OWN_SOCKETS_FRACTION * HTTP_CALLS_FRACTION)),
+                loop,
+                (int)
+                    (platform.fileDescriptorLimit() * OWN_SOCKETS_FRACTION * HTTP_CALLS_FRACTION)),
             mesh,
             new UUID(entropy[1], entropy[2]).toString(),
             metrics::scrape,
--- a/src/main/java/io/cherryspool/config/OperatorSettings.java
+++ b/src/main/java/io/cherryspool/config/OperatorSettings.java
@@ -9,20 +9,20 @@
  * What operators may set beyond the platform's settings, as XML. Every element is optional;
  * docs/operations.md describes them. Components are named after their elements.
  *
- * @param roundMax how long a scheduling round waits at most for an event that starts it
- * @param stateLease after what time a leader that is not heard from is replaced
+ * @param maxRoundInterval how long a scheduling round waits at most for an event that starts it
+ * @param stateStoreLease after what time a leader that is not heard from is replaced
  * @param failureCap after how many failures a task is not restarted any more
- * @param idleKeep for how long an idle instance is kept
- * @param beginWithin the age at which a job that has not begun is scheduled before all others
+ * @param idleTimeout for how long an idle instance is kept
+ * @param maxStartDelay the age at which a job that has not begun is scheduled before all others
  * @param recovery how lost state is recovered; empty if losses are not looked for
  * @param partitions what is done about links that fail
  */
 public record OperatorSettings(
-    Duration roundMax,
-    Duration stateLease,
+    Duration maxRoundInterval,
+    Duration stateStoreLease,
     int failureCap,
-    Duration idleKeep,
-    Duration beginWithin,
+    Duration idleTimeout,
+    Duration maxStartDelay,
     Optional<RecoverySettings> recovery,
     PartitionSettings partitions) {
   /** What holds without a file, and for elements that a file leaves out. */
--- a/src/main/java/io/cherryspool/config/OperatorSettingsParser.java
+++ b/src/main/java/io/cherryspool/config/OperatorSettingsParser.java
@@ -30,11 +30,11 @@
   private OperatorSettings settings() throws ConfigException {
     OperatorSettings defaults = OperatorSettings.DEFAULTS;
     return new OperatorSettings(
-        reader.duration("round-max", defaults.roundMax(), 0.05, 10),
-        reader.duration("state-lease", defaults.stateLease(), 1, 60),
+        reader.duration("round-max", defaults.maxRoundInterval(), 0.05, 10),
+        reader.duration("state-lease", defaults.stateStoreLease(), 1, 60),
         (int) reader.number("failure-cap", defaults.failureCap(), 1, 1_000_000),
-        reader.duration("idle-keep", defaults.idleKeep(), 0, SECONDS_PER_DAY),
-        reader.duration("begin-within", defaults.beginWithin(), 1, SECONDS_PER_DAY),
+        reader.duration("idle-keep", defaults.idleTimeout(), 0, SECONDS_PER_DAY),
+        reader.duration("begin-within", defaults.maxStartDelay(), 1, SECONDS_PER_DAY),
         recovery(),
         partitions());
   }
--- a/src/main/java/io/cherryspool/config/RecoverySettings.java
+++ b/src/main/java/io/cherryspool/config/RecoverySettings.java
@@ -12,14 +12,14 @@
  * @param snapshotDirectory where each node keeps its snapshots, in a directory of its own name;
  *     empty if it keeps none
  * @param snapshotInterval how often a node takes a snapshot
- * @param heldClasses the classes whose tasks are not run again, if they may have ended unnoticed,
- *     until an operator decides
+ * @param heldJobClasses the classes whose tasks are not run again, if they may have ended
+ *     unnoticed, until an operator decides
  */
 public record RecoverySettings(
     Duration gatherDuration,
     Optional<Path> snapshotDirectory,
     Duration snapshotInterval,
-    Set<String> heldClasses) {
+    Set<String> heldJobClasses) {
   /** What holds for elements that a file with recovery switched on leaves out. */
   public static final RecoverySettings DEFAULTS =
       new RecoverySettings(
--- a/src/main/java/io/cherryspool/config/Settings.java
+++ b/src/main/java/io/cherryspool/config/Settings.java
@@ -30,11 +30,11 @@
  *     objectives name, ascending
  * @param heartbeatInterval how often a worker sends a heartbeat
  * @param workerLease for how long a worker runs its tasks after it was last kept alive
- * @param cancelLimit within what time a cancelled task has to be gone
+ * @param maxCancellationTime within what time a cancelled task has to be gone
  * @param stateStoreLimits what the state store accepts
  * @param cloudRequestsPerSecond how many requests the cloud accepts
  * @param cloudListLag how far the cloud's list of instances may be behind
- * @param fdLimit how many files and sockets the process may have open
+ * @param fileDescriptorLimit how many files and sockets the process may have open
  */
 public record Settings(
     String name,
@@ -48,11 +48,11 @@
     Map<String, List<Double>> deadlineMultiples,
     Duration heartbeatInterval,
     Duration workerLease,
-    Duration cancelLimit,
+    Duration maxCancellationTime,
     StateStoreLimits stateStoreLimits,
     double cloudRequestsPerSecond,
     Duration cloudListLag,
-    int fdLimit) {
+    int fileDescriptorLimit) {
 
   /**
    * Another controller node.
@@ -88,7 +88,7 @@
    * deadlines.
    */
   public Duration authority() {
-    return authority(workerLease, cancelLimit);
+    return authority(workerLease, maxCancellationTime);
   }
 
   static Duration authority(Duration workerLease, Duration cancelLimit) {
--- a/src/main/java/io/cherryspool/controller/ControllerModule.java
+++ b/src/main/java/io/cherryspool/controller/ControllerModule.java
@@ -241,17 +241,17 @@
     return new LeaderTerm.TermSettings(
         timings,
         new RoundLimits(
-            operators.roundMax(),
+            operators.maxRoundInterval(),
             timings.heartbeatInterval().multipliedBy(2).plusMillis(500),
             settings.workerLease().dividedBy(2),
-            operators.beginWithin(),
+            operators.maxStartDelay(),
             operators.failureCap(),
             maxChanges,
             settings.deadlineMultiples()),
         new ProvisioningLimits(
-            settings.cloudRequestsPerSecond(), settings.cloudListLag(), operators.idleKeep()),
+            settings.cloudRequestsPerSecond(), settings.cloudListLag(), operators.idleTimeout()),
         teams,
-        operators.recovery().map(RecoverySettings::heldClasses).orElse(Set.of()));
+        operators.recovery().map(RecoverySettings::heldJobClasses).orElse(Set.of()));
   }
 
   private LeaderTerm.Authority newAuthority() {
--- a/src/main/java/io/cherryspool/controller/api/JobRoutes.java
+++ b/src/main/java/io/cherryspool/controller/api/JobRoutes.java
@@ -112,6 +112,6 @@
       return reply;
     }
     meters.refusedRequests.increment();
-    return stateStore.isBehindPeers() ? reply.closingConnection() : reply;
+    return stateStore.isBehindPeers() ? reply.withConnectionClose() : reply;
   }
 }
--- a/src/main/java/io/cherryspool/controller/timing/Timings.java
+++ b/src/main/java/io/cherryspool/controller/timing/Timings.java
@@ -53,7 +53,9 @@
     // Where the cancel limit leaves little, leadership is renewed more often: stretching the
     // authority to the state store's lease instead would let cancelled tasks outlast the limit.
     Duration stateStoreLease =
-        authority.compareTo(operators.stateLease()) < 0 ? authority : operators.stateLease();
+        authority.compareTo(operators.stateStoreLease()) < 0
+            ? authority
+            : operators.stateStoreLease();
     return new Timings(
         heartbeatInterval,
         authority,
--- a/src/main/java/io/cherryspool/http/ObservedTransport.java
+++ b/src/main/java/io/cherryspool/http/ObservedTransport.java
@@ -19,10 +19,10 @@
   /** Receives the outcome of each observed request, by the loop's time at which it was sent. */
   public interface Observer {
     /** The other side answered. */
-    void answered(Duration sent);
+    void onAnswer(Duration sent);
 
     /** The other side refused the request, or did not answer it in time. */
-    void failed(Duration sent, Duration now);
+    void onFailure(Duration sent, Duration now);
   }
 
   /**
@@ -55,9 +55,9 @@
     return answer.whenComplete(
         (reply, failure) -> {
           if (failure != null || isRefusal.test(reply)) {
-            observer.failed(sent, loop.now());
+            observer.onFailure(sent, loop.now());
           } else {
-            observer.answered(sent);
+            observer.onAnswer(sent);
           }
         });
   }
--- a/src/main/java/io/cherryspool/http/Reply.java
+++ b/src/main/java/io/cherryspool/http/Reply.java
@@ -24,7 +24,7 @@
   }
 
   /** The same response, after which the server closes the connection. */
-  public Reply closingConnection() {
+  public Reply withConnectionClose() {
     return new Reply(status, body, retryAfterSeconds, contentType, true);
   }
 }
--- a/src/main/java/io/cherryspool/reachability/RequestLink.java
+++ b/src/main/java/io/cherryspool/reachability/RequestLink.java
@@ -32,7 +32,7 @@
   }
 
   @Override
-  public void answered(Duration sent) {
+  public void onAnswer(Duration sent) {
     if (lastAnsweredRequestSentAt == null || sent.compareTo(lastAnsweredRequestSentAt) > 0) {
       lastAnsweredRequestSentAt = sent;
     }
@@ -43,7 +43,7 @@
   }
 
   @Override
-  public void failed(Duration sent, Duration now) {
+  public void onFailure(Duration sent, Duration now) {
     if (lastAnsweredRequestSentAt != null && sent.compareTo(lastAnsweredRequestSentAt) <= 0) {
       return;
     }
--- a/src/main/java/io/cherryspool/store/KeyScan.java
+++ b/src/main/java/io/cherryspool/store/KeyScan.java
@@ -84,9 +84,9 @@
       return;
     }
     firstRevision = firstRevision < 0 ? page.revision() : firstRevision;
-    entries.addAll(page.items());
-    if (page.hasMore() && !page.items().isEmpty()) {
-      readPage(page.items().get(page.items().size() - 1).key());
+    entries.addAll(page.entries());
+    if (page.hasMore() && !page.entries().isEmpty()) {
+      readPage(page.entries().get(page.entries().size() - 1).key());
     } else {
       onScanned.accept(new ScanResult(entries, firstRevision));
     }
--- a/src/main/java/io/cherryspool/store/StateStoreClient.java
+++ b/src/main/java/io/cherryspool/store/StateStoreClient.java
@@ -189,10 +189,10 @@
     return list(Incarnation.KEY, null)
         .thenApply(
             page -> {
-              if (page.items().isEmpty()) {
+              if (page.entries().isEmpty()) {
                 return new IncarnationReading(null, 0, page.revision());
               }
-              StateStoreProtocol.Event found = page.items().get(0);
+              StateStoreProtocol.Event found = page.entries().get(0);
               Incarnation incarnation = Incarnation.decode(found.value());
               return new IncarnationReading(incarnation, found.version(), page.revision());
             });
--- a/src/main/java/io/cherryspool/wire/StateStoreProtocol.java
+++ b/src/main/java/io/cherryspool/wire/StateStoreProtocol.java
@@ -58,7 +58,7 @@
    * @param hasMore whether another page follows, which begins after the last key of this one
    * @param revision the store's revision at which the page was read
    */
-  public record KeyPage(List<Event> items, boolean hasMore, long revision) {}
+  public record KeyPage(List<Event> entries, boolean hasMore, long revision) {}
 
   /**
    * A compare-and-swap transaction: all changes, if every condition holds, else none.
--- a/src/test/java/io/cherryspool/config/SettingsTest.java
+++ b/src/test/java/io/cherryspool/config/SettingsTest.java
@@ -95,9 +95,10 @@
     ObjectNode root = good();
     ((ObjectNode) root.at("/facts/workers")).put("lease_s", lease).put("cancel_s", cancel);
     Settings settings = Settings.parse(root, "test");
-    Duration margins = settings.cancelLimit().dividedBy(10).plusSeconds(2);
+    Duration margins = settings.maxCancellationTime().dividedBy(10).plusSeconds(2);
     assertEquals(
-        settings.cancelLimit(), settings.authority().plus(settings.workerLease()).plus(margins));
+        settings.maxCancellationTime(),
+        settings.authority().plus(settings.workerLease()).plus(margins));
     assertTrue(settings.authority().compareTo(Duration.ofSeconds(1)) >= 0);
   }
 
--- a/src/test/java/io/cherryspool/controller/api/UserApiConflictTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiConflictTest.java
@@ -6,7 +6,7 @@
 import io.cherryspool.http.Reply;
 import io.cherryspool.model.Outcome;
 import io.cherryspool.sim.fakes.ControlledTransport;
-import io.cherryspool.sim.fakes.ControlledTransport.Fate;
+import io.cherryspool.sim.fakes.ControlledTransport.Interception;
 import io.cherryspool.store.Records;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
@@ -15,7 +15,7 @@
 class UserApiConflictTest extends UserApiFixture {
   @Test
   void aSubmissionOfWhichOnlyTheAnswerIsLostIsAcceptedForAll() {
-    one.transport().interceptNext(ControlledTransport.COMMIT, Fate.LOSE_ANSWER);
+    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.LOSE_ANSWER);
     CompletableFuture<Reply> first = one.submit(description());
     assertEquals("200 pending", promptAnswer(other.poll(JOB)));
     assertEquals("200 pending", promptAnswer(other.submit(description())));
@@ -29,7 +29,7 @@
   @Test
   void aCancelOfWhichOnlyTheAnswerIsLostIsConfirmedByAll() {
     promptAnswer(one.submit(description()));
-    one.transport().interceptNext(ControlledTransport.COMMIT, Fate.LOSE_ANSWER);
+    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.LOSE_ANSWER);
     CompletableFuture<Reply> first = one.cancel(JOB);
     run(0.02);
     assertEquals("200 withdrawn", promptAnswer(other.poll(JOB)));
@@ -41,7 +41,7 @@
   @Test
   void aCancelThatMeetsTheEndOfTheJobIsAnsweredWithTheEnd() {
     promptAnswer(one.submit(description()));
-    one.transport().interceptNext(ControlledTransport.COMMIT, Fate.HOLD_REQUEST);
+    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
     CompletableFuture<Reply> cancel = one.cancel(JOB);
     run(0.05);
     endJob(Outcome.DONE);
--- a/src/test/java/io/cherryspool/controller/api/UserApiConsistencyTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiConsistencyTest.java
@@ -7,7 +7,7 @@
 import io.cherryspool.http.Reply;
 import io.cherryspool.model.Outcome;
 import io.cherryspool.sim.fakes.ControlledTransport;
-import io.cherryspool.sim.fakes.ControlledTransport.Fate;
+import io.cherryspool.sim.fakes.ControlledTransport.Interception;
 import io.cherryspool.store.Records;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -30,9 +30,9 @@
   /** The watch, which usually delivers the change before anybody asks, is of no help here. */
   @Test
   void aNodeThatHasNotReadOfAnAnswerReadsBeforeItsOwn() {
-    other.transport().interceptNext(ControlledTransport.WATCH, Fate.LOSE_ANSWER);
+    other.transport().interceptNext(ControlledTransport.WATCH, Interception.LOSE_ANSWER);
     run(10.5);
-    other.transport().interceptNext(ControlledTransport.WATCH, Fate.LOSE_ANSWER);
+    other.transport().interceptNext(ControlledTransport.WATCH, Interception.LOSE_ANSWER);
     promptAnswer(one.submit(description()));
     assertEquals("200 pending", promptAnswer(other.poll(JOB)));
     assertEquals("200 withdrawn", promptAnswer(one.cancel(JOB)));
@@ -61,7 +61,7 @@
 
   @Test
   void requestsRepeatedWithinOneGroupAreAllAnswered() {
-    one.transport().interceptNext(ControlledTransport.COMMIT, Fate.HOLD_ANSWER);
+    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_ANSWER);
     List<CompletableFuture<Reply>> submissions =
         List.of(
             one.submit(description()),
--- a/src/test/java/io/cherryspool/controller/api/UserApiNode.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiNode.java
@@ -89,7 +89,7 @@
 
   /** Reads all keys again; the answer is held back until the transport releases {@code /keys}. */
   void reload() {
-    transport.interceptNext("/keys", ControlledTransport.Fate.HOLD_REQUEST);
+    transport.interceptNext("/keys", ControlledTransport.Interception.HOLD_REQUEST);
     transport.replyNext(ControlledTransport.READ, 410, "{}");
     records.refresh();
     Duration end = time.now().plusMillis(10);
--- a/src/test/java/io/cherryspool/controller/api/UserApiRefusalTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiRefusalTest.java
@@ -5,7 +5,7 @@
 
 import io.cherryspool.http.Reply;
 import io.cherryspool.sim.fakes.ControlledTransport;
-import io.cherryspool.sim.fakes.ControlledTransport.Fate;
+import io.cherryspool.sim.fakes.ControlledTransport.Interception;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -41,7 +41,7 @@
       UserApiNode late = newNode();
       late.start();
       run(0.05);
-      late.transport().interceptNext(ControlledTransport.READ, Fate.HOLD_REQUEST);
+      late.transport().interceptNext(ControlledTransport.READ, Interception.HOLD_REQUEST);
       CompletableFuture<Reply> answer = late.submit(body);
       promptAnswer(one.submit(description()));
       late.transport().release(ControlledTransport.READ);
--- a/src/test/java/io/cherryspool/controller/api/UserApiReloadTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiReloadTest.java
@@ -6,7 +6,7 @@
 import io.cherryspool.http.Reply;
 import io.cherryspool.model.Outcome;
 import io.cherryspool.sim.fakes.ControlledTransport;
-import io.cherryspool.sim.fakes.ControlledTransport.Fate;
+import io.cherryspool.sim.fakes.ControlledTransport.Interception;
 import io.cherryspool.store.Records;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
@@ -38,7 +38,7 @@
   /** Its commit goes on, and the copy that it then reads is the one before or the one after. */
   @Test
   void aSubmissionAndACancelUnderWayWhenAReloadBeginsAreNotAnsweredOlder() {
-    one.transport().interceptNext(ControlledTransport.COMMIT, Fate.HOLD_ANSWER);
+    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_ANSWER);
     CompletableFuture<Reply> submission = one.submit(description());
     run(0.05);
     one.reload();
@@ -48,7 +48,7 @@
     one.transport().release("/keys");
     run(0.05);
     assertEquals("200 pending", promptAnswer(one.poll(JOB)));
-    one.transport().interceptNext(ControlledTransport.COMMIT, Fate.HOLD_REQUEST);
+    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
     CompletableFuture<Reply> cancel = one.cancel(JOB);
     run(0.05);
     one.reload();
@@ -63,7 +63,7 @@
   /** The copy lacks all that happened since the history that is gone. */
   @Test
   void aNodeWhoseCopyTurnsOutToBeOldAsksToComeBack() {
-    one.transport().interceptNext("/keys", Fate.HOLD_REQUEST);
+    one.transport().interceptNext("/keys", Interception.HOLD_REQUEST);
     one.transport().replyNext(ControlledTransport.READ, 410, "{}");
     CompletableFuture<Reply> answer = one.submit(descriptionWithout("lane"));
     run(0.01);
--- a/src/test/java/io/cherryspool/controller/election/LeaseReplacementTest.java
+++ b/src/test/java/io/cherryspool/controller/election/LeaseReplacementTest.java
@@ -47,10 +47,10 @@
     }
     cluster
         .transport()
-        .interceptNext(ControlledTransport.COMMIT, ControlledTransport.Fate.LOSE_ANSWER);
+        .interceptNext(ControlledTransport.COMMIT, ControlledTransport.Interception.LOSE_ANSWER);
     cluster
         .transport()
-        .interceptNext(ControlledTransport.COMMIT, ControlledTransport.Fate.HOLD_REQUEST);
+        .interceptNext(ControlledTransport.COMMIT, ControlledTransport.Interception.HOLD_REQUEST);
     for (int i = 0; i < 80; i++) {
       cluster.run(0.1);
       assertTrue(cluster.election().isLeader() && cluster.election().mayChangeFleet());
@@ -70,7 +70,7 @@
     for (int i = 0; i < 40; i++) {
       cluster
           .transport()
-          .interceptNext(ControlledTransport.WATCH, ControlledTransport.Fate.HOLD_ANSWER);
+          .interceptNext(ControlledTransport.WATCH, ControlledTransport.Interception.HOLD_ANSWER);
     }
     cluster.startAndLead();
     for (int i = 0; i < 3; i++) {
--- a/src/test/java/io/cherryspool/controller/rounds/RoundCommitterTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/RoundCommitterTest.java
@@ -6,7 +6,7 @@
 
 import io.cherryspool.http.Endpoint;
 import io.cherryspool.sim.fakes.ControlledTransport;
-import io.cherryspool.sim.fakes.ControlledTransport.Fate;
+import io.cherryspool.sim.fakes.ControlledTransport.Interception;
 import io.cherryspool.sim.fakes.FakeStateStore;
 import io.cherryspool.sim.time.VirtualTime;
 import io.cherryspool.store.RateLimiter;
@@ -53,7 +53,7 @@
   /** The second copy meets what the first has written. */
   @Test
   void aConflictWithOnesOwnCopyIsCertain() {
-    line.interceptNext(ControlledTransport.COMMIT, Fate.LOSE_ANSWER);
+    line.interceptNext(ControlledTransport.COMMIT, Interception.LOSE_ANSWER);
     commit();
     run(0.2);
     assertNotNull(state.value(SHARD));
@@ -80,8 +80,8 @@
   @ParameterizedTest
   @ValueSource(ints = {429, 503})
   void aCopyThatIsRefusedLeavesTheOnesOfBeforeOpen(int status) {
-    line.interceptNext(ControlledTransport.COMMIT, Fate.HOLD_REQUEST);
-    line.interceptNext(ControlledTransport.COMMIT, Fate.HOLD_REQUEST);
+    line.interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
+    line.interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
     line.replyNext(ControlledTransport.COMMIT, status, "{}");
     commit();
     run(1.7);
@@ -97,7 +97,7 @@
 
   @Test
   void aStoppedCommitterReportsNothing() {
-    line.interceptNext(ControlledTransport.COMMIT, Fate.HOLD_ANSWER);
+    line.interceptNext(ControlledTransport.COMMIT, Interception.HOLD_ANSWER);
     commit();
     run(0.01);
     committer.stop();
--- a/src/test/java/io/cherryspool/controller/timing/TimingsTest.java
+++ b/src/test/java/io/cherryspool/controller/timing/TimingsTest.java
@@ -52,11 +52,11 @@
         Timings.fromSettings(
             settings,
             new OperatorSettings(
-                defaults.roundMax(),
+                defaults.maxRoundInterval(),
                 seconds(stateLease),
                 defaults.failureCap(),
-                defaults.idleKeep(),
-                defaults.beginWithin(),
+                defaults.idleTimeout(),
+                defaults.maxStartDelay(),
                 Optional.empty(),
                 defaults.partitions()));
     assertEquals(settings.authority(), timings.authority());
--- a/src/test/java/io/cherryspool/reachability/PartitionRuleTest.java
+++ b/src/test/java/io/cherryspool/reachability/PartitionRuleTest.java
@@ -33,9 +33,9 @@
   }
 
   private void stateFails(double seconds) {
-    reachability.stateStoreLink().failed(now, now);
+    reachability.stateStoreLink().onFailure(now, now);
     now = now.plusMillis(250);
-    reachability.stateStoreLink().failed(now, now);
+    reachability.stateStoreLink().onFailure(now, now);
     now = now.plusMillis((long) (seconds * 1000));
   }
 
@@ -45,7 +45,7 @@
     Verdict verdict = lead(0.5, fleet(0, 0, 0));
     assertEquals(new Verdict.SuspendPlacement(Reason.STATE_UNREACHABLE), verdict);
     assertTrue(!reachability.mayPlaceTasks() && !reachability.mayChangeFleet());
-    reachability.stateStoreLink().answered(now);
+    reachability.stateStoreLink().onAnswer(now);
     assertEquals(new Verdict.Serve(), lead(0.5, fleet(0, 0, 0)));
   }
 
@@ -142,7 +142,7 @@
   void aNodeWhoseLinkFlapsStandsAfterOthersUntilThePenaltyDecays() {
     for (int i = 0; i < 3; i++) {
       stateFails(1);
-      reachability.stateStoreLink().answered(now);
+      reachability.stateStoreLink().onAnswer(now);
       now = now.plusSeconds(2);
     }
     assertEquals(LEASE.dividedBy(2), delay(null, null));
--- a/src/test/java/io/cherryspool/reachability/RequestLinkTest.java
+++ b/src/test/java/io/cherryspool/reachability/RequestLinkTest.java
@@ -17,34 +17,34 @@
 
   @Test
   void oneLostAnswerIsChance() {
-    link.answered(at(1));
-    link.failed(at(2), at(3));
+    link.onAnswer(at(1));
+    link.onFailure(at(2), at(3));
     assertEquals(LinkState.SUSPECT, link.state(at(9)), "one failure is never more than doubt");
     assertEquals(0, link.damper().flapCount());
-    link.answered(at(2.5));
+    link.onAnswer(at(2.5));
     assertEquals(LinkState.UP, link.state(at(9)));
   }
 
   @Test
   void failuresThatLastTakeTheLinkDown() {
-    link.answered(at(1));
-    link.failed(at(2), at(2.1));
-    link.failed(at(2.3), at(2.4));
+    link.onAnswer(at(1));
+    link.onFailure(at(2), at(2.1));
+    link.onFailure(at(2.3), at(2.4));
     assertEquals(LinkState.SUSPECT, link.state(at(2.9)));
     assertEquals(LinkState.DOWN, link.state(at(3)));
     assertEquals(1, link.damper().flapCount(), "one for each run of failures");
-    link.failed(at(3), at(3.1));
+    link.onFailure(at(3), at(3.1));
     assertEquals(1, link.damper().flapCount());
-    link.answered(at(3.4));
+    link.onAnswer(at(3.4));
     assertEquals(LinkState.UP, link.state(at(3.5)), "the first answer ends it");
   }
 
   /** A cut may hold answers for seconds, and lets them go in the middle of the next one. */
   @Test
   void anAnswerToARequestSentBeforeTheFailureChangesNothing() {
-    link.failed(at(2), at(2.1));
-    link.failed(at(2.3), at(2.4));
-    link.answered(at(1));
+    link.onFailure(at(2), at(2.1));
+    link.onFailure(at(2.3), at(2.4));
+    link.onAnswer(at(1));
     assertEquals(LinkState.DOWN, link.state(at(4)));
     assertEquals(Optional.of(at(1)), link.lastAnsweredRequestSentAt());
   }
@@ -52,9 +52,9 @@
   /** Deadlines run out in another order than answers come. */
   @Test
   void aLateFailureOfAnOldRequestChangesNothingAfterANewerAnswer() {
-    link.answered(at(5));
-    link.failed(at(4), at(6));
-    link.failed(at(4.5), at(6));
+    link.onAnswer(at(5));
+    link.onFailure(at(4), at(6));
+    link.onFailure(at(4.5), at(6));
     assertEquals(LinkState.UP, link.state(at(9)));
   }
 }
--- a/src/test/java/io/cherryspool/recovery/RebuildTest.java
+++ b/src/test/java/io/cherryspool/recovery/RebuildTest.java
@@ -11,7 +11,7 @@
 import io.cherryspool.model.Shard;
 import io.cherryspool.recovery.RecoveryFixture.Node;
 import io.cherryspool.sim.fakes.ControlledTransport;
-import io.cherryspool.sim.fakes.ControlledTransport.Fate;
+import io.cherryspool.sim.fakes.ControlledTransport.Interception;
 import io.cherryspool.store.Incarnation;
 import io.cherryspool.store.Records;
 import io.cherryspool.store.RecordsSnapshot;
@@ -57,7 +57,7 @@
   @Test
   void theFenceStopsTransactionsOfTheOldIncarnation() {
     Node node = fixture.newServingNode();
-    node.transport().interceptNext(ControlledTransport.COMMIT, Fate.HOLD_REQUEST);
+    node.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
     CompletableFuture<Boolean> late = node.submit("req-000002");
     Incarnation next =
         Incarnation.newRebuild("other", 1, "n", "node-1", Incarnation.HistoryPosition.NONE, false);
--- a/src/test/java/io/cherryspool/sim/cluster/ClusterSettings.java
+++ b/src/test/java/io/cherryspool/sim/cluster/ClusterSettings.java
@@ -88,11 +88,11 @@
   private static OperatorSettings operatorSettings(Optional<RecoverySettings> recovery) {
     OperatorSettings defaults = OperatorSettings.DEFAULTS;
     return new OperatorSettings(
-        defaults.roundMax(),
-        defaults.stateLease(),
+        defaults.maxRoundInterval(),
+        defaults.stateStoreLease(),
         defaults.failureCap(),
-        defaults.idleKeep(),
-        defaults.beginWithin(),
+        defaults.idleTimeout(),
+        defaults.maxStartDelay(),
         recovery,
         defaults.partitions());
   }
--- a/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
@@ -147,7 +147,7 @@
   private void injectWorkerFault(int kind, SimulatedController node, Duration length) {
     switch (kind) {
       case 5 -> {
-        for (FakeCloud.Machine machine : cluster.cloud().up()) {
+        for (FakeCloud.Machine machine : cluster.cloud().runningMachines()) {
           if (random.nextInt(3) > 0) {
             cluster.network().cut(node.address().host(), machine.host(), length);
           }
@@ -186,7 +186,7 @@
       case 36 -> {
         String zone = anyZone();
         for (SimulatedController item : cluster.nodes()) {
-          for (FakeCloud.Machine machine : cluster.cloud().up()) {
+          for (FakeCloud.Machine machine : cluster.cloud().runningMachines()) {
             if (machine.zone().equals(zone) != item.zone().equals(zone)) {
               cluster.network().cut(item.address().host(), machine.host(), length);
             }
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
@@ -79,7 +79,7 @@
   /** A random cluster with small quotas, and no capacity in one zone but the first machines. */
   public static SimulatedCluster shortOfRoom(long seed) {
     SimulatedCluster cluster = random(seed, Optional.empty(), ClusterSettings.TIGHT_TEAMS);
-    cluster.cloud.closeZone(ZONES.get((int) (seed % ZONES.size())));
+    cluster.cloud.exhaustZone(ZONES.get((int) (seed % ZONES.size())));
     return cluster;
   }
 
--- a/src/test/java/io/cherryspool/sim/fakes/ControlledTransport.java
+++ b/src/test/java/io/cherryspool/sim/fakes/ControlledTransport.java
@@ -35,14 +35,14 @@
   private boolean refusing;
 
   /** What becomes of a message. */
-  public enum Fate {
+  public enum Interception {
     HOLD_REQUEST,
     HOLD_ANSWER,
     LOSE_ANSWER,
     REPLACE
   }
 
-  private record Plan(String target, Fate fate, Reply instead) {}
+  private record Plan(String target, Interception fate, Reply instead) {}
 
   private record Held(String target, Runnable message) {}
 
@@ -52,14 +52,14 @@
   }
 
   /** Decides on the next request with this in its target; several are taken in order. */
-  public void interceptNext(String target, Fate fate) {
+  public void interceptNext(String target, Interception fate) {
     plans.add(new Plan(target, fate, null));
   }
 
   /** The next such request gets this answer once released, and does not reach the service. */
   public void replyNext(String target, int status, String body) {
     Reply instead = Reply.json(status, body.getBytes(StandardCharsets.UTF_8));
-    plans.add(new Plan(target, Fate.REPLACE, instead));
+    plans.add(new Plan(target, Interception.REPLACE, instead));
   }
 
   /** Whether all requests from now on are answered 503, and carried out never. */
@@ -104,7 +104,7 @@
     }
     Plan plan = plan(request);
     Runnable arrival = () -> arrive(request, plan, result);
-    if (plan != null && plan.fate == Fate.HOLD_REQUEST) {
+    if (plan != null && plan.fate == Interception.HOLD_REQUEST) {
       held.add(new Held(request.target(), arrival));
     } else {
       time.schedule(WAY, arrival);
@@ -124,7 +124,7 @@
   }
 
   private void arrive(Request request, Plan plan, CompletableFuture<Reply> result) {
-    if (plan != null && plan.fate == Fate.REPLACE) {
+    if (plan != null && plan.fate == Interception.REPLACE) {
       held.add(new Held(request.target(), () -> result.complete(plan.instead)));
       return;
     }
@@ -132,9 +132,9 @@
         .handle(request)
         .thenAccept(
             reply -> {
-              if (plan != null && plan.fate == Fate.HOLD_ANSWER) {
+              if (plan != null && plan.fate == Interception.HOLD_ANSWER) {
                 held.add(new Held(request.target(), () -> result.complete(reply)));
-              } else if (plan == null || plan.fate != Fate.LOSE_ANSWER) {
+              } else if (plan == null || plan.fate != Interception.LOSE_ANSWER) {
                 time.schedule(WAY, () -> result.complete(reply));
               }
             });
--- a/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
@@ -130,12 +130,12 @@
   }
 
   /** Refuses all requests for instances in the zone from now on, for lack of capacity. */
-  public void closeZone(String zone) {
+  public void exhaustZone(String zone) {
     closedZones.add(zone);
   }
 
   /** The machines that the cloud has up. */
-  public List<Machine> up() {
+  public List<Machine> runningMachines() {
     return machines.values().stream().filter(machine -> machine.up).toList();
   }
 
--- a/src/test/java/io/cherryspool/store/GroupCommitTest.java
+++ b/src/test/java/io/cherryspool/store/GroupCommitTest.java
@@ -8,7 +8,7 @@
 import io.cherryspool.http.Reply;
 import io.cherryspool.http.Request;
 import io.cherryspool.sim.fakes.ControlledTransport;
-import io.cherryspool.sim.fakes.ControlledTransport.Fate;
+import io.cherryspool.sim.fakes.ControlledTransport.Interception;
 import io.cherryspool.sim.fakes.FakeStateStore;
 import io.cherryspool.sim.time.VirtualTime;
 import io.cherryspool.wire.Json;
@@ -132,7 +132,7 @@
     GroupCommit commits = commitsOverTransport();
     CompletableFuture<Boolean> first = put(commits, "c/first");
     List<CompletableFuture<Boolean>> group = putAll(commits, "c/a", "c/b", "c/c");
-    transport.interceptNext(ControlledTransport.COMMIT, Fate.LOSE_ANSWER);
+    transport.interceptNext(ControlledTransport.COMMIT, Interception.LOSE_ANSWER);
     run(0.01);
     assertEquals(true, first.getNow(null));
     run(0.5);
--- a/src/test/java/io/cherryspool/store/ReplicaTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaTest.java
@@ -11,7 +11,7 @@
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Priority;
 import io.cherryspool.sim.fakes.ControlledTransport;
-import io.cherryspool.sim.fakes.ControlledTransport.Fate;
+import io.cherryspool.sim.fakes.ControlledTransport.Interception;
 import io.cherryspool.sim.fakes.FakeStateStore;
 import io.cherryspool.sim.time.VirtualTime;
 import io.cherryspool.wire.StateStoreProtocol;
@@ -77,12 +77,12 @@
   @Test
   void aCallerIsNotAnsweredByAReadThatWasSentBeforeItsCall() {
     load();
-    transport.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
+    transport.interceptNext(ControlledTransport.READ, Interception.HOLD_ANSWER);
     CompletableFuture<Void> before = replica.refresh();
     run(0.05);
     CompletableFuture<Void> after = replica.refresh();
     accept(JOB);
-    transport.interceptNext(ControlledTransport.READ, Fate.HOLD_REQUEST);
+    transport.interceptNext(ControlledTransport.READ, Interception.HOLD_REQUEST);
     transport.release(ControlledTransport.READ);
     run(0.05);
     assertTrue(succeeded(before));
@@ -97,11 +97,11 @@
   @Test
   void callersAreRefusedAtOnceDuringAReload() {
     load();
-    transport.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
+    transport.interceptNext(ControlledTransport.READ, Interception.HOLD_ANSWER);
     CompletableFuture<Void> sent = replica.refresh();
     run(0.05);
     CompletableFuture<Void> waits = replica.refresh();
-    transport.interceptNext("/keys", Fate.HOLD_REQUEST);
+    transport.interceptNext("/keys", Interception.HOLD_REQUEST);
     transport.release(ControlledTransport.WATCH);
     assertFalse(replica.isLoaded());
     assertTrue(waits.isCompletedExceptionally(), "its reading would have been sent from a gap");
@@ -119,10 +119,10 @@
   @Test
   void aReloadNeverSetsTheCopyBack() {
     load();
-    transport.interceptNext(ControlledTransport.READ, Fate.HOLD_REQUEST);
+    transport.interceptNext(ControlledTransport.READ, Interception.HOLD_REQUEST);
     CompletableFuture<Void> reading = replica.refresh();
     run(0.05);
-    transport.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
+    transport.interceptNext(ControlledTransport.READ, Interception.HOLD_ANSWER);
     transport.release(ControlledTransport.WATCH);
     run(0.05);
     accept(JOB);
@@ -143,7 +143,7 @@
   void aReadThatReturnsAfterAReloadChangesNothing() {
     load();
     accept(JOB);
-    transport.interceptNext(ControlledTransport.READ, Fate.HOLD_ANSWER);
+    transport.interceptNext(ControlledTransport.READ, Interception.HOLD_ANSWER);
     CompletableFuture<Void> reading = replica.refresh();
     run(0.05);
     cancel(JOB);
--- a/src/test/java/io/cherryspool/wire/MessageFormatsTest.java
+++ b/src/test/java/io/cherryspool/wire/MessageFormatsTest.java
@@ -144,7 +144,7 @@
     StateStoreProtocol.KeyPage page = StateStoreProtocol.parsePage(readJson("state-page.json"));
     assertEquals(
         List.of(new StateStoreProtocol.Event("c/term", Json.object().put("term", 41), 7)),
-        page.items());
+        page.entries());
     assertTrue(page.hasMore());
     assertEquals(9, page.revision());
     StateStoreProtocol.WatchResult changes =
