--- a/src/main/java/io/cherryspool/controller/api/UserApi.java
+++ b/src/main/java/io/cherryspool/controller/api/UserApi.java
@@ -121,7 +121,7 @@
    * accepted earlier, whoever its user was; which jobs they run is known only after reconciliation.
    */
   private Reply unknownJob(String id) {
-    boolean neverAccepted = records.isAbandoned(id) || !records.isUnknownJob(id);
+    boolean neverAccepted = records.isAbandonedJob(id) || !records.isUnknownJob(id);
     return records.isReconciled() && neverAccepted
         ? Replies.error(Replies.NOT_FOUND, "no such job")
         : Replies.retryLater("the records of this job are lost; submit it again");
--- a/src/main/java/io/cherryspool/controller/leader/HistoryCheck.java
+++ b/src/main/java/io/cherryspool/controller/leader/HistoryCheck.java
@@ -54,7 +54,7 @@
   private boolean reportUnrecordedStart(WorkerHeartbeat heartbeat) {
     for (WorkerHeartbeat.TaskStatus status : heartbeat.tasks()) {
       String job = status.task().jobId();
-      boolean isNoted = records.isAbandoned(job) || records.isUnknownJob(job);
+      boolean isNoted = records.isAbandonedJob(job) || records.isUnknownJob(job);
       if (!isNoted && !Reconciliation.isStartRecorded(records.job(job), status)) {
         findings.onUnrecordedStart().get().accept(status.task() + " try " + status.attempt());
         return true;
--- a/src/main/java/io/cherryspool/controller/recovery/ElectionClusterNode.java
+++ b/src/main/java/io/cherryspool/controller/recovery/ElectionClusterNode.java
@@ -20,7 +20,7 @@
   private final Duration heartbeatLifetime;
   private final Election election;
   private final Runnable onServingChanged;
-  private boolean hasWorkerShownToken;
+  private boolean hasWorkerReportedToken;
 
   /**
    * Creates the election cluster node.
@@ -48,7 +48,7 @@
 
   /** Notes that a worker has shown a fencing token. */
   void observeWorkerToken() {
-    hasWorkerShownToken = true;
+    hasWorkerReportedToken = true;
   }
 
   @Override
@@ -86,8 +86,8 @@
   }
 
   @Override
-  public boolean hasWorkerShownToken() {
-    return hasWorkerShownToken;
+  public boolean hasWorkerReportedToken() {
+    return hasWorkerReportedToken;
   }
 
   @Override
--- a/src/main/java/io/cherryspool/controller/rounds/Adoption.java
+++ b/src/main/java/io/cherryspool/controller/rounds/Adoption.java
@@ -71,7 +71,7 @@
     }
     String job = task.task().jobId();
     return switch (decide(machine, task)) {
-      case LEAVE -> !records.isAbandoned(job);
+      case DEFER -> !records.isAbandonedJob(job);
       case ADOPT, RECORD_DONE -> isAdopting(job);
       case KEEP, DISCARD -> false;
     };
@@ -160,8 +160,8 @@
       Set<String> pendingJobs) {
     String id = task.task().jobId();
     Decision decision = decide(machine, task);
-    if (decision == Decision.LEAVE) {
-      if (!records.isAbandoned(id)) {
+    if (decision == Decision.DEFER) {
+      if (!records.isAbandonedJob(id)) {
         unknownJobs.add(id);
       }
     } else if (isAdopting(id) && decision == Decision.ADOPT) {
@@ -191,7 +191,7 @@
         String id = task.task().jobId();
         boolean isRecorded =
             switch (decide(machine, task)) {
-              case LEAVE -> records.isUnknownJob(id) || records.isAbandoned(id);
+              case DEFER -> records.isUnknownJob(id) || records.isAbandonedJob(id);
               case ADOPT, RECORD_DONE -> false;
               case KEEP, DISCARD -> true;
             };
@@ -233,7 +233,7 @@
   private boolean mayHaveEndedUnseen(JobRecord job) {
     if (job.outcome() != null
         || !heldClasses.contains(job.job().jobClass())
-        || !records.isRebuilt(job.job().id())) {
+        || !records.isRebuiltJob(job.job().id())) {
       return false;
     }
     int accounted = job.doneCount();
--- a/src/main/java/io/cherryspool/recovery/ClusterNode.java
+++ b/src/main/java/io/cherryspool/recovery/ClusterNode.java
@@ -23,7 +23,7 @@
    * Whether a worker has shown a fencing token, which only an installation that served has given
    * out.
    */
-  boolean hasWorkerShownToken();
+  boolean hasWorkerReportedToken();
 
   /** Called when the records are not to be relied on any more, or may be again. */
   void onServingChanged();
--- a/src/main/java/io/cherryspool/recovery/FirstInstallation.java
+++ b/src/main/java/io/cherryspool/recovery/FirstInstallation.java
@@ -55,7 +55,7 @@
   }
 
   private void decide(StateStoreProtocol.KeyPage page, Runnable onAllRecordsLost) {
-    if (page.entries().isEmpty() && node.hasWorkerShownToken()) {
+    if (page.entries().isEmpty() && node.hasWorkerReportedToken()) {
       LOG.warn("the state store is empty, and workers have served: all records are lost");
       onAllRecordsLost.run();
     } else {
--- a/src/main/java/io/cherryspool/recovery/PeerSurvey.java
+++ b/src/main/java/io/cherryspool/recovery/PeerSurvey.java
@@ -65,6 +65,6 @@
     return state.waited().compareTo(timings.maxWait()) > 0
         || (state.waited().compareTo(timings.gatheringTime()) > 0
             && isComplete()
-            && node.hasWorkerShownToken());
+            && node.hasWorkerReportedToken());
   }
 }
--- a/src/main/java/io/cherryspool/recovery/Reconciliation.java
+++ b/src/main/java/io/cherryspool/recovery/Reconciliation.java
@@ -22,7 +22,7 @@
     /** It has completed, and is to be recorded as done. */
     RECORD_DONE,
     /** The records lack its job; it is neither stopped nor acknowledged. */
-    LEAVE,
+    DEFER,
     /** The records are newer: it is stopped or acknowledged as usual. */
     DISCARD
   }
@@ -60,7 +60,7 @@
       long agentEpoch,
       boolean isReportedByOwner) {
     if (job == null) {
-      return Decision.LEAVE;
+      return Decision.DEFER;
     }
     int task = status.task().index();
     if (isOver(job, task)) {
--- a/src/main/java/io/cherryspool/store/ClusterRecords.java
+++ b/src/main/java/io/cherryspool/store/ClusterRecords.java
@@ -130,13 +130,13 @@
   boolean isUnknownJob(String id);
 
   /** Whether an operator has given up this unknown job. */
-  boolean isAbandoned(String id);
+  boolean isAbandonedJob(String id);
 
   /** The ids of jobs that wait for an operator, since their tasks may have ended unobserved. */
   Set<String> heldJobs();
 
   /** Whether the job comes from a rebuild, and was not submitted since. */
-  boolean isRebuilt(String id);
+  boolean isRebuiltJob(String id);
 
   /**
    * The records that have to outlive a loss, as the copy holds them. Taking one costs what changed
--- a/src/main/java/io/cherryspool/store/IndexedRecords.java
+++ b/src/main/java/io/cherryspool/store/IndexedRecords.java
@@ -119,7 +119,7 @@
   }
 
   @Override
-  public final boolean isAbandoned(String id) {
+  public final boolean isAbandonedJob(String id) {
     return index.jobs().isAbandoned(id);
   }
 
@@ -129,7 +129,7 @@
   }
 
   @Override
-  public final boolean isRebuilt(String id) {
+  public final boolean isRebuiltJob(String id) {
     return index.jobs().isRebuilt(id);
   }
 }
--- a/src/main/java/io/cherryspool/store/JobIndex.java
+++ b/src/main/java/io/cherryspool/store/JobIndex.java
@@ -67,7 +67,7 @@
     return Collections.unmodifiableSet(unknown);
   }
 
-  /** See {@link ClusterRecords#isAbandoned}. */
+  /** See {@link ClusterRecords#isAbandonedJob}. */
   boolean isAbandoned(String id) {
     return abandoned.contains(id);
   }
@@ -77,7 +77,7 @@
     return Collections.unmodifiableSet(held);
   }
 
-  /** See {@link ClusterRecords#isRebuilt}. */
+  /** See {@link ClusterRecords#isRebuiltJob}. */
   boolean isRebuilt(String id) {
     return rebuilt.contains(id);
   }
--- a/src/test/java/io/cherryspool/recovery/RecoveryFixture.java
+++ b/src/test/java/io/cherryspool/recovery/RecoveryFixture.java
@@ -206,7 +206,7 @@
     }
 
     @Override
-    public boolean hasWorkerShownToken() {
+    public boolean hasWorkerReportedToken() {
       return hasWorkerShownToken;
     }
 
