--- a/src/main/java/io/cherryspool/controller/leader/FailoverReconciliation.java
+++ b/src/main/java/io/cherryspool/controller/leader/FailoverReconciliation.java
@@ -82,7 +82,7 @@
           "failover after a loss of state: reconciled what ran, ms={}, complete by {}",
           now.minus(termStart).toMillis(),
           areLeasesExpired ? "lease expiry" : "heartbeats of all machines");
-      rounds.recordReconciled();
+      rounds.recordReconciliation();
     } else {
       rounds.requestRound();
     }
@@ -124,7 +124,7 @@
           state.fleet().all().size(),
           now.minus(termStart).toMillis(),
           isComplete ? "all machines sent heartbeats" : "some machines sent no heartbeat");
-      rounds.allowPlacing();
+      rounds.enablePlacement();
     }
   }
 
--- a/src/main/java/io/cherryspool/controller/leader/HeartbeatHandler.java
+++ b/src/main/java/io/cherryspool/controller/leader/HeartbeatHandler.java
@@ -86,8 +86,8 @@
     // A newer token alone is no news: each round would touch every machine and ask for the next.
     if (heartbeat.hasChangedSince(before)
         || eligibility.isImprovedBy(rounds.eligibility(machine))
-        || rounds.willExamine(machine.name())) {
-      rounds.machineChanged(machine.name());
+        || rounds.isExaminationPending(machine.name())) {
+      rounds.onMachineChanged(machine.name());
       dispatcher.machineChanged(machine.name());
       rounds.requestRound();
     }
@@ -108,7 +108,7 @@
       boolean savesProgress = !job.checkpointInterval().isZero();
       if (savesProgress && job.checkpointDuration().compareTo(notice) < 0) {
         state.tasks().stopRequests().add(owned.taskId(), owned.attempt().number(), notice);
-        rounds.machineChanged(machine.name());
+        rounds.onMachineChanged(machine.name());
       }
     }
     dispatcher.sendDue();
--- a/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
@@ -7,11 +7,11 @@
 import io.cherryspool.controller.metrics.Meters;
 import io.cherryspool.controller.provisioning.Provisioner;
 import io.cherryspool.controller.provisioning.ProvisioningLimits;
-import io.cherryspool.controller.rounds.Adoption;
 import io.cherryspool.controller.rounds.PlanningInputs;
 import io.cherryspool.controller.rounds.RoundCommitter;
 import io.cherryspool.controller.rounds.RoundLimits;
 import io.cherryspool.controller.rounds.SchedulingLoop;
+import io.cherryspool.controller.rounds.TaskAdoption;
 import io.cherryspool.controller.rounds.TermState;
 import io.cherryspool.controller.timing.EventLoopLag;
 import io.cherryspool.controller.timing.Timings;
@@ -76,7 +76,7 @@
    * The settings that a term works by.
    *
    * @param teams the teams by name
-   * @param heldClasses see {@link Adoption}
+   * @param heldClasses see {@link TaskAdoption}
    */
   public record TermSettings(
       Timings timings,
@@ -252,7 +252,7 @@
     Duration next = failover.isDone() ? TICK : TICK_DURING_FAILOVER;
     lag.timerFired(loop.now(), next);
     timer = loop.schedule(next, this::tick);
-    if (state.tasks().adoption().isOpen()) {
+    if (state.tasks().adoption().isInProgress()) {
       failover.checkAdopted();
       prober.probeLate();
     } else if (failover.isDone()) {
@@ -276,7 +276,7 @@
 
   /** Something about the machine may prove an end or make a command due. */
   private void machineChanged(String machine) {
-    rounds.machineChanged(machine);
+    rounds.onMachineChanged(machine);
     dispatcher.machineChanged(machine);
   }
 
@@ -294,7 +294,7 @@
     }
 
     @Override
-    public void commandsChanged() {
+    public void onCommandsChanged() {
       dispatcher.sendDue();
     }
   }
--- a/src/main/java/io/cherryspool/controller/leader/OwnershipChangeHandler.java
+++ b/src/main/java/io/cherryspool/controller/leader/OwnershipChangeHandler.java
@@ -29,14 +29,14 @@
 
   @Override
   public void machineChanged(String machine) {
-    rounds.machineChanged(machine);
+    rounds.onMachineChanged(machine);
     dispatcher.machineChanged(machine);
   }
 
   @Override
   public void jobChanged(JobRecord job) {
-    rounds.jobChanged(job);
-    state.demand().jobAccepted(job);
+    rounds.onJobChanged(job);
+    state.demand().onJobAccepted(job);
   }
 
   @Override
@@ -57,7 +57,7 @@
   @Override
   public void recordsReloaded() {
     dispatcher.recordsReloaded();
-    state.demand().recordsReloaded();
-    rounds.recordsReloaded();
+    state.demand().onRecordsReloaded();
+    rounds.onRecordsReloaded();
   }
 }
--- a/src/main/java/io/cherryspool/controller/leader/WorkerCommandPlanner.java
+++ b/src/main/java/io/cherryspool/controller/leader/WorkerCommandPlanner.java
@@ -42,7 +42,7 @@
         addEnd(commands, status, machine);
       }
     }
-    if (tasks.adoption().isOpen()) {
+    if (tasks.adoption().isInProgress()) {
       // What is owned and not here may run elsewhere as a later attempt.
       return commands;
     }
@@ -74,7 +74,7 @@
   /** For a task that the records give to no machine, or to another attempt. */
   private void addEnd(
       List<WorkerCommand> commands, WorkerHeartbeat.TaskStatus status, MachineState machine) {
-    if (tasks.adoption().mustLeaveUntouched(machine, status)) {
+    if (tasks.adoption().isProtected(machine, status)) {
       // The records lack what happened last, and this may be part of it.
       return;
     }
@@ -88,7 +88,7 @@
   private boolean isStartDue(Ownership.OwnedTask owned, MachineState machine) {
     return owned.attempt().agentEpoch() == machine.latestHeartbeat().agentEpoch()
         && owned.jobRecord().outcome() == null
-        && !tasks.adoption().isHeldBack(owned.jobRecord())
+        && !tasks.adoption().isPlacementBlocked(owned.jobRecord())
         && !tasks.stopRequests().isRequested(owned)
         // An attempt that has ended must not run once more while its end waits to be written.
         && !tasks.pendingReleases().contains(owned)
--- a/src/main/java/io/cherryspool/controller/provisioning/InstanceRequests.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/InstanceRequests.java
@@ -6,7 +6,7 @@
 import io.cherryspool.model.Durations;
 import io.cherryspool.model.Instance;
 import io.cherryspool.model.MachineType;
-import io.cherryspool.scheduler.ScalingPlan;
+import io.cherryspool.scheduler.ScalingPlanner;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -35,14 +35,14 @@
   private final String namePrefix;
   private final Duration unlistedLimit;
   private final Map<String, Expected> expected = new HashMap<>();
-  private final Map<ScalingPlan.Offering, Duration> unavailableSince = new HashMap<>();
+  private final Map<ScalingPlanner.Offering, Duration> unavailableSince = new HashMap<>();
   private Request unanswered;
   private int counter;
 
   /** An instance requested in this term that has sent no heartbeat yet. */
-  private record Expected(ScalingPlan.Offering offering, Duration since) {}
+  private record Expected(ScalingPlanner.Offering offering, Duration since) {}
 
-  private record Request(String name, ScalingPlan.Offering offering, int count) {}
+  private record Request(String name, ScalingPlanner.Offering offering, int count) {}
 
   /**
    * Creates the instance requests.
@@ -70,13 +70,13 @@
   }
 
   /** Requests instances, at most as many as one request may ask for. */
-  void request(ScalingPlan.Offering offering, int count) {
+  void request(ScalingPlanner.Offering offering, int count) {
     counter++;
     send(new Request(namePrefix + counter, offering, Math.min(count, MAX_INSTANCES_PER_REQUEST)));
   }
 
   /** The offerings that lately had no capacity, as a view. */
-  Set<ScalingPlan.Offering> unavailableOfferings(Duration now) {
+  Set<ScalingPlanner.Offering> unavailableOfferings(Duration now) {
     unavailableSince.values().removeIf(at -> now.minus(at).compareTo(UNAVAILABLE_FOR) > 0);
     return unavailableSince.keySet();
   }
@@ -87,9 +87,9 @@
   }
 
   /** The offerings of instances on their way: requested in this term, or listed as booting. */
-  List<ScalingPlan.Offering> provisioning(InstanceList list, Map<String, MachineType> types) {
+  List<ScalingPlanner.Offering> provisioning(InstanceList list, Map<String, MachineType> types) {
     removeArrived(list, loop.now());
-    List<ScalingPlan.Offering> result = new ArrayList<>();
+    List<ScalingPlanner.Offering> result = new ArrayList<>();
     for (Expected item : expected.values()) {
       result.add(item.offering);
     }
@@ -99,7 +99,7 @@
           && !expected.containsKey(item.name())
           && !fleet.isDeleted(item.name())
           && types.containsKey(item.type())) {
-        result.add(new ScalingPlan.Offering(types.get(item.type()), item.zone(), item.isSpot()));
+        result.add(new ScalingPlanner.Offering(types.get(item.type()), item.zone(), item.isSpot()));
       }
     }
     return result;
@@ -121,7 +121,7 @@
 
   private void send(Request request) {
     unanswered = request;
-    ScalingPlan.Offering offering = request.offering;
+    ScalingPlanner.Offering offering = request.offering;
     calls
         .acquire()
         .requestInstances(
@@ -146,7 +146,7 @@
   }
 
   private void recordProvided(Request request, List<String> names) {
-    ScalingPlan.Offering offering = request.offering;
+    ScalingPlanner.Offering offering = request.offering;
     LOG.info(
         "scale out: {} of {} instances provided, type={} zone={} spot={} request={}",
         names.size(),
--- a/src/main/java/io/cherryspool/controller/provisioning/Provisioner.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/Provisioner.java
@@ -5,15 +5,15 @@
 import io.cherryspool.controller.fleet.FleetPermissions;
 import io.cherryspool.controller.fleet.MachineState;
 import io.cherryspool.controller.ownership.Ownership;
-import io.cherryspool.controller.rounds.Adoption;
 import io.cherryspool.controller.rounds.DemandEstimator;
 import io.cherryspool.controller.rounds.SchedulingLoop;
+import io.cherryspool.controller.rounds.TaskAdoption;
 import io.cherryspool.lifecycle.EventLoop;
 import io.cherryspool.lifecycle.Lifecycle;
 import io.cherryspool.model.Durations;
 import io.cherryspool.model.MachineType;
 import io.cherryspool.reachability.LocalHealth;
-import io.cherryspool.scheduler.ScalingPlan;
+import io.cherryspool.scheduler.ScalingPlanner;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -63,7 +63,7 @@
   public record ClusterState(
       Fleet fleet,
       Ownership ownership,
-      Adoption adoption,
+      TaskAdoption adoption,
       SchedulingLoop rounds,
       DemandEstimator demand,
       Supplier<List<MachineType>> catalog) {}
@@ -174,7 +174,7 @@
       removal.deleteMarked();
     } else if (requests.hasUnanswered()) {
       requests.repeatUnanswered();
-    } else if (!cluster.adoption().isOpen() && permissions.mayScale().getAsBoolean()) {
+    } else if (!cluster.adoption().isInProgress() && permissions.mayScale().getAsBoolean()) {
       // Until it is known what runs, what is needed besides is not known either.
       scale(now);
     }
@@ -185,19 +185,19 @@
     if (catalog == null) {
       return;
     }
-    Set<ScalingPlan.Offering> unavailable = requests.unavailableOfferings(now);
+    Set<ScalingPlanner.Offering> unavailable = requests.unavailableOfferings(now);
     cluster.fleet().removeDeleted(cluster.ownership());
     Map<String, MachineType> types = new HashMap<>();
     catalog.forEach(type -> types.put(type.name(), type));
-    ScalingPlan.Decision decision =
-        ScalingPlan.decide(
-            new ScalingPlan.FleetView(
+    ScalingPlanner.Decision decision =
+        ScalingPlanner.decide(
+            new ScalingPlanner.FleetView(
                 cluster.demand().now(),
                 cluster.rounds().lastPlan().unschedulable(),
                 cluster.rounds().lastPlan().relocatable(),
                 requests.provisioning(list, types),
                 activeMachines(types, now),
-                cluster.demand().estimateLoads(),
+                cluster.demand().estimateDemand(),
                 catalog,
                 unavailable,
                 idleTimeout));
@@ -207,15 +207,15 @@
     if (decision.scaleOut().isEmpty()) {
       decision.scaleIn().forEach(name -> removal.markForDeletion(name, "it has been idle"));
     } else {
-      Map.Entry<ScalingPlan.Offering, Integer> first =
+      Map.Entry<ScalingPlanner.Offering, Integer> first =
           decision.scaleOut().entrySet().iterator().next();
       requests.request(first.getKey(), first.getValue());
     }
   }
 
-  private List<ScalingPlan.ActiveMachine> activeMachines(
+  private List<ScalingPlanner.ActiveMachine> activeMachines(
       Map<String, MachineType> types, Duration now) {
-    List<ScalingPlan.ActiveMachine> result = new ArrayList<>();
+    List<ScalingPlanner.ActiveMachine> result = new ArrayList<>();
     for (MachineState machine : cluster.fleet().all()) {
       MachineType type = types.get(machine.type());
       if (type == null
@@ -229,9 +229,9 @@
         usedCpus += owned.jobRecord().job().perTask().cpus();
       }
       result.add(
-          new ScalingPlan.ActiveMachine(
+          new ScalingPlanner.ActiveMachine(
               machine.name(),
-              new ScalingPlan.Offering(type, machine.zone(), machine.isSpot()),
+              new ScalingPlanner.Offering(type, machine.zone(), machine.isSpot()),
               usedCpus,
               machine.idleFor(now).orElse(null)));
     }
--- a/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
+++ b/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
@@ -3,7 +3,7 @@
 import io.cherryspool.controller.release.CrashLoopBackoff;
 import io.cherryspool.controller.release.PendingReleases;
 import io.cherryspool.model.Job;
-import io.cherryspool.scheduler.ScalingPlan;
+import io.cherryspool.scheduler.ScalingPlanner;
 import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.JobRecord;
 import java.time.Duration;
@@ -76,15 +76,15 @@
   }
 
   /** Takes the recent jobs from the records, which were all read again. */
-  public void recordsReloaded() {
+  public void onRecordsReloaded() {
     recentJobs.clear();
     for (JobRecord job : records.jobs()) {
-      jobAccepted(job);
+      onJobAccepted(job);
     }
   }
 
   /** Counts the job among the arrivals if it was submitted lately; a second time has no effect. */
-  public void jobAccepted(JobRecord job) {
+  public void onJobAccepted(JobRecord job) {
     if (age(job.job()).compareTo(ARRIVAL_WINDOW) < 0) {
       recentJobs.put(job.job().id(), job);
     }
@@ -107,14 +107,14 @@
    * The demand of each job that arrived lately, and of each that waits; a job may be in both. Jobs
    * that only crash are left out, so that no machine is added for what runs nowhere.
    */
-  public List<ScalingPlan.JobDemand> estimateLoads() {
-    List<ScalingPlan.JobDemand> result = new ArrayList<>();
+  public List<ScalingPlanner.JobDemand> estimateDemand() {
+    List<ScalingPlanner.JobDemand> result = new ArrayList<>();
     addArrivals(result);
     addWaiting(result);
     return result;
   }
 
-  private void addArrivals(List<ScalingPlan.JobDemand> result) {
+  private void addArrivals(List<ScalingPlanner.JobDemand> result) {
     recentJobs
         .values()
         .removeIf(job -> age(job.job()).compareTo(ARRIVAL_WINDOW) >= 0 || isCrashLooping(job));
@@ -135,11 +135,11 @@
     for (JobRecord job : recentJobs.values()) {
       double work = cpuSeconds(job.job(), job.job().taskCount());
       double cpus = job.job().taskCount() * job.job().perTask().cpus();
-      result.add(new ScalingPlan.JobDemand(job.job(), work * share, work * cpus * share, 0));
+      result.add(new ScalingPlanner.JobDemand(job.job(), work * share, work * cpus * share, 0));
     }
   }
 
-  private void addWaiting(List<ScalingPlan.JobDemand> result) {
+  private void addWaiting(List<ScalingPlanner.JobDemand> result) {
     for (JobRecord job : records.activeJobs()) {
       if (job.outcome() == null && !isCrashLooping(job)) {
         Collection<PendingReleases.Release> releases =
@@ -148,7 +148,7 @@
         int done = job.doneCount() + PendingReleases.countDone(releases);
         int waiting = job.job().taskCount() - done - running;
         if (waiting > 0) {
-          result.add(new ScalingPlan.JobDemand(job.job(), 0, 0, cpuSeconds(job.job(), waiting)));
+          result.add(new ScalingPlanner.JobDemand(job.job(), 0, 0, cpuSeconds(job.job(), waiting)));
         }
       }
     }
--- a/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
+++ b/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
@@ -98,7 +98,7 @@
   List<ClusterView.JobView> schedulableJobs(Duration now) {
     List<ClusterView.JobView> result = new ArrayList<>();
     for (JobRecord job : records.activeJobs()) {
-      if (job.outcome() != null || tasks.adoption().isHeldBack(job)) {
+      if (job.outcome() != null || tasks.adoption().isPlacementBlocked(job)) {
         continue;
       }
       String id = job.job().id();
--- a/src/main/java/io/cherryspool/controller/rounds/RoundPlanner.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundPlanner.java
@@ -5,7 +5,7 @@
 import io.cherryspool.model.Attempt;
 import io.cherryspool.model.TaskId;
 import io.cherryspool.scheduler.ClusterView;
-import io.cherryspool.scheduler.Placement;
+import io.cherryspool.scheduler.PlacementPlanner;
 import io.cherryspool.scheduler.RoundPlan;
 import io.cherryspool.store.ClusterRecords;
 import io.cherryspool.store.JobRecord;
@@ -76,7 +76,7 @@
    * @param now the present time
    */
   List<ChangeSet> plan(SchedulingLoop.Phase phase, Duration roundStart, Duration now) {
-    Adoption adoption = state.tasks().adoption();
+    TaskAdoption adoption = state.tasks().adoption();
     RoundTransaction transaction =
         new RoundTransaction(state.tasks().pendingReleases(), maxChanges);
     List<ChangeSet> changeSets = new ArrayList<>(adoption.collectChanges(transaction));
@@ -88,7 +88,7 @@
             records.activeJobs(),
             roundStart.minus(RELEASE_DELAY),
             roundStart.minus(MAX_RELEASE_DELAY)));
-    if (phase != SchedulingLoop.Phase.REBUILDING && adoption.isOpen()) {
+    if (phase != SchedulingLoop.Phase.REBUILDING && adoption.isInProgress()) {
       changeSets.addAll(adoption.reconciledChanges());
     }
     return changeSets;
@@ -123,16 +123,16 @@
     if (!lastPlan.victims().isEmpty()) {
       requestStops(lastPlan.victims());
       // Stops need no commit.
-      host.commandsChanged();
+      host.onCommandsChanged();
     }
   }
 
   private RoundPlan plan(ClusterView view) {
     if (!decisionLog.isEnabled()) {
-      return Placement.plan(view);
+      return PlacementPlanner.plan(view);
     }
     RoundDecisionLog.Round round = decisionLog.new Round();
-    RoundPlan plan = Placement.plan(view, round);
+    RoundPlan plan = PlacementPlanner.plan(view, round);
     round.write(view, plan.heldTasks());
     return plan;
   }
--- a/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
+++ b/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
@@ -77,7 +77,7 @@
     boolean mayPlace();
 
     /** Called when workers may have to be sent commands: after a commit, or to stop attempts. */
-    void commandsChanged();
+    void onCommandsChanged();
   }
 
   /** Creates a loop that has not started, in the first phase. */
@@ -136,13 +136,13 @@
   }
 
   /** Has tasks placed from the next round on, since ownership is rebuilt. */
-  public void allowPlacing() {
+  public void enablePlacement() {
     phase = Phase.PLACING;
     requestRound();
   }
 
   /** Has the next round record that all is recorded which ran when the state was lost. */
-  public void recordReconciled() {
+  public void recordReconciliation() {
     if (phase == Phase.REBUILDING) {
       phase = Phase.RECORDING_RECONCILED;
     }
@@ -160,12 +160,12 @@
   }
 
   /** Has the next round examine the machine, whose messages or owned tasks have changed. */
-  public void machineChanged(String name) {
+  public void onMachineChanged(String name) {
     terminations.machineChanged(name);
   }
 
   /** Whether the next round examines the machine's tasks anyway, as it does until all is proved. */
-  public boolean willExamine(String machine) {
+  public boolean isExaminationPending(String machine) {
     return terminations.willExamine(machine);
   }
 
@@ -178,7 +178,7 @@
   }
 
   /** Has the next round see the job as its records are now. */
-  public void jobChanged(JobRecord job) {
+  public void onJobChanged(JobRecord job) {
     jobViews.jobChanged(job);
     if (job.outcome() != null) {
       state.tasks().backoff().reset(job.job().id());
@@ -186,7 +186,7 @@
   }
 
   /** Has the next round examine everything, since the records were all read again. */
-  public void recordsReloaded() {
+  public void onRecordsReloaded() {
     jobViews.invalidateAll();
     machineViews.invalidateAll();
     terminations.recordsReloaded();
@@ -260,7 +260,7 @@
               }
               boolean isRequested = commitState == CommitState.UNDER_WAY_AND_ROUND_REQUESTED;
               commitState = CommitState.NONE;
-              host.commandsChanged();
+              host.onCommandsChanged();
               if (isRequested) {
                 requestRound();
               }
--- a/src/main/java/io/cherryspool/controller/rounds/Adoption.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TaskAdoption.java
@@ -28,9 +28,9 @@
  *
  * <p>Used on the event loop only.
  */
-public final class Adoption {
+public final class TaskAdoption {
   /** For records that hold every start: there is nothing to adopt, whatever a worker reports. */
-  public static final Adoption NONE = new Adoption(null, null, null, Set.of());
+  public static final TaskAdoption NONE = new TaskAdoption(null, null, null, Set.of());
 
   private final ClusterRecords records;
   private final Fleet fleet;
@@ -43,7 +43,7 @@
    * @param heldClasses job classes of which no task that may have ended unseen is run again before
    *     an operator says so
    */
-  public Adoption(
+  public TaskAdoption(
       ClusterRecords records, Fleet fleet, FencingTokenSource tokens, Set<String> heldClasses) {
     this.records = records;
     this.fleet = fleet;
@@ -57,7 +57,7 @@
   }
 
   /** Whether tasks may run that the records have as free. */
-  public boolean isOpen() {
+  public boolean isInProgress() {
     return isNeeded() && !records.isReconciled();
   }
 
@@ -65,7 +65,7 @@
    * Whether the worker must not be sent a command to stop or acknowledge this task, although no
    * record gives it to the machine.
    */
-  public boolean mustLeaveUntouched(MachineState machine, WorkerHeartbeat.TaskStatus task) {
+  public boolean isProtected(MachineState machine, WorkerHeartbeat.TaskStatus task) {
     if (!isNeeded()) {
       return false;
     }
@@ -83,7 +83,7 @@
       return false;
     }
     for (WorkerHeartbeat.TaskStatus task : machine.latestHeartbeat().tasks()) {
-      if (mustLeaveUntouched(machine, task)) {
+      if (isProtected(machine, task)) {
         return true;
       }
     }
@@ -91,7 +91,7 @@
   }
 
   /** Whether no task of the job may be placed or started now. */
-  public boolean isHeldBack(JobRecord job) {
+  public boolean isPlacementBlocked(JobRecord job) {
     return isNeeded()
         && (isAdopting(job.job().id()) || records.heldJobs().contains(job.job().id()));
   }
--- a/src/main/java/io/cherryspool/controller/rounds/TaskTracking.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TaskTracking.java
@@ -19,4 +19,4 @@
     PendingReleases pendingReleases,
     StopRequests stopRequests,
     CrashLoopBackoff backoff,
-    Adoption adoption) {}
+    TaskAdoption adoption) {}
--- a/src/main/java/io/cherryspool/controller/rounds/TermState.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TermState.java
@@ -33,7 +33,7 @@
   /**
    * Creates the state of a term that begins, which knows nothing yet.
    *
-   * @param heldClasses see {@link Adoption}
+   * @param heldClasses see {@link TaskAdoption}
    */
   public static TermState create(
       long term,
@@ -47,10 +47,10 @@
     PendingReleases pendingReleases = new PendingReleases();
     StopRequests stopRequests = new StopRequests();
     CrashLoopBackoff backoff = new CrashLoopBackoff();
-    Adoption adoption =
+    TaskAdoption adoption =
         records.isPartialRebuild()
-            ? new Adoption(records, fleet, tokens, heldClasses)
-            : Adoption.NONE;
+            ? new TaskAdoption(records, fleet, tokens, heldClasses)
+            : TaskAdoption.NONE;
     return new TermState(
         tokens,
         fleet,
--- a/src/main/java/io/cherryspool/scheduler/FleetDemand.java
+++ b/src/main/java/io/cherryspool/scheduler/FleetDemand.java
@@ -2,9 +2,9 @@
 
 import io.cherryspool.model.Durations;
 import io.cherryspool.model.Job;
-import io.cherryspool.scheduler.ScalingPlan.FleetView;
-import io.cherryspool.scheduler.ScalingPlan.JobDemand;
-import io.cherryspool.scheduler.ScalingPlan.Offering;
+import io.cherryspool.scheduler.ScalingPlanner.FleetView;
+import io.cherryspool.scheduler.ScalingPlanner.JobDemand;
+import io.cherryspool.scheduler.ScalingPlanner.Offering;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/io/cherryspool/scheduler/Placement.java
+++ b/src/main/java/io/cherryspool/scheduler/PlacementPlanner.java
@@ -22,7 +22,7 @@
  * equal tasks of a job are placed together, and a demand that no machine can satisfy is not tried
  * again for jobs that need at least as much.
  */
-public final class Placement {
+public final class PlacementPlanner {
   private final ClusterView view;
 
   /** What each team uses, what was placed, and the charges for tasks that are not. */
@@ -38,7 +38,7 @@
   private final List<EntryPlan> entryPlans = new ArrayList<>();
   private final Set<String> teamsWithLentQuota = new HashSet<>();
 
-  private Placement(ClusterView view) {
+  private PlacementPlanner(ClusterView view) {
     this.view = view;
     this.usage = new TeamUsage(view.usageByTeam());
     this.demand = new TeamUsage(view.usageByTeam());
@@ -54,7 +54,7 @@
 
   /** As above; the listener receives the decision on each entry of the queue. */
   public static RoundPlan plan(ClusterView view, EntryDecision.Listener listener) {
-    Placement placement = new Placement(view);
+    PlacementPlanner placement = new PlacementPlanner(view);
     for (QueueOrder.Entry entry : QueueOrder.sortedEntries(view)) {
       placement.place(entry);
     }
--- a/src/main/java/io/cherryspool/scheduler/ScaleInPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/ScaleInPlanner.java
@@ -2,9 +2,9 @@
 
 import io.cherryspool.model.Durations;
 import io.cherryspool.scheduler.FleetDemand.MachineSelector;
-import io.cherryspool.scheduler.ScalingPlan.ActiveMachine;
-import io.cherryspool.scheduler.ScalingPlan.FleetView;
-import io.cherryspool.scheduler.ScalingPlan.JobDemand;
+import io.cherryspool.scheduler.ScalingPlanner.ActiveMachine;
+import io.cherryspool.scheduler.ScalingPlanner.FleetView;
+import io.cherryspool.scheduler.ScalingPlanner.JobDemand;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/io/cherryspool/scheduler/ScalingPlan.java
+++ b/src/main/java/io/cherryspool/scheduler/ScalingPlanner.java
@@ -15,8 +15,8 @@
  * allowed machines for unschedulable tasks ({@link ScaleOutPlanner}), replaces ordinary instances
  * by spot instances, and drains and deletes what exceeds the demand ({@link ScaleInPlanner}).
  */
-public final class ScalingPlan {
-  private ScalingPlan() {}
+public final class ScalingPlanner {
+  private ScalingPlanner() {}
 
   /** What the cloud offers: a machine type in a zone, as spot or ordinary instance. */
   public record Offering(MachineType type, String zone, boolean isSpot) {
--- a/src/test/java/io/cherryspool/controller/leader/WorkerCommandPlannerTest.java
+++ b/src/test/java/io/cherryspool/controller/leader/WorkerCommandPlannerTest.java
@@ -9,7 +9,7 @@
 import io.cherryspool.controller.ownership.StopRequests;
 import io.cherryspool.controller.release.CrashLoopBackoff;
 import io.cherryspool.controller.release.PendingReleases;
-import io.cherryspool.controller.rounds.Adoption;
+import io.cherryspool.controller.rounds.TaskAdoption;
 import io.cherryspool.controller.rounds.TaskTracking;
 import io.cherryspool.model.Attempt;
 import io.cherryspool.model.JobFixture;
@@ -38,7 +38,7 @@
               new PendingReleases(),
               stopRequests,
               new CrashLoopBackoff(),
-              Adoption.NONE));
+              TaskAdoption.NONE));
   private final MachineState machine = new MachineState("host-1", "box", "a", false, START);
   private final Ownership.OwnedTask owned =
       new Ownership.OwnedTask(
--- a/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
+++ b/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
@@ -13,7 +13,7 @@
 import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Resources;
 import io.cherryspool.model.WorkerHeartbeat;
-import io.cherryspool.scheduler.ScalingPlan;
+import io.cherryspool.scheduler.ScalingPlanner;
 import io.cherryspool.sim.time.VirtualTime;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -31,7 +31,8 @@
   private static final MachineType BOX =
       new MachineType(
           "box", new Resources(16, 0, 64), 50, 0.5, 1, 0.4, Duration.ZERO, List.of("a"));
-  private static final ScalingPlan.Offering OFFERING = new ScalingPlan.Offering(BOX, "a", true);
+  private static final ScalingPlanner.Offering OFFERING =
+      new ScalingPlanner.Offering(BOX, "a", true);
   private static final Map<String, MachineType> TYPES = Map.of("box", BOX);
 
   private final VirtualTime time = new VirtualTime();
--- a/src/test/java/io/cherryspool/controller/rounds/MachineViewCacheTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/MachineViewCacheTest.java
@@ -41,7 +41,7 @@
               new PendingReleases(),
               new StopRequests(),
               new CrashLoopBackoff(),
-              Adoption.NONE),
+              TaskAdoption.NONE),
           MAX_SILENCE,
           HALF_LEASE);
 
--- a/src/test/java/io/cherryspool/model/RecordEqualityTest.java
+++ b/src/test/java/io/cherryspool/model/RecordEqualityTest.java
@@ -7,7 +7,7 @@
 import io.cherryspool.model.WorkerHeartbeat.ExitCause;
 import io.cherryspool.model.WorkerHeartbeat.TaskState;
 import io.cherryspool.model.WorkerHeartbeat.TaskStatus;
-import io.cherryspool.scheduler.ScalingPlan;
+import io.cherryspool.scheduler.ScalingPlanner;
 import java.time.Duration;
 import java.util.List;
 import java.util.function.Supplier;
@@ -80,10 +80,10 @@
             new MachineType("box", SIZE, 30, 0.8, 0.27, 0.1, Duration.ZERO, ZONES),
             new MachineType("box", SIZE, 30, 0.8, 0.27, 0.1, BOOT, List.of("a"))),
         record(
-            () -> new ScalingPlan.Offering(type("box"), "a", true),
-            new ScalingPlan.Offering(type("crate"), "a", true),
-            new ScalingPlan.Offering(type("box"), "b", true),
-            new ScalingPlan.Offering(type("box"), "a", false)));
+            () -> new ScalingPlanner.Offering(type("box"), "a", true),
+            new ScalingPlanner.Offering(type("crate"), "a", true),
+            new ScalingPlanner.Offering(type("box"), "b", true),
+            new ScalingPlanner.Offering(type("box"), "a", false)));
   }
 
   @ParameterizedTest
--- a/src/test/java/io/cherryspool/scheduler/HoldCauseTest.java
+++ b/src/test/java/io/cherryspool/scheduler/HoldCauseTest.java
@@ -33,7 +33,7 @@
 
   private Map<HoldCause, Integer> heldTasks(
       List<JobView> jobs, List<MachineView> machines, Team team) {
-    return Placement.plan(
+    return PlacementPlanner.plan(
             ClusterFixture.view(NOW_SECONDS, MAX_START_DELAY, jobs, machines, team, Map.of(), TYPE),
             decisions::add)
         .heldTasks();
--- a/src/test/java/io/cherryspool/scheduler/LentQuotaTest.java
+++ b/src/test/java/io/cherryspool/scheduler/LentQuotaTest.java
@@ -46,13 +46,13 @@
             new Team("red", 0, 24, 0, 0),
             Map.of("red", used),
             TYPE);
-    assertEquals(List.of(), Placement.plan(plain).unschedulable());
+    assertEquals(List.of(), PlacementPlanner.plan(plain).unschedulable());
     assertEquals(
         List.of(new RoundPlan.TaskGroup(bound, 6)),
-        Placement.plan(withLentUsage(plain, used)).unschedulable());
+        PlacementPlanner.plan(withLentUsage(plain, used)).unschedulable());
     assertEquals(
         List.of(new RoundPlan.TaskGroup(bound, 2)),
-        Placement.plan(withLentUsage(plain, borrower.perTask().times(2))).unschedulable());
+        PlacementPlanner.plan(withLentUsage(plain, borrower.perTask().times(2))).unschedulable());
   }
 
   /** What runs on lent quota is marked, and no more runs than the quota allows. */
@@ -102,7 +102,7 @@
                   Map.of("red", owned),
                   TYPE),
               lent);
-      RoundPlan plan = Placement.plan(view);
+      RoundPlan plan = PlacementPlanner.plan(view);
       Resources use = owned;
       for (RoundPlan.Assignment item : plan.assignments()) {
         use = use.plus(jobsById.get(item.jobId()).perTask());
--- a/src/test/java/io/cherryspool/scheduler/ManySmallJobsTest.java
+++ b/src/test/java/io/cherryspool/scheduler/ManySmallJobsTest.java
@@ -50,7 +50,7 @@
   }
 
   private RoundPlan plan(int now) {
-    return Placement.plan(
+    return PlacementPlanner.plan(
         ClusterFixture.view(now, MAX_START_DELAY, jobs, machines, UNBOUNDED_TEAM, Map.of(), TYPE));
   }
 
--- a/src/test/java/io/cherryspool/scheduler/PlacementTest.java
+++ b/src/test/java/io/cherryspool/scheduler/PlacementTest.java
@@ -45,7 +45,7 @@
   }
 
   private static RoundPlan plan(List<JobView> jobs, List<MachineView> machines, Team team) {
-    return Placement.plan(
+    return PlacementPlanner.plan(
         ClusterFixture.view(
             100, Duration.ofMinutes(2), jobs, machines, team, Map.of(), SMALL, LARGE));
   }
--- a/src/test/java/io/cherryspool/scheduler/PreemptionTest.java
+++ b/src/test/java/io/cherryspool/scheduler/PreemptionTest.java
@@ -44,7 +44,7 @@
 
   private static RoundPlan plan(
       Job pending, List<MachineView> machines, Team team, Map<String, Resources> usageByTeam) {
-    return Placement.plan(
+    return PlacementPlanner.plan(
         ClusterFixture.view(
             NOW_SECONDS,
             Duration.ofMinutes(2),
@@ -160,6 +160,6 @@
             List.of(TYPE),
             List.of(),
             Map.of());
-    assertEquals(List.of(), Placement.plan(view).victims());
+    assertEquals(List.of(), PlacementPlanner.plan(view).victims());
   }
 }
--- a/src/test/java/io/cherryspool/scheduler/QuotaFixture.java
+++ b/src/test/java/io/cherryspool/scheduler/QuotaFixture.java
@@ -60,7 +60,7 @@
       List<MachineView> machines,
       Team team,
       Map<String, Resources> usage) {
-    return Placement.plan(
+    return PlacementPlanner.plan(
         ClusterFixture.view(nowSeconds, MAX_START_DELAY, jobs, machines, team, usage, TYPE));
   }
 
--- a/src/test/java/io/cherryspool/scheduler/ScalingPlanTest.java
+++ b/src/test/java/io/cherryspool/scheduler/ScalingPlanTest.java
@@ -7,11 +7,11 @@
 import io.cherryspool.model.MachineType;
 import io.cherryspool.model.Priority;
 import io.cherryspool.model.Resources;
-import io.cherryspool.scheduler.ScalingPlan.ActiveMachine;
-import io.cherryspool.scheduler.ScalingPlan.Decision;
-import io.cherryspool.scheduler.ScalingPlan.FleetView;
-import io.cherryspool.scheduler.ScalingPlan.JobDemand;
-import io.cherryspool.scheduler.ScalingPlan.Offering;
+import io.cherryspool.scheduler.ScalingPlanner.ActiveMachine;
+import io.cherryspool.scheduler.ScalingPlanner.Decision;
+import io.cherryspool.scheduler.ScalingPlanner.FleetView;
+import io.cherryspool.scheduler.ScalingPlanner.JobDemand;
+import io.cherryspool.scheduler.ScalingPlanner.Offering;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
@@ -68,7 +68,7 @@
 
   private static Map<Offering, Integer> scaleOutForTasks(
       double waitingCpuSeconds, Offering... unavailable) {
-    return ScalingPlan.decide(
+    return ScalingPlanner.decide(
             view(
                 List.of(new RoundPlan.TaskGroup(job(), 20)),
                 List.of(),
@@ -104,7 +104,7 @@
             new ActiveMachine("host-1", LARGE_ORDINARY, 16, null),
             new ActiveMachine("host-2", LARGE_ORDINARY, 16, null));
     Decision decision =
-        ScalingPlan.decide(
+        ScalingPlanner.decide(
             view(List.of(), machines, List.of(new JobDemand(job(), 30, 0, 0)), Set.of()));
     assertEquals(new Decision(Map.of(LARGE_SPOT, 1), List.of(), Set.of()), decision);
   }
@@ -117,7 +117,7 @@
             new ActiveMachine("host-2", LARGE_ORDINARY, 16, null),
             new ActiveMachine("host-3", LARGE_ORDINARY, 4, null));
     Decision decision =
-        ScalingPlan.decide(
+        ScalingPlanner.decide(
             view(List.of(), machines, List.of(new JobDemand(job(), 24, 0, 0)), Set.of()));
     assertEquals(Set.of("host-3"), decision.draining());
   }
@@ -144,7 +144,7 @@
     List<RoundPlan.TaskGroup> unschedulable =
         isWorkUnschedulable ? List.of(new RoundPlan.TaskGroup(job(), 1)) : List.of();
     Decision decision =
-        ScalingPlan.decide(
+        ScalingPlanner.decide(
             view(
                 unschedulable,
                 List.of(new ActiveMachine("host-1", offering, 0, Duration.ofSeconds(idleSeconds))),
@@ -173,6 +173,6 @@
             List.of(SMALL, LARGE),
             Set.of(),
             IDLE_TIMEOUT);
-    assertEquals(Map.of(), ScalingPlan.decide(view).scaleOut());
+    assertEquals(Map.of(), ScalingPlanner.decide(view).scaleOut());
   }
 }
--- a/src/test/java/io/cherryspool/scheduler/StarvationTest.java
+++ b/src/test/java/io/cherryspool/scheduler/StarvationTest.java
@@ -98,7 +98,7 @@
   }
 
   private RoundPlan plan(int now, Team team) {
-    return Placement.plan(
+    return PlacementPlanner.plan(
         ClusterFixture.view(
             now, MAX_START_DELAY, jobViews(), machineViews(), team, usageByTeam(), TYPE));
   }
