--- a/src/test/java/io/cherryspool/controller/api/UserApiConflictTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiConflictTest.java
@@ -15,7 +15,7 @@
 class UserApiConflictTest extends UserApiFixture {
   @Test
   void aSubmissionOfWhichOnlyTheAnswerIsLostIsAcceptedForAll() {
-    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.LOSE_ANSWER);
+    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.DROP_REPLY);
     CompletableFuture<Reply> first = one.submit(description());
     assertEquals("200 pending", promptAnswer(other.poll(JOB)));
     assertEquals("200 pending", promptAnswer(other.submit(description())));
@@ -29,7 +29,7 @@
   @Test
   void aCancelOfWhichOnlyTheAnswerIsLostIsConfirmedByAll() {
     promptAnswer(one.submit(description()));
-    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.LOSE_ANSWER);
+    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.DROP_REPLY);
     CompletableFuture<Reply> first = one.cancel(JOB);
     run(0.02);
     assertEquals("200 withdrawn", promptAnswer(other.poll(JOB)));
--- a/src/test/java/io/cherryspool/controller/api/UserApiConsistencyTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiConsistencyTest.java
@@ -30,9 +30,9 @@
   /** The watch, which usually delivers the change before anybody asks, is of no help here. */
   @Test
   void aNodeThatHasNotReadOfAnAnswerReadsBeforeItsOwn() {
-    other.transport().interceptNext(ControlledTransport.WATCH, Interception.LOSE_ANSWER);
+    other.transport().interceptNext(ControlledTransport.WATCH, Interception.DROP_REPLY);
     run(10.5);
-    other.transport().interceptNext(ControlledTransport.WATCH, Interception.LOSE_ANSWER);
+    other.transport().interceptNext(ControlledTransport.WATCH, Interception.DROP_REPLY);
     promptAnswer(one.submit(description()));
     assertEquals("200 pending", promptAnswer(other.poll(JOB)));
     assertEquals("200 withdrawn", promptAnswer(one.cancel(JOB)));
@@ -61,7 +61,7 @@
 
   @Test
   void requestsRepeatedWithinOneGroupAreAllAnswered() {
-    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_ANSWER);
+    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REPLY);
     List<CompletableFuture<Reply>> submissions =
         List.of(
             one.submit(description()),
--- a/src/test/java/io/cherryspool/controller/api/UserApiReloadTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiReloadTest.java
@@ -38,7 +38,7 @@
   /** Its commit goes on, and the copy that it then reads is the one before or the one after. */
   @Test
   void aSubmissionAndACancelUnderWayWhenAReloadBeginsAreNotAnsweredOlder() {
-    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_ANSWER);
+    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REPLY);
     CompletableFuture<Reply> submission = one.submit(description());
     run(0.05);
     one.reload();
--- a/src/test/java/io/cherryspool/controller/election/LeaseRenewalTest.java
+++ b/src/test/java/io/cherryspool/controller/election/LeaseRenewalTest.java
@@ -15,9 +15,9 @@
   void aLeaderThatIsRefusedForLessThanItsLeaseKeepsIt() {
     cluster.startAndLead();
     for (int i = 0; i < 10; i++) {
-      cluster.transport().setRefusing(true);
+      cluster.transport().setUnavailable(true);
       cluster.run(3);
-      cluster.transport().setRefusing(false);
+      cluster.transport().setUnavailable(false);
       cluster.run(1.5 + 0.05 * i);
       assertTrue(cluster.election().mayChangeFleet(), "refusal " + i);
     }
@@ -28,7 +28,7 @@
   @Test
   void aRefusedRenewalIsRetriedSoonAtABoundedRate() {
     cluster.startAndLead();
-    cluster.transport().setRefusing(true);
+    cluster.transport().setUnavailable(true);
     long before = cluster.transport().sentCount("/extend");
     cluster.run(3);
     long renewals = cluster.transport().sentCount("/extend") - before;
--- a/src/test/java/io/cherryspool/controller/election/LeaseReplacementTest.java
+++ b/src/test/java/io/cherryspool/controller/election/LeaseReplacementTest.java
@@ -24,15 +24,15 @@
     cluster.run(2);
     assertTrue(cluster.leaseOfLeaderRecord() != lease, "the record is attached to another lease");
     assertTrue(cluster.election().mayChangeFleet());
-    cluster.transport().setRefusing(true);
+    cluster.transport().setUnavailable(true);
     cluster.run(10);
     assertTrue(cluster.election().mayChangeFleet(), "a lease of 12 s outlasts a refusal of 10 s");
-    cluster.transport().setRefusing(false);
+    cluster.transport().setUnavailable(false);
     for (int i = 0; i < 400; i++) {
       cluster.run(1);
       assertTrue(cluster.election().mayChangeFleet(), "while the penalty decays");
     }
-    cluster.transport().setRefusing(true);
+    cluster.transport().setUnavailable(true);
     cluster.run(4.2);
     assertFalse(cluster.election().mayChangeFleet(), "as short as at first");
     assertEquals(1, cluster.stateStore().value(Records.TERM).path("term").intValue());
@@ -47,7 +47,7 @@
     }
     cluster
         .transport()
-        .interceptNext(ControlledTransport.COMMIT, ControlledTransport.Interception.LOSE_ANSWER);
+        .interceptNext(ControlledTransport.COMMIT, ControlledTransport.Interception.DROP_REPLY);
     cluster
         .transport()
         .interceptNext(ControlledTransport.COMMIT, ControlledTransport.Interception.HOLD_REQUEST);
@@ -70,7 +70,7 @@
     for (int i = 0; i < 40; i++) {
       cluster
           .transport()
-          .interceptNext(ControlledTransport.WATCH, ControlledTransport.Interception.HOLD_ANSWER);
+          .interceptNext(ControlledTransport.WATCH, ControlledTransport.Interception.HOLD_REPLY);
     }
     cluster.startAndLead();
     for (int i = 0; i < 3; i++) {
@@ -83,7 +83,7 @@
       // One message at a time, so that this node does not read of the move.
     }
     assertTrue(cluster.leaseOfLeaderRecord() != longest, "the lease becomes shorter again");
-    cluster.transport().setRefusing(true);
+    cluster.transport().setUnavailable(true);
     assertTrue(cluster.election().mayChangeFleet());
     cluster.run(8.2);
     assertFalse(cluster.election().mayChangeFleet());
--- a/src/test/java/io/cherryspool/controller/rounds/RoundCommitterTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/RoundCommitterTest.java
@@ -53,7 +53,7 @@
   /** The second copy meets what the first has written. */
   @Test
   void aConflictWithOnesOwnCopyIsCertain() {
-    line.interceptNext(ControlledTransport.COMMIT, Interception.LOSE_ANSWER);
+    line.interceptNext(ControlledTransport.COMMIT, Interception.DROP_REPLY);
     commit();
     run(0.2);
     assertNotNull(state.value(SHARD));
@@ -97,7 +97,7 @@
 
   @Test
   void aStoppedCommitterReportsNothing() {
-    line.interceptNext(ControlledTransport.COMMIT, Interception.HOLD_ANSWER);
+    line.interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REPLY);
     commit();
     run(0.01);
     committer.stop();
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
@@ -156,7 +156,7 @@
             random.split(),
             ClusterSettings.MACHINE_TYPES,
             CLOUD_CAPACITY,
-            FakeCloud.NETWORK,
+            FakeCloud.DEFAULT_NETWORK,
             this::boot,
             fleet::end);
     state.limitWriteRate(settings.stateWritesPerS());
--- a/src/test/java/io/cherryspool/sim/driver/CostDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostDriver.java
@@ -174,7 +174,7 @@
 
   private CompletableFuture<Reply> sendChanged(int number) {
     FakeWorker worker = cluster.fleet().worker(number);
-    worker.setCheckpointing(number / machines % 2 == 0);
+    worker.reportCheckpointing(number / machines % 2 == 0);
     worker.sendHeartbeatNow();
     return null;
   }
--- a/src/test/java/io/cherryspool/sim/fakes/ControlledTransport.java
+++ b/src/test/java/io/cherryspool/sim/fakes/ControlledTransport.java
@@ -37,9 +37,9 @@
   /** What becomes of a message. */
   public enum Interception {
     HOLD_REQUEST,
-    HOLD_ANSWER,
-    LOSE_ANSWER,
-    REPLACE
+    HOLD_REPLY,
+    DROP_REPLY,
+    REPLACE_REPLY
   }
 
   private record Plan(String target, Interception fate, Reply instead) {}
@@ -59,11 +59,11 @@
   /** The next such request gets this answer once released, and does not reach the service. */
   public void replyNext(String target, int status, String body) {
     Reply instead = Reply.json(status, body.getBytes(StandardCharsets.UTF_8));
-    plans.add(new Plan(target, Interception.REPLACE, instead));
+    plans.add(new Plan(target, Interception.REPLACE_REPLY, instead));
   }
 
   /** Whether all requests from now on are answered 503, and carried out never. */
-  public void setRefusing(boolean value) {
+  public void setUnavailable(boolean value) {
     refusing = value;
   }
 
@@ -124,7 +124,7 @@
   }
 
   private void arrive(Request request, Plan plan, CompletableFuture<Reply> result) {
-    if (plan != null && plan.fate == Interception.REPLACE) {
+    if (plan != null && plan.fate == Interception.REPLACE_REPLY) {
       held.add(new Held(request.target(), () -> result.complete(plan.instead)));
       return;
     }
@@ -132,9 +132,9 @@
         .handle(request)
         .thenAccept(
             reply -> {
-              if (plan != null && plan.fate == Interception.HOLD_ANSWER) {
+              if (plan != null && plan.fate == Interception.HOLD_REPLY) {
                 held.add(new Held(request.target(), () -> result.complete(reply)));
-              } else if (plan == null || plan.fate != Interception.LOSE_ANSWER) {
+              } else if (plan == null || plan.fate != Interception.DROP_REPLY) {
                 time.schedule(WAY, () -> result.complete(reply));
               }
             });
--- a/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
@@ -32,7 +32,7 @@
   private static final int PORT = 9000;
 
   /** Each machine is given the next address in this network. */
-  public static final String NETWORK = "10.1.";
+  public static final String DEFAULT_NETWORK = "10.1.";
 
   /** So many machines have addresses that differ in their last part only. */
   private static final int SUBNET = 250;
@@ -50,7 +50,7 @@
   private final Map<String, ArrayNode> provided = new HashMap<>();
   private ObjectNode listed = Json.object();
   private int count;
-  private int machinesDeleted;
+  private int deletedMachineCount;
   private boolean down;
   private boolean fast;
   private final Set<String> closedZones = new HashSet<>();
@@ -154,17 +154,17 @@
   }
 
   private void delete(String name) {
-    machinesDeleted += machines.containsKey(name) ? 1 : 0;
+    deletedMachineCount += machines.containsKey(name) ? 1 : 0;
     reclaim(name);
   }
 
   /** How many machines the controllers have deleted. */
-  public int machinesDeleted() {
-    return machinesDeleted;
+  public int deletedMachineCount() {
+    return deletedMachineCount;
   }
 
   /** How many machines the controllers have requested, or the test has added. */
-  public int machinesAdded() {
+  public int addedMachineCount() {
     return count;
   }
 
--- a/src/test/java/io/cherryspool/sim/fakes/FakeWorker.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeWorker.java
@@ -71,7 +71,7 @@
     this.controllers = controllers;
     this.controllerNames = List.copyOf(controllers.keySet());
     this.settings = settings;
-    this.tasks = new WorkerTasks(this, random, workload, settings.failureShare());
+    this.tasks = new WorkerTasks(this, random, workload, settings.failureProbability());
     this.leaseRenewedAt = loop.now();
     this.currentController = random.nextInt(controllerNames.size());
     ownLoop.schedule(Duration.ZERO, this::checkHeartbeat);
@@ -146,7 +146,7 @@
   }
 
   /** Heartbeats say of the running tasks that they save a checkpoint, or run; they do neither. */
-  public void setCheckpointing(boolean value) {
+  public void reportCheckpointing(boolean value) {
     tasks.pretendCheckpointing(value);
   }
 
--- a/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
@@ -66,8 +66,8 @@
     cluster.schedule(1, this::arrive);
     cluster.run(SETTLE);
     term = term();
-    int added = cluster.cloud().machinesAdded();
-    int deleted = cluster.cloud().machinesDeleted();
+    int added = cluster.cloud().addedMachineCount();
+    int deleted = cluster.cloud().deletedMachineCount();
     int unserved = cluster.users().unservedRequests();
     if (!length.isZero()) {
       flap(SETTLE + FLAPPING);
@@ -80,8 +80,8 @@
             mostInAMinute,
             0,
             cluster.users().unservedRequests() - unserved,
-            cluster.cloud().machinesAdded() - added,
-            cluster.cloud().machinesDeleted() - deleted);
+            cluster.cloud().addedMachineCount() - added,
+            cluster.cloud().deletedMachineCount() - deleted);
     cluster.run(QUIET);
     for (Job job : jobs) {
       if (!cluster.rules().hasEnded(job.id())) {
--- a/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
@@ -145,7 +145,7 @@
             .filter(worker -> !worker.runningTasks().isEmpty())
             .map(worker -> worker.machine().name())
             .toList();
-    int added = cluster.cloud().machinesAdded();
+    int added = cluster.cloud().addedMachineCount();
     long leases = cluster.fleet().expiredLeases();
     SimulatedController node = cluster.leader();
     new LinkCut(LinkCut.StateLink.UP, false, LinkCut.Workers.ALL, LinkCut.Way.BOTH)
@@ -157,7 +157,7 @@
     for (String machine : busy) {
       assertTrue(cluster.cloud().isRunning(machine), machine + " is deleted");
     }
-    assertEquals(added, cluster.cloud().machinesAdded(), "machines are added");
+    assertEquals(added, cluster.cloud().addedMachineCount(), "machines are added");
     assertEquals(leases, cluster.fleet().expiredLeases(), "leases");
     cluster.users().cancel(jobs.get(1).id());
     cluster.run(90);
--- a/src/test/java/io/cherryspool/store/GroupCommitTest.java
+++ b/src/test/java/io/cherryspool/store/GroupCommitTest.java
@@ -132,7 +132,7 @@
     GroupCommit commits = commitsOverTransport();
     CompletableFuture<Boolean> first = put(commits, "c/first");
     List<CompletableFuture<Boolean>> group = putAll(commits, "c/a", "c/b", "c/c");
-    transport.interceptNext(ControlledTransport.COMMIT, Interception.LOSE_ANSWER);
+    transport.interceptNext(ControlledTransport.COMMIT, Interception.DROP_REPLY);
     run(0.01);
     assertEquals(true, first.getNow(null));
     run(0.5);
--- a/src/test/java/io/cherryspool/store/ReplicaTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaTest.java
@@ -77,7 +77,7 @@
   @Test
   void aCallerIsNotAnsweredByAReadThatWasSentBeforeItsCall() {
     load();
-    transport.interceptNext(ControlledTransport.READ, Interception.HOLD_ANSWER);
+    transport.interceptNext(ControlledTransport.READ, Interception.HOLD_REPLY);
     CompletableFuture<Void> before = replica.refresh();
     run(0.05);
     CompletableFuture<Void> after = replica.refresh();
@@ -97,7 +97,7 @@
   @Test
   void callersAreRefusedAtOnceDuringAReload() {
     load();
-    transport.interceptNext(ControlledTransport.READ, Interception.HOLD_ANSWER);
+    transport.interceptNext(ControlledTransport.READ, Interception.HOLD_REPLY);
     CompletableFuture<Void> sent = replica.refresh();
     run(0.05);
     CompletableFuture<Void> waits = replica.refresh();
@@ -122,7 +122,7 @@
     transport.interceptNext(ControlledTransport.READ, Interception.HOLD_REQUEST);
     CompletableFuture<Void> reading = replica.refresh();
     run(0.05);
-    transport.interceptNext(ControlledTransport.READ, Interception.HOLD_ANSWER);
+    transport.interceptNext(ControlledTransport.READ, Interception.HOLD_REPLY);
     transport.release(ControlledTransport.WATCH);
     run(0.05);
     accept(JOB);
@@ -143,7 +143,7 @@
   void aReadThatReturnsAfterAReloadChangesNothing() {
     load();
     accept(JOB);
-    transport.interceptNext(ControlledTransport.READ, Interception.HOLD_ANSWER);
+    transport.interceptNext(ControlledTransport.READ, Interception.HOLD_REPLY);
     CompletableFuture<Void> reading = replica.refresh();
     run(0.05);
     cancel(JOB);
