--- a/src/main/java/io/cherryspool/controller/rounds/ClusterViewBuilder.java
+++ b/src/main/java/io/cherryspool/controller/rounds/ClusterViewBuilder.java
@@ -28,7 +28,7 @@
   private final JobViewCache jobViews;
   private final MachineViewCache machineViews;
   private final PlanningInputs inputs;
-  private final LentQuota lentQuota;
+  private final LentQuotaTracker lentQuota;
 
   ClusterViewBuilder(
       ClusterRecords records,
@@ -41,11 +41,11 @@
     this.jobViews = jobViews;
     this.machineViews = machineViews;
     this.inputs = inputs;
-    lentQuota = new LentQuota(records, pendingReleases);
+    lentQuota = new LentQuotaTracker(records, pendingReleases);
   }
 
   /** The tasks that run on lent quota. */
-  LentQuota lentQuota() {
+  LentQuotaTracker lentQuota() {
     return lentQuota;
   }
 
--- a/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
+++ b/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
@@ -37,10 +37,10 @@
   private static final Duration MIN_OBSERVED_SPAN = Duration.ofSeconds(60);
 
   /** Tasks of a job class that must have completed before its run time factor is trusted. */
-  private static final int MIN_RUNS = 20;
+  private static final int MIN_RUN_SAMPLES = 20;
 
   /** How much the runs before still count when another one is recorded. */
-  private static final double RUN_DECAY = 0.995;
+  private static final double RUN_TIME_DECAY = 0.995;
 
   /** Bounds the run time factor from above, and its reciprocal from below. */
   private static final double MAX_RUN_TIME_FACTOR = 3;
@@ -93,8 +93,8 @@
   /** Records for how long a task of the job ran until it was done. */
   void recordRunTime(Job job, Duration runTime) {
     RunTimes known = runTimesByClass.computeIfAbsent(job.jobClass(), key -> new RunTimes());
-    known.actual = known.actual * RUN_DECAY + seconds(runTime);
-    known.estimated = known.estimated * RUN_DECAY + seconds(job.estimatedRunTime());
+    known.actual = known.actual * RUN_TIME_DECAY + seconds(runTime);
+    known.estimated = known.estimated * RUN_TIME_DECAY + seconds(job.estimatedRunTime());
     known.count++;
   }
 
@@ -120,18 +120,18 @@
         .removeIf(job -> age(job.job()).compareTo(ARRIVAL_WINDOW) >= 0 || isCrashLooping(job));
     double allWork = 0;
     double recentWork = 0;
-    Duration span = MIN_OBSERVED_SPAN;
+    Duration observedSpan = MIN_OBSERVED_SPAN;
     for (JobRecord job : recentJobs.values()) {
       double work = cpuSeconds(job.job(), job.job().taskCount());
       Duration age = age(job.job());
-      span = age.compareTo(span) > 0 ? age : span;
+      observedSpan = age.compareTo(observedSpan) > 0 ? age : observedSpan;
       allWork += work;
       recentWork += age.compareTo(RECENT_WINDOW) < 0 ? work : 0;
     }
-    double rate = allWork / seconds(span);
+    double rate = allWork / seconds(observedSpan);
     double maxRate =
-        MAX_RATIO_TO_RECENT * recentWork / Math.min(seconds(RECENT_WINDOW), seconds(span));
-    double share = rate <= 0 ? 0 : Math.min(1, maxRate / rate) / seconds(span);
+        MAX_RATIO_TO_RECENT * recentWork / Math.min(seconds(RECENT_WINDOW), seconds(observedSpan));
+    double share = rate <= 0 ? 0 : Math.min(1, maxRate / rate) / seconds(observedSpan);
     for (JobRecord job : recentJobs.values()) {
       double work = cpuSeconds(job.job(), job.job().taskCount());
       double cpus = job.job().taskCount() * job.job().perTask().cpus();
@@ -171,7 +171,7 @@
   /** How long the tasks of a job class run for each second of their estimates. */
   private double runTimeFactor(String jobClass) {
     RunTimes known = runTimesByClass.get(jobClass);
-    if (known == null || known.count < MIN_RUNS || known.estimated <= 0) {
+    if (known == null || known.count < MIN_RUN_SAMPLES || known.estimated <= 0) {
       return 1;
     }
     return Math.max(
--- a/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
+++ b/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
@@ -45,7 +45,7 @@
   private final Map<String, CachedView> views = new HashMap<>();
 
   /** When the last attempt of a task ended, of those that ended in this term without success. */
-  private final Map<TaskId, Duration> lastEnds = new HashMap<>();
+  private final Map<TaskId, Duration> lastEndTimes = new HashMap<>();
 
   /**
    * A job as last seen.
@@ -71,11 +71,11 @@
   }
 
   /** Discards the job's view, since its records have changed. */
-  void jobChanged(JobRecord job) {
+  void onJobChanged(JobRecord job) {
     String id = job.job().id();
     views.remove(id);
-    if (job.outcome() != null && !lastEnds.isEmpty()) {
-      lastEnds.keySet().removeIf(task -> task.jobId().equals(id));
+    if (job.outcome() != null && !lastEndTimes.isEmpty()) {
+      lastEndTimes.keySet().removeIf(task -> task.jobId().equals(id));
     }
   }
 
@@ -85,11 +85,11 @@
   }
 
   /** Records that an attempt of the task has ended, or that its machine is lost. */
-  void attemptEnded(TaskId task, boolean done, Duration now) {
+  void onAttemptEnded(TaskId task, boolean done, Duration now) {
     if (done) {
-      lastEnds.remove(task);
+      lastEndTimes.remove(task);
     } else {
-      lastEnds.put(task, now);
+      lastEndTimes.put(task, now);
     }
     views.remove(task.jobId());
   }
@@ -104,7 +104,7 @@
       String id = job.job().id();
       CachedView cached = views.get(id);
       if (cached == null || !cached.isValidAt(now)) {
-        cached = newView(job, now);
+        cached = buildView(job, now);
         views.put(id, cached);
       }
       if (!cached.view.pendingTasks().isEmpty()) {
@@ -121,7 +121,7 @@
             > 0;
   }
 
-  private CachedView newView(JobRecord record, Duration now) {
+  private CachedView buildView(JobRecord record, Duration now) {
     Job job = record.job();
     Map<Integer, PendingReleases.Release> releases = tasks.pendingReleases().releasesOf(job.id());
     PendingTaskScan scan = new PendingTaskScan(record, releases, now);
@@ -134,7 +134,7 @@
         scan.waitUntil(nextTryAt);
       } else {
         int running = record.ownedCount() - releases.size();
-        pending = selectTries(pending, CrashLoopBackoff.MAX_CONCURRENT_RETRIES - running);
+        pending = selectRetries(pending, CrashLoopBackoff.MAX_CONCURRENT_RETRIES - running);
       }
     }
     Optional<Map<String, Integer>> byZone =
@@ -144,15 +144,16 @@
     if (byZone.isEmpty()) {
       // A task of it runs in a zone that is not known, so that no place is surely allowed.
       return new CachedView(
-          new ClusterView.JobView(job, List.of(), Map.of(), scan.heldBack, scan.hasStarted), now);
+          new ClusterView.JobView(job, List.of(), Map.of(), scan.failureCapped, scan.hasStarted),
+          now);
     }
     return new CachedView(
-        new ClusterView.JobView(job, pending, byZone.get(), scan.heldBack, scan.hasStarted),
+        new ClusterView.JobView(job, pending, byZone.get(), scan.failureCapped, scan.hasStarted),
         scan.validUntil);
   }
 
   /** The task that failed least, and the first one again: one of either kind may be the bad one. */
-  private static List<ClusterView.PendingTask> selectTries(
+  private static List<ClusterView.PendingTask> selectRetries(
       List<ClusterView.PendingTask> pending, int maxTries) {
     if (maxTries <= 0 || pending.isEmpty()) {
       return List.of();
@@ -200,7 +201,7 @@
     private final Map<Integer, PendingReleases.Release> releases;
     private final Duration now;
     private final List<ClusterView.PendingTask> pending = new ArrayList<>();
-    private int heldBack;
+    private int failureCapped;
     private boolean hasStarted;
     private Duration validUntil;
 
@@ -221,7 +222,7 @@
             task = shard.nextNotDone(task + 1)) {
           PendingReleases.Release release = releases.get(task);
           if (shard.ownedAttempt(task) == null || (release != null && !release.isDone())) {
-            addFree(task, shard.history(task), release);
+            addFreeTask(task, shard.history(task), release);
           }
         }
       }
@@ -231,7 +232,7 @@
       return pending.size() >= MAX_PENDING_TASKS_PER_JOB;
     }
 
-    private void addFree(int task, Shard.History history, PendingReleases.Release release) {
+    private void addFreeTask(int task, Shard.History history, PendingReleases.Release release) {
       int failures = history.failures() + (release != null && release.countsAsFailure() ? 1 : 0);
       if (history.attempts() == 0) {
         pending.add(new ClusterView.PendingTask(task, 0, failures, null));
@@ -239,18 +240,18 @@
       }
       boolean isAtCap = failures >= failureCap;
       TaskId id = new TaskId(job.job().id(), task);
-      Duration lastEnd = lastEnds.get(id);
-      if (lastEnd == null && isAtCap) {
+      Duration lastEndTime = lastEndTimes.get(id);
+      if (lastEndTime == null && isAtCap) {
         // What an earlier leader saw is not known; the wait starts now.
-        lastEnds.put(id, now);
-        lastEnd = now;
+        lastEndTimes.put(id, now);
+        lastEndTime = now;
       }
       Duration wait = isAtCap ? WAIT_AT_FAILURE_CAP : backoff(failures);
-      Duration nextTryAt = lastEnd == null ? now : lastEnd.plus(wait);
+      Duration nextTryAt = lastEndTime == null ? now : lastEndTime.plus(wait);
       if (now.compareTo(nextTryAt) >= 0) {
-        pending.add(new ClusterView.PendingTask(task, history.attempts(), failures, lastEnd));
+        pending.add(new ClusterView.PendingTask(task, history.attempts(), failures, lastEndTime));
       } else {
-        heldBack += isAtCap ? 1 : 0;
+        failureCapped += isAtCap ? 1 : 0;
         waitUntil(nextTryAt);
       }
     }
--- a/src/main/java/io/cherryspool/controller/rounds/LentQuota.java
+++ b/src/main/java/io/cherryspool/controller/rounds/LentQuotaTracker.java
@@ -19,12 +19,12 @@
  *
  * <p>Used on the event loop only.
  */
-final class LentQuota {
+final class LentQuotaTracker {
   private final ClusterRecords records;
   private final PendingReleases pendingReleases;
   private final Set<TaskId> tasks = new HashSet<>();
 
-  LentQuota(ClusterRecords records, PendingReleases pendingReleases) {
+  LentQuotaTracker(ClusterRecords records, PendingReleases pendingReleases) {
     this.records = records;
     this.pendingReleases = pendingReleases;
   }
@@ -37,11 +37,11 @@
   /** What these tasks use, by team. Called while no round is being committed. */
   Map<String, Resources> usageByTeam() {
     Map<String, Resources> usage = new HashMap<>();
-    for (Iterator<TaskId> all = tasks.iterator(); all.hasNext(); ) {
-      TaskId task = all.next();
+    for (Iterator<TaskId> iterator = tasks.iterator(); iterator.hasNext(); ) {
+      TaskId task = iterator.next();
       JobRecord record = records.job(task.jobId());
       if (record == null || !isOwned(record, task)) {
-        all.remove();
+        iterator.remove();
       } else {
         Job job = record.job();
         usage.merge(job.team(), job.perTask(), Resources::plus);
--- a/src/main/java/io/cherryspool/controller/rounds/MachineViewCache.java
+++ b/src/main/java/io/cherryspool/controller/rounds/MachineViewCache.java
@@ -78,7 +78,7 @@
     if (cached != null && cached.type() == type) {
       return cached;
     }
-    ClusterView.MachineView fresh = newView(machine, type);
+    ClusterView.MachineView fresh = buildView(machine, type);
     machine.cacheView(fresh);
     return fresh;
   }
@@ -104,7 +104,7 @@
         && !tasks.adoption().hasUnknownUsage(machine);
   }
 
-  private ClusterView.MachineView newView(MachineState machine, MachineType type) {
+  private ClusterView.MachineView buildView(MachineState machine, MachineType type) {
     Resources free = type.capacity();
     List<ClusterView.RunningTask> running = new ArrayList<>();
     for (Ownership.OwnedTask owned : tasks.ownership().ownedTasksOn(machine.name())) {
--- a/src/main/java/io/cherryspool/controller/rounds/RoundTransaction.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundChangeSetBuilder.java
@@ -27,15 +27,15 @@
  *
  * <p>Made for one round; {@link #changeSets} is called once, at its end.
  */
-final class RoundTransaction {
+final class RoundChangeSetBuilder {
   private final PendingReleases pendingReleases;
   private final int maxChanges;
   private final Map<String, JobEdit> edits = new LinkedHashMap<>();
 
   /** Ends of jobs and starts, of work other than low-priority work. */
-  private final Urgent regular = new Urgent();
+  private final UrgentChanges regularPriority = new UrgentChanges();
 
-  private final Urgent lowPriority = new Urgent();
+  private final UrgentChanges lowPriority = new UrgentChanges();
 
   /** What can wait for a later round. */
   private final List<ChangeSet> deferrable = new ArrayList<>();
@@ -45,13 +45,13 @@
    *
    * @param maxChanges the most changes in a transaction of the state store
    */
-  RoundTransaction(PendingReleases pendingReleases, int maxChanges) {
+  RoundChangeSetBuilder(PendingReleases pendingReleases, int maxChanges) {
     this.pendingReleases = pendingReleases;
     this.maxChanges = maxChanges;
   }
 
   /** Change sets of like importance, ends of jobs before starts. */
-  private static final class Urgent {
+  private static final class UrgentChanges {
     private final List<ChangeSet> ends = new ArrayList<>();
     private final List<ChangeSet> starts = new ArrayList<>();
   }
@@ -60,7 +60,7 @@
   void assign(JobRecord job, int task, String machine, long agentEpoch, long token) {
     JobEdit edit = edit(job);
     int shard = job.shardIndexOf(task);
-    edit.shard(shard).assign(task, machine, agentEpoch, token);
+    edit.shardEditor(shard).assign(task, machine, agentEpoch, token);
     edit.assignedShards.add(shard);
   }
 
@@ -68,14 +68,14 @@
   void adopt(JobRecord job, Attempt attempt) {
     JobEdit edit = edit(job);
     int shard = job.shardIndexOf(attempt.taskIndex());
-    edit.shard(shard).adopt(attempt);
+    edit.shardEditor(shard).adopt(attempt);
     edit.assignedShards.add(shard);
   }
 
   /** Records that the task has completed, although no record says that it was started. */
   void complete(JobRecord job, int task) {
     JobEdit edit = edit(job);
-    edit.shard(job.shardIndexOf(task)).complete(task);
+    edit.shardEditor(job.shardIndexOf(task)).complete(task);
     edit.isOverdue = true;
   }
 
@@ -90,11 +90,11 @@
    * @param overdue those learnt until then press as much as anything
    */
   List<ChangeSet> changeSets(Collection<JobRecord> activeJobs, Duration due, Duration overdue) {
-    Set<String> ending = addReleases(due, overdue);
-    edits.forEach((id, edit) -> addShards(edit, ending.contains(id)));
-    addCleanUp(activeJobs);
-    List<ChangeSet> all = new ArrayList<>(regular.ends);
-    all.addAll(regular.starts);
+    Set<String> endingJobs = addReleases(due, overdue);
+    edits.forEach((id, edit) -> addShards(edit, endingJobs.contains(id)));
+    addCleanup(activeJobs);
+    List<ChangeSet> all = new ArrayList<>(regularPriority.ends);
+    all.addAll(regularPriority.starts);
     all.addAll(lowPriority.ends);
     all.addAll(lowPriority.starts);
     all.addAll(deferrable);
@@ -103,14 +103,14 @@
 
   /** Adds the releases that are due to the edits; returns the ids of the jobs that end. */
   private Set<String> addReleases(Duration due, Duration overdue) {
-    Set<String> ending = new HashSet<>();
+    Set<String> endingJobs = new HashSet<>();
     for (String id : pendingReleases.jobIds()) {
       Collection<PendingReleases.Release> releases = pendingReleases.releasesOf(id).values();
       JobRecord job = releases.iterator().next().owned().jobRecord();
-      boolean ends =
+      boolean isEnding =
           job.outcome() == null
               && job.doneCount() + PendingReleases.countDone(releases) == job.job().taskCount();
-      boolean isDue = ends;
+      boolean isDue = isEnding;
       boolean isOverdue = false;
       for (PendingReleases.Release release : releases) {
         isDue |= release.learnedAt().compareTo(due) <= 0;
@@ -120,41 +120,41 @@
         JobEdit edit = edit(job);
         edit.isOverdue = isOverdue;
         for (PendingReleases.Release release : releases) {
-          edit.shard(job.shardIndexOf(release.owned().taskId().index()));
+          edit.shardEditor(job.shardIndexOf(release.owned().taskId().index()));
         }
       }
-      if (ends) {
-        ending.add(id);
+      if (isEnding) {
+        endingJobs.add(id);
       }
     }
-    return ending;
+    return endingJobs;
   }
 
-  private void addShards(JobEdit edit, boolean ending) {
+  private void addShards(JobEdit edit, boolean isEnding) {
     JobRecord job = edit.job;
-    Urgent urgent = isLowPriority(job) ? lowPriority : regular;
+    UrgentChanges urgent = isLowPriority(job) ? lowPriority : regularPriority;
     Map<Integer, Shard> shards = edit.build();
     int conditions = shards.size() + 1 + RoundCommitter.RESERVED_CONDITIONS;
-    if (ending && conditions <= RoundCommitter.MAX_CONDITIONS_PER_CHANGE * maxChanges) {
-      urgent.ends.add(endOf(job, shards.keySet()));
+    if (isEnding && conditions <= RoundCommitter.MAX_CONDITIONS_PER_CHANGE * maxChanges) {
+      urgent.ends.add(jobEndChange(job, shards.keySet()));
       return;
     }
-    boolean isUrgent = ending || edit.isOverdue;
+    boolean isUrgent = isEnding || edit.isOverdue;
     shards.forEach(
         (index, shard) -> {
-          boolean assigns = edit.assignedShards.contains(index);
-          ChangeSet change = shardChange(job, index, shard, assigns, isUrgent);
-          (assigns ? urgent.starts : ending ? urgent.ends : deferrable).add(change);
+          boolean hasAssignments = edit.assignedShards.contains(index);
+          ChangeSet change = shardChange(job, index, shard, hasAssignments, isUrgent);
+          (hasAssignments ? urgent.starts : isEnding ? urgent.ends : deferrable).add(change);
         });
   }
 
   private static ChangeSet shardChange(
-      JobRecord job, int index, Shard shard, boolean assigns, boolean isUrgent) {
+      JobRecord job, int index, Shard shard, boolean hasAssignments, boolean isUrgent) {
     String id = job.job().id();
     String key = Records.progressKey(id, index);
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put(key, job.shard(index).version());
-    if (assigns) {
+    if (hasAssignments) {
       // After a cancel is committed nothing of the job may be assigned.
       conditions.put(Records.outcomeKey(id), 0L);
     }
@@ -163,7 +163,7 @@
         conditions,
         List.of(new StateStoreProtocol.Change(key, isOver ? null : Records.encodeShard(shard), 0)),
         Records.maxEncodedBytes(shard),
-        assigns || isUrgent ? writeClass(job) : RateLimiter.WriteClass.DEFERRABLE);
+        hasAssignments || isUrgent ? writeClass(job) : RateLimiter.WriteClass.DEFERRABLE);
   }
 
   /**
@@ -172,7 +172,7 @@
    * progress records go when there is room. With four changes for each single task, of 25 a second,
    * low-priority work alone took them all.
    */
-  private static ChangeSet endOf(JobRecord job, Set<Integer> shards) {
+  private static ChangeSet jobEndChange(JobRecord job, Set<Integer> shards) {
     String id = job.job().id();
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put(Records.outcomeKey(id), 0L);
@@ -197,20 +197,20 @@
   }
 
   /** Ends jobs whose last shards were committed apart, and removes records of ended jobs. */
-  private void addCleanUp(Collection<JobRecord> activeJobs) {
+  private void addCleanup(Collection<JobRecord> activeJobs) {
     for (JobRecord job : activeJobs) {
       if (edits.containsKey(job.job().id())) {
         continue;
       }
       if (job.outcome() != null) {
-        addRemovals(job);
+        addRecordRemovals(job);
       } else if (job.doneCount() == job.job().taskCount()) {
-        deferrable.add(endOf(job, Set.of()));
+        deferrable.add(jobEndChange(job, Set.of()));
       }
     }
   }
 
-  private void addRemovals(JobRecord job) {
+  private void addRecordRemovals(JobRecord job) {
     for (int index : job.shards().keySet()) {
       JobRecord.VersionedShard item = job.shard(index);
       if (job.outcome() == Outcome.DONE || item.shard().ownedAttempts().isEmpty()) {
@@ -237,7 +237,7 @@
     }
 
     /** The next version of a shard; what is proved of it goes along with any other change. */
-    Shard.Editor shard(int index) {
+    Shard.Editor shardEditor(int index) {
       Shard.Editor known = shards.get(index);
       if (known != null) {
         return known;
--- a/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
@@ -36,7 +36,7 @@
   private final RateLimiter rateLimiter;
   private final int maxChanges;
   private final long termVersion;
-  private boolean stopped;
+  private boolean isStopped;
 
   /**
    * Creates a committer for the rounds of one term.
@@ -59,17 +59,17 @@
 
   /** Sends nothing more and reports nothing more, since the term has ended. */
   public void stop() {
-    stopped = true;
+    isStopped = true;
   }
 
   /**
    * Sends as many change sets as the rate limit allows, in order.
    *
-   * @param whenCertain runs when the outcomes of all that was sent are certain, whatever they are;
-   *     not at all when nothing was sent
+   * @param onOutcomesKnown runs when the outcomes of all that was sent are certain, whatever they
+   *     are; not at all when nothing was sent
    * @return how many were sent
    */
-  int commit(List<ChangeSet> changeSets, Runnable whenCertain) {
+  int commit(List<ChangeSet> changeSets, Runnable onOutcomesKnown) {
     List<Transaction> transactions = new ArrayList<>();
     Transaction current = new Transaction();
     int sent = 0;
@@ -91,7 +91,7 @@
     if (!current.isEmpty()) {
       rateLimiter.forceAcquire(current.changes.size());
     }
-    OpenRound round = new OpenRound(transactions.size(), whenCertain);
+    PendingRound round = new PendingRound(transactions.size(), onOutcomesKnown);
     for (Transaction transaction : transactions) {
       send(transaction, false, round);
     }
@@ -101,13 +101,13 @@
   /**
    * Sends the transaction until its outcome is certain.
    *
-   * @param unanswered whether an earlier copy had no answer. Then only an answer of the store makes
-   *     the outcome certain: that a later copy was refused says nothing of the ones before, which
-   *     may be applied seconds later, and a round planned meanwhile would give the same room, and
-   *     the same part of a team's quota, again.
+   * @param hasUnansweredCopy whether an earlier copy had no answer. Then only an answer of the
+   *     store makes the outcome certain: that a later copy was refused says nothing of the ones
+   *     before, which may be applied seconds later, and a round planned meanwhile would give the
+   *     same room, and the same part of a team's quota, again.
    */
-  private void send(Transaction transaction, boolean unanswered, OpenRound round) {
-    if (stopped) {
+  private void send(Transaction transaction, boolean hasUnansweredCopy, PendingRound round) {
+    if (isStopped) {
       return;
     }
     client
@@ -116,27 +116,28 @@
             (result, failure) -> {
               StateStoreException.Kind kind =
                   failure == null ? null : StateStoreException.kindOf(failure);
-              boolean refused =
+              boolean isRefused =
                   kind == StateStoreException.Kind.RATE_LIMITED
                       || kind == StateStoreException.Kind.NOT_EXECUTED;
               if (kind == StateStoreException.Kind.RATE_LIMITED) {
                 rateLimiter.drain();
               }
-              if (kind == StateStoreException.Kind.OUTCOME_UNKNOWN || (unanswered && refused)) {
-                loop.schedule(RETRY_DELAY, () -> sendAgain(transaction, round));
+              if (kind == StateStoreException.Kind.OUTCOME_UNKNOWN
+                  || (hasUnansweredCopy && isRefused)) {
+                loop.schedule(RETRY_DELAY, () -> resend(transaction, round));
                 return;
               }
-              if (kind != null && !refused) {
+              if (kind != null && !isRefused) {
                 LOG.error("the state store rejects a round's transaction: {}", failure.toString());
               } else if (kind == null && !result.applied()) {
                 LOG.debug(
                     "a round's transaction conflicts with a later version: {}", result.failed());
               }
-              round.transactionCertain();
+              round.onTransactionOutcomeKnown();
             });
   }
 
-  private void sendAgain(Transaction transaction, OpenRound round) {
+  private void resend(Transaction transaction, PendingRound round) {
     rateLimiter.forceAcquire(transaction.changes.size());
     send(transaction, true, round);
   }
@@ -179,19 +180,19 @@
   }
 
   /** A round of which the outcome of some transactions is not certain yet. */
-  private final class OpenRound {
-    private final Runnable whenCertain;
-    private int uncertain;
+  private final class PendingRound {
+    private final Runnable onOutcomesKnown;
+    private int unknownOutcomes;
 
-    OpenRound(int transactions, Runnable whenCertain) {
-      this.uncertain = transactions;
-      this.whenCertain = whenCertain;
+    PendingRound(int transactions, Runnable onOutcomesKnown) {
+      this.unknownOutcomes = transactions;
+      this.onOutcomesKnown = onOutcomesKnown;
     }
 
-    void transactionCertain() {
-      uncertain--;
-      if (uncertain == 0 && !stopped) {
-        whenCertain.run();
+    void onTransactionOutcomeKnown() {
+      unknownOutcomes--;
+      if (unknownOutcomes == 0 && !isStopped) {
+        onOutcomesKnown.run();
       }
     }
   }
--- a/src/main/java/io/cherryspool/controller/rounds/RoundDecisionLog.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundDecisionLog.java
@@ -32,21 +32,21 @@
     private final Map<String, List<EntryDecision>> byJob = new HashMap<>();
 
     @Override
-    public void entryPlanned(EntryDecision decision) {
+    public void onDecision(EntryDecision decision) {
       byJob.computeIfAbsent(decision.jobId(), key -> new ArrayList<>(2)).add(decision);
     }
 
     /** Writes what has changed since the round before. */
     void write(ClusterView view, Map<HoldCause, Integer> heldTasks) {
-      int freeMachines = 0;
+      int idleMachines = 0;
       for (ClusterView.MachineView machine : view.machines()) {
-        freeMachines += machine.runningTasks().isEmpty() ? 1 : 0;
+        idleMachines += machine.runningTasks().isEmpty() ? 1 : 0;
       }
       LOG.debug(
           "round: jobs={} machines={} idle={} usage={} held={}",
           view.jobs().size(),
           view.machines().size(),
-          freeMachines,
+          idleMachines,
           new TreeMap<>(view.usageByTeam()),
           heldTasks);
       byJob.forEach(
@@ -66,7 +66,7 @@
           decision.placed(),
           decision.overQuota(),
           decision.unschedulable(),
-          decision.machineCause().map(HoldCause::label).orElse("none"));
+          decision.unschedulableCause().map(HoldCause::label).orElse("none"));
     }
   }
 }
--- a/src/main/java/io/cherryspool/controller/rounds/RoundPlanner.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundPlanner.java
@@ -77,24 +77,24 @@
    */
   List<ChangeSet> plan(SchedulingLoop.Phase phase, Duration roundStart, Duration now) {
     TaskAdoption adoption = state.tasks().adoption();
-    RoundTransaction transaction =
-        new RoundTransaction(state.tasks().pendingReleases(), maxChanges);
-    List<ChangeSet> changeSets = new ArrayList<>(adoption.collectChanges(transaction));
+    RoundChangeSetBuilder changeSetBuilder =
+        new RoundChangeSetBuilder(state.tasks().pendingReleases(), maxChanges);
+    List<ChangeSet> changeSets = new ArrayList<>(adoption.collectChanges(changeSetBuilder));
     if (phase == SchedulingLoop.Phase.PLACING && views.isCatalogKnown()) {
-      place(transaction, now);
+      place(changeSetBuilder, now);
     }
     changeSets.addAll(
-        transaction.changeSets(
+        changeSetBuilder.changeSets(
             records.activeJobs(),
             roundStart.minus(RELEASE_DELAY),
             roundStart.minus(MAX_RELEASE_DELAY)));
     if (phase != SchedulingLoop.Phase.REBUILDING && adoption.isInProgress()) {
-      changeSets.addAll(adoption.reconciledChanges());
+      changeSets.addAll(adoption.completionChanges());
     }
     return changeSets;
   }
 
-  private void place(RoundTransaction transaction, Duration now) {
+  private void place(RoundChangeSetBuilder changeSetBuilder, Duration now) {
     List<ClusterView.JobView> jobs = views.schedulableJobs(now);
     if (jobs.isEmpty()) {
       lastPlan = RoundPlan.EMPTY;
@@ -108,7 +108,7 @@
     for (RoundPlan.Assignment item : lastPlan.assignments()) {
       JobRecord job = records.job(item.jobId());
       MachineState machine = state.fleet().get(item.machine());
-      transaction.assign(
+      changeSetBuilder.assign(
           job,
           item.taskIndex(),
           item.machine(),
@@ -147,7 +147,7 @@
       if (attempt != null) {
         countByJob.merge(task.jobId(), 1, Integer::sum);
         state.tasks().stopRequests().add(task, attempt.number(), victim.gracePeriod());
-        terminations.machineChanged(attempt.machine());
+        terminations.onMachineChanged(attempt.machine());
       }
     }
     // A line for each job: thousands of small tasks may be preempted in a round.
--- a/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
+++ b/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
@@ -26,10 +26,10 @@
 public final class SchedulingLoop implements Lifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
   private static final Duration BATCHING_DELAY = Duration.ofMillis(40);
-  private static final Duration RETRY_PAUSE = Duration.ofMillis(120);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(120);
 
   /** Rounds take at most about one part in so many of the processor. */
-  private static final int COST_SHARE = 4;
+  private static final int MIN_INTERVAL_TO_COST_RATIO = 4;
 
   private final EventLoop loop;
   private final ClusterRecords records;
@@ -43,18 +43,18 @@
   private final TerminationCollector terminations;
   private final RoundPlanner planner;
   private Phase phase = Phase.REBUILDING;
-  private CommitState commitState = CommitState.NONE;
+  private CommitState commitState = CommitState.IDLE;
   private Duration lastStart = Duration.ZERO;
   private Duration lastCost = Duration.ZERO;
-  private EventLoop.Timer nextRound;
-  private EventLoop.Timer longestInterval;
+  private EventLoop.Timer nextRoundTimer;
+  private EventLoop.Timer maxIntervalTimer;
 
   /** What rounds may do by now. A term goes through the phases in this order. */
   enum Phase {
     /** Nothing is placed, since what runs is not all known yet. */
     REBUILDING,
     /** What ran when the state was lost is all recorded, and the records are to say so. */
-    RECORDING_RECONCILED,
+    RECORDING_RECONCILIATION,
     /** Tasks are placed. */
     PLACING
   }
@@ -62,11 +62,11 @@
   /** Whether a round's outcome is open. */
   private enum CommitState {
     /** The next round may begin. */
-    NONE,
+    IDLE,
     /** A round is being committed, or its outcome read. */
-    UNDER_WAY,
+    IN_PROGRESS,
     /** As before, and another round was requested meanwhile. */
-    UNDER_WAY_AND_ROUND_REQUESTED,
+    IN_PROGRESS_ROUND_REQUESTED,
     /** The term has ended. */
     STOPPED
   }
@@ -117,7 +117,7 @@
 
   @Override
   public void start() {
-    longestInterval = loop.schedule(maxRoundInterval, this::onLongestInterval);
+    maxIntervalTimer = loop.schedule(maxRoundInterval, this::onMaxInterval);
     requestRound();
   }
 
@@ -127,11 +127,11 @@
     commitState = CommitState.STOPPED;
     committer.stop();
     meters.heldTasks.clear();
-    if (nextRound != null) {
-      nextRound.cancel();
+    if (nextRoundTimer != null) {
+      nextRoundTimer.cancel();
     }
-    if (longestInterval != null) {
-      longestInterval.cancel();
+    if (maxIntervalTimer != null) {
+      maxIntervalTimer.cancel();
     }
   }
 
@@ -144,29 +144,32 @@
   /** Has the next round record that all is recorded which ran when the state was lost. */
   public void recordReconciliation() {
     if (phase == Phase.REBUILDING) {
-      phase = Phase.RECORDING_RECONCILED;
+      phase = Phase.RECORDING_RECONCILIATION;
     }
     requestRound();
   }
 
   /** Has a round run soon, since something has happened that it should consider. */
   public void requestRound() {
-    if (commitState == CommitState.UNDER_WAY) {
-      commitState = CommitState.UNDER_WAY_AND_ROUND_REQUESTED;
-    } else if (commitState == CommitState.NONE && nextRound == null) {
-      Duration pause = lastStart.plus(Durations.multiply(lastCost, COST_SHARE)).minus(loop.now());
-      nextRound = loop.schedule(longer(pause, BATCHING_DELAY), this::run);
+    if (commitState == CommitState.IN_PROGRESS) {
+      commitState = CommitState.IN_PROGRESS_ROUND_REQUESTED;
+    } else if (commitState == CommitState.IDLE && nextRoundTimer == null) {
+      Duration pause =
+          lastStart
+              .plus(Durations.multiply(lastCost, MIN_INTERVAL_TO_COST_RATIO))
+              .minus(loop.now());
+      nextRoundTimer = loop.schedule(longer(pause, BATCHING_DELAY), this::runRound);
     }
   }
 
   /** Has the next round examine the machine, whose messages or owned tasks have changed. */
   public void onMachineChanged(String name) {
-    terminations.machineChanged(name);
+    terminations.onMachineChanged(name);
   }
 
   /** Whether the next round examines the machine's tasks anyway, as it does until all is proved. */
   public boolean isExaminationPending(String machine) {
-    return terminations.willExamine(machine);
+    return terminations.isExaminationPending(machine);
   }
 
   /** What rounds may do with the machine now; null is a machine that is not known. */
@@ -179,7 +182,7 @@
 
   /** Has the next round see the job as its records are now. */
   public void onJobChanged(JobRecord job) {
-    jobViews.jobChanged(job);
+    jobViews.onJobChanged(job);
     if (job.outcome() != null) {
       state.tasks().backoff().reset(job.job().id());
     }
@@ -189,7 +192,7 @@
   public void onRecordsReloaded() {
     jobViews.invalidateAll();
     machineViews.invalidateAll();
-    terminations.recordsReloaded();
+    terminations.onRecordsReloaded();
   }
 
   /** The last plan, empty before the first. */
@@ -198,8 +201,8 @@
   }
 
   /** Time alone proves tasks of silent machines lost, so that no event would start this round. */
-  private void onLongestInterval() {
-    longestInterval = loop.schedule(maxRoundInterval, this::onLongestInterval);
+  private void onMaxInterval() {
+    maxIntervalTimer = loop.schedule(maxRoundInterval, this::onMaxInterval);
     Duration now = loop.now();
     boolean isAnyDue = terminations.addSilentMachines(now);
     if (isAnyDue || now.minus(lastStart).compareTo(maxRoundInterval) >= 0) {
@@ -207,9 +210,9 @@
     }
   }
 
-  private void run() {
-    nextRound = null;
-    if (commitState != CommitState.NONE) {
+  private void runRound() {
+    nextRoundTimer = null;
+    if (commitState != CommitState.IDLE) {
       requestRound();
       return;
     }
@@ -220,18 +223,18 @@
     }
     List<ChangeSet> changeSets = planner.plan(phase, lastStart, loop.now());
     lastCost = loop.now().minus(lastStart);
-    if (!changeSets.isEmpty() && commitState == CommitState.NONE) {
+    if (!changeSets.isEmpty() && commitState == CommitState.IDLE) {
       commit(changeSets);
     }
   }
 
   private void commit(List<ChangeSet> changeSets) {
-    commitState = CommitState.UNDER_WAY;
+    commitState = CommitState.IN_PROGRESS;
     meters.committedRounds.increment();
     state.tokens().advance();
-    int sent = committer.commit(changeSets, this::readOutcome);
+    int sent = committer.commit(changeSets, this::refreshRecords);
     if (sent == 0) {
-      commitState = CommitState.NONE;
+      commitState = CommitState.IDLE;
     }
     if (sent < changeSets.size()) {
       LOG.debug(
@@ -239,14 +242,14 @@
           changeSets.size() - sent,
           changeSets.size());
       if (changeSets.get(sent).writeClass() == RateLimiter.WriteClass.ROUND) {
-        Duration pause = Durations.multiply(lastCost, COST_SHARE);
-        nextRound = loop.schedule(longer(pause, RETRY_PAUSE), this::run);
+        Duration pause = Durations.multiply(lastCost, MIN_INTERVAL_TO_COST_RATIO);
+        nextRoundTimer = loop.schedule(longer(pause, RETRY_DELAY), this::runRound);
       }
     }
   }
 
   /** All outcomes are certain; the records say what they are. */
-  private void readOutcome() {
+  private void refreshRecords() {
     records
         .refresh()
         .whenComplete(
@@ -255,11 +258,11 @@
                 return;
               }
               if (failure != null) {
-                loop.schedule(RETRY_PAUSE, this::readOutcome);
+                loop.schedule(RETRY_DELAY, this::refreshRecords);
                 return;
               }
-              boolean isRequested = commitState == CommitState.UNDER_WAY_AND_ROUND_REQUESTED;
-              commitState = CommitState.NONE;
+              boolean isRequested = commitState == CommitState.IN_PROGRESS_ROUND_REQUESTED;
+              commitState = CommitState.IDLE;
               host.onCommandsChanged();
               if (isRequested) {
                 requestRound();
--- a/src/main/java/io/cherryspool/controller/rounds/TaskAdoption.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TaskAdoption.java
@@ -125,7 +125,7 @@
    *
    * @return changes beside those of progress records
    */
-  List<ChangeSet> collectChanges(RoundTransaction transaction) {
+  List<ChangeSet> collectChanges(RoundChangeSetBuilder changeSetBuilder) {
     if (!isNeeded()) {
       return List.of();
     }
@@ -134,19 +134,19 @@
     for (MachineState machine : fleet.all()) {
       if (!machine.isDeleted() && machine.contact().hasTokenAbove(tokens.termBase())) {
         for (WorkerHeartbeat.TaskStatus task : machine.latestHeartbeat().tasks()) {
-          collect(machine, task, transaction, unknownJobs, pendingJobs);
+          collect(machine, task, changeSetBuilder, unknownJobs, pendingJobs);
         }
       }
     }
     List<ChangeSet> changeSets = new ArrayList<>();
     for (String id : unknownJobs) {
       if (!records.isUnknownJob(id)) {
-        changeSets.add(addMark(Records.unknownJobKey(id)));
+        changeSets.add(addMarker(Records.unknownJobKey(id)));
       }
     }
     for (String id : records.unknownJobs()) {
       if (records.job(id) != null && !pendingJobs.contains(id)) {
-        changeSets.add(markChange(Map.of(), Records.unknownJobKey(id), null));
+        changeSets.add(markerChange(Map.of(), Records.unknownJobKey(id), null));
       }
     }
     return changeSets;
@@ -155,7 +155,7 @@
   private void collect(
       MachineState machine,
       WorkerHeartbeat.TaskStatus task,
-      RoundTransaction transaction,
+      RoundChangeSetBuilder changeSetBuilder,
       Set<String> unknownJobs,
       Set<String> pendingJobs) {
     String id = task.task().jobId();
@@ -167,7 +167,7 @@
     } else if (isAdopting(id) && decision == Decision.ADOPT) {
       pendingJobs.add(id);
       WorkerHeartbeat heartbeat = machine.latestHeartbeat();
-      transaction.adopt(
+      changeSetBuilder.adopt(
           records.job(id),
           new Attempt(
               task.task().index(),
@@ -177,7 +177,7 @@
               heartbeat.highestFencingToken()));
     } else if (isAdopting(id) && decision == Decision.RECORD_DONE) {
       pendingJobs.add(id);
-      transaction.complete(records.job(id), task.task().index());
+      changeSetBuilder.complete(records.job(id), task.task().index());
     }
   }
 
@@ -207,22 +207,22 @@
    * The changes that end the adoption: first the jobs of which tasks may have ended unseen, where
    * an operator wants to be asked, and once those are recorded, that the records are reconciled.
    */
-  List<ChangeSet> reconciledChanges() {
+  List<ChangeSet> completionChanges() {
     List<ChangeSet> changeSets = new ArrayList<>();
     for (JobRecord job : records.activeJobs()) {
       String id = job.job().id();
-      if (mayHaveEndedUnseen(job) && !records.heldJobs().contains(id)) {
-        changeSets.add(addMark(Records.heldJobKey(id)));
+      if (mayHaveEndedUnobserved(job) && !records.heldJobs().contains(id)) {
+        changeSets.add(addMarker(Records.heldJobKey(id)));
       }
     }
-    return changeSets.isEmpty() ? List.of(addMark(Records.RECONCILED)) : changeSets;
+    return changeSets.isEmpty() ? List.of(addMarker(Records.RECONCILED)) : changeSets;
   }
 
-  private static ChangeSet addMark(String key) {
-    return markChange(Map.of(key, 0L), key, Records.presenceMarker());
+  private static ChangeSet addMarker(String key) {
+    return markerChange(Map.of(key, 0L), key, Records.presenceMarker());
   }
 
-  private static ChangeSet markChange(Map<String, Long> conditions, String key, JsonNode value) {
+  private static ChangeSet markerChange(Map<String, Long> conditions, String key, JsonNode value) {
     return new ChangeSet(
         conditions,
         List.of(new StateStoreProtocol.Change(key, value, 0)),
@@ -230,19 +230,19 @@
         RateLimiter.WriteClass.ROUND);
   }
 
-  private boolean mayHaveEndedUnseen(JobRecord job) {
+  private boolean mayHaveEndedUnobserved(JobRecord job) {
     if (job.outcome() != null
         || !heldClasses.contains(job.job().jobClass())
         || !records.isRebuiltJob(job.job().id())) {
       return false;
     }
-    int accounted = job.doneCount();
+    int accountedTasks = job.doneCount();
     for (JobRecord.VersionedShard item : job.shards().values()) {
       for (Attempt attempt : item.shard().ownedAttempts().values()) {
-        accounted += isReported(job, attempt) ? 1 : 0;
+        accountedTasks += isReported(job, attempt) ? 1 : 0;
       }
     }
-    return accounted < job.job().taskCount();
+    return accountedTasks < job.job().taskCount();
   }
 
   /** Whether the machine that the records give the attempt to reports it. */
--- a/src/main/java/io/cherryspool/controller/rounds/TerminationCollector.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TerminationCollector.java
@@ -47,7 +47,7 @@
   }
 
   /** Has the machine's attempts examined, since its messages or what it owns have changed. */
-  void machineChanged(String name) {
+  void onMachineChanged(String name) {
     machinesToExamine.add(name);
     MachineState machine = state.fleet().get(name);
     if (machine != null) {
@@ -56,13 +56,13 @@
   }
 
   /** Has the attempts of all machines examined, since the records were all read again. */
-  void recordsReloaded() {
+  void onRecordsReloaded() {
     tasks.pendingReleases().clear();
     machinesToExamine.addAll(tasks.ownership().owningMachines());
   }
 
   /** Whether the machine's attempts are examined in the next round anyway. */
-  boolean willExamine(String machine) {
+  boolean isExaminationPending(String machine) {
     return machinesToExamine.contains(machine);
   }
 
@@ -85,7 +85,7 @@
     List<String> names = List.copyOf(machinesToExamine);
     machinesToExamine.clear();
     for (String name : names) {
-      MachineState machine = find(name, now);
+      MachineState machine = findMachine(name, now);
       for (Ownership.OwnedTask owned : tasks.ownership().ownedTasksOn(name)) {
         if (tasks.pendingReleases().contains(owned)) {
           continue;
@@ -113,7 +113,7 @@
   }
 
   /** The machine's state; null if nothing is known of it, not even that it was deleted. */
-  private MachineState find(String name, Duration now) {
+  private MachineState findMachine(String name, Duration now) {
     MachineState machine = state.fleet().get(name);
     if (machine == null && state.fleet().isDeleted(name)) {
       machine = new MachineState(name, "", "", false, now);
@@ -128,12 +128,12 @@
       TerminationEvidence.Verdict verdict,
       Duration now) {
     tasks.pendingReleases().add(new PendingReleases.Release(owned, verdict, now));
-    boolean done = verdict == TerminationEvidence.Verdict.DONE;
-    jobViews.attemptEnded(owned.taskId(), done, now);
+    boolean isDone = verdict == TerminationEvidence.Verdict.DONE;
+    jobViews.onAttemptEnded(owned.taskId(), isDone, now);
     if (machine != null) {
       machine.invalidateView();
     }
-    if (done) {
+    if (isDone) {
       recordSuccess(owned, machine, now);
     } else {
       recordFailure(owned, machine, verdict, now);
@@ -157,19 +157,19 @@
       MachineState machine,
       TerminationEvidence.Verdict verdict,
       Duration now) {
-    boolean failed = verdict == TerminationEvidence.Verdict.FAILED;
+    boolean hasFailed = verdict == TerminationEvidence.Verdict.FAILED;
     if (verdict == TerminationEvidence.Verdict.LOST) {
       meters.lostTasks.increment();
-    } else if (failed) {
+    } else if (hasFailed) {
       meters.taskFailures.increment();
     }
-    if (!failed && verdict != TerminationEvidence.Verdict.REFUSED) {
+    if (!hasFailed && verdict != TerminationEvidence.Verdict.REFUSED) {
       return;
     }
     JobRecord job = owned.jobRecord();
     LOG.info(
         "task {}: task={}, attempt={}, machine={}",
-        failed ? "failed" : "was refused",
+        hasFailed ? "failed" : "was refused",
         owned.taskId(),
         owned.attempt().number(),
         owned.attempt().machine());
@@ -177,7 +177,7 @@
       return;
     }
     machine.history().recordJobFailure(job.job().id(), now);
-    if (failed && tasks.backoff().recordFailure(job, jobViews.hasSucceeded(job), machine, now)) {
+    if (hasFailed && tasks.backoff().recordFailure(job, jobViews.hasSucceeded(job), machine, now)) {
       machine.history().recordMachineFailure();
     }
   }
--- a/src/main/java/io/cherryspool/scheduler/Bin.java
+++ b/src/main/java/io/cherryspool/scheduler/Bin.java
@@ -56,7 +56,7 @@
   }
 
   /** Places tasks of the job. */
-  void add(Job job, int taskCount) {
+  void place(Job job, int taskCount) {
     free = free.minus(job.perTask().times(taskCount));
     addedImages.add(job.image());
   }
--- a/src/main/java/io/cherryspool/scheduler/BinPool.java
+++ b/src/main/java/io/cherryspool/scheduler/BinPool.java
@@ -36,14 +36,14 @@
   private static final int MAX_CONTENDING_JOBS = 3;
 
   /** Bound on the slots of a job that are counted on one machine. */
-  private static final int MAX_SLOTS = 1000;
+  private static final int MAX_SLOTS_PER_MACHINE = 1000;
 
   private final ClusterView view;
   private final List<Bin> bins = new ArrayList<>();
   private final List<Bin> reserved = new ArrayList<>();
   private final Map<Demand, List<Bin>> rankings = new HashMap<>();
   private final List<Job> contendingJobs;
-  private int examined;
+  private int machinesExamined;
 
   BinPool(ClusterView view) {
     this.view = view;
@@ -86,8 +86,8 @@
   }
 
   /** How often a machine was examined for a ranking. */
-  int examined() {
-    return examined;
+  int machinesExamined() {
+    return machinesExamined;
   }
 
   /**
@@ -116,7 +116,7 @@
   List<Bin> rank(Job job, String zone) {
     List<Bin> result = new ArrayList<>();
     for (Bin bin : bins) {
-      examined++;
+      machinesExamined++;
       if (bin.accepts(job) && (zone == null || zone.equals(bin.machine().zone()))) {
         bin.setScore(score(job, bin));
         result.add(bin);
@@ -146,7 +146,8 @@
       if (other != job && bin.isAllowedFor(other)) {
         Resources perTask = other.perTask();
         int slots =
-            perTask.countFittingIn(bin.free(), MAX_SLOTS) - perTask.countFittingIn(left, MAX_SLOTS);
+            perTask.countFittingIn(bin.free(), MAX_SLOTS_PER_MACHINE)
+                - perTask.countFittingIn(left, MAX_SLOTS_PER_MACHINE);
         most = Math.max(most, slots * perTask.cpus());
       }
     }
@@ -159,7 +160,7 @@
    * @param wanted the number of tasks, beyond which room on one machine does not count
    * @return empty if no machine has room for a task
    */
-  Optional<String> roomiestZone(Job job, int wanted) {
+  Optional<String> zoneWithMostRoom(Job job, int wanted) {
     Map<String, Integer> roomByZone = new HashMap<>();
     for (Bin bin : bins) {
       if (bin.accepts(job) && !bin.excludes(job)) {
@@ -213,7 +214,7 @@
   }
 
   /** Whether a task of the job fits on some machine once that is idle. */
-  boolean mayFallFree(Job job) {
+  boolean hasEligibleMachine(Job job) {
     for (MachineView machine : view.machines()) {
       if (PlacementConstraints.allows(job, machine.type(), machine.zone(), machine.isSpot())
           && !machine.excludedJobs().contains(job.id())) {
@@ -243,7 +244,7 @@
   }
 
   /** Leaves the machines without free resources out of later rankings. */
-  void removeFull() {
+  void removeFullMachines() {
     bins.removeIf(Bin::isFull);
   }
 }
--- a/src/main/java/io/cherryspool/scheduler/ClusterView.java
+++ b/src/main/java/io/cherryspool/scheduler/ClusterView.java
@@ -16,7 +16,7 @@
  * plans.
  *
  * @param now the time of day, to which jobs' ages and deadlines refer
- * @param steadyNow the steady clock's time, to which {@link PendingTask} and {@link RunningTask}
+ * @param monotonicNow the steady clock's time, to which {@link PendingTask} and {@link RunningTask}
  *     refer
  * @param maxStartDelay the age at which a job that has not started gets one task placed before
  *     those of all other jobs
@@ -33,7 +33,7 @@
  */
 public record ClusterView(
     Instant now,
-    Duration steadyNow,
+    Duration monotonicNow,
     Duration maxStartDelay,
     List<JobView> jobs,
     List<MachineView> machines,
@@ -51,15 +51,15 @@
    * @param pendingTasks the tasks that may be placed, in the order of their indices
    * @param ownedTasksByZone counts the owned tasks by zone; empty for a job without a constraint on
    *     zones
-   * @param heldBackTasks counts the free tasks that the failure cap keeps from being placed, which
-   *     are not among the pending ones
+   * @param failureCappedTasks counts the free tasks that the failure cap keeps from being placed,
+   *     which are not among the pending ones
    * @param hasStarted whether any task was ever started
    */
   public record JobView(
       Job job,
       List<PendingTask> pendingTasks,
       Map<String, Integer> ownedTasksByZone,
-      int heldBackTasks,
+      int failureCappedTasks,
       boolean hasStarted) {}
 
   /**
--- a/src/main/java/io/cherryspool/scheduler/EntryDecision.java
+++ b/src/main/java/io/cherryspool/scheduler/EntryDecision.java
@@ -11,7 +11,7 @@
  * @param placed how many of the tasks are placed
  * @param overQuota how many the team's quota does not allow
  * @param unschedulable how many lack a machine
- * @param machineCause why those lack one; empty if none does
+ * @param unschedulableCause why those lack one; empty if none does
  */
 public record EntryDecision(
     String jobId,
@@ -19,7 +19,7 @@
     int placed,
     int overQuota,
     int unschedulable,
-    Optional<HoldCause> machineCause) {
+    Optional<HoldCause> unschedulableCause) {
 
   /** Receives the decisions of a plan, in the order of the queue. */
   @FunctionalInterface
@@ -28,6 +28,6 @@
     Listener NONE = decision -> {};
 
     /** Called once for each entry of the queue. */
-    void entryPlanned(EntryDecision decision);
+    void onDecision(EntryDecision decision);
   }
 }
--- a/src/main/java/io/cherryspool/scheduler/EntryPlan.java
+++ b/src/main/java/io/cherryspool/scheduler/EntryPlan.java
@@ -9,10 +9,10 @@
 final class EntryPlan {
   private final QueueOrder.Entry entry;
   private int tried;
-  private int placed;
-  private int charged;
-  private int unschedulable;
-  private HoldCause machineCause = HoldCause.NO_MACHINE;
+  private int placedCount;
+  private int reservedCount;
+  private int scaleOutCount;
+  private HoldCause unschedulableCause = HoldCause.NO_MACHINE;
 
   EntryPlan(QueueOrder.Entry entry) {
     this.entry = entry;
@@ -31,7 +31,7 @@
   }
 
   /** The tasks that the quota did not allow so far. */
-  List<Integer> overQuota() {
+  List<Integer> overQuotaTasks() {
     return entry.tasks().subList(tried, entry.tasks().size());
   }
 
@@ -40,46 +40,46 @@
   }
 
   /** How many tasks are assigned to machines. */
-  int placed() {
-    return placed;
+  int placedCount() {
+    return placedCount;
   }
 
   /** How many tasks the quota allows, and no machine has room for. */
-  int lackingMachine() {
-    return tried - placed;
+  int withoutMachineCount() {
+    return tried - placedCount;
   }
 
   /** Takes in what became of the next tasks that the quota allows. */
   void tried(int count, TaskAssigner.Result result) {
     tried += count;
-    placed += result.placed();
+    placedCount += result.placed();
     if (result.placed() < count) {
-      machineCause = result.causeOfRest();
+      unschedulableCause = result.unplacedCause();
     }
   }
 
   /** The quota that is kept for tasks which are not placed. */
-  Resources chargedQuota() {
-    return job().perTask().times(charged);
+  Resources reservedQuota() {
+    return job().perTask().times(reservedCount);
   }
 
   /** As above, as far as the quota is kept for a promoted task that it does not allow yet. */
-  Resources chargedQuotaOverQuota() {
-    return entry.isPromoted() && overQuotaCount() > 0 ? chargedQuota() : Resources.NONE;
+  Resources reservedQuotaOfPromotedTask() {
+    return entry.isPromoted() && overQuotaCount() > 0 ? reservedQuota() : Resources.NONE;
   }
 
   /** Keeps the team's quota for so many tasks that are not placed, in place of those before. */
-  void charge(int tasks) {
-    charged = tasks;
+  void reserveQuota(int tasks) {
+    reservedCount = tasks;
   }
 
   /** How many tasks the fleet lacks machines for, as far as the team's quota could hold them. */
-  int unschedulable() {
-    return unschedulable;
+  int scaleOutCount() {
+    return scaleOutCount;
   }
 
-  void setUnschedulable(int tasks) {
-    unschedulable = tasks;
+  void setScaleOutCount(int tasks) {
+    scaleOutCount = tasks;
   }
 
   /** The decision as it stands. */
@@ -87,9 +87,9 @@
     return new EntryDecision(
         job().id(),
         entry.isPromoted(),
-        placed,
+        placedCount,
         overQuotaCount(),
-        lackingMachine(),
-        lackingMachine() > 0 ? Optional.of(machineCause) : Optional.empty());
+        withoutMachineCount(),
+        withoutMachineCount() > 0 ? Optional.of(unschedulableCause) : Optional.empty());
   }
 }
--- a/src/main/java/io/cherryspool/scheduler/FleetDemand.java
+++ b/src/main/java/io/cherryspool/scheduler/FleetDemand.java
@@ -19,7 +19,7 @@
    * How many standard deviations of the CPUs in use the fleet has room for. A few large jobs at a
    * time deviate, relative to their mean, by far more than many small ones do.
    */
-  private static final double SPARE_DEVIATIONS = 0.7;
+  private static final double HEADROOM_DEVIATIONS = 0.7;
 
   private static final Duration MIN_BOOT_TIME = Duration.ofSeconds(1);
 
@@ -39,7 +39,7 @@
   record MachineSelector(long types, String zone, boolean allowsSpot) {
 
     /** Whether the other selector allows all machines that this one does. */
-    boolean isWithin(MachineSelector other) {
+    boolean isSubsetOf(MachineSelector other) {
       return (types & ~other.types) == 0
           && (other.zone == null || other.zone.equals(zone))
           && (other.allowsSpot || !allowsSpot);
@@ -68,17 +68,17 @@
   /**
    * The CPUs that some work needs.
    *
-   * @param arriving for the work that arrives, on average
-   * @param peak for the deviations of arriving work and for the work that waits
+   * @param averageCpus for the work that arrives, on average
+   * @param headroomCpus for the deviations of arriving work and for the work that waits
    */
-  record CpuDemand(double arriving, double peak) {
+  record CpuDemand(double averageCpus, double headroomCpus) {
 
     /**
      * The CPUs needed where they cost so many times as much as on the cheapest machines: there,
      * deviations and waiting work are served more slowly.
      */
-    double cpus(double costWeight) {
-      return arriving + peak / costWeight;
+    double requiredCpus(double costWeight) {
+      return averageCpus + headroomCpus / costWeight;
     }
   }
 
@@ -108,7 +108,7 @@
   }
 
   /** The demand of the work that can use no other machines than these. */
-  CpuDemand demandOn(MachineSelector selector) {
+  CpuDemand demandFor(MachineSelector selector) {
     return demands.computeIfAbsent(selector, this::sumDemand);
   }
 
@@ -117,22 +117,22 @@
     double waiting = 0;
     double variance = 0;
     for (JobDemand demand : view.demands()) {
-      if (selectorOf(demand.job()).isWithin(selector)) {
+      if (selectorOf(demand.job()).isSubsetOf(selector)) {
         arriving += demand.arrivingCpus();
         waiting += demand.waitingCpuSeconds();
         variance += demand.cpuVariance();
       }
     }
     double spare =
-        Math.max(arriving / MAX_UTILISATION - arriving, SPARE_DEVIATIONS * Math.sqrt(variance));
-    return new CpuDemand(arriving, spare + waiting / backlogTime(selector).toMillis() * 1000);
+        Math.max(arriving / MAX_UTILISATION - arriving, HEADROOM_DEVIATIONS * Math.sqrt(variance));
+    return new CpuDemand(arriving, spare + waiting / backlogDrainTime(selector).toMillis() * 1000);
   }
 
   /**
    * The time in which waiting work should be complete: about when a machine requested now would
    * begin to help, one and a half boot times.
    */
-  Duration backlogTime(MachineSelector selector) {
+  Duration backlogDrainTime(MachineSelector selector) {
     Duration longestBoot = MIN_BOOT_TIME;
     for (int i = 0; i < view.catalog().size(); i++) {
       Duration bootTime = view.catalog().get(i).bootTime();
--- a/src/main/java/io/cherryspool/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/PlacementPlanner.java
@@ -29,7 +29,7 @@
   private final TeamUsage usage;
 
   /** As above, as if no quota had been lent: what machines are needed for. */
-  private final TeamUsage demand;
+  private final TeamUsage usageWithoutLending;
 
   private final BinPool bins;
   private final TaskAssigner assigner;
@@ -41,8 +41,8 @@
   private PlacementPlanner(ClusterView view) {
     this.view = view;
     this.usage = new TeamUsage(view.usageByTeam());
-    this.demand = new TeamUsage(view.usageByTeam());
-    view.lentUsageByTeam().forEach(demand::subtract);
+    this.usageWithoutLending = new TeamUsage(view.usageByTeam());
+    view.lentUsageByTeam().forEach(usageWithoutLending::subtract);
     this.bins = new BinPool(view);
     this.assigner = new TaskAssigner(bins);
   }
@@ -72,7 +72,7 @@
       preemption.addAssignments(all.subList(placedBefore, all.size()));
       for (EntryPlan plan : overQuota) {
         if (plan.overQuotaCount() > 0) {
-          preemption.freeQuotaFor(plan.job(), plan.overQuotaCount());
+          preemption.preemptForQuota(plan.job(), plan.overQuotaCount());
         }
       }
       victims = preemption.victims();
@@ -84,28 +84,28 @@
         unschedulable,
         RelocatableTasks.find(view, unschedulable),
         countHeldTasks(listener),
-        assigner.examined());
+        assigner.machinesExamined());
   }
 
   /** Places the entry's tasks as far as the team's quota and the machines allow. */
   private void place(QueueOrder.Entry entry) {
     EntryPlan plan = new EntryPlan(entry);
     entryPlans.add(plan);
-    int allowedIfNoneLent = countAllowed(demand, plan);
+    int allowedIfNoneLent = countAllowed(usageWithoutLending, plan);
     int allowed = countAllowed(usage, plan);
     if (allowed > 0) {
-      tryTasks(plan, allowed, false);
-      plan.charge(plan.lackingMachine());
-      usage.add(plan.team(), plan.chargedQuota());
+      assignTasks(plan, allowed, false);
+      plan.reserveQuota(plan.withoutMachineCount());
+      usage.add(plan.team(), plan.reservedQuota());
       reserveMachineIfPromoted(plan);
-    } else if (entry.isPromoted() && bins.mayFallFree(plan.job())) {
+    } else if (entry.isPromoted() && bins.hasEligibleMachine(plan.job())) {
       // The quota that the team's other tasks free next is kept for this one.
-      plan.charge(1);
-      usage.add(plan.team(), plan.chargedQuota());
-      demand.add(plan.team(), plan.chargedQuota());
+      plan.reserveQuota(1);
+      usage.add(plan.team(), plan.reservedQuota());
+      usageWithoutLending.add(plan.team(), plan.reservedQuota());
     }
-    noteDemand(plan, allowedIfNoneLent);
-    if (plan.lackingMachine() > 0) {
+    recordScaleOutCount(plan, allowedIfNoneLent);
+    if (plan.withoutMachineCount() > 0) {
       withoutMachine.add(plan);
     }
     if (plan.overQuotaCount() > 0) {
@@ -114,18 +114,18 @@
   }
 
   private void reserveMachineIfPromoted(EntryPlan plan) {
-    if (plan.entry().isPromoted() && plan.lackingMachine() > 0) {
+    if (plan.entry().isPromoted() && plan.withoutMachineCount() > 0) {
       bins.reserve(plan.job());
     }
   }
 
   /** Tries to place the next tasks, and charges those that are placed to the team's quota. */
-  private void tryTasks(EntryPlan plan, int count, boolean usesLentQuota) {
-    List<Integer> tasks = plan.overQuota().subList(0, count);
+  private void assignTasks(EntryPlan plan, int count, boolean usesLentQuota) {
+    List<Integer> tasks = plan.overQuotaTasks().subList(0, count);
     TaskAssigner.Result result = assigner.assign(plan.entry().view(), tasks, usesLentQuota);
     plan.tried(count, result);
     usage.add(plan.team(), plan.job().perTask().times(result.placed()));
-    demand.add(plan.team(), plan.job().perTask().times(result.placed()));
+    usageWithoutLending.add(plan.team(), plan.job().perTask().times(result.placed()));
   }
 
   /**
@@ -133,11 +133,11 @@
    * if none had been lent. What the team uses, less what was lent, and all that needs machines stay
    * within its quota together.
    */
-  private void noteDemand(EntryPlan plan, int allowedIfNoneLent) {
-    int wanted = allowedIfNoneLent - plan.placed();
-    if (wanted > 0 && (plan.lackingMachine() > 0 || !bins.hasRoom(plan.job()))) {
-      plan.setUnschedulable(wanted);
-      demand.add(plan.team(), plan.job().perTask().times(wanted));
+  private void recordScaleOutCount(EntryPlan plan, int allowedIfNoneLent) {
+    int wanted = allowedIfNoneLent - plan.placedCount();
+    if (wanted > 0 && (plan.withoutMachineCount() > 0 || !bins.hasRoom(plan.job()))) {
+      plan.setScaleOutCount(wanted);
+      usageWithoutLending.add(plan.team(), plan.job().perTask().times(wanted));
     }
   }
 
@@ -152,14 +152,14 @@
   /** Takes back the charges for tasks that will have no machine in the rounds to come. */
   private void lendUnusableQuota(Preemption preemption) {
     for (EntryPlan plan : withoutMachine) {
-      int usable = preemption.freeMachinesFor(plan.job(), plan.lackingMachine());
-      if (usable == 0 && plan.entry().isPromoted() && bins.mayFallFree(plan.job())) {
+      int usable = preemption.preemptForRoom(plan.job(), plan.withoutMachineCount());
+      if (usable == 0 && plan.entry().isPromoted() && bins.hasEligibleMachine(plan.job())) {
         usable = 1;
       }
-      if (usable < plan.lackingMachine()) {
-        usage.subtract(plan.team(), plan.chargedQuota());
-        plan.charge(usable);
-        usage.add(plan.team(), plan.chargedQuota());
+      if (usable < plan.withoutMachineCount()) {
+        usage.subtract(plan.team(), plan.reservedQuota());
+        plan.reserveQuota(usable);
+        usage.add(plan.team(), plan.reservedQuota());
         teamsWithLentQuota.add(plan.team());
       }
     }
@@ -179,22 +179,22 @@
   }
 
   private void placeOnLentQuota(EntryPlan plan) {
-    Resources kept = plan.chargedQuotaOverQuota();
+    Resources kept = plan.reservedQuotaOfPromotedTask();
     usage.subtract(plan.team(), kept);
     int allowed = countAllowed(usage, plan);
     if (allowed > 0) {
-      tryTasks(plan, allowed, true);
+      assignTasks(plan, allowed, true);
       reserveMachineIfPromoted(plan);
     }
-    boolean isPlaced = plan.overQuotaCount() == 0 && plan.lackingMachine() == 0;
+    boolean isPlaced = plan.overQuotaCount() == 0 && plan.withoutMachineCount() == 0;
     usage.add(plan.team(), isPlaced ? Resources.NONE : kept);
   }
 
   private List<RoundPlan.TaskGroup> unschedulable() {
     List<RoundPlan.TaskGroup> result = new ArrayList<>();
     for (EntryPlan plan : entryPlans) {
-      if (plan.unschedulable() > 0) {
-        result.add(new RoundPlan.TaskGroup(plan.job(), plan.unschedulable()));
+      if (plan.scaleOutCount() > 0) {
+        result.add(new RoundPlan.TaskGroup(plan.job(), plan.scaleOutCount()));
       }
     }
     return result;
@@ -205,12 +205,12 @@
     for (EntryPlan plan : entryPlans) {
       EntryDecision decision = plan.decision();
       decision
-          .machineCause()
+          .unschedulableCause()
           .ifPresent(cause -> result.merge(cause, decision.unschedulable(), Integer::sum));
       if (decision.overQuota() > 0) {
         result.merge(HoldCause.OVER_QUOTA, decision.overQuota(), Integer::sum);
       }
-      listener.entryPlanned(decision);
+      listener.onDecision(decision);
     }
     return result;
   }
--- a/src/main/java/io/cherryspool/scheduler/PlannedFleet.java
+++ b/src/main/java/io/cherryspool/scheduler/PlannedFleet.java
@@ -21,10 +21,10 @@
  */
 final class PlannedFleet {
   /** Part of the price that each machine on its way to a zone adds, which spreads machines. */
-  private static final double CROWDING_COST = 0.001;
+  private static final double SPREAD_SURCHARGE = 0.001;
 
   /** Bound on the tasks of a job that one machine is counted to hold. */
-  private static final int MAX_SLOTS = 1000;
+  private static final int MAX_SLOTS_PER_MACHINE = 1000;
 
   private final FleetView view;
   private final List<ProvisioningMachine> provisioning = new ArrayList<>();
@@ -140,7 +140,7 @@
     Offering best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineType type : view.catalog()) {
-      int slots = job.perTask().countFittingIn(type.capacity(), MAX_SLOTS);
+      int slots = job.perTask().countFittingIn(type.capacity(), MAX_SLOTS_PER_MACHINE);
       if (slots == 0 || excludedTypes.contains(type)) {
         continue;
       }
@@ -161,8 +161,10 @@
   }
 
   private double costPerSlot(Offering offering, int slots) {
-    int crowd = provisioningCounts.getOrDefault(offering, 0);
-    return offering.type().hourlyPrice(offering.isSpot()) / slots * (1 + CROWDING_COST * crowd);
+    int provisioningCount = provisioningCounts.getOrDefault(offering, 0);
+    return offering.type().hourlyPrice(offering.isSpot())
+        / slots
+        * (1 + SPREAD_SURCHARGE * provisioningCount);
   }
 
   /** Whether the cloud has not refused the offering a short while ago. */
--- a/src/main/java/io/cherryspool/scheduler/PreemptibleMachine.java
+++ b/src/main/java/io/cherryspool/scheduler/PreemptibleMachine.java
@@ -13,7 +13,7 @@
 final class PreemptibleMachine {
   /** The order in which tasks are preempted, by the loss and then by the task's id. */
   static final Comparator<Candidate> LEAST_LOSS_FIRST =
-      Comparator.comparingDouble(Candidate::lossCpuSeconds)
+      Comparator.comparingDouble(Candidate::lostCpuSeconds)
           .thenComparing(candidate -> candidate.task.task());
 
   /** Added to a task's run time, so that its size counts even if nothing is lost. */
@@ -31,9 +31,9 @@
    * have dozens of small tasks.
    *
    * @param priority the priority's ordinal with the job's age considered
-   * @param lossCpuSeconds the work in CPU seconds that is lost if the task is stopped
+   * @param lostCpuSeconds the work in CPU seconds that is lost if the task is stopped
    */
-  record Candidate(RunningTask task, int priority, double lossCpuSeconds) {
+  record Candidate(RunningTask task, int priority, double lostCpuSeconds) {
 
     /**
      * A candidate with its loss: all of its run so far, or with checkpoints at most the time that
@@ -62,7 +62,7 @@
      * Whether the task may be preempted for any task of the job. Work whose priority was raised by
      * age is not preempted by that priority, or it would never complete.
      */
-    boolean isBelow(Job job) {
+    boolean hasLowerPriorityThan(Job job) {
       return priority < job.priority().ordinal();
     }
   }
@@ -110,7 +110,7 @@
   }
 
   /** Counts a task that is being stopped as gone. */
-  void addStopping(RunningTask task) {
+  void addStoppingTask(RunningTask task) {
     hasStoppingTasks = true;
     free = free.plus(task.job().perTask());
   }
@@ -118,7 +118,7 @@
   /** Counts a victim as gone. */
   void preempt(Candidate victim) {
     candidates.remove(victim);
-    addStopping(victim.task);
+    addStoppingTask(victim.task);
   }
 
   /** Keeps so much of the free resources for others. */
--- a/src/main/java/io/cherryspool/scheduler/Preemption.java
+++ b/src/main/java/io/cherryspool/scheduler/Preemption.java
@@ -95,12 +95,12 @@
     PreemptibleMachine result = new PreemptibleMachine(machine, assigned);
     for (RunningTask task : machine.runningTasks()) {
       if (task.isStopping()) {
-        result.addStopping(task);
+        result.addStoppingTask(task);
         subtractUsage(task.job());
       } else {
         int priority = QueueOrder.priority(task.job(), view);
         lowestPriority = Math.min(lowestPriority, priority);
-        result.addCandidate(Candidate.of(task, priority, view.steadyNow()));
+        result.addCandidate(Candidate.of(task, priority, view.monotonicNow()));
       }
     }
     result.sortCandidates();
@@ -130,7 +130,7 @@
    * @param pending tasks within the team's quota, for which no machine has room
    * @return for how many of them a machine will have room, once all is stopped that is to be
    */
-  int freeMachinesFor(Job job, int pending) {
+  int preemptForRoom(Job job, int pending) {
     if (job.requiresSingleZone() || job.requiresZoneSpread()) {
       return 0;
     }
@@ -143,7 +143,7 @@
         break;
       }
       makeRoom(best.get(), job);
-      offerChoice(choices, best.get().machine(), job);
+      addChoice(choices, best.get().machine(), job);
       left--;
     }
     return pending - left;
@@ -154,7 +154,7 @@
     PriorityQueue<PreemptionChoice> result = new PriorityQueue<>(PreemptionChoice.CHEAPEST_FIRST);
     for (PreemptibleMachine machine : among) {
       if (machine.isAllowedFor(job) && !machine.machine().excludedJobs().contains(job.id())) {
-        offerChoice(result, machine, job);
+        addChoice(result, machine, job);
       }
     }
     return result;
@@ -170,7 +170,7 @@
         return Optional.of(best);
       }
       if (current.isPresent()) {
-        offerChoice(choices, best.machine(), job);
+        addChoice(choices, best.machine(), job);
       }
     }
     return Optional.empty();
@@ -192,7 +192,7 @@
     return view.teamsWithinGuarantee().contains(job.team());
   }
 
-  private void offerChoice(
+  private void addChoice(
       PriorityQueue<PreemptionChoice> choices, PreemptibleMachine machine, Job job) {
     findVictims(machine, job)
         .ifPresent(found -> choices.add(PreemptionChoice.of(machine, found, job)));
@@ -207,7 +207,8 @@
     List<Candidate> chosen = new ArrayList<>();
     Map<String, Resources> chosenByTeam = new HashMap<>();
     for (Candidate candidate : machine.candidates()) {
-      if (candidate.isBelow(job) || isExcessUsage(candidate.job().team(), job, chosenByTeam)) {
+      if (candidate.hasLowerPriorityThan(job)
+          || isExcessUsage(candidate.job().team(), job, chosenByTeam)) {
         chosen.add(candidate);
         chosenByTeam.merge(candidate.job().team(), candidate.job().perTask(), Resources::plus);
         free = free.plus(candidate.job().perTask());
@@ -240,7 +241,7 @@
    * that have a machine, or get one. Otherwise an urgent job would wait for its own team's long
    * ones. Jobs with constraints on the zones of all their tasks together are left out.
    */
-  void freeQuotaFor(Job job, int pending) {
+  void preemptForQuota(Job job, int pending) {
     Team team = view.teams().get(job.team());
     if (team == null
         || job.requiresSingleZone()
@@ -266,7 +267,7 @@
       }
       found.get().forEach(victim -> preempt(victim.machine(), victim.candidate()));
       makeRoom(room.get(), job);
-      offerChoice(choices, room.get().machine(), job);
+      addChoice(choices, room.get().machine(), job);
     }
   }
 
--- a/src/main/java/io/cherryspool/scheduler/PreemptionChoice.java
+++ b/src/main/java/io/cherryspool/scheduler/PreemptionChoice.java
@@ -23,7 +23,7 @@
   static PreemptionChoice of(PreemptibleMachine machine, List<Candidate> victims, Job job) {
     double cost = fetchCpuSeconds(machine.machine(), job);
     for (Candidate victim : victims) {
-      cost += victim.lossCpuSeconds();
+      cost += victim.lostCpuSeconds();
     }
     return new PreemptionChoice(machine, victims, cost);
   }
--- a/src/main/java/io/cherryspool/scheduler/QueueOrder.java
+++ b/src/main/java/io/cherryspool/scheduler/QueueOrder.java
@@ -42,7 +42,7 @@
   static final double MIN_TASK_CPUS = 0.1;
 
   /** Ratio of the work of jobs of one level to that of the level below. */
-  private static final int LEVEL_RATIO = 4;
+  private static final int SIZE_LEVEL_RATIO = 4;
 
   private static final Comparator<Entry> ORDER =
       Comparator.comparing((Entry entry) -> !entry.isPromoted())
@@ -51,7 +51,7 @@
           .thenComparing(entry -> !entry.rank().isTeamWithinGuarantee())
           .thenComparingInt(entry -> -entry.rank().priority())
           .thenComparing(entry -> entry.rank().dueAt())
-          .thenComparingInt(entry -> entry.rank().level())
+          .thenComparingInt(entry -> entry.rank().sizeLevel())
           .thenComparing(Entry::isRetry)
           .thenComparingInt(Entry::failures)
           .thenComparing(Entry::lastAttemptEndedAt)
@@ -61,7 +61,7 @@
   private static final Comparator<Job> OLDEST_FIRST =
       Comparator.comparing(Job::submittedAt).thenComparing(Job::id);
 
-  private static final List<Double> DEADLINE_ITSELF = List.of(1.0);
+  private static final List<Double> DEFAULT_DEADLINE_MULTIPLES = List.of(1.0);
 
   private QueueOrder() {}
 
@@ -72,9 +72,10 @@
    *     guaranteed quota
    * @param priority the priority's ordinal with the job's age considered, see {@link #priority}
    * @param dueAt see {@link #dueAt}
-   * @param level see {@link #level}
+   * @param sizeLevel see {@link #sizeLevel}
    */
-  private record JobRank(boolean isTeamWithinGuarantee, int priority, Instant dueAt, int level) {}
+  private record JobRank(
+      boolean isTeamWithinGuarantee, int priority, Instant dueAt, int sizeLevel) {}
 
   /**
    * Tasks of one job that have the same place in the queue.
@@ -136,7 +137,7 @@
             cluster.teamsWithinGuarantee().contains(job.team()),
             priority(job, cluster),
             dueAt(job, cluster),
-            level(job));
+            sizeLevel(job));
     boolean isNextPromoted = isJobPromoted;
     List<Integer> firstAttempts = new ArrayList<>();
     for (PendingTask task : view.pendingTasks()) {
@@ -217,7 +218,7 @@
     if (job.deadline() != null) {
       Instant earliestEnd = cluster.now().plus(job.estimatedRunTime());
       for (double multiple :
-          cluster.deadlineMultiples().getOrDefault(job.jobClass(), DEADLINE_ITSELF)) {
+          cluster.deadlineMultiples().getOrDefault(job.jobClass(), DEFAULT_DEADLINE_MULTIPLES)) {
         Instant dueAt = job.submittedAt().plusMillis((long) (job.deadline().toMillis() * multiple));
         if (!dueAt.isBefore(earliestEnd)) {
           return dueAt;
@@ -230,11 +231,11 @@
   }
 
   /** The logarithm of the whole job's estimated work in CPU seconds, rounded down. */
-  static int level(Job job) {
+  static int sizeLevel(Job job) {
     double cpuSeconds =
         job.taskCount()
             * Math.max(MIN_TASK_CPUS, job.perTask().cpus())
             * Math.max(1, job.estimatedRunTime().toSeconds());
-    return (int) Math.max(0, Math.floor(Math.log(cpuSeconds) / Math.log(LEVEL_RATIO)));
+    return (int) Math.max(0, Math.floor(Math.log(cpuSeconds) / Math.log(SIZE_LEVEL_RATIO)));
   }
 }
--- a/src/main/java/io/cherryspool/scheduler/QuotaVictims.java
+++ b/src/main/java/io/cherryspool/scheduler/QuotaVictims.java
@@ -24,7 +24,7 @@
   QuotaVictims(Job job, Collection<PreemptibleMachine> machines) {
     for (PreemptibleMachine machine : machines) {
       for (Candidate candidate : machine.candidates()) {
-        if (candidate.isBelow(job) && candidate.job().team().equals(job.team())) {
+        if (candidate.hasLowerPriorityThan(job) && candidate.job().team().equals(job.team())) {
           victims.add(new Victim(machine, candidate));
         }
       }
--- a/src/main/java/io/cherryspool/scheduler/ScaleInPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/ScaleInPlanner.java
@@ -17,7 +17,7 @@
 /** Chooses the machines to drain and to delete. */
 final class ScaleInPlanner {
   /** A machine is drained only if the others have so many times the CPUs that the work needs. */
-  static final double KEPT_DEMAND_RATIO = 1.08;
+  static final double MIN_CAPACITY_TO_DEMAND_RATIO = 1.08;
 
   private static final Comparator<ActiveMachine> MOST_EXPENSIVE_FIRST =
       Comparator.comparingDouble((ActiveMachine machine) -> -machine.offering().hourlyPricePerCpu())
@@ -38,12 +38,14 @@
    * The names of the machines that exceed the demand: of the most expensive ones those with fewest
    * CPUs in use. Machines that are not active yet do not count for the demand.
    */
-  Set<String> draining() {
+  Set<String> machinesToDrain() {
     Map<MachineSelector, Double> spareCpus = new LinkedHashMap<>();
     for (JobDemand item : view.demands()) {
       spareCpus.computeIfAbsent(
           demand.selectorOf(item.job()),
-          key -> fleet.activeCpus(key, demand) - demand.demandOn(key).cpus(1) * KEPT_DEMAND_RATIO);
+          key ->
+              fleet.activeCpus(key, demand)
+                  - demand.demandFor(key).requiredCpus(1) * MIN_CAPACITY_TO_DEMAND_RATIO);
     }
     List<ActiveMachine> candidates = new ArrayList<>(view.activeMachines());
     candidates.sort(MOST_EXPENSIVE_FIRST);
@@ -71,7 +73,7 @@
   }
 
   /** The names of the machines that have been idle for too long. */
-  List<String> deletions(Set<String> draining) {
+  List<String> machinesToDelete(Set<String> draining) {
     List<String> names = new ArrayList<>();
     for (ActiveMachine machine : view.activeMachines()) {
       if (machine.idleFor() != null
--- a/src/main/java/io/cherryspool/scheduler/ScaleOutPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/ScaleOutPlanner.java
@@ -18,10 +18,10 @@
 /** Chooses the machines to request. */
 final class ScaleOutPlanner {
   /** Bound on the spot instances on their way as replacements, as a part of the active machines. */
-  private static final double MAX_REPLACEMENT_PART = 0.1;
+  private static final double MAX_REPLACEMENT_FRACTION = 0.1;
 
   /** Age in backlog times from which a job gets machines whatever the demand is computed to be. */
-  private static final int OVERDUE_BACKLOG_TIMES = 2;
+  private static final int OVERDUE_DRAIN_TIMES = 2;
 
   private final FleetView view;
   private final FleetDemand demand;
@@ -56,7 +56,8 @@
     while (left > 0) {
       Optional<Offering> best = fleet.cheapestOffering(job, Set.of());
       if (best.isEmpty()
-          || (!isOverdue && demand.demandOn(selector).cpus(costWeight(best.get())) <= cpus)) {
+          || (!isOverdue
+              && demand.demandFor(selector).requiredCpus(costWeight(best.get())) <= cpus)) {
         return;
       }
       left = fleet.placeOnRequested(job, left, best.get());
@@ -67,7 +68,7 @@
   /** Whether the job is so old that it must not wait for machines any more. */
   private boolean isOverdue(Job job, MachineSelector selector) {
     Duration age = Duration.between(job.submittedAt(), view.now());
-    return age.compareTo(Durations.multiply(demand.backlogTime(selector), OVERDUE_BACKLOG_TIMES))
+    return age.compareTo(Durations.multiply(demand.backlogDrainTime(selector), OVERDUE_DRAIN_TIMES))
         > 0;
   }
 
@@ -111,7 +112,7 @@
       Job job = group.job();
       MachineSelector selector = demand.selectorOf(job);
       if (fleet.cheapestOffering(job, Set.of()).isEmpty()
-          && demand.demandOn(selector).cpus(1) > fleet.cpus(selector, demand)) {
+          && demand.demandFor(selector).requiredCpus(1) > fleet.cpus(selector, demand)) {
         for (MachineType type : view.catalog()) {
           if (job.allowsType(type)) {
             result.add(type);
@@ -130,9 +131,9 @@
   private void requestSpotReplacements() {
     double missingSpotCpus = missingSpotCpus();
     int maxReplacements =
-        (int) Math.ceil(MAX_REPLACEMENT_PART * view.activeMachines().size())
+        (int) Math.ceil(MAX_REPLACEMENT_FRACTION * view.activeMachines().size())
             - view.provisioning().size();
-    for (Map.Entry<MachineType, Integer> entry : ordinaryCounts().entrySet()) {
+    for (Map.Entry<MachineType, Integer> entry : onDemandCounts().entrySet()) {
       MachineType type = entry.getKey();
       int count =
           (int)
@@ -146,7 +147,7 @@
   }
 
   /** The active ordinary instances by type. */
-  private Map<MachineType, Integer> ordinaryCounts() {
+  private Map<MachineType, Integer> onDemandCounts() {
     Map<MachineType, Integer> result = new LinkedHashMap<>();
     for (ActiveMachine machine : view.activeMachines()) {
       if (!machine.offering().isSpot()) {
@@ -179,8 +180,8 @@
     double needed =
         arriving <= 0
             ? 0
-            : demand.demandOn(demand.anyMachine()).cpus(1)
-                * ScaleInPlanner.KEPT_DEMAND_RATIO
+            : demand.demandFor(demand.anyMachine()).requiredCpus(1)
+                * ScaleInPlanner.MIN_CAPACITY_TO_DEMAND_RATIO
                 * arrivingForSpot
                 / arriving;
     return needed - spotCpus();
--- a/src/main/java/io/cherryspool/scheduler/ScalingPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/ScalingPlanner.java
@@ -104,7 +104,7 @@
     PlannedFleet fleet = new PlannedFleet(view);
     new ScaleOutPlanner(view, demand, fleet).plan();
     ScaleInPlanner scaleIn = new ScaleInPlanner(view, demand, fleet);
-    Set<String> draining = scaleIn.draining();
-    return new Decision(fleet.requests(), scaleIn.deletions(draining), draining);
+    Set<String> draining = scaleIn.machinesToDrain();
+    return new Decision(fleet.requests(), scaleIn.machinesToDelete(draining), draining);
   }
 }
--- a/src/main/java/io/cherryspool/scheduler/TaskAssigner.java
+++ b/src/main/java/io/cherryspool/scheduler/TaskAssigner.java
@@ -20,7 +20,7 @@
   private final Map<String, Map<String, Integer>> tasksByZone = new HashMap<>();
   private final List<UnsatisfiableDemand> unsatisfiable = new ArrayList<>();
   private final List<RoundPlan.Assignment> assignments = new ArrayList<>();
-  private int examined;
+  private int machinesExamined;
 
   TaskAssigner(BinPool bins) {
     this.bins = bins;
@@ -30,16 +30,16 @@
    * What became of some tasks of a job.
    *
    * @param placed how many were assigned, the first ones
-   * @param causeOfRest why the others lack machines; says nothing if there are none
+   * @param unplacedCause why the others lack machines; says nothing if there are none
    */
-  record Result(int placed, HoldCause causeOfRest) {}
+  record Result(int placed, HoldCause unplacedCause) {}
 
   /** A demand for which no machine has room any more in this round. */
   private record UnsatisfiableDemand(
       Resources perTask, List<String> allowedTypes, String requiredZone, boolean allowsSpot) {
 
     /** Whether the job needs at least as much, of the same machines or fewer. */
-    boolean covers(Job job) {
+    boolean rulesOut(Job job) {
       return perTask.fitsIn(job.perTask())
           && Objects.equals(allowedTypes, job.allowedTypes())
           && Objects.equals(requiredZone, job.requiredZone())
@@ -53,8 +53,8 @@
   }
 
   /** How often a machine was examined for a task. */
-  int examined() {
-    return examined + bins.examined();
+  int machinesExamined() {
+    return machinesExamined + bins.machinesExamined();
   }
 
   /**
@@ -79,7 +79,7 @@
       return new Result(0, causeWithoutRoom(job));
     }
     filler.fill(bins.rank(job, zone.get()));
-    filler.hasMetZoneLimit = filler.placed < tasks.size() && bins.hasRoom(job);
+    filler.hasReachedZoneLimit = filler.placed < tasks.size() && bins.hasRoom(job);
     return filler.result();
   }
 
@@ -90,7 +90,7 @@
       return new Result(0, causeWithoutRoom(job));
     }
     filler.fill(bins.sharedRanking(job));
-    if (filler.placed < filler.tasks.size() && !filler.hasMetExclusion) {
+    if (filler.placed < filler.tasks.size() && !filler.hasSkippedExcludedMachine) {
       unsatisfiable.add(
           new UnsatisfiableDemand(
               job.perTask(), job.allowedTypes(), job.requiredZone(), job.allowsSpot()));
@@ -100,7 +100,7 @@
 
   private boolean isUnsatisfiable(Job job) {
     for (UnsatisfiableDemand demand : unsatisfiable) {
-      if (demand.covers(job)) {
+      if (demand.rulesOut(job)) {
         return true;
       }
     }
@@ -118,7 +118,7 @@
         return Optional.of(entry.getKey());
       }
     }
-    return bins.roomiestZone(job, wanted);
+    return bins.zoneWithMostRoom(job, wanted);
   }
 
   /** Assigns tasks of one job to machines in the order of their ranking. */
@@ -128,8 +128,8 @@
     private final Map<String, Integer> byZone;
     private final boolean usesLentQuota;
     private int placed;
-    private boolean hasMetExclusion;
-    private boolean hasMetZoneLimit;
+    private boolean hasSkippedExcludedMachine;
+    private boolean hasReachedZoneLimit;
 
     /**
      * Starts with no task placed.
@@ -144,10 +144,10 @@
     }
 
     Result result() {
-      if (hasMetZoneLimit) {
+      if (hasReachedZoneLimit) {
         return new Result(placed, HoldCause.ZONE_CONSTRAINT);
       }
-      if (hasMetExclusion) {
+      if (hasSkippedExcludedMachine) {
         return new Result(placed, HoldCause.EXCLUDED_MACHINE);
       }
       return new Result(placed, causeWithoutRoom(job));
@@ -159,19 +159,20 @@
      */
     void fill(List<Bin> ranking) {
       boolean hasFilledMachine = false;
-      for (Iterator<Bin> all = ranking.iterator(); all.hasNext() && placed < tasks.size(); ) {
-        Bin bin = all.next();
-        examined++;
+      for (Iterator<Bin> iterator = ranking.iterator();
+          iterator.hasNext() && placed < tasks.size(); ) {
+        Bin bin = iterator.next();
+        machinesExamined++;
         if (bin.isReserved() || !job.perTask().fitsIn(bin.free())) {
-          all.remove();
+          iterator.remove();
         } else if (bin.excludes(job)) {
-          hasMetExclusion = true;
+          hasSkippedExcludedMachine = true;
         } else {
           hasFilledMachine |= fill(bin);
         }
       }
       if (hasFilledMachine) {
-        bins.removeFull();
+        bins.removeFullMachines();
       }
     }
 
@@ -181,7 +182,7 @@
       int wanted = tasks.size() - placed;
       if (byZone != null) {
         wanted = Math.min(wanted, job.maxTasksPerZone() - byZone.getOrDefault(zone, 0));
-        hasMetZoneLimit |= wanted <= 0;
+        hasReachedZoneLimit |= wanted <= 0;
       }
       int count = wanted <= 0 ? 0 : job.perTask().countFittingIn(bin.free(), wanted);
       if (count == 0) {
@@ -192,7 +193,7 @@
             new RoundPlan.Assignment(
                 job.id(), tasks.get(placed++), bin.machine().name(), usesLentQuota));
       }
-      bin.add(job, count);
+      bin.place(job, count);
       if (byZone != null) {
         byZone.merge(zone, count, Integer::sum);
       }
--- a/src/test/java/io/cherryspool/controller/rounds/RoundTransactionTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/RoundChangeSetBuilderTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a round writes of what it knows: a write for each task's end left none for starts. */
-class RoundTransactionTest {
+class RoundChangeSetBuilderTest {
   private static final String ID = "req-000001";
   private static final Duration DUE = Duration.ofSeconds(100);
   private static final Duration OVERDUE = Duration.ofSeconds(80);
@@ -39,19 +39,19 @@
             Duration.ofSeconds(at)));
   }
 
-  private List<ChangeSet> changeSets(RoundTransaction transaction) {
+  private List<ChangeSet> changeSets(RoundChangeSetBuilder transaction) {
     return transaction.changeSets(List.of(entry), DUE, OVERDUE);
   }
 
-  private RoundTransaction transaction() {
-    return new RoundTransaction(pendingReleases, 8);
+  private RoundChangeSetBuilder transaction() {
+    return new RoundChangeSetBuilder(pendingReleases, 8);
   }
 
   @Test
   void aFreshEndWaitsForAnotherChangeOfItsShard() {
     ended(0, TerminationEvidence.Verdict.DONE, 101);
     assertEquals(List.of(), changeSets(transaction()));
-    RoundTransaction transaction = transaction();
+    RoundChangeSetBuilder transaction = transaction();
     transaction.assign(entry, 3, "host-2", 1, 9);
     List<ChangeSet> changeSets = changeSets(transaction);
     assertEquals(1, changeSets.size());
@@ -75,7 +75,7 @@
   @Test
   void aReleaseAndTheNextStartOfATaskAreOneWrite() {
     ended(2, TerminationEvidence.Verdict.LOST, 101);
-    RoundTransaction transaction = transaction();
+    RoundChangeSetBuilder transaction = transaction();
     transaction.assign(entry, 2, "host-2", 4, 9);
     String value = changeSets(transaction).get(0).changes().get(0).value().toString();
     assertTrue(value.contains("[2,\"host-2\",4,2,9]"), value);
--- a/src/test/java/io/cherryspool/scheduler/PlacementTest.java
+++ b/src/test/java/io/cherryspool/scheduler/PlacementPlannerTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Assignments follow the queue's order, and keep to quotas, free resources and constraints. */
-class PlacementTest {
+class PlacementPlannerTest {
   private static final List<String> ZONES = List.of("a", "b", "c");
   private static final MachineType SMALL = type("small", 4);
   private static final MachineType LARGE = type("large", 16);
--- a/src/test/java/io/cherryspool/scheduler/QuotaFixture.java
+++ b/src/test/java/io/cherryspool/scheduler/QuotaFixture.java
@@ -75,7 +75,7 @@
   static ClusterView withLentUsage(ClusterView view, Resources lent) {
     return new ClusterView(
         view.now(),
-        view.steadyNow(),
+        view.monotonicNow(),
         view.maxStartDelay(),
         view.jobs(),
         view.machines(),
--- a/src/test/java/io/cherryspool/scheduler/ScalingPlanTest.java
+++ b/src/test/java/io/cherryspool/scheduler/ScalingPlannerTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The fleet follows the demand: the cheapest machines that it needs, and none beyond. */
-class ScalingPlanTest {
+class ScalingPlannerTest {
   private static final MachineType SMALL = type("small", 4);
   private static final MachineType LARGE = type("large", 16);
   private static final Offering SMALL_SPOT = new Offering(SMALL, "a", true);
