--- a/src/main/java/io/cherryspool/scheduler/Bin.java
+++ b/src/main/java/io/cherryspool/scheduler/Bin.java
@@ -6,9 +6,9 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** A machine while a round's plan fills it. */
+/** A machine's remaining capacity while a round's plan places tasks on it. */
 final class Bin {
-  /** A machine with no more free CPUs than this is full: no task is that small. */
+  /** A machine with at most this many free CPUs counts as full, since every task needs more. */
   static final double MIN_FREE_CPUS = 0.01;
 
   private final MachineView machine;
@@ -26,7 +26,7 @@
     return machine;
   }
 
-  /** What the machine's tasks and those placed in this round leave. */
+  /** The resources that neither the machine's owned tasks nor those placed in this round use. */
   Resources free() {
     return free;
   }
@@ -35,7 +35,10 @@
     return free.cpus() <= MIN_FREE_CPUS;
   }
 
-  /** Whether the machine has the image, is fetching it, or will fetch it for a task placed here. */
+  /**
+   * Whether the machine has the image, is fetching it, or will fetch it for a task placed in this
+   * round.
+   */
   boolean hasImage(String image) {
     return machine.cachedImages().contains(image) || addedImages.contains(image);
   }
@@ -45,23 +48,28 @@
     return PlacementConstraints.allows(job, machine.type(), machine.zone(), machine.isSpot());
   }
 
-  /** Whether the job's constraints allow the machine, and a task of the job fits. */
+  /**
+   * Whether the job's constraints allow the machine and one task of the job fits into its free
+   * resources.
+   */
   boolean accepts(Job job) {
     return job.perTask().fitsIn(free) && isAllowedFor(job);
   }
 
-  /** Whether the job must not be placed here since it failed here. */
+  /** Whether the job is excluded from the machine because its tasks recently failed there. */
   boolean excludes(Job job) {
     return machine.excludedJobs().contains(job.id());
   }
 
-  /** Places tasks of the job. */
+  /**
+   * Subtracts the resources of the job's tasks, and records that the machine will have its image.
+   */
   void place(Job job, int taskCount) {
     free = free.minus(job.perTask().times(taskCount));
     addedImages.add(job.image());
   }
 
-  /** The score of the last ranking that the bin was part of. */
+  /** The score that the last ranking with this machine gave it; lower is better. */
   double score() {
     return score;
   }
@@ -70,7 +78,7 @@
     this.score = score;
   }
 
-  /** Whether the machine's free resources are kept for a job that does not fit yet. */
+  /** Whether the machine's free resources are reserved, so that no other task is placed on it. */
   boolean isReserved() {
     return isReserved;
   }
--- a/src/main/java/io/cherryspool/scheduler/BinPool.java
+++ b/src/main/java/io/cherryspool/scheduler/BinPool.java
@@ -15,27 +15,33 @@
 import java.util.Set;
 
 /**
- * The machines with free resources while a round's plan fills them, and their ranking for a job: a
- * machine that has the job's image or is fetching it is preferred, then the tightest fit and the
- * lower price, so that expensive machines become idle first and can be deleted.
+ * The machines with free resources during a round's planning, and their ranking for a job. The
+ * ranking prefers machines that have the job's image or are fetching it, then the tightest fit and
+ * the lower price. Expensive machines therefore become idle first and can be deleted.
  */
 final class BinPool {
-  /** Weight of a second of image fetch, in free CPUs. */
+  /** Score of each second of image fetch time, expressed in free CPUs. */
   private static final double CPUS_PER_FETCH_SECOND = 10;
 
-  /** Gigabytes of free memory that weigh as much as a free CPU. */
+  /** Gigabytes of free memory that score as much as one free CPU. */
   private static final double MEMORY_GB_PER_CPU = 8;
 
-  /** Weight of the hourly price of one CPU, in free CPUs. */
+  /** Score of each unit of a CPU's hourly price, expressed in free CPUs. */
   private static final double CPUS_PER_PRICE = 100;
 
-  /** Weight of each CPU of the slots taken from jobs without machines, in free CPUs. */
+  /**
+   * Score of each CPU in slots that the placement takes from a job without machines, expressed in
+   * free CPUs.
+   */
   private static final double CPUS_PER_CONTENDED_CPU = 3;
 
-  /** Bound on the jobs without machines whose slots are considered; it bounds a plan's cost. */
+  /**
+   * Maximum number of jobs without machines whose slots are considered, which limits the planning
+   * cost.
+   */
   private static final int MAX_CONTENDING_JOBS = 3;
 
-  /** Bound on the slots of a job that are counted on one machine. */
+  /** Maximum number of a job's task slots that are counted on one machine. */
   private static final int MAX_SLOTS_PER_MACHINE = 1000;
 
   private final ClusterView view;
@@ -56,7 +62,7 @@
     }
   }
 
-  /** What distinguishes the tasks of two jobs in a ranking of the machines. */
+  /** The properties of a job on which its ranking of the machines depends. */
   private record Demand(
       Resources perTask,
       List<String> allowedTypes,
@@ -85,34 +91,35 @@
     }
   }
 
-  /** How often a machine was examined for a ranking. */
+  /** The number of machine examinations for rankings; a machine counts once for each ranking. */
   int machinesExamined() {
     return machinesExamined;
   }
 
   /**
-   * The ranking for the job, shared by all jobs of equal demand: hundreds of jobs with one task
-   * must not examine each machine again. A bin only gets better for a demand while it is filled, so
-   * that the ranking stays valid.
+   * Returns the ranking for the job, computed once for all jobs with equal demand. Otherwise each
+   * of hundreds of single-task jobs would examine every machine again. The ranking may be reused
+   * because filling a machine only improves its score.
    *
-   * @return the machines that have, or had, room for a task, the best first; the caller may remove
-   *     those without
+   * @return the machines that have room for a task, or had it when the ranking was computed, best
+   *     first; the caller may remove those without room
    */
   List<Bin> sharedRanking(Job job) {
     return rankings.computeIfAbsent(Demand.of(job), key -> rank(job));
   }
 
-  /** The machines with room for a task of the job, the best first. */
+  /** Returns the machines with room for a task of the job, best first. */
   List<Bin> rank(Job job) {
     return rank(job, null);
   }
 
   /**
-   * The machines of one zone with room for a task of the job, the best first.
+   * Returns the machines of one zone with room for a task of the job, best first.
    *
    * @param zone the zone, null for all zones
    */
-  @SuppressWarnings("JdkObsolete") // callers remove bins from its middle while they iterate
+  @SuppressWarnings(
+      "JdkObsolete") // callers remove elements from the middle of the list while they iterate
   List<Bin> rank(Job job, String zone) {
     List<Bin> result = new ArrayList<>();
     for (Bin bin : bins) {
@@ -126,7 +133,9 @@
     return new LinkedList<>(result);
   }
 
-  /** The bin's cost for a task of the job, in free CPUs; the lowest is the best. */
+  /**
+   * Returns the score of placing a task of the job on the machine, in free CPUs; lower is better.
+   */
   private double score(Job job, Bin bin) {
     MachineView machine = bin.machine();
     MachineType type = machine.type();
@@ -139,7 +148,10 @@
         + CPUS_PER_CONTENDED_CPU * contendedCpus(job, bin, left);
   }
 
-  /** The most CPUs in slots that a job without machines would lose to a task of this job. */
+  /**
+   * Returns the CPUs of the task slots that the most affected job without machines would lose if a
+   * task of this job were placed on the machine.
+   */
   private double contendedCpus(Job job, Bin bin, Resources left) {
     double most = 0;
     for (Job other : contendingJobs) {
@@ -155,10 +167,11 @@
   }
 
   /**
-   * The zone with room for most tasks of the job, the first by name of several.
+   * Returns the zone with room for the most tasks of the job. Of equal zones it returns the first
+   * by name.
    *
-   * @param wanted the number of tasks, beyond which room on one machine does not count
-   * @return empty if no machine has room for a task
+   * @param wanted the number of tasks to place, which caps the room counted on each machine
+   * @return the zone, or empty if no machine has room for a task
    */
   Optional<String> zoneWithMostRoom(Job job, int wanted) {
     Map<String, Integer> roomByZone = new HashMap<>();
@@ -183,8 +196,8 @@
   }
 
   /**
-   * Reserves the machine that is nearest to having room for a task of the job. Smaller tasks would
-   * otherwise take each part of the machine as it becomes free.
+   * Reserves the allowed machine with the most free CPUs for a task of the job. Otherwise smaller
+   * tasks would take each part of the machine as it becomes free.
    */
   void reserve(Job job) {
     Bin nearest = null;
@@ -202,7 +215,7 @@
     }
   }
 
-  /** Leaves the machines to others from now on. */
+  /** Reserves the machines with these names, so that later placements leave them out. */
   void reserve(Set<String> machines) {
     for (Bin bin : bins) {
       if (machines.contains(bin.machine().name())) {
@@ -213,7 +226,7 @@
     bins.removeIf(Bin::isReserved);
   }
 
-  /** Whether a task of the job fits on some machine once that is idle. */
+  /** Whether some machine could run a task of the job if it were idle. */
   boolean hasEligibleMachine(Job job) {
     for (MachineView machine : view.machines()) {
       if (PlacementConstraints.allows(job, machine.type(), machine.zone(), machine.isSpot())
@@ -224,12 +237,12 @@
     return false;
   }
 
-  /** Whether a machine that is reserved for another job has room for a task of this one. */
+  /** Whether a reserved machine has room for a task of the job. */
   boolean hasReservedRoom(Job job) {
     return hasRoom(reserved, job);
   }
 
-  /** Whether a machine of any zone, which is not reserved, has room for a task of the job. */
+  /** Whether an unreserved machine in any zone has room for a task of the job. */
   boolean hasRoom(Job job) {
     return hasRoom(bins, job);
   }
@@ -243,7 +256,7 @@
     return false;
   }
 
-  /** Leaves the machines without free resources out of later rankings. */
+  /** Removes the full machines, so that later rankings do not examine them. */
   void removeFullMachines() {
     bins.removeIf(Bin::isFull);
   }
--- a/src/main/java/io/cherryspool/scheduler/ClusterView.java
+++ b/src/main/java/io/cherryspool/scheduler/ClusterView.java
@@ -12,24 +12,26 @@
 import java.util.Set;
 
 /**
- * Everything that a round is planned from. It holds plain values, so that equal views give equal
- * plans.
+ * The complete input of a round's planning. It consists of plain values, so that equal views give
+ * equal plans.
  *
- * @param now the time of day, to which jobs' ages and deadlines refer
- * @param monotonicNow the steady clock's time, to which {@link PendingTask} and {@link RunningTask}
- *     refer
- * @param maxStartDelay the age at which a job that has not started gets one task placed before
- *     those of all other jobs
+ * @param now the wall-clock time, to which jobs' ages and deadlines refer
+ * @param monotonicNow the monotonic clock's time, to which {@link PendingTask} and {@link
+ *     RunningTask} refer
+ * @param maxStartDelay the age at which a job that has not started may have one task promoted, that
+ *     is, placed before those of all other jobs
  * @param teams the teams by name
- * @param usageByTeam the resources of all owned tasks by team; teams without any may be missing
- * @param lentUsageByTeam the part of that use whose quota was lent by tasks without a machine, see
- *     {@link RoundPlan.Assignment#usesLentQuota}; teams without any may be missing
- * @param teamsWithinGuarantee the names of the teams whose unfinished work all fits into their
+ * @param usageByTeam the resources of all owned tasks by team; teams without owned tasks may be
+ *     missing
+ * @param lentUsageByTeam the part of {@code usageByTeam} that runs on quota lent by tasks without a
+ *     machine, see {@link RoundPlan.Assignment#usesLentQuota}; teams without such usage may be
+ *     missing
+ * @param teamsWithinGuarantee the names of the teams whose whole unfinished work fits into their
  *     guaranteed quota
  * @param catalog the machine types
- * @param previouslyUnschedulable the jobs that the round before had no machines for
- * @param deadlineMultiples by job class, the multiples of a job's deadline that the service-level
- *     objectives measure, in ascending order
+ * @param previouslyUnschedulable the jobs for which the previous round found no machines
+ * @param deadlineMultiples the multiples of a job's deadline that the service-level objectives
+ *     measure, in ascending order, by job class
  */
 public record ClusterView(
     Instant now,
@@ -48,11 +50,11 @@
   /**
    * A job with its pending tasks.
    *
-   * @param pendingTasks the tasks that may be placed, in the order of their indices
-   * @param ownedTasksByZone counts the owned tasks by zone; empty for a job without a constraint on
-   *     zones
-   * @param failureCappedTasks counts the free tasks that the failure cap keeps from being placed,
-   *     which are not among the pending ones
+   * @param pendingTasks the tasks that may be placed, ordered by index
+   * @param ownedTasksByZone the number of owned tasks by zone; empty for a job that neither
+   *     requires a single zone nor a spread over zones
+   * @param failureCappedTasks the number of free tasks that may not be placed now because they have
+   *     reached the failure cap; they are not among the pending tasks
    * @param hasStarted whether any task was ever started
    */
   public record JobView(
@@ -63,25 +65,26 @@
       boolean hasStarted) {}
 
   /**
-   * A task without an owner.
+   * A task that no attempt owns.
    *
    * @param index the task's index in its job
    * @param attempts how often the task was started
    * @param failures how often it failed or was lost with its machine
-   * @param lastAttemptEndedAt the steady clock's time at which the last attempt ended, null if
-   *     there was none
+   * @param lastAttemptEndedAt the monotonic clock's time at which the last attempt ended, null if
+   *     there was no attempt or its end is not known
    */
   public record PendingTask(int index, int attempts, int failures, Duration lastAttemptEndedAt) {}
 
   /**
-   * A machine that may be given tasks.
+   * A machine on which tasks may be placed.
    *
    * @param isDraining whether the machine should become idle, so that it can be deleted; placement
    *     does not use this yet
-   * @param free what the tasks that own a part of the machine leave, among them those that save a
-   *     checkpoint and those whose state is not known
+   * @param free the capacity without the resources of the machine's owned tasks, which include
+   *     tasks that are saving a checkpoint and tasks whose state is not known
    * @param cachedImages the images that the machine has or is fetching
-   * @param excludedJobs the ids of the jobs that must not be placed here, since they failed here
+   * @param excludedJobs the ids of the jobs that must not be placed on the machine because they
+   *     recently failed there
    */
   public record MachineView(
       String name,
@@ -97,8 +100,9 @@
   /**
    * An owned task, which may be preempted.
    *
-   * @param runningSince the steady clock's time at which it began to run, null if it has not
-   * @param isStopping whether the task is being stopped already
+   * @param runningSince the monotonic clock's time at which the task began to run, null if it is
+   *     not known to have begun
+   * @param isStopping whether a stop of the task was already requested
    */
   public record RunningTask(TaskId task, Job job, Duration runningSince, boolean isStopping) {}
 }
--- a/src/main/java/io/cherryspool/scheduler/EntryDecision.java
+++ b/src/main/java/io/cherryspool/scheduler/EntryDecision.java
@@ -3,15 +3,17 @@
 import java.util.Optional;
 
 /**
- * What a plan decided on one entry of the queue: tasks of one job that have the same place in it.
+ * The decision of a plan on one queue entry, that is, on tasks of one job with the same position in
+ * the queue.
  *
  * @param jobId the job's id
- * @param isPromoted whether the entry came before all that are not promoted, since its job has
- *     waited too long for its start
- * @param placed how many of the tasks are placed
- * @param overQuota how many the team's quota does not allow
- * @param unschedulable how many lack a machine
- * @param unschedulableCause why those lack one; empty if none does
+ * @param isPromoted whether the entry comes before all entries that are not promoted, because its
+ *     job has waited too long for its start
+ * @param placed the number of tasks that are placed
+ * @param overQuota the number of tasks that the team's quota does not allow
+ * @param unschedulable the number of tasks that the quota allows but for which no machine was found
+ * @param unschedulableCause why no machine was found for the unschedulable tasks; empty if there
+ *     are none
  */
 public record EntryDecision(
     String jobId,
@@ -21,13 +23,13 @@
     int unschedulable,
     Optional<HoldCause> unschedulableCause) {
 
-  /** Receives the decisions of a plan, in the order of the queue. */
+  /** Receives the decisions of a plan in queue order. */
   @FunctionalInterface
   public interface Listener {
-    /** Ignores all decisions. */
+    /** A listener that ignores all decisions. */
     Listener NONE = decision -> {};
 
-    /** Called once for each entry of the queue. */
+    /** Called once for each queue entry. */
     void onDecision(EntryDecision decision);
   }
 }
--- a/src/main/java/io/cherryspool/scheduler/EntryPlan.java
+++ b/src/main/java/io/cherryspool/scheduler/EntryPlan.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a plan has decided so far on an entry of the queue. */
+/** The state of a plan for one queue entry, updated while the plan is made. */
 final class EntryPlan {
   private final QueueOrder.Entry entry;
-  private int tried;
+  private int triedCount;
   private int placedCount;
   private int reservedCount;
   private int scaleOutCount;
@@ -30,50 +30,56 @@
     return job().team();
   }
 
-  /** The tasks that the quota did not allow so far. */
+  /** The tasks that the team's quota has not allowed so far. */
   List<Integer> overQuotaTasks() {
-    return entry.tasks().subList(tried, entry.tasks().size());
+    return entry.tasks().subList(triedCount, entry.tasks().size());
   }
 
   int overQuotaCount() {
-    return entry.tasks().size() - tried;
+    return entry.tasks().size() - triedCount;
   }
 
-  /** How many tasks are assigned to machines. */
+  /** The number of tasks that are assigned to machines. */
   int placedCount() {
     return placedCount;
   }
 
-  /** How many tasks the quota allows, and no machine has room for. */
+  /** The number of tasks that the quota allows but for which no machine has room. */
   int withoutMachineCount() {
-    return tried - placedCount;
+    return triedCount - placedCount;
   }
 
-  /** Takes in what became of the next tasks that the quota allows. */
-  void tried(int count, TaskAssigner.Result result) {
-    tried += count;
+  /** Records the result of assigning the next {@code count} tasks, which the quota allows. */
+  void recordResult(int count, TaskAssigner.Result result) {
+    triedCount += count;
     placedCount += result.placed();
     if (result.placed() < count) {
       unschedulableCause = result.unplacedCause();
     }
   }
 
-  /** The quota that is kept for tasks which are not placed. */
+  /** The quota that is reserved for tasks which are not placed. */
   Resources reservedQuota() {
     return job().perTask().times(reservedCount);
   }
 
-  /** As above, as far as the quota is kept for a promoted task that it does not allow yet. */
+  /**
+   * The reserved quota if it is reserved for a promoted task that is still over quota, otherwise
+   * none.
+   */
   Resources reservedQuotaOfPromotedTask() {
     return entry.isPromoted() && overQuotaCount() > 0 ? reservedQuota() : Resources.NONE;
   }
 
-  /** Keeps the team's quota for so many tasks that are not placed, in place of those before. */
+  /** Sets the number of tasks that are not placed and for which the team's quota is reserved. */
   void reserveQuota(int tasks) {
     reservedCount = tasks;
   }
 
-  /** How many tasks the fleet lacks machines for, as far as the team's quota could hold them. */
+  /**
+   * The number of tasks that count towards a scale-out: no machine has room for them, and the
+   * team's quota would allow them if none of it were lent.
+   */
   int scaleOutCount() {
     return scaleOutCount;
   }
@@ -82,7 +88,7 @@
     scaleOutCount = tasks;
   }
 
-  /** The decision as it stands. */
+  /** Returns the decision on the entry according to the results recorded so far. */
   EntryDecision decision() {
     return new EntryDecision(
         job().id(),
--- a/src/main/java/io/cherryspool/scheduler/FleetDemand.java
+++ b/src/main/java/io/cherryspool/scheduler/FleetDemand.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.Objects;
 
-/** The CPUs that work needs of the machines that it can use. */
+/** Computes how many CPUs the work needs, for each set of machines that jobs can use. */
 final class FleetDemand {
-  /** Bound on the utilisation of the fleet by arriving work. */
+  /** Maximum utilization of the fleet by arriving work. */
   private static final double MAX_UTILISATION = 0.9;
 
   /**
-   * How many standard deviations of the CPUs in use the fleet has room for. A few large jobs at a
-   * time deviate, relative to their mean, by far more than many small ones do.
+   * Headroom of the fleet in standard deviations of the CPUs in use. The CPUs used by a few large
+   * jobs deviate far more from their mean, relative to it, than those used by many small jobs.
    */
   private static final double HEADROOM_DEVIATIONS = 0.7;
 
@@ -31,14 +31,14 @@
   }
 
   /**
-   * The machines that a job's constraints allow.
+   * Selects the machines that a job's constraints allow.
    *
-   * @param types the machine types, one bit for each at its index in the catalog
-   * @param zone the only zone, null for any
+   * @param types the allowed machine types as a bit set, indexed by position in the catalog
+   * @param zone the only allowed zone, null for any
    */
   record MachineSelector(long types, String zone, boolean allowsSpot) {
 
-    /** Whether the other selector allows all machines that this one does. */
+    /** Whether the other selector allows every machine that this one allows. */
     boolean isSubsetOf(MachineSelector other) {
       return (types & ~other.types) == 0
           && (other.zone == null || other.zone.equals(zone))
@@ -66,23 +66,26 @@
   }
 
   /**
-   * The CPUs that some work needs.
+   * The CPUs that a set of jobs needs.
    *
-   * @param averageCpus for the work that arrives, on average
-   * @param headroomCpus for the deviations of arriving work and for the work that waits
+   * @param averageCpus the CPUs that arriving work uses on average
+   * @param headroomCpus the CPUs needed in addition, for peaks of arriving work and for waiting
+   *     work
    */
   record CpuDemand(double averageCpus, double headroomCpus) {
 
     /**
-     * The CPUs needed where they cost so many times as much as on the cheapest machines: there,
-     * deviations and waiting work are served more slowly.
+     * Returns the CPUs to provide on machines of the given cost. Expensive machines provide less
+     * headroom, so that peaks and waiting work are served more slowly there.
+     *
+     * @param costWeight the ratio of the machines' price to that of the cheapest machines
      */
     double requiredCpus(double costWeight) {
       return averageCpus + headroomCpus / costWeight;
     }
   }
 
-  /** The machines that the job's constraints allow. */
+  /** Returns the selector of the machines that the job's constraints allow. */
   MachineSelector selectorOf(Job job) {
     long bits = 0;
     for (int i = 0; i < view.catalog().size(); i++) {
@@ -93,7 +96,7 @@
     return new MachineSelector(bits, job.requiredZone(), job.allowsSpot());
   }
 
-  /** The selector of all machines. */
+  /** Returns the selector of all machines. */
   MachineSelector anyMachine() {
     return new MachineSelector((1L << view.catalog().size()) - 1, null, true);
   }
@@ -107,7 +110,7 @@
         && (selector.allowsSpot || !offering.isSpot());
   }
 
-  /** The demand of the work that can use no other machines than these. */
+  /** Returns the demand of all jobs that can use only machines of this selector. */
   CpuDemand demandFor(MachineSelector selector) {
     return demands.computeIfAbsent(selector, this::sumDemand);
   }
@@ -129,8 +132,9 @@
   }
 
   /**
-   * The time in which waiting work should be complete: about when a machine requested now would
-   * begin to help, one and a half boot times.
+   * Returns the time in which waiting work should be complete: one and a half times the longest
+   * boot time of the selected machine types, which is about when a machine requested now would
+   * begin to help.
    */
   Duration backlogDrainTime(MachineSelector selector) {
     Duration longestBoot = MIN_BOOT_TIME;
--- a/src/main/java/io/cherryspool/scheduler/HoldCause.java
+++ b/src/main/java/io/cherryspool/scheduler/HoldCause.java
@@ -1,16 +1,21 @@
 package io.cherryspool.scheduler;
 
-/** Why a round's plan leaves a pending task without a machine. */
+/** The reason why a round's plan does not place a pending task. */
 public enum HoldCause {
-  /** The team's quota does not allow the task beside what the team uses and waits for. */
+  /** The team's quota does not allow the task in addition to the team's usage and reservations. */
   OVER_QUOTA("over-quota"),
   /** No machine that the job's constraints allow has room. */
   NO_MACHINE("no-machine"),
-  /** A machine has room, but it is reserved for a job that has waited too long for its start. */
+  /**
+   * Machines have room, but they are reserved for other tasks, such as one of a job that has waited
+   * too long for its start.
+   */
   RESERVED_MACHINE("reserved-machine"),
-  /** A machine has room, but the job failed there a short while ago. */
+  /**
+   * Machines have room, but the job is excluded from them because its tasks recently failed there.
+   */
   EXCLUDED_MACHINE("excluded-machine"),
-  /** A machine has room, but not in a zone that the places of the job's other tasks allow. */
+  /** Machines have room, but the zones of the job's other tasks do not allow their zones. */
   ZONE_CONSTRAINT("zone-constraint");
 
   private final String label;
@@ -19,7 +24,7 @@
     this.label = label;
   }
 
-  /** The name in metrics and logs. */
+  /** Returns the name of the cause in metrics and logs. */
   public String label() {
     return label;
   }
--- a/src/main/java/io/cherryspool/scheduler/PlacementConstraints.java
+++ b/src/main/java/io/cherryspool/scheduler/PlacementConstraints.java
@@ -6,24 +6,24 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** The constraints that a job's description puts on the placement of each of its tasks. */
+/** Checks the constraints that a job's description sets for the placement of each of its tasks. */
 public final class PlacementConstraints {
   private PlacementConstraints() {}
 
   /**
-   * Whether a task of the job may run on such a machine, if the machine is empty. The constraints
-   * on the zones of all the job's tasks together are not considered.
+   * Whether a task of the job may run on an empty machine of this type and zone. The constraints on
+   * the zones of all tasks of the job together are not checked.
    */
   public static boolean allows(Job job, MachineType type, String zone, boolean isSpot) {
     return job.allowsType(type) && job.allowsZone(zone) && (job.allowsSpot() || !isSpot);
   }
 
   /**
-   * Why the job can never run; empty if it can.
+   * Returns why the job can never run, or empty if it can.
    *
    * @param team the job's team, null if no such team is configured
-   * @param catalog the machine types, null if they are not known yet: then only the team's quota
-   *     counts
+   * @param catalog the machine types, null if they are not known yet, in which case only the team's
+   *     quota is checked
    */
   public static Optional<String> infeasibilityReason(
       Job job, Team team, Collection<MachineType> catalog) {
--- a/src/main/java/io/cherryspool/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/PlacementPlanner.java
@@ -10,25 +10,33 @@
 import java.util.Set;
 
 /**
- * Plans a round: takes the queue in its order and places each task on the best machine with room.
+ * Plans a round: goes through the queue in order and places each task on the best machine with
+ * room.
  *
- * <p>A task that its team's quota allows and no machine has room for is charged to the quota at
- * first, so that later work does not use up what preemption makes room for. Once it is known that
- * preemption makes none, the charge is lent: tasks further back in the queue that have a machine
- * run in its place. Two kinds of tasks are not placed and keep a charge: those that preemption
- * makes room for, and one task of each promoted job for which some machine may fall free.
+ * <p>If a team's quota allows a task but no machine has room for it, the planner first reserves
+ * quota for the task. Otherwise later work would use up the quota that the task needs once
+ * preemption has made room. If preemption makes no room, the quota is lent: later tasks in the
+ * queue that have a machine may use it. Quota stays reserved for two kinds of tasks that are not
+ * placed: tasks for which preemption makes room, and one task of each promoted job that some
+ * machine could run once it is idle.
  *
- * <p>The cost of a plan follows what can be placed, not what waits: full machines are left out, the
- * equal tasks of a job are placed together, and a demand that no machine can satisfy is not tried
- * again for jobs that need at least as much.
+ * <p>The cost of a plan depends on the number of tasks that can be placed, not on the number that
+ * wait: full machines are left out, the equal tasks of a job are placed together, and once no
+ * machine has room for a demand, jobs that need at least as much are not tried.
  */
 public final class PlacementPlanner {
   private final ClusterView view;
 
-  /** What each team uses, what was placed, and the charges for tasks that are not. */
+  /**
+   * The quota that each team uses: for its owned tasks, for tasks placed in this round, and for
+   * reservations.
+   */
   private final TeamUsage usage;
 
-  /** As above, as if no quota had been lent: what machines are needed for. */
+  /**
+   * The quota that each team would use if none were lent. It limits the tasks for which machines
+   * are requested.
+   */
   private final TeamUsage usageWithoutLending;
 
   private final BinPool bins;
@@ -47,12 +55,12 @@
     this.assigner = new TaskAssigner(bins);
   }
 
-  /** The plan for the view. Equal views give equal plans. */
+  /** Returns the plan for the view. Equal views give equal plans. */
   public static RoundPlan plan(ClusterView view) {
     return plan(view, EntryDecision.Listener.NONE);
   }
 
-  /** As above; the listener receives the decision on each entry of the queue. */
+  /** Returns the plan for the view, and passes the decision on each queue entry to the listener. */
   public static RoundPlan plan(ClusterView view, EntryDecision.Listener listener) {
     PlacementPlanner placement = new PlacementPlanner(view);
     for (QueueOrder.Entry entry : QueueOrder.sortedEntries(view)) {
@@ -87,7 +95,7 @@
         assigner.machinesExamined());
   }
 
-  /** Places the entry's tasks as far as the team's quota and the machines allow. */
+  /** Places as many of the entry's tasks as the team's quota and the machines allow. */
   private void place(QueueOrder.Entry entry) {
     EntryPlan plan = new EntryPlan(entry);
     entryPlans.add(plan);
@@ -99,7 +107,7 @@
       usage.add(plan.team(), plan.reservedQuota());
       reserveMachineIfPromoted(plan);
     } else if (entry.isPromoted() && bins.hasEligibleMachine(plan.job())) {
-      // The quota that the team's other tasks free next is kept for this one.
+      // Reserves the quota that the team's other tasks free next.
       plan.reserveQuota(1);
       usage.add(plan.team(), plan.reservedQuota());
       usageWithoutLending.add(plan.team(), plan.reservedQuota());
@@ -119,19 +127,22 @@
     }
   }
 
-  /** Tries to place the next tasks, and charges those that are placed to the team's quota. */
+  /**
+   * Assigns the entry's next tasks to machines, and adds those that were placed to the team's
+   * usage.
+   */
   private void assignTasks(EntryPlan plan, int count, boolean usesLentQuota) {
     List<Integer> tasks = plan.overQuotaTasks().subList(0, count);
     TaskAssigner.Result result = assigner.assign(plan.entry().view(), tasks, usesLentQuota);
-    plan.tried(count, result);
+    plan.recordResult(count, result);
     usage.add(plan.team(), plan.job().perTask().times(result.placed()));
     usageWithoutLending.add(plan.team(), plan.job().perTask().times(result.placed()));
   }
 
   /**
-   * Notes the tasks that need machines: those that the quota allows, and those that it would allow
-   * if none had been lent. What the team uses, less what was lent, and all that needs machines stay
-   * within its quota together.
+   * Records how many tasks of the entry need additional machines: those that the quota allows, and
+   * those that it would allow if none were lent. The team's usage without lending, and all its
+   * tasks that need machines, stay within its quota together.
    */
   private void recordScaleOutCount(EntryPlan plan, int allowedIfNoneLent) {
     int wanted = allowedIfNoneLent - plan.placedCount();
@@ -149,7 +160,10 @@
             counted.of(plan.team()), plan.job().perTask(), plan.overQuotaCount());
   }
 
-  /** Takes back the charges for tasks that will have no machine in the rounds to come. */
+  /**
+   * Cancels the reservations of tasks for which no machine will become free, so that their quota is
+   * lent.
+   */
   private void lendUnusableQuota(Preemption preemption) {
     for (EntryPlan plan : withoutMachine) {
       int usable = preemption.preemptForRoom(plan.job(), plan.withoutMachineCount());
@@ -165,7 +179,7 @@
     }
   }
 
-  /** Places tasks that were over their teams' quotas as far as quota was lent. */
+  /** Places tasks that were over their team's quota and now fit into it because quota was lent. */
   private void placeOnLentQuota(Preemption preemption) {
     if (teamsWithLentQuota.isEmpty() || overQuota.isEmpty()) {
       return;
--- a/src/main/java/io/cherryspool/scheduler/PlannedFleet.java
+++ b/src/main/java/io/cherryspool/scheduler/PlannedFleet.java
@@ -16,14 +16,18 @@
 import java.util.Set;
 
 /**
- * The fleet as it will be: active machines, machines being provisioned, and those that the plan
- * requests. Tasks are placed on the last two kinds, to see how many more machines they need.
+ * The fleet that results from a scaling plan: active machines, machines that are being provisioned,
+ * and machines that the plan requests. Tasks are placed on machines of the last two kinds, to find
+ * out how many more machines they need.
  */
 final class PlannedFleet {
-  /** Part of the price that each machine on its way to a zone adds, which spreads machines. */
+  /**
+   * Fraction of the price that is added for each machine of the same offering that is being
+   * provisioned. It spreads machines over zones.
+   */
   private static final double SPREAD_SURCHARGE = 0.001;
 
-  /** Bound on the tasks of a job that one machine is counted to hold. */
+  /** Maximum number of a job's task slots that are counted on one machine. */
   private static final int MAX_SLOTS_PER_MACHINE = 1000;
 
   private final FleetView view;
@@ -44,7 +48,7 @@
     }
   }
 
-  /** A machine that is not active yet, with the tasks that are planned on it. */
+  /** A machine that is not active yet, with the resources that its planned tasks leave free. */
   private static final class ProvisioningMachine {
     private final Offering offering;
     private Resources free;
@@ -54,7 +58,7 @@
       this.free = offering.type().capacity();
     }
 
-    /** Places as many of the tasks as fit, and returns how many. */
+    /** Places as many of the tasks as fit, and returns their number. */
     int place(Job job, int tasks) {
       int count = job.perTask().countFittingIn(free, tasks);
       if (count > 0) {
@@ -64,17 +68,19 @@
     }
   }
 
-  /** How many machines to request, by offering, in the order in which they were planned. */
+  /**
+   * Returns the number of machines to request by offering, in the order in which they were planned.
+   */
   Map<Offering, Integer> requests() {
     return requests;
   }
 
-  /** The machines that are being provisioned or requested, by offering. */
+  /** Returns the number of machines that are being provisioned or requested, by offering. */
   Map<Offering, Integer> provisioningCounts() {
     return provisioningCounts;
   }
 
-  /** The CPUs of all machines that the selector allows. */
+  /** Returns the CPUs of all machines that the selector allows. */
   double cpus(MachineSelector selector, FleetDemand demand) {
     double cpus = 0;
     for (Map.Entry<Offering, Integer> entry : allCounts.entrySet()) {
@@ -85,7 +91,7 @@
     return cpus;
   }
 
-  /** The CPUs of the active machines that the selector allows. */
+  /** Returns the CPUs of the active machines that the selector allows. */
   double activeCpus(MachineSelector selector, FleetDemand demand) {
     double cpus = 0;
     for (Map.Entry<Offering, Integer> entry : allCounts.entrySet()) {
@@ -98,7 +104,7 @@
     return cpus;
   }
 
-  /** Plans to request machines. */
+  /** Adds a request for machines to the plan. */
   void request(Offering offering, int count) {
     provisioningCounts.merge(offering, count, Integer::sum);
     requests.merge(offering, count, Integer::sum);
@@ -106,10 +112,11 @@
   }
 
   /**
-   * Places tasks on machines that are being provisioned or were requested for tasks.
+   * Places tasks on machines that are being provisioned or that {@link #placeOnRequested} has
+   * requested.
    *
-   * @param excludedTypes machine types to leave to others
-   * @return how many tasks are left
+   * @param excludedTypes machine types on which the tasks must not be placed
+   * @return the number of tasks that do not fit
    */
   int placeOnProvisioning(Job job, int tasks, Set<MachineType> excludedTypes) {
     int left = tasks;
@@ -122,7 +129,7 @@
     return left;
   }
 
-  /** Requests one machine, places tasks on it, and returns how many are left. */
+  /** Requests one machine, places tasks on it, and returns the number of tasks that do not fit. */
   int placeOnRequested(Job job, int tasks, Offering offering) {
     ProvisioningMachine machine = new ProvisioningMachine(offering);
     provisioning.add(machine);
@@ -131,10 +138,10 @@
   }
 
   /**
-   * The available offering with the lowest price for each task of the job.
+   * Returns the available offering with the lowest price per task of the job.
    *
-   * @param excludedTypes machine types to leave to others
-   * @return empty if no allowed offering is available
+   * @param excludedTypes machine types that must not be chosen
+   * @return the offering, or empty if no allowed offering is available
    */
   Optional<Offering> cheapestOffering(Job job, Set<MachineType> excludedTypes) {
     Offering best = null;
@@ -167,7 +174,10 @@
         * (1 + SPREAD_SURCHARGE * provisioningCount);
   }
 
-  /** Whether the cloud has not refused the offering a short while ago. */
+  /**
+   * Whether the offering may be requested, that is, the cloud has not recently refused it for lack
+   * of capacity.
+   */
   boolean isAvailable(Offering offering) {
     return !view.unavailableOfferings().contains(offering);
   }
--- a/src/main/java/io/cherryspool/scheduler/PreemptibleMachine.java
+++ b/src/main/java/io/cherryspool/scheduler/PreemptibleMachine.java
@@ -9,14 +9,17 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** A machine with its tasks that could be preempted, while victims are chosen. */
+/** A machine with its tasks that may be preempted, updated while victims are chosen. */
 final class PreemptibleMachine {
-  /** The order in which tasks are preempted, by the loss and then by the task's id. */
+  /** Orders the candidates by lost work, and those with equal loss by task id. */
   static final Comparator<Candidate> LEAST_LOSS_FIRST =
       Comparator.comparingDouble(Candidate::lostCpuSeconds)
           .thenComparing(candidate -> candidate.task.task());
 
-  /** Added to a task's run time, so that its size counts even if nothing is lost. */
+  /**
+   * Added to each task's lost run time, so that larger tasks count as a larger loss even if no work
+   * is lost.
+   */
   private static final double BASE_LOSS_SECONDS = 1;
 
   private static final double NANOS_PER_SECOND = 1e9;
@@ -27,17 +30,17 @@
   private boolean hasStoppingTasks;
 
   /**
-   * A running task that could be preempted. Rank and loss are computed once, since a machine may
-   * have dozens of small tasks.
+   * A running task that may be preempted. Its priority and loss are computed only once, since a
+   * machine may have dozens of small tasks.
    *
-   * @param priority the priority's ordinal with the job's age considered
+   * @param priority the ordinal of the priority, raised by the job's age
    * @param lostCpuSeconds the work in CPU seconds that is lost if the task is stopped
    */
   record Candidate(RunningTask task, int priority, double lostCpuSeconds) {
 
     /**
-     * A candidate with its loss: all of its run so far, or with checkpoints at most the time that
-     * it takes to save one.
+     * Creates a candidate and computes its loss: the whole run so far, or, for a task with
+     * checkpoints, at most the time that saving a checkpoint takes.
      */
     static Candidate of(RunningTask task, int priority, Duration steadyNow) {
       Job job = task.job();
@@ -59,8 +62,9 @@
     }
 
     /**
-     * Whether the task may be preempted for any task of the job. Work whose priority was raised by
-     * age is not preempted by that priority, or it would never complete.
+     * Whether the task may be preempted for a task of the job because of its lower priority. The
+     * task's priority includes the raise by age, since old tasks would otherwise be preempted again
+     * and again and never complete; that of the job does not.
      */
     boolean hasLowerPriorityThan(Job job) {
       return priority < job.priority().ordinal();
@@ -68,9 +72,9 @@
   }
 
   /**
-   * Starts from what the round leaves free.
+   * Creates a machine without candidates.
    *
-   * @param assigned the resources of the tasks that the round places on the machine
+   * @param assigned the resources of the tasks that the round has placed on the machine
    */
   PreemptibleMachine(MachineView machine, Resources assigned) {
     this.machine = machine;
@@ -81,17 +85,20 @@
     return machine;
   }
 
-  /** Whether the job may run here. */
+  /** Whether the job's constraints allow the machine. */
   boolean isAllowedFor(Job job) {
     return PlacementConstraints.allows(job, machine.type(), machine.zone(), machine.isSpot());
   }
 
-  /** The resources that no task needs any longer; tasks that are being stopped count as gone. */
+  /** Returns the free resources, which include those of tasks that are being stopped. */
   Resources free() {
     return free;
   }
 
-  /** The tasks that are not being stopped, by least loss after {@link #sortCandidates}. */
+  /**
+   * Returns the tasks that are not being stopped; after {@link #sortCandidates} the least loss
+   * comes first.
+   */
   List<Candidate> candidates() {
     return candidates;
   }
@@ -104,24 +111,24 @@
     candidates.sort(LEAST_LOSS_FIRST);
   }
 
-  /** Whether any task here is being stopped. */
+  /** Whether any task on the machine is being stopped. */
   boolean hasStoppingTasks() {
     return hasStoppingTasks;
   }
 
-  /** Counts a task that is being stopped as gone. */
+  /** Adds a task that is being stopped; its resources count as free. */
   void addStoppingTask(RunningTask task) {
     hasStoppingTasks = true;
     free = free.plus(task.job().perTask());
   }
 
-  /** Counts a victim as gone. */
+  /** Moves a candidate to the tasks that are being stopped. */
   void preempt(Candidate victim) {
     candidates.remove(victim);
     addStoppingTask(victim.task);
   }
 
-  /** Keeps so much of the free resources for others. */
+  /** Subtracts the amount from the free resources, for a task that will run on the machine. */
   void reserve(Resources amount) {
     free = free.minus(amount);
   }
--- a/src/main/java/io/cherryspool/scheduler/Preemption.java
+++ b/src/main/java/io/cherryspool/scheduler/Preemption.java
@@ -17,15 +17,16 @@
 import java.util.Set;
 
 /**
- * Chooses the running tasks to preempt for pending ones.
+ * Chooses the running tasks to preempt for pending tasks.
  *
- * <p>Work of lower priority is preempted where a pending task lacks a machine, and where it lacks
- * its own team's quota. What a team uses beyond its guaranteed quota is preempted, at any priority,
- * for work within another team's guaranteed quota. Victims that lose least are preferred. No task
- * is preempted for lack of a machine unless that lets a pending task in.
+ * <p>Tasks of lower priority are preempted for a pending task that lacks a machine, and tasks of
+ * the same team with lower priority for one that lacks quota. Tasks with which a team exceeds its
+ * guaranteed quota are preempted, whatever their priority, for work within another team's
+ * guaranteed quota. Victims with the least loss are preferred. No task is preempted for lack of a
+ * machine unless the pending task then has room.
  */
 final class Preemption {
-  /** Time that a victim gets beyond what saving its checkpoint should take. */
+  /** Time added to a victim's checkpoint duration in its grace period. */
   private static final int GRACE_MARGIN_SECONDS = 1;
 
   private final ClusterView view;
@@ -35,15 +36,18 @@
   private final List<RoundPlan.Victim> victims = new ArrayList<>();
   private final Set<String> reservedMachines = new HashSet<>();
 
-  /** The machines on which tasks are being stopped; few, where nothing may be preempted. */
+  /**
+   * The machines with tasks that are being stopped. Only these few need to be examined for a job
+   * that may not preempt.
+   */
   private final List<PreemptibleMachine> stoppingMachines = new ArrayList<>();
 
   private int lowestPriority = Integer.MAX_VALUE;
 
   /**
-   * Starts without victims.
+   * Creates a preemption without victims.
    *
-   * @param assignments the tasks that the round places
+   * @param assignments the tasks that the round has placed so far
    */
   Preemption(ClusterView view, List<RoundPlan.Assignment> assignments) {
     this.view = view;
@@ -56,17 +60,20 @@
     }
   }
 
-  /** The tasks to preempt, in the order in which they were chosen. */
+  /** Returns the tasks to preempt, in the order in which they were chosen. */
   List<RoundPlan.Victim> victims() {
     return victims;
   }
 
-  /** The names of the machines on which room is kept for tasks that others are stopped for. */
+  /**
+   * Returns the names of the machines with room that is reserved for a pending task, since tasks
+   * are stopped for it.
+   */
   Set<String> reservedMachines() {
     return reservedMachines;
   }
 
-  /** Takes in more tasks that the round places. */
+  /** Adds further tasks that the round places, which use room and quota. */
   void addAssignments(List<RoundPlan.Assignment> assignments) {
     if (assignments.isEmpty()) {
       return;
@@ -80,7 +87,9 @@
     }
   }
 
-  /** Adds the assigned tasks to their teams' usage, and returns what each machine is given. */
+  /**
+   * Adds the assigned tasks to their teams' usage, and returns the assigned resources by machine.
+   */
   private Map<String, Resources> addUsage(List<RoundPlan.Assignment> assignments) {
     Map<String, Resources> assignedByMachine = new HashMap<>();
     for (RoundPlan.Assignment assignment : assignments) {
@@ -125,10 +134,12 @@
   }
 
   /**
-   * Preempts tasks for as many of the pending ones as possible, where that costs least.
+   * Preempts tasks to make room for as many pending tasks as possible, at the least cost. Jobs that
+   * require a single zone or a spread over zones get no room this way.
    *
-   * @param pending tasks within the team's quota, for which no machine has room
-   * @return for how many of them a machine will have room, once all is stopped that is to be
+   * @param pending the number of tasks within the team's quota for which no machine has room
+   * @return the number of these tasks for which machines will have room once all stopping tasks
+   *     have ended
    */
   int preemptForRoom(Job job, int pending) {
     if (job.requiresSingleZone() || job.requiresZoneSpread()) {
@@ -149,7 +160,10 @@
     return pending - left;
   }
 
-  /** What to preempt on each of the machines for one task of the job, the least loss first. */
+  /**
+   * Returns the choices of victims for one task of the job, one for each suitable machine, cheapest
+   * first.
+   */
   private PriorityQueue<PreemptionChoice> choices(Job job, List<PreemptibleMachine> among) {
     PriorityQueue<PreemptionChoice> result = new PriorityQueue<>(PreemptionChoice.CHEAPEST_FIRST);
     for (PreemptibleMachine machine : among) {
@@ -160,11 +174,12 @@
     return result;
   }
 
-  /** Removes the best choice that still holds; empty if there is none. */
+  /** Removes and returns the cheapest choice that is still valid; empty if there is none. */
   private Optional<PreemptionChoice> takeBest(PriorityQueue<PreemptionChoice> choices, Job job) {
     while (!choices.isEmpty()) {
       PreemptionChoice best = choices.poll();
-      // Since the choice was made, the excess over a guaranteed quota may have been preempted.
+      // Earlier preemptions may have removed the excess over a guaranteed quota that the choice
+      // relies on.
       Optional<List<Candidate>> current = findVictims(best.machine(), job);
       if (current.isPresent() && current.get().equals(best.victims())) {
         return Optional.of(best);
@@ -176,7 +191,7 @@
     return Optional.empty();
   }
 
-  /** Preempts what the choice says, and keeps the room for a task of the job. */
+  /** Preempts the victims of the choice, and reserves the room for a task of the job. */
   private void makeRoom(PreemptionChoice choice, Job job) {
     choice.victims().forEach(victim -> preempt(choice.machine(), victim));
     choice.machine().reserve(job.perTask());
@@ -198,7 +213,10 @@
         .ifPresent(found -> choices.add(PreemptionChoice.of(machine, found, job)));
   }
 
-  /** The tasks to preempt so that one of the job's fits; empty if no preemption achieves that. */
+  /**
+   * Returns the tasks to preempt so that one task of the job fits on the machine; empty if no
+   * preemption achieves this.
+   */
   private Optional<List<Candidate>> findVictims(PreemptibleMachine machine, Job job) {
     Resources free = machine.free();
     if (job.perTask().fitsIn(free)) {
@@ -221,10 +239,10 @@
   }
 
   /**
-   * Whether the job's team is entitled to what another team uses beyond its guaranteed quota, and
-   * the other team still does.
+   * Whether the job's team is within its guaranteed quota, and the other team exceeds its own even
+   * without the tasks chosen for preemption.
    *
-   * @param chosenByTeam what is to be preempted already
+   * @param chosenByTeam the resources of the tasks chosen for preemption so far, by team
    */
   private boolean isExcessUsage(String otherTeam, Job job, Map<String, Resources> chosenByTeam) {
     if (!isTeamWithinGuarantee(job) || otherTeam.equals(job.team())) {
@@ -237,9 +255,10 @@
   }
 
   /**
-   * Preempts the team's own work of lower priority where the team's quota keeps tasks from running
-   * that have a machine, or get one. Otherwise an urgent job would wait for its own team's long
-   * ones. Jobs with constraints on the zones of all their tasks together are left out.
+   * Preempts tasks of the job's own team with lower priority, so that the team's quota allows
+   * pending tasks which have room on a machine or for which room can be made. Otherwise an urgent
+   * job would wait for long tasks of its own team. Does nothing for jobs that require a single zone
+   * or a spread over zones.
    */
   void preemptForQuota(Job job, int pending) {
     Team team = view.teams().get(job.team());
--- a/src/main/java/io/cherryspool/scheduler/PreemptionChoice.java
+++ b/src/main/java/io/cherryspool/scheduler/PreemptionChoice.java
@@ -8,18 +8,19 @@
 import java.util.List;
 
 /**
- * What to preempt on a machine for one task.
+ * A choice of victims on one machine that makes room for one pending task.
  *
- * @param costCpuSeconds the CPU seconds that the victims lose and the image fetch takes
+ * @param costCpuSeconds the CPU seconds that the victims lose and that the pending task waits for
+ *     its image
  */
 record PreemptionChoice(
     PreemptibleMachine machine, List<Candidate> victims, double costCpuSeconds) {
-  /** The least cost first, then by the machine's name. */
+  /** Orders by cost, and choices of equal cost by the machine's name. */
   static final Comparator<PreemptionChoice> CHEAPEST_FIRST =
       Comparator.comparingDouble(PreemptionChoice::costCpuSeconds)
           .thenComparing(PreemptionChoice::machineName);
 
-  /** The choice with its cost for a task of the job. */
+  /** Creates a choice with its cost for a task of the job. */
   static PreemptionChoice of(PreemptibleMachine machine, List<Candidate> victims, Job job) {
     double cost = fetchCpuSeconds(machine.machine(), job);
     for (Candidate victim : victims) {
@@ -28,7 +29,10 @@
     return new PreemptionChoice(machine, victims, cost);
   }
 
-  /** CPU seconds that a task would wait for its image, which may take far longer than its run. */
+  /**
+   * Returns the CPU seconds that a task would wait for its image, which may be far longer than its
+   * run time.
+   */
   private static double fetchCpuSeconds(MachineView machine, Job job) {
     if (machine.cachedImages().contains(job.image())) {
       return 0;
@@ -40,7 +44,7 @@
     return machine.machine().name();
   }
 
-  /** What the victims use that are of the team. */
+  /** Returns the resources that the victims of this team use. */
   Resources usageOf(String team) {
     Resources sum = Resources.NONE;
     for (Candidate victim : victims) {
--- a/src/main/java/io/cherryspool/scheduler/QueueOrder.java
+++ b/src/main/java/io/cherryspool/scheduler/QueueOrder.java
@@ -16,32 +16,36 @@
 import java.util.Set;
 
 /**
- * The order of the queue: priority, then the earliest deadline that can still be met (an exception
- * to the design's source, see docs/design.md), then as the source orders compaction jobs: lower
- * level, first attempts before retries, fewer failures, earliest end of the last attempt. The
- * source's level separates small work from large; here it is the size of the whole job, by powers
- * of four.
+ * Defines the order of the queue: higher priority first, then the earliest deadline that can still
+ * be met, then smaller jobs, first attempts before retries, fewer failures, and the earliest end of
+ * the last attempt. From the size on, this is the order in which the source of the design schedules
+ * compaction jobs; ordering by deadline is an exception to it, see docs/design.md. The level of a
+ * compaction job separates small work from large; here its counterpart is the size of the whole
+ * job, by powers of four.
  *
- * <p>Teams whose unfinished work all fits into their guaranteed quota need not wait for other
- * teams, so that their work comes before that of teams which use more.
+ * <p>Teams whose whole unfinished work fits into their guaranteed quota need not wait for other
+ * teams: their work comes before that of teams with more work.
  *
- * <p>Aging prevents starvation. Of the jobs that have not started at the age of {@code
- * maxStartDelay}, the oldest of each {@link EquivalenceClass} has one task promoted, that is, put
- * before all other work. At three times that age a job counts as one priority higher, and at four
- * times that age a job whose deadlines are all missed counts as due. If aging began sooner, late
- * jobs would delay those that can still meet their deadlines.
+ * <p>Aging prevents starvation. Of the jobs in an {@link EquivalenceClass} that have not started at
+ * the age of {@code maxStartDelay}, the oldest has one task promoted, that is, put before all other
+ * work. At three times that age a job's priority is raised by one, and at four times that age a job
+ * whose deadlines are all missed counts as due. If aging began sooner, late jobs would delay those
+ * that can still meet their deadlines.
  */
 final class QueueOrder {
-  /** Age in start delays from which a job counts as one priority higher. */
+  /** Age at which a job's priority is raised by one, as a multiple of the maximum start delay. */
   private static final int PRIORITY_RAISE_START_DELAYS = 3;
 
-  /** Age in start delays at which a job without a deadline that can be met is due. */
+  /**
+   * Age at which a job that has no deadline it can still meet is due, as a multiple of the maximum
+   * start delay.
+   */
   private static final int DUE_START_DELAYS = 4;
 
-  /** Lower bound on the CPUs of a task where work is weighed. */
+  /** Minimum number of CPUs that a task counts for when its work is computed. */
   static final double MIN_TASK_CPUS = 0.1;
 
-  /** Ratio of the work of jobs of one level to that of the level below. */
+  /** Ratio between the work of jobs of successive size levels. */
   private static final int SIZE_LEVEL_RATIO = 4;
 
   private static final Comparator<Entry> ORDER =
@@ -66,11 +70,11 @@
   private QueueOrder() {}
 
   /**
-   * What orders the tasks of different jobs.
+   * The properties of a job by which its tasks are ordered relative to those of other jobs.
    *
-   * @param isTeamWithinGuarantee whether all unfinished work of the job's team fits into the team's
-   *     guaranteed quota
-   * @param priority the priority's ordinal with the job's age considered, see {@link #priority}
+   * @param isTeamWithinGuarantee whether the whole unfinished work of the job's team fits into the
+   *     team's guaranteed quota
+   * @param priority the ordinal of the priority, raised by the job's age, see {@link #priority}
    * @param dueAt see {@link #dueAt}
    * @param sizeLevel see {@link #sizeLevel}
    */
@@ -78,15 +82,15 @@
       boolean isTeamWithinGuarantee, int priority, Instant dueAt, int sizeLevel) {}
 
   /**
-   * Tasks of one job that have the same place in the queue.
+   * Tasks of one job with the same position in the queue.
    *
-   * @param isPromoted whether the tasks come before all that are not promoted, since the job has
-   *     waited too long for its start
+   * @param isPromoted whether the tasks come before all entries that are not promoted, because the
+   *     job has waited too long for its start
    * @param isRetry whether the tasks were started before
-   * @param failures how often each of the tasks failed
-   * @param lastAttemptEndedAt the steady clock's time, zero if there was no attempt or its end is
-   *     not known
-   * @param tasks the tasks' indices in the job
+   * @param failures the number of failures of each of the tasks
+   * @param lastAttemptEndedAt the monotonic clock's time at which the last attempt ended, zero if
+   *     there was no attempt or its end is not known
+   * @param tasks the indices of the tasks in the job
    */
   record Entry(
       JobView view,
@@ -118,7 +122,7 @@
     }
   }
 
-  /** All pending tasks in the order in which they should be placed. */
+  /** Returns all pending tasks in the order in which they are to be placed. */
   static List<Entry> sortedEntries(ClusterView cluster) {
     List<Entry> entries = new ArrayList<>();
     Set<String> promotedJobs = promotedJobs(cluster);
@@ -155,7 +159,7 @@
     }
   }
 
-  /** Jobs that are equal in all of these wait for the same machines and the same quota. */
+  /** The properties that are equal for jobs which wait for the same machines and the same quota. */
   private record EquivalenceClass(
       String team, String jobClass, List<String> allowedTypes, String requiredZone) {
 
@@ -176,9 +180,9 @@
   }
 
   /**
-   * The ids of the jobs of which one task is promoted: of each class the oldest that has not
-   * started in time. If each late job had a task promoted, hundreds of small jobs of one team,
-   * which age together, would come before all urgent work at once.
+   * Returns the ids of the jobs that have one task promoted: in each equivalence class, the oldest
+   * job that has not started in time. If each late job had a task promoted, hundreds of small jobs
+   * of one team that were submitted together would come before all urgent work at the same time.
    */
   private static Set<String> promotedJobs(ClusterView cluster) {
     Instant latestSubmission = cluster.now().minus(cluster.maxStartDelay());
@@ -200,7 +204,10 @@
     return result;
   }
 
-  /** The ordinal of the job's priority, one higher from an age at which it has waited too long. */
+  /**
+   * Returns the ordinal of the job's priority, raised by one at three times the maximum start
+   * delay.
+   */
   static int priority(Job job, ClusterView cluster) {
     Duration age = Duration.between(job.submittedAt(), cluster.now());
     Duration raiseAge = Durations.multiply(cluster.maxStartDelay(), PRIORITY_RAISE_START_DELAYS);
@@ -208,11 +215,13 @@
   }
 
   /**
-   * The first of the times measured by the service-level objectives that one run of a task from now
-   * on can still meet. If all are missed, a time from which other work should not come before the
-   * job. Without a deadline, the same once it has passed, and until then {@link Instant#MAX}: small
-   * work should come before large, or hundreds of single tasks wait for an array of 25,000 tasks
-   * that was submitted a minute before them.
+   * Returns the time at which the job is due. This is the first of the multiples of its deadline
+   * measured by the service-level objectives that a task started now can still meet. If none can be
+   * met, it is four times the maximum start delay after the submission.
+   *
+   * <p>A job without a deadline is due at the latter time too, once that has passed. Until then it
+   * is due at {@link Instant#MAX}, so that small jobs come before large ones: otherwise hundreds of
+   * single tasks would wait for an array of 25,000 tasks that was submitted a minute before them.
    */
   static Instant dueAt(Job job, ClusterView cluster) {
     if (job.deadline() != null) {
@@ -230,7 +239,10 @@
     return job.deadline() != null || overdueAt.isBefore(cluster.now()) ? overdueAt : Instant.MAX;
   }
 
-  /** The logarithm of the whole job's estimated work in CPU seconds, rounded down. */
+  /**
+   * Returns the logarithm to base four of the whole job's estimated work in CPU seconds, rounded
+   * down.
+   */
   static int sizeLevel(Job job) {
     double cpuSeconds =
         job.taskCount()
--- a/src/main/java/io/cherryspool/scheduler/QuotaVictims.java
+++ b/src/main/java/io/cherryspool/scheduler/QuotaVictims.java
@@ -11,16 +11,19 @@
 import java.util.Optional;
 import java.util.PriorityQueue;
 
-/** A team's running tasks that may be preempted for a job at the team's quota. */
+/**
+ * The running tasks that may be preempted for a job of the same team, when the team's quota does
+ * not allow the job's tasks.
+ */
 final class QuotaVictims {
   private final PriorityQueue<Victim> victims =
       new PriorityQueue<>(
           Comparator.comparing(Victim::candidate, PreemptibleMachine.LEAST_LOSS_FIRST));
 
-  /** A task that may be preempted, and where it runs. */
+  /** A task that may be preempted, and the machine on which it runs. */
   record Victim(PreemptibleMachine machine, Candidate candidate) {}
 
-  /** The tasks of the job's team on the machines that are of lower priority. */
+  /** Collects the tasks of the job's team on the machines that have lower priority than the job. */
   QuotaVictims(Job job, Collection<PreemptibleMachine> machines) {
     for (PreemptibleMachine machine : machines) {
       for (Candidate candidate : machine.candidates()) {
@@ -36,17 +39,18 @@
   }
 
   /**
-   * Removes as many tasks as must go so that such a use fits into the team's quota, those that lose
-   * least; empty if it does not fit without all of them.
+   * Removes the tasks with the least loss until the team's usage without them fits into its quota.
    *
-   * @param excluded tasks that are to be preempted anyway
+   * @param use the team's usage before these tasks are preempted, with the pending task
+   * @param excluded tasks that are preempted in any case
+   * @return the removed tasks, or empty if the usage exceeds the quota even without all of them
    */
   Optional<List<Victim>> take(Team team, Resources use, Collection<Candidate> excluded) {
     Resources left = use;
     List<Victim> result = new ArrayList<>();
     while (!team.isWithinQuota(left) && !victims.isEmpty()) {
       Victim victim = victims.poll();
-      // Others of them may have been preempted for room meanwhile.
+      // The task may have been preempted in the meantime to make room on its machine.
       if (!excluded.contains(victim.candidate)
           && victim.machine.candidates().contains(victim.candidate)) {
         result.add(victim);
--- a/src/main/java/io/cherryspool/scheduler/RelocatableTasks.java
+++ b/src/main/java/io/cherryspool/scheduler/RelocatableTasks.java
@@ -10,14 +10,16 @@
 import java.util.Map;
 
 /**
- * Finds the running tasks that take machines which unschedulable ones need, though they could run
- * on machine types that those cannot use. Such types may still have capacity in the cloud when the
- * ones in demand have none.
+ * Finds the running tasks that occupy machines which unschedulable tasks need, although they could
+ * run on machine types that the unschedulable tasks cannot use. The cloud may still have capacity
+ * of these types when it has none of the types in demand.
  */
 final class RelocatableTasks {
   private RelocatableTasks() {}
 
-  /** Counts the relocatable tasks by job, in the order of the machines that they run on. */
+  /**
+   * Returns the relocatable tasks grouped by job, in the order of the machines on which they run.
+   */
   static List<RoundPlan.TaskGroup> find(ClusterView view, List<RoundPlan.TaskGroup> unschedulable) {
     List<MachineType> contended = new ArrayList<>();
     List<MachineType> others = new ArrayList<>();
--- a/src/main/java/io/cherryspool/scheduler/ScaleInPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/ScaleInPlanner.java
@@ -16,7 +16,10 @@
 
 /** Chooses the machines to drain and to delete. */
 final class ScaleInPlanner {
-  /** A machine is drained only if the others have so many times the CPUs that the work needs. */
+  /**
+   * Minimum ratio of the CPUs of the remaining machines to the CPUs that the work needs, below
+   * which no machine is drained.
+   */
   static final double MIN_CAPACITY_TO_DEMAND_RATIO = 1.08;
 
   private static final Comparator<ActiveMachine> MOST_EXPENSIVE_FIRST =
@@ -35,8 +38,9 @@
   }
 
   /**
-   * The names of the machines that exceed the demand: of the most expensive ones those with fewest
-   * CPUs in use. Machines that are not active yet do not count for the demand.
+   * Returns the names of the machines that exceed the demand, the most expensive first, and of
+   * equally expensive ones those with the fewest CPUs in use. Machines that are not active yet do
+   * not count as capacity for the demand.
    */
   Set<String> machinesToDrain() {
     Map<MachineSelector, Double> spareCpus = new LinkedHashMap<>();
@@ -61,7 +65,11 @@
     return result;
   }
 
-  /** Whether some work that can use the machine would have too few CPUs without it. */
+  /**
+   * Whether some work that can use the machine would have too few CPUs without it.
+   *
+   * @param spareCpus the CPUs beyond the demand, by selector
+   */
   private boolean isNeeded(ActiveMachine machine, Map<MachineSelector, Double> spareCpus) {
     double cpus = machine.offering().type().capacity().cpus();
     for (Map.Entry<MachineSelector, Double> entry : spareCpus.entrySet()) {
@@ -72,7 +80,7 @@
     return false;
   }
 
-  /** The names of the machines that have been idle for too long. */
+  /** Returns the names of the machines that have been idle for too long. */
   List<String> machinesToDelete(Set<String> draining) {
     List<String> names = new ArrayList<>();
     for (ActiveMachine machine : view.activeMachines()) {
@@ -84,7 +92,7 @@
     return names;
   }
 
-  /** How long the machine may be idle. */
+  /** Returns how long the machine may be idle before it is deleted. */
   private Duration idleLimit(ActiveMachine machine, Set<String> draining) {
     Duration timeout = view.idleTimeout();
     if (draining.contains(machine.name())) {
@@ -93,7 +101,8 @@
           : Durations.divide(timeout, 4);
     }
     if (!view.unschedulable().isEmpty()) {
-      // It is of no use to the work that waits, and may take the place of machines that are.
+      // The waiting work does not use the idle machine, which may take up capacity of machines that
+      // it could use.
       return timeout;
     }
     return Durations.multiply(timeout, 4);
--- a/src/main/java/io/cherryspool/scheduler/ScaleOutPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/ScaleOutPlanner.java
@@ -17,10 +17,16 @@
 
 /** Chooses the machines to request. */
 final class ScaleOutPlanner {
-  /** Bound on the spot instances on their way as replacements, as a part of the active machines. */
+  /**
+   * Maximum number of replacement spot instances that are being provisioned, as a fraction of the
+   * active machines.
+   */
   private static final double MAX_REPLACEMENT_FRACTION = 0.1;
 
-  /** Age in backlog times from which a job gets machines whatever the demand is computed to be. */
+  /**
+   * Age beyond which machines are requested for a job regardless of the computed demand, as a
+   * multiple of the backlog drain time.
+   */
   private static final int OVERDUE_DRAIN_TIMES = 2;
 
   private final FleetView view;
@@ -28,7 +34,7 @@
   private final PlannedFleet fleet;
 
   /**
-   * Plans for the demand.
+   * Creates a planner.
    *
    * @param fleet the fleet, to which the planner adds its requests
    */
@@ -38,7 +44,7 @@
     this.fleet = fleet;
   }
 
-  /** Adds all requests to the fleet. */
+  /** Plans all requests and adds them to the fleet. */
   void plan() {
     for (RoundPlan.TaskGroup group : view.unschedulable()) {
       requestFor(group.job(), group.taskCount());
@@ -47,7 +53,10 @@
     requestSpotReplacements();
   }
 
-  /** Requests machines for the tasks, as far as the demand exceeds the fleet. */
+  /**
+   * Requests machines for the tasks while the demand exceeds the fleet's CPUs, or without this
+   * limit if the job is overdue.
+   */
   private void requestFor(Job job, int tasks) {
     int left = fleet.placeOnProvisioning(job, tasks, Set.of());
     MachineSelector selector = demand.selectorOf(job);
@@ -65,23 +74,27 @@
     }
   }
 
-  /** Whether the job is so old that it must not wait for machines any more. */
+  /**
+   * Whether the job has waited so long that machines are requested for it regardless of the demand.
+   */
   private boolean isOverdue(Job job, MachineSelector selector) {
     Duration age = Duration.between(job.submittedAt(), view.now());
     return age.compareTo(Durations.multiply(demand.backlogDrainTime(selector), OVERDUE_DRAIN_TIMES))
         > 0;
   }
 
-  /** How many times the price of a spot instance of its type the offering costs, at least 1. */
+  /**
+   * Returns the ratio of the offering's price to that of a spot instance of its type, at least 1.
+   */
   private static double costWeight(Offering offering) {
     MachineType type = offering.type();
     return Math.max(1, type.hourlyPrice(offering.isSpot()) / type.hourlyPrice(true));
   }
 
   /**
-   * Where nothing more is available for unschedulable work, requests machines of other types for
-   * the running tasks that take machines which it could use. The next tasks of their jobs then run
-   * there.
+   * Requests machines of other types for running tasks that occupy machines which unschedulable
+   * work could use, if no offering for that work is available. Later tasks of the jobs of these
+   * running tasks then run on the requested machines.
    */
   private void requestForRelocatable() {
     Optional<Set<MachineType>> found = contendedTypes();
@@ -103,8 +116,9 @@
   }
 
   /**
-   * The machine types that unschedulable jobs without an available offering could use; empty if
-   * there is no such job. A job that no type of the catalog suits is none: no instance helps it.
+   * Returns the machine types that unschedulable jobs without an available offering could use;
+   * empty if there is no such job. Jobs that fit no type of the catalog are ignored, since no
+   * instance would help them.
    */
   private Optional<Set<MachineType>> contendedTypes() {
     Set<MachineType> result = new LinkedHashSet<>();
@@ -124,9 +138,9 @@
   }
 
   /**
-   * Requests spot instances of one type in place of ordinary instances that are still needed; those
-   * are drained when the spot instances are active. Only work that may run on spot instances
-   * counts.
+   * Requests spot instances of one type to replace on-demand instances that are still needed. The
+   * on-demand instances are drained once the spot instances are active. Only work that may run on
+   * spot instances counts.
    */
   private void requestSpotReplacements() {
     double missingSpotCpus = missingSpotCpus();
@@ -146,7 +160,7 @@
     }
   }
 
-  /** The active ordinary instances by type. */
+  /** Returns the number of active on-demand instances by type. */
   private Map<MachineType, Integer> onDemandCounts() {
     Map<MachineType, Integer> result = new LinkedHashMap<>();
     for (ActiveMachine machine : view.activeMachines()) {
@@ -157,7 +171,10 @@
     return result;
   }
 
-  /** Requests spot instances in the first zone where they are available; false if none is. */
+  /**
+   * Requests spot instances in the first zone where they are available; returns whether there is
+   * such a zone.
+   */
   private boolean requestSpot(MachineType type, int count) {
     for (String zone : type.zones()) {
       Offering offering = new Offering(type, zone, true);
@@ -169,7 +186,10 @@
     return false;
   }
 
-  /** The CPUs that work for spot instances needs beyond those of the spot instances. */
+  /**
+   * Returns the CPUs that work allowed on spot instances needs in addition to those of the present
+   * and requested spot instances.
+   */
   private double missingSpotCpus() {
     double arriving = 0;
     double arrivingForSpot = 0;
@@ -187,7 +207,7 @@
     return needed - spotCpus();
   }
 
-  /** The CPUs of the spot instances that are active or on their way. */
+  /** Returns the CPUs of the spot instances that are active, being provisioned or requested. */
   private double spotCpus() {
     double cpus = 0;
     for (ActiveMachine machine : view.activeMachines()) {
--- a/src/main/java/io/cherryspool/scheduler/ScalingPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/ScalingPlanner.java
@@ -9,19 +9,20 @@
 import java.util.Set;
 
 /**
- * Sizes the fleet for the demand: the work that arrives has to be sustained, and the work that
- * waits has to be completed in about the time that a machine takes to boot, since a machine for
- * work that is complete by then costs money for nothing. Within that, it requests the cheapest
- * allowed machines for unschedulable tasks ({@link ScaleOutPlanner}), replaces ordinary instances
- * by spot instances, and drains and deletes what exceeds the demand ({@link ScaleInPlanner}).
+ * Plans the size of the fleet by the demand. The fleet has to sustain the arriving work, and to
+ * complete the waiting work in about the time that a machine takes to boot: a machine requested for
+ * work that is complete before the machine has booted would cost money for nothing. Within these
+ * limits, {@link ScaleOutPlanner} requests the cheapest allowed machines for unschedulable tasks
+ * and replaces on-demand instances by spot instances, and {@link ScaleInPlanner} drains and deletes
+ * machines that exceed the demand.
  */
 public final class ScalingPlanner {
   private ScalingPlanner() {}
 
-  /** What the cloud offers: a machine type in a zone, as spot or ordinary instance. */
+  /** An offering of the cloud: a machine type in a zone, as a spot or an on-demand instance. */
   public record Offering(MachineType type, String zone, boolean isSpot) {
 
-    /** Whether the job's constraints allow such a machine. */
+    /** Whether the job's constraints allow machines of this offering. */
     boolean isAllowedFor(Job job) {
       return PlacementConstraints.allows(job, type, zone, isSpot);
     }
@@ -48,34 +49,38 @@
   /**
    * A machine whose agent sends heartbeats.
    *
-   * @param usedCpus the CPUs of the tasks that it owns
-   * @param idleFor how long it has owned no task, null while it owns one
+   * @param usedCpus the CPUs of the tasks that the machine owns
+   * @param idleFor how long the machine has owned no task, null while it owns one
    */
   public record ActiveMachine(String name, Offering offering, double usedCpus, Duration idleFor) {}
 
   /**
-   * The demand of a job. A job may have two, one for its arrival and one for what of it waits.
+   * The demand of a job. A job may have two demands, one for its arrival and one for its waiting
+   * tasks.
    *
-   * @param arrivingCpus the CPUs that work like it keeps busy: CPU seconds that arrive each second
-   * @param cpuVariance what jobs like it, each with all its tasks at once, add to the variance of
-   *     the CPUs in use
-   * @param waitingCpuSeconds the work that waits
+   * @param arrivingCpus the CPUs that jobs like this one keep busy, that is, the CPU seconds that
+   *     arrive per second
+   * @param cpuVariance the contribution to the variance of the CPUs in use by jobs like this one,
+   *     each of which runs all its tasks at once
+   * @param waitingCpuSeconds the work of the waiting tasks
    */
   public record JobDemand(
       Job job, double arrivingCpus, double cpuVariance, double waitingCpuSeconds) {}
 
   /**
-   * Everything that the fleet is planned from.
+   * The complete input of the planning of the fleet.
    *
-   * @param now the time of day
-   * @param unschedulable the tasks for which the last round had no machines
-   * @param relocatable the tasks that take such machines, though they could run on other types
+   * @param now the wall-clock time
+   * @param unschedulable the tasks for which the last round found no machines
+   * @param relocatable the tasks that occupy machines which unschedulable tasks need, although they
+   *     could run on other machine types
    * @param provisioning the offerings of the machines that were requested and have not sent a
-   *     heartbeat, one for each machine
-   * @param demands the demand of arriving and of waiting work
+   *     heartbeat, one element for each machine
+   * @param demands the demands of arriving and of waiting work
    * @param catalog the machine types, at most 63
-   * @param unavailableOfferings what the cloud refused for lack of capacity a short while ago
-   * @param idleTimeout the age of idleness that the limits for deletion are multiples of
+   * @param unavailableOfferings the offerings that the cloud recently refused for lack of capacity
+   * @param idleTimeout the base of the idle times after which machines are deleted, which are
+   *     multiples or fractions of it
    */
   public record FleetView(
       Instant now,
@@ -91,14 +96,14 @@
   /**
    * The changes to make to the fleet.
    *
-   * @param scaleOut how many machines to request, by offering, the most pressing first
+   * @param scaleOut the number of machines to request by offering, the most urgent first
    * @param scaleIn the names of the machines to delete
-   * @param draining the names of all machines that exceed the demand, and should become idle
+   * @param draining the names of all machines that exceed the demand and should become idle
    */
   public record Decision(
       Map<Offering, Integer> scaleOut, List<String> scaleIn, Set<String> draining) {}
 
-  /** The decision for the view. Equal views give equal decisions. */
+  /** Returns the decision for the view. Equal views give equal decisions. */
   public static Decision decide(FleetView view) {
     FleetDemand demand = new FleetDemand(view);
     PlannedFleet fleet = new PlannedFleet(view);
--- a/src/main/java/io/cherryspool/scheduler/TaskAssigner.java
+++ b/src/main/java/io/cherryspool/scheduler/TaskAssigner.java
@@ -12,8 +12,8 @@
 import java.util.Optional;
 
 /**
- * Assigns tasks to the best machines with room, whatever their teams' quotas. Quotas are the
- * caller's concern.
+ * Assigns tasks to the best machines with room. It does not check team quotas, which the caller has
+ * to respect.
  */
 final class TaskAssigner {
   private final BinPool bins;
@@ -27,18 +27,21 @@
   }
 
   /**
-   * What became of some tasks of a job.
+   * The result of assigning tasks of a job.
    *
-   * @param placed how many were assigned, the first ones
-   * @param unplacedCause why the others lack machines; says nothing if there are none
+   * @param placed the number of assigned tasks, which are the first of the list
+   * @param unplacedCause why the other tasks were not assigned; meaningless if all were
    */
   record Result(int placed, HoldCause unplacedCause) {}
 
-  /** A demand for which no machine has room any more in this round. */
+  /** A demand for which no machine has room in this round. */
   private record UnsatisfiableDemand(
       Resources perTask, List<String> allowedTypes, String requiredZone, boolean allowsSpot) {
 
-    /** Whether the job needs at least as much, of the same machines or fewer. */
+    /**
+     * Whether the job cannot be placed either: it needs at least as much, on the same machines or
+     * fewer.
+     */
     boolean rulesOut(Job job) {
       return perTask.fitsIn(job.perTask())
           && Objects.equals(allowedTypes, job.allowedTypes())
@@ -47,18 +50,18 @@
     }
   }
 
-  /** All assignments in the order in which they were made. */
+  /** Returns all assignments in the order in which they were made. */
   List<RoundPlan.Assignment> assignments() {
     return assignments;
   }
 
-  /** How often a machine was examined for a task. */
+  /** Returns the number of times a machine was examined, for a ranking or for a task. */
   int machinesExamined() {
     return machinesExamined + bins.machinesExamined();
   }
 
   /**
-   * Assigns the tasks in order as far as machines have room.
+   * Assigns tasks in order until no machine has room.
    *
    * @param usesLentQuota see {@link RoundPlan.Assignment}
    */
@@ -83,7 +86,7 @@
     return filler.result();
   }
 
-  /** Assigns tasks of a job without constraints on the zones of its tasks together. */
+  /** Assigns tasks of a job that requires neither a single zone nor a spread over zones. */
   private Result assignInAnyZone(BinFiller filler) {
     Job job = filler.job;
     if (isUnsatisfiable(job)) {
@@ -111,7 +114,10 @@
     return bins.hasReservedRoom(job) ? HoldCause.RESERVED_MACHINE : HoldCause.NO_MACHINE;
   }
 
-  /** The zone that the job's tasks are in, or else the one with room for most of them. */
+  /**
+   * Returns the zone in which tasks of the job already run, or else the zone with room for the most
+   * of its tasks.
+   */
   private Optional<String> chooseZone(Job job, Map<String, Integer> byZone, int wanted) {
     for (Map.Entry<String, Integer> entry : byZone.entrySet()) {
       if (entry.getValue() > 0) {
@@ -121,7 +127,7 @@
     return bins.zoneWithMostRoom(job, wanted);
   }
 
-  /** Assigns tasks of one job to machines in the order of their ranking. */
+  /** Assigns tasks of one job to machines in the order of a ranking. */
   private final class BinFiller {
     private final Job job;
     private final List<Integer> tasks;
@@ -132,9 +138,10 @@
     private boolean hasReachedZoneLimit;
 
     /**
-     * Starts with no task placed.
+     * Creates a filler that has placed no task.
      *
-     * @param byZone counts the job's owned and placed tasks by zone, null if zones don't matter
+     * @param byZone the number of the job's owned and placed tasks by zone, to which placed tasks
+     *     are added; null if the job does not restrict the zones of its tasks together
      */
     BinFiller(Job job, List<Integer> tasks, Map<String, Integer> byZone, boolean usesLentQuota) {
       this.job = job;
@@ -154,8 +161,8 @@
     }
 
     /**
-     * Places the tasks in order as far as the machines have room. Machines without room are removed
-     * from the ranking.
+     * Places the tasks in order until no machine has room, and removes machines without room from
+     * the ranking.
      */
     void fill(List<Bin> ranking) {
       boolean hasFilledMachine = false;
@@ -176,7 +183,7 @@
       }
     }
 
-    /** Places as many tasks as fit on the machine, and returns whether that leaves it full. */
+    /** Places as many tasks on the machine as fit, and returns whether the machine is full then. */
     private boolean fill(Bin bin) {
       String zone = bin.machine().zone();
       int wanted = tasks.size() - placed;
--- a/src/main/java/io/cherryspool/scheduler/TeamUsage.java
+++ b/src/main/java/io/cherryspool/scheduler/TeamUsage.java
@@ -4,16 +4,16 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What each team uses, while a plan adds to it and takes from it. */
+/** The resources that each team uses, updated while a plan is made. */
 final class TeamUsage {
   private final Map<String, Resources> usageByTeam;
 
-  /** Starts from what the teams use; teams without any may be missing. */
+  /** Creates a copy of the usage by team; teams without usage may be missing. */
   TeamUsage(Map<String, Resources> usageByTeam) {
     this.usageByTeam = new HashMap<>(usageByTeam);
   }
 
-  /** The team's use. */
+  /** Returns the resources that the team uses. */
   Resources of(String team) {
     return usageByTeam.getOrDefault(team, Resources.NONE);
   }
--- a/src/main/java/io/cherryspool/scheduler/package-info.java
+++ b/src/main/java/io/cherryspool/scheduler/package-info.java
@@ -1,11 +1,11 @@
 /**
- * Planning: which pending task is placed on which machine, which running task is preempted, and
- * which machines the demand needs.
+ * Planning: chooses the machines on which pending tasks are placed, the running tasks to preempt,
+ * and the machines to request and to delete.
  *
  * <p>May depend on {@code model} alone.
  *
- * <p>Threading: pure functions of the view that they are given, which they do not change. They keep
- * no state between calls, read no clock and do no input or output, so that equal views give equal
- * plans.
+ * <p>Threading: the planners are pure functions of a view, which they do not change. They keep no
+ * state between calls, read no clock and do no input or output, so that equal views give equal
+ * plans. Any thread may call them.
  */
 package io.cherryspool.scheduler;
