--- a/src/main/java/io/cherryspool/controller/rounds/ChangeSet.java
+++ b/src/main/java/io/cherryspool/controller/rounds/ChangeSet.java
@@ -6,11 +6,12 @@
 import java.util.Map;
 
 /**
- * Changes of records that are committed together or not at all.
+ * Changes of records that are committed atomically.
  *
- * @param conditions the version that each key must have, 0 for an absent one
- * @param bytes an upper bound of what the changes' values take, encoded
- * @param writeClass what the changes are for, by which the rate limiter admits them
+ * @param conditions the version that each key must have for the changes to be committed, 0 if the
+ *     key must be absent
+ * @param bytes an upper bound on the encoded size of the changes' values
+ * @param writeClass the purpose of the changes, by which the rate limiter admits them
  */
 record ChangeSet(
     Map<String, Long> conditions,
--- a/src/main/java/io/cherryspool/controller/rounds/ClusterViewBuilder.java
+++ b/src/main/java/io/cherryspool/controller/rounds/ClusterViewBuilder.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 
 /**
- * Builds the view of the cluster that a round is planned from.
+ * Builds the view of the cluster that is the input of a round's planning.
  *
  * <p>Used on the event loop only.
  */
@@ -44,26 +44,26 @@
     lentQuota = new LentQuotaTracker(records, pendingReleases);
   }
 
-  /** The tasks that run on lent quota. */
+  /** Returns the tracker of the tasks that run on lent quota. */
   LentQuotaTracker lentQuota() {
     return lentQuota;
   }
 
-  /** Whether the machine types are known, without which nothing can be planned. */
+  /** Whether the machine types are known; without them no round can be planned. */
   boolean isCatalogKnown() {
     return inputs.catalog().get() != null;
   }
 
-  /** The jobs of which tasks may be placed. */
+  /** Returns the jobs with tasks that may be placed. */
   List<ClusterView.JobView> schedulableJobs(Duration now) {
     return jobViews.schedulableJobs(now);
   }
 
   /**
-   * The view of the cluster; the catalog must be known.
+   * Builds the view of the cluster. The machine types must be known, see {@link #isCatalogKnown}.
    *
-   * @param jobs the {@link #schedulableJobs}
-   * @param previous the plan of the round before
+   * @param jobs the result of {@link #schedulableJobs}
+   * @param previous the plan of the previous round
    */
   ClusterView build(List<ClusterView.JobView> jobs, RoundPlan previous, Duration now) {
     List<MachineType> catalog = inputs.catalog().get();
@@ -86,7 +86,9 @@
         inputs.limits().deadlineMultiples());
   }
 
-  /** What each team's tasks use, without those that are proved to have ended. */
+  /**
+   * Returns the resources of each team's owned tasks, without tasks that are proved to have ended.
+   */
   private Map<String, Resources> usageByTeam() {
     Map<String, Resources> usage = new HashMap<>();
     for (JobRecord job : records.activeJobs()) {
@@ -98,7 +100,7 @@
     return usage;
   }
 
-  /** The teams that need not wait for others: all their unfinished work fits their guarantee. */
+  /** Returns the teams whose whole unfinished work fits into their guaranteed quota. */
   private Set<String> teamsWithinGuarantee() {
     Map<String, Resources> unfinished = new HashMap<>();
     for (JobRecord job : records.activeJobs()) {
--- a/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
+++ b/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
@@ -17,32 +17,44 @@
 import java.util.Map;
 
 /**
- * Estimates how much work there is: what has arrived in the last minutes, by the jobs' own times of
- * submission, so that a new leader knows it at once, and what waits. Run times are the owners'
- * estimates, corrected by how those of the job class have turned out.
+ * Estimates the demand for CPUs by the jobs that arrived in the last minutes and by the tasks that
+ * wait. Arrivals are counted by the jobs' recorded times of submission, so that a new leader can
+ * estimate them immediately. The owners' estimates of run times are corrected by the ratio of
+ * actual to estimated run times in the same job class.
  *
  * <p>Used on the event loop only.
  */
 public final class DemandEstimator {
-  /** Over how long arrivals are averaged: a few large jobs must not look like a lasting change. */
+  /**
+   * Period over which arrivals are averaged; long enough that a few large jobs do not look like a
+   * lasting change.
+   */
   private static final Duration ARRIVAL_WINDOW = Duration.ofMinutes(5);
 
-  /** Short enough that machines are not kept for work which has ceased to come. */
+  /**
+   * Period of the recent arrival rate; short enough that machines are not kept for work that no
+   * longer arrives.
+   */
   private static final Duration RECENT_WINDOW = Duration.ofSeconds(90);
 
-  /** The average counts for at most this multiple of the rate within the recent window. */
+  /** Limit of the average arrival rate, as a multiple of the rate in the recent window. */
   private static final double MAX_RATIO_TO_RECENT = 1.6;
 
-  /** The first jobs of a service come at once and say nothing of how many will follow. */
+  /**
+   * Minimum length of the period over which the arrival rate is computed. The first jobs of a
+   * service arrive all at once, which does not show the rate of those that follow.
+   */
   private static final Duration MIN_OBSERVED_SPAN = Duration.ofSeconds(60);
 
-  /** Tasks of a job class that must have completed before its run time factor is trusted. */
+  /** Minimum number of completed tasks of a job class for its run time factor to be used. */
   private static final int MIN_RUN_SAMPLES = 20;
 
-  /** How much the runs before still count when another one is recorded. */
+  /**
+   * Factor that reduces the weight of the earlier run times each time that another one is recorded.
+   */
   private static final double RUN_TIME_DECAY = 0.995;
 
-  /** Bounds the run time factor from above, and its reciprocal from below. */
+  /** Maximum run time factor; its reciprocal is the minimum. */
   private static final double MAX_RUN_TIME_FACTOR = 3;
 
   private final ClusterRecords records;
@@ -52,7 +64,10 @@
   private final Map<String, JobRecord> recentJobs = new LinkedHashMap<>();
   private final Map<String, RunTimes> runTimesByClass = new HashMap<>();
 
-  /** Run times of a job class against their estimates, in seconds; older runs count less. */
+  /**
+   * Weighted sums of the actual and estimated run times of a job class, in seconds; older runs have
+   * less weight.
+   */
   private static final class RunTimes {
     private double actual;
     private double estimated;
@@ -60,9 +75,9 @@
   }
 
   /**
-   * Creates an estimator that has seen no jobs and no runs.
+   * Creates an estimator without jobs and run times.
    *
-   * @param clock the wall clock, against which the jobs' times of submission count
+   * @param clock the wall clock, by which the age of jobs is computed
    */
   public DemandEstimator(
       ClusterRecords records,
@@ -75,7 +90,7 @@
     this.clock = clock;
   }
 
-  /** Takes the recent jobs from the records, which were all read again. */
+  /** Collects the recent jobs again, after all records were reloaded. */
   public void onRecordsReloaded() {
     recentJobs.clear();
     for (JobRecord job : records.jobs()) {
@@ -83,14 +98,17 @@
     }
   }
 
-  /** Counts the job among the arrivals if it was submitted lately; a second time has no effect. */
+  /**
+   * Adds the job to the arrivals if it was submitted recently. Repeated calls for a job have no
+   * effect.
+   */
   public void onJobAccepted(JobRecord job) {
     if (age(job.job()).compareTo(ARRIVAL_WINDOW) < 0) {
       recentJobs.put(job.job().id(), job);
     }
   }
 
-  /** Records for how long a task of the job ran until it was done. */
+  /** Records how long a task of the job ran until it was done. */
   void recordRunTime(Job job, Duration runTime) {
     RunTimes known = runTimesByClass.computeIfAbsent(job.jobClass(), key -> new RunTimes());
     known.actual = known.actual * RUN_TIME_DECAY + seconds(runTime);
@@ -98,14 +116,15 @@
     known.count++;
   }
 
-  /** The present wall-clock time, for plans that rest on this estimate. */
+  /** Returns the current wall-clock time, for plans that use this estimate. */
   public Instant now() {
     return clock.instant();
   }
 
   /**
-   * The demand of each job that arrived lately, and of each that waits; a job may be in both. Jobs
-   * that only crash are left out, so that no machine is added for what runs nowhere.
+   * Returns the demands of the jobs that arrived recently and of those with waiting tasks; a job
+   * may have both. Crash-looping jobs are left out, so that no machine is added for tasks that fail
+   * everywhere.
    */
   public List<ScalingPlanner.JobDemand> estimateDemand() {
     List<ScalingPlanner.JobDemand> result = new ArrayList<>();
@@ -168,7 +187,7 @@
         * runTimeFactor(job.jobClass());
   }
 
-  /** How long the tasks of a job class run for each second of their estimates. */
+  /** Returns the ratio of actual to estimated run times of the job class. */
   private double runTimeFactor(String jobClass) {
     RunTimes known = runTimesByClass.get(jobClass);
     if (known == null || known.count < MIN_RUN_SAMPLES || known.estimated <= 0) {
--- a/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
+++ b/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
@@ -19,22 +19,25 @@
 import java.util.Optional;
 
 /**
- * What planning sees of the jobs. A job's view is kept until something about the job changes or
- * some of its tasks have waited long enough, so that a round's preparation costs what happened
- * since the last one.
+ * Caches the jobs' views, from which rounds are planned. A job's view is valid until the job
+ * changes or until further tasks of it may be tried, so that the cost of preparing a round depends
+ * only on the changes since the last one.
  *
  * <p>Used on the event loop only.
  */
 final class JobViewCache {
-  /** Bounds a job's part of a round, so that a job of many tasks does not make it long. */
+  /**
+   * Maximum number of pending tasks of one job in a round, which limits the duration of the round.
+   */
   private static final int MAX_PENDING_TASKS_PER_JOB = 512;
 
-  /** The longest time that a task waits after failures below the failure cap. */
+  /** Maximum wait after a failure, for tasks below the failure cap. */
   private static final Duration MAX_BACKOFF = Duration.ofSeconds(30);
 
   /**
-   * The failure cap of a task rises by one each time so long has passed, since neither lost
-   * machines nor bad ones are the job's fault, and its user would wait for good.
+   * Time after which a task at its failure cap is tried once more. Some failures are caused by lost
+   * or faulty machines rather than by the job, and without further attempts its user would wait
+   * forever.
    */
   private static final Duration WAIT_AT_FAILURE_CAP = Duration.ofSeconds(90);
 
@@ -44,13 +47,16 @@
   private final int failureCap;
   private final Map<String, CachedView> views = new HashMap<>();
 
-  /** When the last attempt of a task ended, of those that ended in this term without success. */
+  /**
+   * The end times of the last attempts, for tasks whose last attempt ended in this term without
+   * success.
+   */
   private final Map<TaskId, Duration> lastEndTimes = new HashMap<>();
 
   /**
-   * A job as last seen.
+   * A cached view of a job.
    *
-   * @param validUntil when more of its tasks may be tried, null if waiting changes nothing
+   * @param validUntil the time from which more tasks may be tried, null if the view does not expire
    */
   private record CachedView(ClusterView.JobView view, Duration validUntil) {
     boolean isValidAt(Duration now) {
@@ -59,9 +65,10 @@
   }
 
   /**
-   * Creates a cache without views.
+   * Creates an empty cache.
    *
-   * @param failureCap how often a task may fail before it is tried only seldom
+   * @param failureCap the number of failures of a task from which it is retried only after long
+   *     waits
    */
   JobViewCache(ClusterRecords records, Fleet fleet, TaskTracking tasks, int failureCap) {
     this.records = records;
@@ -70,7 +77,7 @@
     this.failureCap = failureCap;
   }
 
-  /** Discards the job's view, since its records have changed. */
+  /** Discards the job's view after its records have changed. */
   void onJobChanged(JobRecord job) {
     String id = job.job().id();
     views.remove(id);
@@ -79,12 +86,12 @@
     }
   }
 
-  /** Discards all views, since the records were all read again. */
+  /** Discards all views, after all records were reloaded. */
   void invalidateAll() {
     views.clear();
   }
 
-  /** Records that an attempt of the task has ended, or that its machine is lost. */
+  /** Records that an attempt of the task has ended, or that its machine was lost. */
   void onAttemptEnded(TaskId task, boolean done, Duration now) {
     if (done) {
       lastEndTimes.remove(task);
@@ -94,7 +101,7 @@
     views.remove(task.jobId());
   }
 
-  /** The jobs of which tasks may be placed. */
+  /** Returns the jobs with tasks that may be placed. */
   List<ClusterView.JobView> schedulableJobs(Duration now) {
     List<ClusterView.JobView> result = new ArrayList<>();
     for (JobRecord job : records.activeJobs()) {
@@ -114,7 +121,7 @@
     return result;
   }
 
-  /** Whether any task of the job was ever done. */
+  /** Whether any task of the job was ever completed. */
   boolean hasSucceeded(JobRecord job) {
     return job.doneCount() > 0
         || PendingReleases.countDone(tasks.pendingReleases().releasesOf(job.job().id()).values())
@@ -142,7 +149,8 @@
             ? ownedTasksByZone(record, releases)
             : Optional.of(Map.of());
     if (byZone.isEmpty()) {
-      // A task of it runs in a zone that is not known, so that no place is surely allowed.
+      // A task of the job runs in an unknown zone, so that no zone is certain to satisfy the job's
+      // constraint.
       return new CachedView(
           new ClusterView.JobView(job, List.of(), Map.of(), scan.failureCapped, scan.hasStarted),
           now);
@@ -152,7 +160,10 @@
         scan.validUntil);
   }
 
-  /** The task that failed least, and the first one again: one of either kind may be the bad one. */
+  /**
+   * Selects the tasks of a crash-looping job to retry: the one with the fewest failures and the
+   * first one, since either of them may be the only one that fails.
+   */
   private static List<ClusterView.PendingTask> selectRetries(
       List<ClusterView.PendingTask> pending, int maxTries) {
     if (maxTries <= 0 || pending.isEmpty()) {
@@ -168,7 +179,10 @@
         : List.of(leastFailed, first);
   }
 
-  /** The owned tasks by zone; empty if one is on a machine of which the zone is not known. */
+  /**
+   * Returns the number of owned tasks by zone; empty if one of them is on a machine whose zone is
+   * not known.
+   */
   private Optional<Map<String, Integer>> ownedTasksByZone(
       JobRecord job, Map<Integer, PendingReleases.Release> releases) {
     Map<String, Integer> result = new HashMap<>();
@@ -186,7 +200,10 @@
     return Optional.of(result);
   }
 
-  /** A task that keeps failing at once must not fill every round. */
+  /**
+   * Returns how long a task waits after its last failure, so that a task which always fails
+   * immediately is not placed in every round.
+   */
   private static Duration backoff(int failures) {
     if (failures < 2) {
       return Duration.ZERO;
@@ -195,7 +212,7 @@
     return wait.compareTo(MAX_BACKOFF) < 0 ? wait : MAX_BACKOFF;
   }
 
-  /** Finds the tasks of a job that may be placed now. */
+  /** Scans a job for tasks that may be placed now. */
   private final class PendingTaskScan {
     private final JobRecord job;
     private final Map<Integer, PendingReleases.Release> releases;
@@ -242,7 +259,7 @@
       TaskId id = new TaskId(job.job().id(), task);
       Duration lastEndTime = lastEndTimes.get(id);
       if (lastEndTime == null && isAtCap) {
-        // What an earlier leader saw is not known; the wait starts now.
+        // The attempt may have ended in an earlier leader's term; the wait starts now.
         lastEndTimes.put(id, now);
         lastEndTime = now;
       }
--- a/src/main/java/io/cherryspool/controller/rounds/LentQuotaTracker.java
+++ b/src/main/java/io/cherryspool/controller/rounds/LentQuotaTracker.java
@@ -14,8 +14,8 @@
 import java.util.Set;
 
 /**
- * The tasks that run on quota which others without a machine have lent. It is memory of one term: a
- * next leader counts the lent quota as used, until these tasks end.
+ * Tracks the tasks that run on quota lent by tasks without a machine. The tracker lives in memory
+ * for one term: the next leader counts the quota of these tasks as used by them until they end.
  *
  * <p>Used on the event loop only.
  */
@@ -29,12 +29,18 @@
     this.pendingReleases = pendingReleases;
   }
 
-  /** Counts the task among those that run on lent quota, from its commit to its end. */
+  /**
+   * Adds a task that is placed on lent quota. It counts from the commit of its assignment to its
+   * end.
+   */
   void add(TaskId task) {
     tasks.add(task);
   }
 
-  /** What these tasks use, by team. Called while no round is being committed. */
+  /**
+   * Returns the resources of these tasks by team. Must be called while no round is being committed,
+   * since it removes tasks without a committed assignment.
+   */
   Map<String, Resources> usageByTeam() {
     Map<String, Resources> usage = new HashMap<>();
     for (Iterator<TaskId> iterator = tasks.iterator(); iterator.hasNext(); ) {
--- a/src/main/java/io/cherryspool/controller/rounds/MachineViewCache.java
+++ b/src/main/java/io/cherryspool/controller/rounds/MachineViewCache.java
@@ -16,8 +16,9 @@
 import java.util.Map;
 
 /**
- * What planning sees of the machines. A machine's view is kept until something about the machine
- * changes, so that a round's preparation costs what happened since the last one.
+ * Caches the machines' views, from which rounds are planned. A machine's view is valid until the
+ * machine changes, so that the cost of preparing a round depends only on the changes since the last
+ * one.
  *
  * <p>Used on the event loop only.
  */
@@ -29,10 +30,11 @@
   private final Duration halfLease;
 
   /**
-   * Creates the cache; the views themselves are kept with the machines.
+   * Creates a cache, which stores the views in the states of the machines.
    *
-   * @param maxSilence after so long without a heartbeat a machine is given no work
-   * @param halfLease half a worker's lease; a machine that has less left is given no work
+   * @param maxSilence the time without a heartbeat after which no task is placed on a machine
+   * @param halfLease half a worker's lease; no task is placed on a machine with less of its lease
+   *     left
    */
   MachineViewCache(
       FencingTokenSource tokens,
@@ -47,14 +49,14 @@
     this.halfLease = halfLease;
   }
 
-  /** Discards all views, since the records were all read again. */
+  /** Discards all views, after all records were reloaded. */
   void invalidateAll() {
     for (MachineState machine : fleet.all()) {
       machine.invalidateView();
     }
   }
 
-  /** The machines of a known type that may be given work now. */
+  /** Returns the machines of a known type on which tasks may be placed now. */
   List<ClusterView.MachineView> schedulableMachines(List<MachineType> catalog, Duration now) {
     Map<String, MachineType> types = new HashMap<>();
     for (MachineType type : catalog) {
@@ -74,7 +76,7 @@
 
   private ClusterView.MachineView view(MachineState machine, MachineType type) {
     ClusterView.MachineView cached = machine.cachedView();
-    // The catalog is read again now and then, with other prices.
+    // The catalog is reloaded from time to time, with new prices.
     if (cached != null && cached.type() == type) {
       return cached;
     }
@@ -84,10 +86,10 @@
   }
 
   /**
-   * Whether the machine may be given work: it has shown a token of this term, receives its replies,
-   * sent a heartbeat a short while ago, and half its lease is left. Direct calls do not renew the
-   * lease, so that a machine which answers them while its heartbeats are lost is about to lose what
-   * it runs.
+   * Whether tasks may be placed on the machine: it has acknowledged a fencing token of this term,
+   * receives replies to its heartbeats, has sent a heartbeat recently, and has at least half its
+   * lease left, among other conditions. Direct calls do not renew the lease. A machine that answers
+   * them while its heartbeats are lost will therefore soon lose its lease and kill its tasks.
    */
   boolean isSchedulable(MachineState machine, Duration now) {
     MachineContact contact = machine.contact();
--- a/src/main/java/io/cherryspool/controller/rounds/PlanningInputs.java
+++ b/src/main/java/io/cherryspool/controller/rounds/PlanningInputs.java
@@ -8,12 +8,12 @@
 import java.util.function.Supplier;
 
 /**
- * What rounds are planned by beside the cluster's state.
+ * The inputs of planning other than the state of the cluster.
  *
- * @param teams the teams by name, with their quotas
+ * @param teams the teams with their quotas, by name
  * @param catalog supplies the machine types, null while they are not known
- * @param clock the wall clock, by which deadlines and arrivals count
- * @param limits the sizes and times of rounds
+ * @param clock the wall clock, to which deadlines and times of arrival refer
+ * @param limits the limits of rounds
  */
 public record PlanningInputs(
     Map<String, Team> teams,
--- a/src/main/java/io/cherryspool/controller/rounds/RoundChangeSetBuilder.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundChangeSetBuilder.java
@@ -20,43 +20,46 @@
 import java.util.TreeMap;
 
 /**
- * Turns a round's assignments and the pending releases into change sets, the pressing ones first:
- * ends of jobs, then starts, each taking the releases of its shard along, then releases that have
- * waited long enough, then records of ended jobs. Low-priority work comes after all other, or its
- * ends would go before the starts of those it waits for.
+ * Converts a round's assignments and the pending releases into change sets, the most urgent first:
+ * ends of jobs, then starts of tasks, which include the releases of the same shard, then releases
+ * that have waited long enough, then removals of ended jobs' records. Ends and starts of
+ * low-priority jobs come after those of all other jobs, since otherwise the ends of low-priority
+ * jobs would delay the starts of more urgent tasks.
  *
- * <p>Made for one round; {@link #changeSets} is called once, at its end.
+ * <p>Each instance serves one round; {@link #changeSets} is called once, at its end.
  */
 final class RoundChangeSetBuilder {
   private final PendingReleases pendingReleases;
   private final int maxChanges;
   private final Map<String, JobEdit> edits = new LinkedHashMap<>();
 
-  /** Ends of jobs and starts, of work other than low-priority work. */
+  /** Ends and starts of jobs other than low-priority jobs. */
   private final UrgentChanges regularPriority = new UrgentChanges();
 
   private final UrgentChanges lowPriority = new UrgentChanges();
 
-  /** What can wait for a later round. */
+  /** Changes that may be delayed to a later round. */
   private final List<ChangeSet> deferrable = new ArrayList<>();
 
   /**
-   * Creates a transaction without changes.
+   * Creates a builder without changes.
    *
-   * @param maxChanges the most changes in a transaction of the state store
+   * @param maxChanges the maximum number of changes in a transaction of the state store
    */
   RoundChangeSetBuilder(PendingReleases pendingReleases, int maxChanges) {
     this.pendingReleases = pendingReleases;
     this.maxChanges = maxChanges;
   }
 
-  /** Change sets of like importance, ends of jobs before starts. */
+  /**
+   * Urgent change sets of one priority group, in which ends of jobs come before starts of tasks.
+   */
   private static final class UrgentChanges {
     private final List<ChangeSet> ends = new ArrayList<>();
     private final List<ChangeSet> starts = new ArrayList<>();
   }
 
-  /** Gives the free task to the machine, as its next attempt. */
+  /** Assigns the free task to the machine, as the next attempt of the task. */
   void assign(JobRecord job, int task, String machine, long agentEpoch, long token) {
     JobEdit edit = edit(job);
     int shard = job.shardIndexOf(task);
@@ -64,7 +67,7 @@
     edit.assignedShards.add(shard);
   }
 
-  /** Records that the attempt runs, although no record says that it was started. */
+  /** Records a running attempt whose start was not recorded. */
   void adopt(JobRecord job, Attempt attempt) {
     JobEdit edit = edit(job);
     int shard = job.shardIndexOf(attempt.taskIndex());
@@ -72,7 +75,7 @@
     edit.assignedShards.add(shard);
   }
 
-  /** Records that the task has completed, although no record says that it was started. */
+  /** Records the completion of a task whose start was not recorded. */
   void complete(JobRecord job, int task) {
     JobEdit edit = edit(job);
     edit.shardEditor(job.shardIndexOf(task)).complete(task);
@@ -84,10 +87,11 @@
   }
 
   /**
-   * The changes to commit, the pressing ones first.
+   * Returns the changes to commit, the most urgent first.
    *
-   * @param due releases learnt until then are written even if nothing else needs their shard
-   * @param overdue those learnt until then press as much as anything
+   * @param due releases learned up to this time are written even if nothing else changes their
+   *     shard
+   * @param overdue releases learned up to this time are written as urgently as starts of tasks
    */
   List<ChangeSet> changeSets(Collection<JobRecord> activeJobs, Duration due, Duration overdue) {
     Set<String> endingJobs = addReleases(due, overdue);
@@ -101,7 +105,10 @@
     return all;
   }
 
-  /** Adds the releases that are due to the edits; returns the ids of the jobs that end. */
+  /**
+   * Adds the releases that are due to the edits, and returns the ids of the jobs that end with
+   * them.
+   */
   private Set<String> addReleases(Duration due, Duration overdue) {
     Set<String> endingJobs = new HashSet<>();
     for (String id : pendingReleases.jobIds()) {
@@ -155,7 +162,7 @@
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put(key, job.shard(index).version());
     if (hasAssignments) {
-      // After a cancel is committed nothing of the job may be assigned.
+      // No task of the job may be assigned after its cancellation is committed.
       conditions.put(Records.outcomeKey(id), 0L);
     }
     boolean isOver = job.outcome() != null && shard.ownedAttempts().isEmpty();
@@ -167,10 +174,11 @@
   }
 
   /**
-   * The job's outcome, which rests on the ends that are proved and not written yet. They need not
-   * be: what is done of a job that has ended is of no interest, so that one change ends it. Its
-   * progress records go when there is room. With four changes for each single task, of 25 a second,
-   * low-priority work alone took them all.
+   * Returns the change that records the job's outcome. The proved ends of the job's last tasks need
+   * not be written, since nobody needs the progress of an ended job; one change therefore suffices.
+   * The progress records are removed later, when the write rate allows it. When each single-task
+   * job took four changes, low-priority jobs alone used up the 25 changes a second that the state
+   * store accepted.
    */
   private static ChangeSet jobEndChange(JobRecord job, Set<Integer> shards) {
     String id = job.job().id();
@@ -196,7 +204,10 @@
     return isLowPriority(job) ? RateLimiter.WriteClass.IDLE : RateLimiter.WriteClass.ROUND;
   }
 
-  /** Ends jobs whose last shards were committed apart, and removes records of ended jobs. */
+  /**
+   * Adds the outcomes of jobs whose last shards were committed separately, and the removals of the
+   * records of ended jobs.
+   */
   private void addCleanup(Collection<JobRecord> activeJobs) {
     for (JobRecord job : activeJobs) {
       if (edits.containsKey(job.job().id())) {
@@ -236,7 +247,10 @@
       this.job = job;
     }
 
-    /** The next version of a shard; what is proved of it goes along with any other change. */
+    /**
+     * Returns the editor of the shard's next version, which includes all pending releases of the
+     * shard.
+     */
     Shard.Editor shardEditor(int index) {
       Shard.Editor known = shards.get(index);
       if (known != null) {
--- a/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
@@ -15,9 +15,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Commits a round in a few transactions, each conditional on the leader's term. A transaction
- * without an answer is sent again until there is one: with the same conditions it can be applied
- * only once, whichever copy comes first, so nothing of the round is left open behind it.
+ * Commits a round in a few transactions, each of them conditional on the leader's term. A
+ * transaction that gets no answer is resent until the state store answers, so that the outcome of
+ * the whole round is known before the next one is planned. Since all copies have the same
+ * conditions, only the first that arrives can be applied.
  *
  * <p>Used on the event loop only.
  */
@@ -25,10 +26,16 @@
   private static final Logger LOG = LoggerFactory.getLogger(RoundCommitter.class);
   private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
-  /** Conditions of each transaction: on the term, and on the incarnation of the records. */
+  /**
+   * Number of conditions that every transaction has: on the term, and on the incarnation of the
+   * records.
+   */
   static final int RESERVED_CONDITIONS = 2;
 
-  /** The state store's limit on a transaction's conditions, for each change that it allows. */
+  /**
+   * The state store's limit on the conditions of a transaction, as a multiple of its limit on the
+   * changes.
+   */
   static final int MAX_CONDITIONS_PER_CHANGE = 4;
 
   private final EventLoop loop;
@@ -41,7 +48,7 @@
   /**
    * Creates a committer for the rounds of one term.
    *
-   * @param maxChanges the most changes in a transaction of the state store
+   * @param maxChanges the maximum number of changes in a transaction of the state store
    * @param termVersion the version of the term's record, on which every transaction is conditional
    */
   public RoundCommitter(
@@ -57,7 +64,7 @@
     this.termVersion = termVersion;
   }
 
-  /** Sends nothing more and reports nothing more, since the term has ended. */
+  /** Stops sending transactions and reporting outcomes, because the term has ended. */
   public void stop() {
     isStopped = true;
   }
@@ -65,9 +72,9 @@
   /**
    * Sends as many change sets as the rate limit allows, in order.
    *
-   * @param onOutcomesKnown runs when the outcomes of all that was sent are certain, whatever they
-   *     are; not at all when nothing was sent
-   * @return how many were sent
+   * @param onOutcomesKnown runs once the outcomes of all sent transactions are known, whether they
+   *     were applied or not; does not run if nothing was sent
+   * @return the number of change sets that were sent
    */
   int commit(List<ChangeSet> changeSets, Runnable onOutcomesKnown) {
     List<Transaction> transactions = new ArrayList<>();
@@ -78,7 +85,8 @@
         rateLimiter.forceAcquire(current.changes.size());
         current = new Transaction();
       }
-      // As many as may go now, and not a transaction of the largest size later: starts wait for it.
+      // Sends the changes that the rate limit allows now. Waiting until a transaction of the
+      // maximum size is allowed would delay the starts of tasks.
       if (!rateLimiter.mayWrite(next.writeClass(), current.changes.size(), next.changes().size())) {
         break;
       }
@@ -99,12 +107,12 @@
   }
 
   /**
-   * Sends the transaction until its outcome is certain.
+   * Sends the transaction, and resends it until its outcome is known.
    *
-   * @param hasUnansweredCopy whether an earlier copy had no answer. Then only an answer of the
-   *     store makes the outcome certain: that a later copy was refused says nothing of the ones
-   *     before, which may be applied seconds later, and a round planned meanwhile would give the
-   *     same room, and the same part of a team's quota, again.
+   * @param hasUnansweredCopy whether an earlier copy got no answer. If so, the refusal of a later
+   *     copy does not make the outcome known: the earlier copy may still be applied seconds later,
+   *     and a round planned in between would assign the same room and the same part of a team's
+   *     quota again.
    */
   private void send(Transaction transaction, boolean hasUnansweredCopy, PendingRound round) {
     if (isStopped) {
@@ -128,10 +136,12 @@
                 return;
               }
               if (kind != null && !isRefused) {
-                LOG.error("the state store rejects a round's transaction: {}", failure.toString());
+                LOG.error(
+                    "the state store rejected a transaction of the round: {}", failure.toString());
               } else if (kind == null && !result.applied()) {
                 LOG.debug(
-                    "a round's transaction conflicts with a later version: {}", result.failed());
+                    "a transaction of the round was not applied; conditions failed on keys={}",
+                    result.failed());
               }
               round.onTransactionOutcomeKnown();
             });
@@ -142,12 +152,15 @@
     send(transaction, true, round);
   }
 
-  /** Change sets that are committed together, within the limits of the state store. */
+  /** Change sets that are committed in one transaction, within the limits of the state store. */
   private final class Transaction {
     private final Map<String, Long> conditions = new LinkedHashMap<>();
     private final List<StateStoreProtocol.Change> changes = new ArrayList<>();
 
-    /** Conditions of all change sets; a key that two of them name counts twice. */
+    /**
+     * An upper bound on the number of conditions: a key that occurs in several change sets is
+     * counted for each of them.
+     */
     private int conditionCount = RESERVED_CONDITIONS;
 
     private int bytes;
@@ -179,7 +192,7 @@
     }
   }
 
-  /** A round of which the outcome of some transactions is not certain yet. */
+  /** A round with transactions whose outcome is not known yet. */
   private final class PendingRound {
     private final Runnable onOutcomesKnown;
     private int unknownOutcomes;
--- a/src/main/java/io/cherryspool/controller/rounds/RoundDecisionLog.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundDecisionLog.java
@@ -12,8 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes at debug level what rounds decide on each job, and why tasks wait: a line for each job of
- * which the decision has changed since the round before, so that a job that waits has one line.
+ * Logs at debug level what rounds decide on each job, and why its tasks wait. A job's decisions are
+ * logged only if they have changed since the previous round, so that they are not repeated while
+ * the job waits.
  *
  * <p>Used on the event loop only.
  */
@@ -22,12 +23,12 @@
 
   private Map<String, List<EntryDecision>> lastByJob = Map.of();
 
-  /** Whether decisions are to be recorded; otherwise nothing is kept and nothing written. */
+  /** Whether decisions are logged. */
   boolean isEnabled() {
     return LOG.isDebugEnabled();
   }
 
-  /** The decisions of one round, while it is planned. */
+  /** Collects the decisions of one round while it is planned. */
   final class Round implements EntryDecision.Listener {
     private final Map<String, List<EntryDecision>> byJob = new HashMap<>();
 
@@ -36,7 +37,9 @@
       byJob.computeIfAbsent(decision.jobId(), key -> new ArrayList<>(2)).add(decision);
     }
 
-    /** Writes what has changed since the round before. */
+    /**
+     * Logs a summary of the round, and the decisions that have changed since the previous round.
+     */
     void write(ClusterView view, Map<HoldCause, Integer> heldTasks) {
       int idleMachines = 0;
       for (ClusterView.MachineView machine : view.machines()) {
--- a/src/main/java/io/cherryspool/controller/rounds/RoundPlanner.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundPlanner.java
@@ -18,17 +18,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Plans a round: places tasks, requests stops, and puts together what is to be committed.
+ * Plans a round: places tasks, requests the stops of preempted tasks, and collects the changes to
+ * commit.
  *
  * <p>Used on the event loop only.
  */
 final class RoundPlanner {
   private static final Logger LOG = LoggerFactory.getLogger(RoundPlanner.class);
 
-  /** How long a release that nothing waits for may wait for other changes of its shard. */
+  /**
+   * How long a release waits for another change of its shard with which it can be written, unless
+   * it completes the job.
+   */
   private static final Duration RELEASE_DELAY = Duration.ofSeconds(4);
 
-  /** And how long at most, however many writes there are; after so long users see the count old. */
+  /**
+   * Age from which a release is written as urgently as starts of tasks. Until it is written, users
+   * see an outdated count of completed tasks.
+   */
   private static final Duration MAX_RELEASE_DELAY = Duration.ofSeconds(25);
 
   private final ClusterRecords records;
@@ -42,9 +49,9 @@
   private RoundPlan lastPlan = RoundPlan.EMPTY;
 
   /**
-   * Creates a planner without a last plan.
+   * Creates a planner that has not planned a round.
    *
-   * @param maxChanges the most changes in a transaction of the state store
+   * @param maxChanges the maximum number of changes in a transaction of the state store
    */
   RoundPlanner(
       ClusterRecords records,
@@ -63,17 +70,17 @@
     this.host = host;
   }
 
-  /** The last plan, empty before the first. */
+  /** Returns the last plan, which is empty before the first round. */
   RoundPlan lastPlan() {
     return lastPlan;
   }
 
   /**
-   * The changes of a round, the pressing ones first.
+   * Plans a round and returns its changes, the most urgent first.
    *
-   * @param phase what rounds may do by now
+   * @param phase the current phase of the term
    * @param roundStart when the round began
-   * @param now the present time
+   * @param now the current time
    */
   List<ChangeSet> plan(SchedulingLoop.Phase phase, Duration roundStart, Duration now) {
     TaskAdoption adoption = state.tasks().adoption();
@@ -113,7 +120,7 @@
           item.taskIndex(),
           item.machine(),
           machine.latestHeartbeat().agentEpoch(),
-          // The round's own token, to which the commit advances.
+          // The token of this round; the commit advances the token source to it.
           state.tokens().current() + 1);
       machine.recordImage(job.job().image());
       if (item.usesLentQuota()) {
@@ -122,7 +129,7 @@
     }
     if (!lastPlan.victims().isEmpty()) {
       requestStops(lastPlan.victims());
-      // Stops need no commit.
+      // Stop commands are sent without waiting for the commit.
       host.onCommandsChanged();
     }
   }
@@ -150,7 +157,7 @@
         terminations.onMachineChanged(attempt.machine());
       }
     }
-    // A line for each job: thousands of small tasks may be preempted in a round.
+    // One log line for each job, since thousands of small tasks may be preempted in a round.
     countByJob.forEach((job, count) -> LOG.info("preempting tasks: job={}, count={}", job, count));
   }
 }
--- a/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
+++ b/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
@@ -16,10 +16,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's rounds: collects the proofs that attempts have ended, plans, commits, and only then
- * has commands sent to the workers. One round is under way at a time; an event starts the next
- * after a short delay that gathers others, longer where rounds cost more, and at least one is run
- * in each longest interval.
+ * Runs the leader's scheduling rounds. A round collects proofs that attempts have ended, plans,
+ * commits its changes, and only then triggers commands to workers; stops of preempted tasks need no
+ * commit. One round is in progress at a time. An event starts the next round after a delay, which
+ * batches further events and grows with the cost of rounds. Without events, a round starts each
+ * {@code maxRoundInterval}.
  *
  * <p>Used on the event loop only.
  */
@@ -28,7 +29,10 @@
   private static final Duration BATCHING_DELAY = Duration.ofMillis(40);
   private static final Duration RETRY_DELAY = Duration.ofMillis(120);
 
-  /** Rounds take at most about one part in so many of the processor. */
+  /**
+   * Minimum interval between round starts as a multiple of the cost of a round, so that rounds use
+   * at most about a quarter of the processor time.
+   */
   private static final int MIN_INTERVAL_TO_COST_RATIO = 4;
 
   private final EventLoop loop;
@@ -49,38 +53,38 @@
   private EventLoop.Timer nextRoundTimer;
   private EventLoop.Timer maxIntervalTimer;
 
-  /** What rounds may do by now. A term goes through the phases in this order. */
+  /** The phases of a term, in their order, which determine what rounds may do. */
   enum Phase {
-    /** Nothing is placed, since what runs is not all known yet. */
+    /** No task is placed, since not all running tasks are known yet. */
     REBUILDING,
-    /** What ran when the state was lost is all recorded, and the records are to say so. */
+    /** All tasks to adopt are recorded, and rounds record that the adoption is complete. */
     RECORDING_RECONCILIATION,
     /** Tasks are placed. */
     PLACING
   }
 
-  /** Whether a round's outcome is open. */
+  /** The state of the round that is being committed, if any. */
   private enum CommitState {
     /** The next round may begin. */
     IDLE,
-    /** A round is being committed, or its outcome read. */
+    /** A round is being committed, or its outcome is being read from the records. */
     IN_PROGRESS,
-    /** As before, and another round was requested meanwhile. */
+    /** A round is in progress, and another one was requested in the meantime. */
     IN_PROGRESS_ROUND_REQUESTED,
     /** The term has ended. */
     STOPPED
   }
 
-  /** Whom the rounds are run for. */
+  /** The owner of the loop, which permits rounds and has commands sent to workers. */
   public interface Host {
-    /** Whether anything may be planned and recorded now. */
+    /** Whether rounds may plan and record changes now. */
     boolean mayPlace();
 
-    /** Called when workers may have to be sent commands: after a commit, or to stop attempts. */
+    /** Called after a commit or a request to stop attempts, when workers may need new commands. */
     void onCommandsChanged();
   }
 
-  /** Creates a loop that has not started, in the first phase. */
+  /** Creates a loop in the first phase; {@link #start} starts it. */
   public SchedulingLoop(
       EventLoop loop,
       ClusterRecords records,
@@ -123,7 +127,7 @@
 
   @Override
   public void stop() {
-    // A read under way may be answered long after, and must not begin a round of a past term.
+    // A pending read of the records may be answered much later, and must not start a round then.
     commitState = CommitState.STOPPED;
     committer.stop();
     meters.heldTasks.clear();
@@ -135,13 +139,13 @@
     }
   }
 
-  /** Has tasks placed from the next round on, since ownership is rebuilt. */
+  /** Enables the placement of tasks from the next round on, after ownership was rebuilt. */
   public void enablePlacement() {
     phase = Phase.PLACING;
     requestRound();
   }
 
-  /** Has the next round record that all is recorded which ran when the state was lost. */
+  /** Starts the phase in which rounds record that the adoption of tasks is complete. */
   public void recordReconciliation() {
     if (phase == Phase.REBUILDING) {
       phase = Phase.RECORDING_RECONCILIATION;
@@ -149,7 +153,7 @@
     requestRound();
   }
 
-  /** Has a round run soon, since something has happened that it should consider. */
+  /** Requests a round soon, after an event that affects planning. */
   public void requestRound() {
     if (commitState == CommitState.IN_PROGRESS) {
       commitState = CommitState.IN_PROGRESS_ROUND_REQUESTED;
@@ -167,12 +171,19 @@
     terminations.onMachineChanged(name);
   }
 
-  /** Whether the next round examines the machine's tasks anyway, as it does until all is proved. */
+  /**
+   * Whether the next round examines the machine's attempts in any case, as it does while a higher
+   * fencing token would prove that some have ended.
+   */
   public boolean isExaminationPending(String machine) {
     return terminations.isExaminationPending(machine);
   }
 
-  /** What rounds may do with the machine now; null is a machine that is not known. */
+  /**
+   * Returns what rounds may do with the machine now.
+   *
+   * @param machine the machine's state, null if the machine is not known
+   */
   public MachineEligibility eligibility(MachineState machine) {
     return machine == null
         ? MachineEligibility.UNKNOWN
@@ -180,7 +191,7 @@
             machineViews.isSchedulable(machine, loop.now()), machine.areCommandsFenced());
   }
 
-  /** Has the next round see the job as its records are now. */
+  /** Discards cached state of the job, after its records have changed. */
   public void onJobChanged(JobRecord job) {
     jobViews.onJobChanged(job);
     if (job.outcome() != null) {
@@ -188,19 +199,26 @@
     }
   }
 
-  /** Has the next round examine everything, since the records were all read again. */
+  /**
+   * Discards all cached views and has the next round examine all machines, after all records were
+   * reloaded.
+   */
   public void onRecordsReloaded() {
     jobViews.invalidateAll();
     machineViews.invalidateAll();
     terminations.onRecordsReloaded();
   }
 
-  /** The last plan, empty before the first. */
+  /** Returns the last plan, which is empty before the first round. */
   public RoundPlan lastPlan() {
     return planner.lastPlan();
   }
 
-  /** Time alone proves tasks of silent machines lost, so that no event would start this round. */
+  /**
+   * Requests a round if machines are due for examination, or if the last round started too long
+   * ago. The passing of time alone proves that tasks of silent machines are lost, without an event
+   * that would request a round.
+   */
   private void onMaxInterval() {
     maxIntervalTimer = loop.schedule(maxRoundInterval, this::onMaxInterval);
     Duration now = loop.now();
@@ -238,7 +256,7 @@
     }
     if (sent < changeSets.size()) {
       LOG.debug(
-          "the rate limiter leaves {} of {} changes for later",
+          "the rate limiter deferred {} of {} change sets to a later round",
           changeSets.size() - sent,
           changeSets.size());
       if (changeSets.get(sent).writeClass() == RateLimiter.WriteClass.ROUND) {
@@ -248,7 +266,7 @@
     }
   }
 
-  /** All outcomes are certain; the records say what they are. */
+  /** Reloads changed records, which show what was applied, once all outcomes are known. */
   private void refreshRecords() {
     records
         .refresh()
--- a/src/main/java/io/cherryspool/controller/rounds/TaskAdoption.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TaskAdoption.java
@@ -21,15 +21,19 @@
 import java.util.Set;
 
 /**
- * Records what ran when the state was lost. While it is open, tasks may run that the records have
- * as free: nothing is placed or started, and what workers report is recorded instead of stopped.
- * Afterwards it only protects tasks whose jobs nobody has described, until their users submit them
- * again.
+ * Adopts tasks that run without a record, after the state store has lost data and the records were
+ * rebuilt. While the adoption is in progress, tasks may run that the records list as free: no task
+ * is placed or started, and unrecorded tasks that workers report are recorded instead of stopped.
+ * Afterwards it only protects running tasks of jobs whose descriptions were lost, until their users
+ * submit the jobs again.
  *
  * <p>Used on the event loop only.
  */
 public final class TaskAdoption {
-  /** For records that hold every start: there is nothing to adopt, whatever a worker reports. */
+  /**
+   * The adoption for records that contain every start of a task: no reported task is adopted or
+   * protected.
+   */
   public static final TaskAdoption NONE = new TaskAdoption(null, null, null, Set.of());
 
   private final ClusterRecords records;
@@ -38,10 +42,10 @@
   private final Set<String> heldClasses;
 
   /**
-   * For records that were rebuilt from less than all that was ever recorded.
+   * Creates an adoption for records that were rebuilt from incomplete data.
    *
-   * @param heldClasses job classes of which no task that may have ended unseen is run again before
-   *     an operator says so
+   * @param heldClasses job classes whose jobs are held for an operator's decision if some of their
+   *     tasks may have ended unobserved; no task of a held job is placed
    */
   public TaskAdoption(
       ClusterRecords records, Fleet fleet, FencingTokenSource tokens, Set<String> heldClasses) {
@@ -51,19 +55,22 @@
     this.heldClasses = heldClasses;
   }
 
-  /** A leader's term ends with the incarnation of its records, so that this does not change. */
+  /**
+   * Whether tasks may run without a record. This does not change, since a leader's term ends when
+   * the incarnation of its records does.
+   */
   private boolean isNeeded() {
     return this != NONE;
   }
 
-  /** Whether tasks may run that the records have as free. */
+  /** Whether the adoption is in progress, so that tasks may run that the records list as free. */
   public boolean isInProgress() {
     return isNeeded() && !records.isReconciled();
   }
 
   /**
-   * Whether the worker must not be sent a command to stop or acknowledge this task, although no
-   * record gives it to the machine.
+   * Whether the worker must not be sent a command to stop or acknowledge the task, although no
+   * record assigns the task to the machine.
    */
   public boolean isProtected(MachineState machine, WorkerHeartbeat.TaskStatus task) {
     if (!isNeeded()) {
@@ -77,7 +84,10 @@
     };
   }
 
-  /** Whether the machine runs tasks of unknown size, so that its free resources are not known. */
+  /**
+   * Whether the machine runs protected tasks, so that its free resources cannot be computed from
+   * the records.
+   */
   public boolean hasUnknownUsage(MachineState machine) {
     if (!isNeeded() || !machine.hasHeartbeat()) {
       return false;
@@ -90,13 +100,13 @@
     return false;
   }
 
-  /** Whether no task of the job may be placed or started now. */
+  /** Whether tasks of the job must not be placed or started now. */
   public boolean isPlacementBlocked(JobRecord job) {
     return isNeeded()
         && (isAdopting(job.job().id()) || records.heldJobs().contains(job.job().id()));
   }
 
-  /** Whether tasks of the job may still be found that no record holds. */
+  /** Whether machines may still report tasks of the job that no record contains. */
   private boolean isAdopting(String job) {
     return !records.isReconciled() || records.isUnknownJob(job);
   }
@@ -120,10 +130,12 @@
   }
 
   /**
-   * Adds what the machines report to the round. Only heartbeats under a token of this term count:
-   * an older one may be a late copy.
+   * Adds the tasks that machines report and no record contains to the changes of the round. Only
+   * heartbeats with a fencing token of this term are considered, since one with an older token may
+   * be a delayed copy.
    *
-   * @return changes beside those of progress records
+   * @return the changes of records other than progress records, which are the markers of unknown
+   *     jobs
    */
   List<ChangeSet> collectChanges(RoundChangeSetBuilder changeSetBuilder) {
     if (!isNeeded()) {
@@ -181,7 +193,7 @@
     }
   }
 
-  /** Whether everything that the machines report is recorded. */
+  /** Whether all tasks that the machines report are recorded. */
   public boolean isAllRecorded() {
     for (MachineState machine : fleet.all()) {
       if (machine.isDeleted() || !machine.hasHeartbeat()) {
@@ -204,8 +216,9 @@
   }
 
   /**
-   * The changes that end the adoption: first the jobs of which tasks may have ended unseen, where
-   * an operator wants to be asked, and once those are recorded, that the records are reconciled.
+   * Returns the changes that complete the adoption. First these are markers for the jobs that are
+   * held for an operator because some of their tasks may have ended unobserved. Once those are
+   * recorded, it is the marker that the records are reconciled.
    */
   List<ChangeSet> completionChanges() {
     List<ChangeSet> changeSets = new ArrayList<>();
@@ -245,7 +258,7 @@
     return accountedTasks < job.job().taskCount();
   }
 
-  /** Whether the machine that the records give the attempt to reports it. */
+  /** Whether the machine to which the records assign the attempt reports it. */
   private boolean isReported(JobRecord job, Attempt attempt) {
     MachineState machine = fleet.get(attempt.machine());
     return machine != null
--- a/src/main/java/io/cherryspool/controller/rounds/TaskTracking.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TaskTracking.java
@@ -6,13 +6,14 @@
 import io.cherryspool.controller.release.PendingReleases;
 
 /**
- * What a leader keeps track of about owned tasks during one term, in memory only.
+ * The state that a leader keeps about owned tasks during one term, in memory only.
  *
- * @param ownership who owns what by the committed records
- * @param pendingReleases the releases that are proved and not yet committed
- * @param stopRequests the attempts that are to stop
- * @param backoff the jobs that are held back since they only fail
- * @param adoption the tasks that run without a record after a loss of state
+ * @param ownership the machines' owned tasks according to the committed records
+ * @param pendingReleases the releases of tasks that are proved but not yet committed
+ * @param stopRequests the attempts for which a stop was requested
+ * @param backoff the crash-looping jobs, which are retried at growing intervals
+ * @param adoption the adoption of tasks that run without a record after the state store has lost
+ *     data
  */
 public record TaskTracking(
     Ownership ownership,
--- a/src/main/java/io/cherryspool/controller/rounds/TermState.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TermState.java
@@ -14,14 +14,14 @@
 import java.util.Set;
 
 /**
- * What one term of a leader knows, shared by its parts. It lives in memory and ends with the term;
- * the next leader learns it again from the records and the workers' heartbeats.
+ * The in-memory state of one term of a leader, shared by its parts. The next leader rebuilds it
+ * from the records and the workers' heartbeats.
  *
- * @param tokens makes the fencing tokens of the term
+ * @param tokens the source of the term's fencing tokens
  * @param fleet the machines
- * @param tasks the owned tasks
+ * @param tasks the state of the owned tasks
  * @param evidence decides which attempts are proved to have ended
- * @param demand estimates how much work there is
+ * @param demand estimates the demand for machines
  */
 public record TermState(
     FencingTokenSource tokens,
@@ -31,7 +31,7 @@
     DemandEstimator demand) {
 
   /**
-   * Creates the state of a term that begins, which knows nothing yet.
+   * Creates the initial state of a term.
    *
    * @param heldClasses see {@link TaskAdoption}
    */
--- a/src/main/java/io/cherryspool/controller/rounds/TerminationCollector.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TerminationCollector.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Collects the proofs that attempts have ended. A proved end is pending until it is committed, and
- * counts at once for what is planned.
+ * Collects proofs that attempts have ended. A proved end becomes a pending release, which planning
+ * considers at once, before it is committed.
  *
  * <p>Used on the event loop only.
  */
@@ -30,13 +30,17 @@
   private final Meters meters;
   private final Duration maxSilence;
 
-  /** The machines of which a message or a change of records may prove something new. */
+  /**
+   * The machines whose attempts are to be examined, since a message or a change of records may
+   * prove that some have ended.
+   */
   private final Set<String> machinesToExamine = new LinkedHashSet<>();
 
   /**
-   * Creates a collector with nothing to examine.
+   * Creates a collector with no machines to examine.
    *
-   * @param maxSilence after so long without a heartbeat time alone may prove that tasks are lost
+   * @param maxSilence the time without a heartbeat after which a machine's attempts are examined
+   *     without an event, since the passing of time may prove them lost
    */
   TerminationCollector(TermState state, JobViewCache jobViews, Meters meters, Duration maxSilence) {
     this.state = state;
@@ -46,7 +50,10 @@
     this.maxSilence = maxSilence;
   }
 
-  /** Has the machine's attempts examined, since its messages or what it owns have changed. */
+  /**
+   * Has the next round examine the machine's attempts, after its messages or its owned tasks have
+   * changed.
+   */
   void onMachineChanged(String name) {
     machinesToExamine.add(name);
     MachineState machine = state.fleet().get(name);
@@ -55,18 +62,24 @@
     }
   }
 
-  /** Has the attempts of all machines examined, since the records were all read again. */
+  /**
+   * Discards the pending releases and has the next round examine the attempts of all machines,
+   * after all records were reloaded.
+   */
   void onRecordsReloaded() {
     tasks.pendingReleases().clear();
     machinesToExamine.addAll(tasks.ownership().owningMachines());
   }
 
-  /** Whether the machine's attempts are examined in the next round anyway. */
+  /** Whether the next round examines the machine's attempts in any case. */
   boolean isExaminationPending(String machine) {
     return machinesToExamine.contains(machine);
   }
 
-  /** Has the attempts of silent machines examined; returns whether any machine is now due. */
+  /**
+   * Adds silent machines to those that the next round examines, and returns whether there are any
+   * machines to examine.
+   */
   boolean addSilentMachines(Duration now) {
     for (String name : tasks.ownership().owningMachines()) {
       MachineState machine = state.fleet().get(name);
@@ -77,7 +90,10 @@
     return !machinesToExamine.isEmpty();
   }
 
-  /** Examines the attempts of the machines that are due; what is proved becomes pending. */
+  /**
+   * Examines the attempts of the machines that are due, and adds a pending release for each proved
+   * end.
+   */
   void collect(Duration now) {
     boolean needsFencing = false;
     int lost = 0;
@@ -104,7 +120,8 @@
       }
     }
     if (lost > 0) {
-      // One line for all: thousands may be lost in a round, when the processor is short anyway.
+      // One log line for all, since thousands of tasks may be lost in a round while processor time
+      // is scarce.
       LOG.info("tasks lost with their machines: count={}, machines={}", lost, lostMachines);
     }
     if (needsFencing) {
@@ -112,7 +129,10 @@
     }
   }
 
-  /** The machine's state; null if nothing is known of it, not even that it was deleted. */
+  /**
+   * Returns the machine's state, which for a deleted machine is a placeholder; null if the machine
+   * is not known.
+   */
   private MachineState findMachine(String name, Duration now) {
     MachineState machine = state.fleet().get(name);
     if (machine == null && state.fleet().isDeleted(name)) {
--- a/src/main/java/io/cherryspool/model/Attempt.java
+++ b/src/main/java/io/cherryspool/model/Attempt.java
@@ -1,18 +1,20 @@
 package io.cherryspool.model;
 
 /**
- * A task's committed assignment. Until the attempt's end is proved, the task belongs to this
- * machine, agent epoch and attempt, whatever else is observed.
+ * The committed assignment of a task to a machine. Until the end of the attempt is proved, the
+ * attempt owns the task, whatever else is observed.
  *
+ * @param taskIndex the index of the task in its job
  * @param machine the machine's name
  * @param agentEpoch the epoch of the machine's agent in which the attempt was started
- * @param number counts the task's attempts from 1
- * @param fencingToken the token under which the attempt was started
+ * @param number the number of the attempt, counted from 1 for each task
+ * @param fencingToken the fencing token of the round that started the attempt
  */
 public record Attempt(
     int taskIndex, String machine, long agentEpoch, int number, long fencingToken) {
 
-  // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
+  // Written by hand, since generated record methods are linked at run time; see "Start-up" in
+  // docs/design.md.
   @Override
   public boolean equals(Object object) {
     return object instanceof Attempt other
--- a/src/main/java/io/cherryspool/model/Instance.java
+++ b/src/main/java/io/cherryspool/model/Instance.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * A machine as the cloud's instance list describes it. The list lags behind the facts.
+ * A machine according to the cloud's instance list, which lags behind the actual state.
  *
- * @param address host and port of the machine's agent, null if the list does not have it
- * @param age time since the instance request, at the time that the list describes
+ * @param address the host and port of the machine's agent, null if the list does not contain it
+ * @param age the time from the request of the instance to the time that the list describes
  */
 public record Instance(
     String name,
@@ -17,13 +17,13 @@
     Status status,
     Duration age) {
 
-  /** The instance's state according to the cloud. */
+  /** The state of an instance according to the cloud. */
   public enum Status {
-    /** Requested, and its agent may already be up. */
+    /** Requested; its agent may already be running. */
     BOOTING,
-    /** Up, or not up any more since at most the lag of the list. */
+    /** Running when the list was current; it may have stopped since then. */
     RUNNING,
-    /** Stopped by itself; listed until it is deleted, and no longer charged. */
+    /** Stopped on its own; no longer charged, but listed until it is deleted. */
     FAILED
   }
 }
--- a/src/main/java/io/cherryspool/model/MachineType.java
+++ b/src/main/java/io/cherryspool/model/MachineType.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * A machine type of the cloud's catalog, with a component for each field of the catalog's entry.
+ * A machine type of the cloud's catalog. The components are the fields of a catalog entry.
  *
- * @param capacity the resources that tasks on one machine share
- * @param imageCacheGb the size of the machine's image cache
+ * @param capacity the resources that are available to the tasks on one machine
+ * @param imageCacheGb the size of a machine's image cache in gigabytes
  * @param fetchGbPerSecond the nominal rate at which a machine fetches images
- * @param onDemandPrice the hourly price of an ordinary instance
+ * @param onDemandPrice the hourly price of an on-demand instance
  * @param spotPrice the hourly price of a spot instance when the catalog was read
- * @param bootTime the nominal time from the instance request to the first heartbeat
- * @param zones the zones that offer the type
+ * @param bootTime the nominal time from the request of an instance to its first heartbeat
+ * @param zones the zones in which the type is offered
  */
 public record MachineType(
     String name,
@@ -23,25 +23,28 @@
     double spotPrice,
     Duration bootTime,
     List<String> zones) {
-  /** Lower bound on the rate that fetch times are computed with, so that they stay finite. */
+  /** Minimum rate for the computation of fetch times, which keeps them finite. */
   private static final double MIN_FETCH_GB_PER_SECOND = 0.001;
 
-  /** The hourly price of a spot instance or of an ordinary one. */
+  /** Returns the hourly price of a spot instance or of an on-demand instance. */
   public double hourlyPrice(boolean isSpot) {
     return isSpot ? spotPrice : onDemandPrice;
   }
 
-  /** The hourly price divided by the CPUs; a type with less than one CPU counts as having one. */
+  /** Returns the hourly price per CPU. A type with less than one CPU is treated as having one. */
   public double hourlyPricePerCpu(boolean isSpot) {
     return hourlyPrice(isSpot) / Math.max(1, capacity.cpus());
   }
 
-  /** The seconds that a machine needs to fetch an image of this size at the nominal rate. */
+  /**
+   * Returns the seconds that a machine needs to fetch an image of this size at the nominal rate.
+   */
   public double fetchSeconds(double imageGb) {
     return imageGb / Math.max(MIN_FETCH_GB_PER_SECOND, fetchGbPerSecond);
   }
 
-  // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
+  // Written by hand, since generated record methods are linked at run time; see "Start-up" in
+  // docs/design.md.
   @Override
   public boolean equals(Object object) {
     return this == object
--- a/src/main/java/io/cherryspool/model/Outcome.java
+++ b/src/main/java/io/cherryspool/model/Outcome.java
@@ -1,9 +1,9 @@
 package io.cherryspool.model;
 
-/** How a job ended. A job's outcome is recorded once and never changes. */
+/** The final outcome of a job, which is recorded once and never changes. */
 public enum Outcome {
-  /** All tasks were completed. */
+  /** All tasks are completed. */
   DONE,
-  /** The user cancelled the job before all tasks were done. */
+  /** The user cancelled the job before all tasks were completed. */
   CANCELLED
 }
--- a/src/main/java/io/cherryspool/model/Priority.java
+++ b/src/main/java/io/cherryspool/model/Priority.java
@@ -1,13 +1,16 @@
 package io.cherryspool.model;
 
-/** A job's priority, from the lowest to the highest: queue ranks are computed from the ordinal. */
+/**
+ * The priority of a job, from lowest to highest. The order matters, since the queue order uses the
+ * ordinals.
+ */
 public enum Priority {
-  /** Runs when nothing else needs the machines. */
+  /** For work that runs when no other work needs the machines. */
   LOW,
-  /** The usual priority. */
+  /** The default choice for most work. */
   NORMAL,
-  /** Preempts usual work. */
+  /** For work that may preempt work of low and normal priority. */
   HIGH,
-  /** Preempts all other work. */
+  /** For work that may preempt all work of lower priority. */
   PRODUCTION
 }
--- a/src/main/java/io/cherryspool/model/Resources.java
+++ b/src/main/java/io/cherryspool/model/Resources.java
@@ -1,14 +1,18 @@
 package io.cherryspool.model;
 
-/** Amounts of resources: a task's demand, or a machine's capacity. Components may be fractions. */
+/**
+ * Amounts of resources, such as the demand of a task or the capacity of a machine. They may be
+ * fractional.
+ */
 public record Resources(double cpus, double gpus, double memoryGb) {
   /** No resources at all. */
   public static final Resources NONE = new Resources(0, 0, 0);
 
-  /** Sums of decimal amounts in floating point may be off by this much; it is not demand. */
+  /** Tolerance of comparisons, since floating-point sums of decimal amounts are inexact. */
   static final double EPSILON = 1e-6;
 
-  // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
+  // Written by hand, since generated record methods are linked at run time; see "Start-up" in
+  // docs/design.md.
   @Override
   public boolean equals(Object object) {
     return object instanceof Resources other
@@ -22,22 +26,24 @@
     return 31 * (31 * Double.hashCode(cpus) + Double.hashCode(gpus)) + Double.hashCode(memoryGb);
   }
 
-  /** The sum by component. */
+  /** Returns the sum, component by component. */
   public Resources plus(Resources other) {
     return new Resources(cpus + other.cpus, gpus + other.gpus, memoryGb + other.memoryGb);
   }
 
-  /** The difference by component, which may be negative. */
+  /** Returns the difference, component by component, which may be negative. */
   public Resources minus(Resources other) {
     return new Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb);
   }
 
-  /** The product by component. */
+  /** Returns each component multiplied by the count. */
   public Resources times(int count) {
     return new Resources(cpus * count, gpus * count, memoryGb * count);
   }
 
-  /** How many demands like this one fit into the capacity together, from 0 to {@code max}. */
+  /**
+   * Returns how many demands of this size fit into the capacity together, from 0 to {@code max}.
+   */
   public int countFittingIn(Resources capacity, int max) {
     double count = max;
     if (cpus > 0) {
--- a/src/main/java/io/cherryspool/model/Shard.java
+++ b/src/main/java/io/cherryspool/model/Shard.java
@@ -6,20 +6,20 @@
 import java.util.BitSet;
 
 /**
- * The committed progress of one range of a job's tasks: which are done, which are owned by an
- * attempt, and the history of those that are not done. Tasks are named by their index in the job.
- * Immutable; {@link #edit} starts the next version.
+ * The committed progress of one range of a job's tasks: the done tasks, the tasks owned by an
+ * attempt, and the histories of tasks that are not done. Tasks are identified by their index in the
+ * job. Shards are immutable; {@link #edit} creates an editor for the next version.
  */
 public final class Shard {
-  /** The shard of tasks that were never started. */
+  /** The shard of a range in which no task was ever started. */
   public static final Shard EMPTY =
       new Shard(new BitSet(), new Int2ObjectOpenHashMap<>(), new Int2ObjectOpenHashMap<>());
 
   /**
-   * The past of a task that is not done.
+   * The history of a task that is not done.
    *
-   * @param attempts how often it was started
-   * @param failures how often it failed or was lost with its machine
+   * @param attempts how often the task was started
+   * @param failures how often the task failed or was lost with its machine
    */
   public record History(int attempts, int failures) {
     /** The history of a task that was never started. */
@@ -41,54 +41,57 @@
     return done.get(task);
   }
 
-  /** The number of tasks recorded as done. */
+  /** Returns the number of tasks that are recorded as done. */
   public int doneCount() {
     return done.cardinality();
   }
 
-  /** The attempt that owns the task, null if it is free or done. */
+  /** Returns the attempt that owns the task, null if the task is free or done. */
   public Attempt ownedAttempt(int task) {
     return ownedAttempts.get(task);
   }
 
-  /** The attempts of all owned tasks, by task; a read-only view. */
+  /** Returns a read-only view of the attempts of all owned tasks by task. */
   public Int2ObjectMap<Attempt> ownedAttempts() {
     return Int2ObjectMaps.unmodifiable(ownedAttempts);
   }
 
-  /** The histories of all tasks that have one, by task; a read-only view. */
+  /** Returns a read-only view of the histories by task, for all tasks that have one. */
   public Int2ObjectMap<History> histories() {
     return Int2ObjectMaps.unmodifiable(history);
   }
 
-  /** The task's history, {@link History#NONE} if it was never started. */
+  /** Returns the history of the task, {@link History#NONE} if it was never started. */
   public History history(int task) {
     return history.getOrDefault(task, History.NONE);
   }
 
   /**
-   * The first done task from the given one on, -1 if there is none. With {@link #nextNotDone} it
-   * enumerates the ranges of done tasks.
+   * Returns the first done task that is not before the given one, or -1 if there is none. Together
+   * with {@link #nextNotDone} it enumerates the ranges of done tasks.
    */
   public int nextDone(int from) {
     return done.nextSetBit(from);
   }
 
-  /** The first task from the given one on that is not done, which may lie beyond the range. */
+  /**
+   * Returns the first task that is not done and not before the given one; it may lie beyond the
+   * shard's range.
+   */
   public int nextNotDone(int from) {
     return done.nextClearBit(from);
   }
 
-  /** A new editor that starts from this version. */
+  /** Returns a new editor that starts from this version. */
   public Editor edit() {
     return new Editor(this);
   }
 
   /**
-   * Builds the next version of a shard. Not safe for use by several threads.
+   * Builds the next version of a shard. Editors are not thread-safe.
    *
    * <p>{@link #markDone}, {@link #putHistory} and {@link #putOwnedAttempt} restore recorded
-   * progress as it is; the other methods are the transitions of a task.
+   * progress unchanged; the other methods are state transitions of a task.
    */
   public static final class Editor {
     private final BitSet done;
@@ -101,7 +104,7 @@
       history = new Int2ObjectOpenHashMap<>(from.history);
     }
 
-    /** Records the tasks from first to last, both included, as done. */
+    /** Records the tasks from {@code first} to {@code last} inclusive as done. */
     public Editor markDone(int first, int last) {
       done.set(first, last + 1);
       return this;
@@ -120,13 +123,14 @@
     }
 
     /**
-     * Assigns a free task to a machine, as the task's next attempt.
+     * Assigns a free task to a machine, as the next attempt of the task.
      *
      * @throws IllegalStateException if the task is done or owned
      */
     public Editor assign(int task, String machine, long agentEpoch, long fencingToken) {
       if (done.get(task) || owned.containsKey(task)) {
-        throw new IllegalStateException("task " + task + " is not free");
+        throw new IllegalStateException(
+            "cannot assign task " + task + ": it is done or owned by an attempt");
       }
       History before = history.getOrDefault(task, History.NONE);
       int attempt = before.attempts() + 1;
@@ -135,7 +139,7 @@
       return this;
     }
 
-    /** Records an attempt that runs although no record says that it was started. */
+    /** Records a running attempt whose start was not recorded. */
     public Editor adopt(Attempt attempt) {
       History before = history.getOrDefault(attempt.taskIndex(), History.NONE);
       int attempts = Math.max(before.attempts(), attempt.number());
@@ -144,7 +148,7 @@
       return this;
     }
 
-    /** Records that the task is done, which must be proved. */
+    /** Records that the task is done. The caller must have proof of its completion. */
     public Editor complete(int task) {
       owned.remove(task);
       history.remove(task);
@@ -152,7 +156,9 @@
       return this;
     }
 
-    /** Frees a task whose attempt is proved to have ended, and counts a failure if it failed. */
+    /**
+     * Frees a task whose attempt is proved to have ended, and counts a failure if {@code failed}.
+     */
     public Editor release(int task, boolean failed) {
       owned.remove(task);
       if (failed) {
@@ -162,7 +168,7 @@
       return this;
     }
 
-    /** The version that the changes lead to; the editor must not be used any more. */
+    /** Returns the version with all changes. The editor must not be used afterwards. */
     public Shard build() {
       return new Shard(done, owned, history);
     }
--- a/src/main/java/io/cherryspool/model/TaskId.java
+++ b/src/main/java/io/cherryspool/model/TaskId.java
@@ -1,31 +1,32 @@
 package io.cherryspool.model;
 
 /**
- * Names a task of a job, written {@code job/index}, such as {@code req-000412/3}. Ordered by job
- * id, then by index.
+ * Identifies a task of a job. The text form is {@code job/index}, for example {@code req-000412/3}.
+ * Task ids are ordered by job id, then by index.
  *
- * @param index the task's number within its job, from 0
+ * @param index the index of the task in its job, starting from 0
  */
 public record TaskId(String jobId, int index) implements Comparable<TaskId> {
 
   /**
-   * Reads the written form.
+   * Parses the text form.
    *
-   * @throws IllegalArgumentException if the text does not have that form
+   * @throws IllegalArgumentException if the text does not have this form
    */
   public static TaskId parse(String text) {
     int slash = text.lastIndexOf('/');
     if (slash <= 0) {
-      throw new IllegalArgumentException("not a task id: " + text);
+      throw new IllegalArgumentException("not a task id of the form job/index: " + text);
     }
     int index = Integer.parseInt(text.substring(slash + 1));
     if (index < 0) {
-      throw new IllegalArgumentException("not a task id: " + text);
+      throw new IllegalArgumentException("task id with a negative index: " + text);
     }
     return new TaskId(text.substring(0, slash), index);
   }
 
-  // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
+  // Written by hand, since generated record methods are linked at run time; see "Start-up" in
+  // docs/design.md.
   @Override
   public boolean equals(Object object) {
     return object instanceof TaskId other && index == other.index && jobId.equals(other.jobId);
@@ -42,7 +43,7 @@
     return jobs != 0 ? jobs : Integer.compare(index, other.index);
   }
 
-  /** The written form, which {@link #parse} reads. */
+  /** Returns the text form, which {@link #parse} accepts. */
   @Override
   public String toString() {
     return jobId + "/" + index;
--- a/src/main/java/io/cherryspool/model/Team.java
+++ b/src/main/java/io/cherryspool/model/Team.java
@@ -1,27 +1,27 @@
 package io.cherryspool.model;
 
 /**
- * A team's quotas. It may use more than its guaranteed quota while no other team needs it, but
- * never more than its quota.
+ * The quotas of a team. A team may exceed its guaranteed quota while no other team needs the
+ * resources, but never its quota.
  *
  * @param guaranteedCpus the guaranteed CPU quota
- * @param cpuQuota the CPU quota; 0 for no bound
+ * @param cpuQuota the CPU quota, 0 for no limit
  * @param guaranteedGpus the guaranteed GPU quota
- * @param gpuQuota the GPU quota; 0 for no bound
+ * @param gpuQuota the GPU quota, 0 for no limit
  */
 public record Team(
     String name, double guaranteedCpus, double cpuQuota, double guaranteedGpus, double gpuQuota) {
 
-  /** Whether such a use of the whole team lies within its quota. */
+  /** Whether the team's total usage is within its quota. */
   public boolean isWithinQuota(Resources use) {
     return isWithin(use.cpus(), cpuQuota) && isWithin(use.gpus(), gpuQuota);
   }
 
   /**
-   * How many more tasks the quota allows, from 0 to {@code max}.
+   * Returns how many more tasks the quota allows, from 0 to {@code max}.
    *
-   * @param use the team's use without them
-   * @param perTask what each of them takes
+   * @param use the team's total usage without these tasks
+   * @param perTask the resources that each of these tasks uses
    */
   public int countWithinQuota(Resources use, Resources perTask, int max) {
     double count = max;
@@ -36,7 +36,7 @@
     return (int) Math.max(0, count);
   }
 
-  /** Whether such a use of the whole team lies within its guaranteed quota. */
+  /** Whether the team's total usage is within its guaranteed quota. */
   public boolean isWithinGuaranteedQuota(Resources use) {
     return use.cpus() <= guaranteedCpus + Resources.EPSILON
         && use.gpus() <= guaranteedGpus + Resources.EPSILON;
--- a/src/main/java/io/cherryspool/model/WorkerHeartbeat.java
+++ b/src/main/java/io/cherryspool/model/WorkerHeartbeat.java
@@ -4,17 +4,18 @@
 import java.util.List;
 
 /**
- * The state of a worker, as it sends it in each heartbeat and in each response to a direct call,
- * with a component for each field of the message.
+ * The state of a worker that it sends in each heartbeat and in each response to a direct call. The
+ * components are the fields of the message.
  *
  * @param machine the machine's name
- * @param address host and port of the machine's agent
- * @param agentEpoch counts the agent's lives from 1: an agent whose lease has expired kills all its
- *     tasks and begins the next epoch
- * @param sequence increases with each message of an epoch
+ * @param address the host and port of the machine's agent
+ * @param agentEpoch the epoch of the agent, counted from 1; an agent whose lease has expired kills
+ *     all its tasks and begins the next epoch
+ * @param sequence a number that increases with each message of an epoch
  * @param highestFencingToken the highest fencing token that the agent has received
- * @param preemptionNotice the time until the cloud takes the machine away, null without a notice
- * @param tasks all tasks on the machine, exited ones until they are acknowledged
+ * @param preemptionNotice the time until the cloud takes the machine away, null if there is no
+ *     notice
+ * @param tasks all tasks on the machine, including exited tasks that are not acknowledged
  */
 public record WorkerHeartbeat(
     String machine,
@@ -30,41 +31,42 @@
 
   /** The state of a task on its machine. */
   public enum TaskState {
-    /** Waits for its image. */
+    /** The task waits for its image. */
     FETCHING,
-    /** Has its image and runs. */
+    /** The task runs. */
     RUNNING,
-    /** Was stopped and saves a checkpoint. */
+    /** The task was stopped and is saving a checkpoint. */
     CHECKPOINTING,
-    /** Ended for the {@link ExitCause}, or was refused. */
+    /** The task has ended or its start was refused; {@link ExitCause} is the reason. */
     EXITED
   }
 
-  /** Why a task exited. */
+  /** The reason why a task exited. */
   public enum ExitCause {
-    /** Ran to completion. */
+    /** The task ran to completion. */
     DONE,
-    /** Stopped by command. */
+    /** The task was stopped by a command. */
     STOPPED,
-    /** Failed, mostly through a fault of the machine. */
+    /** The task failed, mostly because of a fault of the machine. */
     ERROR,
-    /** The start was refused: the machine's free resources do not suffice. */
+    /** The start was refused because the machine's free resources are insufficient. */
     INSUFFICIENT_RESOURCES,
-    /** The start was refused: the task is on this machine with another attempt. */
+    /** The start was refused because another attempt of the task is on the machine. */
     OTHER_ATTEMPT_PRESENT,
-    /** The start was refused: no such job or task is submitted. */
+    /** The start was refused because no such job or task was submitted. */
     UNKNOWN_JOB
   }
 
   /**
-   * One task on the machine.
+   * The status of a task on the machine.
    *
    * @param attempt the number of the task's attempt
-   * @param cause why the task exited, null until it has
+   * @param cause why the task exited, null if it has not exited
    */
   public record TaskStatus(TaskId task, int attempt, TaskState state, ExitCause cause) {
 
-    // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
+    // Written by hand, since generated record methods are linked at run time; see "Start-up" in
+    // docs/design.md.
     @Override
     public boolean equals(Object object) {
       return object instanceof TaskStatus other
@@ -80,18 +82,18 @@
     }
   }
 
-  /** Whether this message of the same machine was sent after the other. */
+  /** Whether this message was sent after the other one of the same machine. */
   public boolean isNewerThan(WorkerHeartbeat other) {
     return agentEpoch > other.agentEpoch
         || (agentEpoch == other.agentEpoch && sequence > other.sequence);
   }
 
   /**
-   * Whether this message differs from the one before in more than its sequence and token: in the
-   * epoch, in the tasks, or in whether there is a preemption notice. Most heartbeats do not, which
-   * saves most of the work on them.
+   * Whether this message differs from the previous one in the epoch, in the tasks, or in the
+   * presence of a preemption notice. Most heartbeats do not, so that most of their processing can
+   * be skipped.
    *
-   * @param before the message before this one, null if there was none
+   * @param before the previous message, null if there is none
    */
   public boolean hasChangedSince(WorkerHeartbeat before) {
     return before == null
--- a/src/main/java/io/cherryspool/model/package-info.java
+++ b/src/main/java/io/cherryspool/model/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The domain model as immutable values: jobs, tasks and attempts, teams and resources, machines,
- * heartbeats and commands, fencing tokens.
+ * The domain model, which consists of immutable values: jobs, tasks and attempts, teams and
+ * resources, machines, heartbeats and commands, fencing tokens.
  *
- * <p>Depends on nothing but the JDK and its collections library.
+ * <p>Depends only on the JDK and a library of primitive collections.
  *
- * <p>Threading: any thread may read them.
+ * <p>Threading: values may be read by any thread.
  */
 package io.cherryspool.model;
--- a/src/main/java/io/cherryspool/scheduler/BinPool.java
+++ b/src/main/java/io/cherryspool/scheduler/BinPool.java
@@ -74,7 +74,8 @@
           job.perTask(), job.allowedTypes(), job.requiredZone(), job.allowsSpot(), job.image());
     }
 
-    // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
+    // Written by hand, since generated record methods are linked at run time; see "Start-up" in
+    // docs/design.md.
     @Override
     public boolean equals(Object object) {
       return object instanceof Demand other
@@ -91,15 +92,15 @@
     }
   }
 
-  /** The number of machine examinations for rankings; a machine counts once for each ranking. */
+  /** Returns the number of times that a machine was examined for a ranking. */
   int machinesExamined() {
     return machinesExamined;
   }
 
   /**
-   * Returns the ranking for the job, computed once for all jobs with equal demand. Otherwise each
-   * of hundreds of single-task jobs would examine every machine again. The ranking may be reused
-   * because filling a machine only improves its score.
+   * Returns the ranking for the job, computed once for all jobs with equal demand. Without this,
+   * every machine would be examined again for each of hundreds of single-task jobs. The ranking may
+   * be reused because a machine's score only improves while it is filled.
    *
    * @return the machines that have room for a task, or had it when the ranking was computed, best
    *     first; the caller may remove those without room
@@ -149,8 +150,8 @@
   }
 
   /**
-   * Returns the CPUs of the task slots that the most affected job without machines would lose if a
-   * task of this job were placed on the machine.
+   * Returns the CPUs of the task slots that jobs without machines would lose if a task of this job
+   * were placed on the machine, for the job that would lose most.
    */
   private double contendedCpus(Job job, Bin bin, Resources left) {
     double most = 0;
@@ -167,8 +168,8 @@
   }
 
   /**
-   * Returns the zone with room for the most tasks of the job. Of equal zones it returns the first
-   * by name.
+   * Returns the zone with room for the most tasks of the job. If several zones have equal room,
+   * returns the first by name.
    *
    * @param wanted the number of tasks to place, which caps the room counted on each machine
    * @return the zone, or empty if no machine has room for a task
--- a/src/main/java/io/cherryspool/scheduler/FleetDemand.java
+++ b/src/main/java/io/cherryspool/scheduler/FleetDemand.java
@@ -49,7 +49,8 @@
       return (types & 1L << index) != 0;
     }
 
-    // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
+    // Written by hand, since generated record methods are linked at run time; see "Start-up" in
+    // docs/design.md.
     @Override
     public boolean equals(Object object) {
       return object instanceof MachineSelector other
@@ -75,8 +76,8 @@
   record CpuDemand(double averageCpus, double headroomCpus) {
 
     /**
-     * Returns the CPUs to provide on machines of the given cost. Expensive machines provide less
-     * headroom, so that peaks and waiting work are served more slowly there.
+     * Returns the CPUs to provide on machines of the given cost. The more expensive the machines,
+     * the less headroom is provided on them, so that peaks and waiting work are served more slowly.
      *
      * @param costWeight the ratio of the machines' price to that of the cheapest machines
      */
--- a/src/main/java/io/cherryspool/scheduler/HoldCause.java
+++ b/src/main/java/io/cherryspool/scheduler/HoldCause.java
@@ -15,7 +15,9 @@
    * Machines have room, but the job is excluded from them because its tasks recently failed there.
    */
   EXCLUDED_MACHINE("excluded-machine"),
-  /** Machines have room, but the zones of the job's other tasks do not allow their zones. */
+  /**
+   * Machines have room, but the job's constraint on the zones of its tasks rules out their zones.
+   */
   ZONE_CONSTRAINT("zone-constraint");
 
   private final String label;
--- a/src/main/java/io/cherryspool/scheduler/QueueOrder.java
+++ b/src/main/java/io/cherryspool/scheduler/QueueOrder.java
@@ -18,10 +18,10 @@
 /**
  * Defines the order of the queue: higher priority first, then the earliest deadline that can still
  * be met, then smaller jobs, first attempts before retries, fewer failures, and the earliest end of
- * the last attempt. From the size on, this is the order in which the source of the design schedules
- * compaction jobs; ordering by deadline is an exception to it, see docs/design.md. The level of a
- * compaction job separates small work from large; here its counterpart is the size of the whole
- * job, by powers of four.
+ * the last attempt. The criteria after the deadline follow the order of compaction jobs in the
+ * scheduler that this design is based on, where a lower level comes first; the deadline is an
+ * exception to that order, see docs/design.md. A compaction job's level separates small work from
+ * large. Here it is replaced by the size of the whole job, in powers of four.
  *
  * <p>Teams whose whole unfinished work fits into their guaranteed quota need not wait for other
  * teams: their work comes before that of teams with more work.
@@ -37,8 +37,8 @@
   private static final int PRIORITY_RAISE_START_DELAYS = 3;
 
   /**
-   * Age at which a job that has no deadline it can still meet is due, as a multiple of the maximum
-   * start delay.
+   * Age at which a job without a deadline that can still be met is due, as a multiple of the
+   * maximum start delay.
    */
   private static final int DUE_START_DELAYS = 4;
 
@@ -163,7 +163,8 @@
   private record EquivalenceClass(
       String team, String jobClass, List<String> allowedTypes, String requiredZone) {
 
-    // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
+    // Written by hand, since generated record methods are linked at run time; see "Start-up" in
+    // docs/design.md.
     @Override
     public boolean equals(Object object) {
       return object instanceof EquivalenceClass other
--- a/src/main/java/io/cherryspool/scheduler/ScaleInPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/ScaleInPlanner.java
@@ -101,8 +101,8 @@
           : Durations.divide(timeout, 4);
     }
     if (!view.unschedulable().isEmpty()) {
-      // The waiting work does not use the idle machine, which may take up capacity of machines that
-      // it could use.
+      // The waiting work cannot use the idle machine, which may take the place of machines that it
+      // could use.
       return timeout;
     }
     return Durations.multiply(timeout, 4);
--- a/src/main/java/io/cherryspool/scheduler/ScalingPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/ScalingPlanner.java
@@ -10,11 +10,11 @@
 
 /**
  * Plans the size of the fleet by the demand. The fleet has to sustain the arriving work, and to
- * complete the waiting work in about the time that a machine takes to boot: a machine requested for
- * work that is complete before the machine has booted would cost money for nothing. Within these
- * limits, {@link ScaleOutPlanner} requests the cheapest allowed machines for unschedulable tasks
- * and replaces on-demand instances by spot instances, and {@link ScaleInPlanner} drains and deletes
- * machines that exceed the demand.
+ * complete the waiting work in about the time that a machine takes to boot: a machine would cost
+ * money for nothing if the work that it was requested for were complete before it has booted.
+ * Within these limits, {@link ScaleOutPlanner} requests the cheapest allowed machines for
+ * unschedulable tasks and replaces on-demand instances by spot instances, and {@link
+ * ScaleInPlanner} drains and deletes machines that exceed the demand.
  */
 public final class ScalingPlanner {
   private ScalingPlanner() {}
@@ -31,7 +31,8 @@
       return type.hourlyPricePerCpu(isSpot);
     }
 
-    // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
+    // Written by hand, since generated record methods are linked at run time; see "Start-up" in
+    // docs/design.md.
     @Override
     public boolean equals(Object object) {
       return object instanceof Offering other
--- a/src/main/java/io/cherryspool/scheduler/TaskAssigner.java
+++ b/src/main/java/io/cherryspool/scheduler/TaskAssigner.java
@@ -39,8 +39,8 @@
       Resources perTask, List<String> allowedTypes, String requiredZone, boolean allowsSpot) {
 
     /**
-     * Whether the job cannot be placed either: it needs at least as much, on the same machines or
-     * fewer.
+     * Whether the job cannot be placed either, since its tasks need at least as much and may use no
+     * other machines.
      */
     boolean rulesOut(Job job) {
       return perTask.fitsIn(job.perTask())
--- a/src/main/java/io/cherryspool/scheduler/package-info.java
+++ b/src/main/java/io/cherryspool/scheduler/package-info.java
@@ -6,6 +6,6 @@
  *
  * <p>Threading: the planners are pure functions of a view, which they do not change. They keep no
  * state between calls, read no clock and do no input or output, so that equal views give equal
- * plans. Any thread may call them.
+ * plans.
  */
 package io.cherryspool.scheduler;
