--- a/src/main/java/io/cherryspool/controller/rounds/ClusterViewBuilder.java
+++ b/src/main/java/io/cherryspool/controller/rounds/ClusterViewBuilder.java
@@ -68,8 +68,8 @@
   ClusterView build(List<ClusterView.JobView> jobs, RoundPlan previous, Duration now) {
     List<MachineType> catalog = inputs.catalog().get();
     List<Job> previouslyUnschedulable = new ArrayList<>();
-    for (RoundPlan.TaskGroup item : previous.unschedulable()) {
-      previouslyUnschedulable.add(item.job());
+    for (RoundPlan.TaskGroup group : previous.unschedulable()) {
+      previouslyUnschedulable.add(group.job());
     }
     return new ClusterView(
         inputs.clock().instant(),
--- a/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
+++ b/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
@@ -110,10 +110,10 @@
 
   /** Records how long a task of the job ran until it was done. */
   void recordRunTime(Job job, Duration runTime) {
-    RunTimes known = runTimesByClass.computeIfAbsent(job.jobClass(), key -> new RunTimes());
-    known.actual = known.actual * RUN_TIME_DECAY + seconds(runTime);
-    known.estimated = known.estimated * RUN_TIME_DECAY + seconds(job.estimatedRunTime());
-    known.count++;
+    RunTimes runTimes = runTimesByClass.computeIfAbsent(job.jobClass(), key -> new RunTimes());
+    runTimes.actual = runTimes.actual * RUN_TIME_DECAY + seconds(runTime);
+    runTimes.estimated = runTimes.estimated * RUN_TIME_DECAY + seconds(job.estimatedRunTime());
+    runTimes.count++;
   }
 
   /** Returns the current wall-clock time, for plans that use this estimate. */
@@ -189,12 +189,13 @@
 
   /** Returns the ratio of actual to estimated run times of the job class. */
   private double runTimeFactor(String jobClass) {
-    RunTimes known = runTimesByClass.get(jobClass);
-    if (known == null || known.count < MIN_RUN_SAMPLES || known.estimated <= 0) {
+    RunTimes runTimes = runTimesByClass.get(jobClass);
+    if (runTimes == null || runTimes.count < MIN_RUN_SAMPLES || runTimes.estimated <= 0) {
       return 1;
     }
     return Math.max(
-        1 / MAX_RUN_TIME_FACTOR, Math.min(MAX_RUN_TIME_FACTOR, known.actual / known.estimated));
+        1 / MAX_RUN_TIME_FACTOR,
+        Math.min(MAX_RUN_TIME_FACTOR, runTimes.actual / runTimes.estimated));
   }
 
   private Duration age(Job job) {
--- a/src/main/java/io/cherryspool/controller/rounds/RoundChangeSetBuilder.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundChangeSetBuilder.java
@@ -252,9 +252,9 @@
      * shard.
      */
     Shard.Editor shardEditor(int index) {
-      Shard.Editor known = shards.get(index);
-      if (known != null) {
-        return known;
+      Shard.Editor existing = shards.get(index);
+      if (existing != null) {
+        return existing;
       }
       Shard.Editor editor = job.shard(index).shard().edit();
       for (PendingReleases.Release release : pendingReleases.releasesOf(job.job().id()).values()) {
--- a/src/main/java/io/cherryspool/controller/rounds/RoundDecisionLog.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundDecisionLog.java
@@ -21,7 +21,7 @@
 final class RoundDecisionLog {
   private static final Logger LOG = LoggerFactory.getLogger(RoundDecisionLog.class);
 
-  private Map<String, List<EntryDecision>> lastByJob = Map.of();
+  private Map<String, List<EntryDecision>> lastDecisionsByJob = Map.of();
 
   /** Whether decisions are logged. */
   boolean isEnabled() {
@@ -30,11 +30,11 @@
 
   /** Collects the decisions of one round while it is planned. */
   final class Round implements EntryDecision.Listener {
-    private final Map<String, List<EntryDecision>> byJob = new HashMap<>();
+    private final Map<String, List<EntryDecision>> decisionsByJob = new HashMap<>();
 
     @Override
     public void onDecision(EntryDecision decision) {
-      byJob.computeIfAbsent(decision.jobId(), key -> new ArrayList<>(2)).add(decision);
+      decisionsByJob.computeIfAbsent(decision.jobId(), key -> new ArrayList<>(2)).add(decision);
     }
 
     /**
@@ -52,13 +52,13 @@
           idleMachines,
           new TreeMap<>(view.usageByTeam()),
           heldTasks);
-      byJob.forEach(
+      decisionsByJob.forEach(
           (job, decisions) -> {
-            if (!decisions.equals(lastByJob.get(job))) {
+            if (!decisions.equals(lastDecisionsByJob.get(job))) {
               decisions.forEach(Round::writeDecision);
             }
           });
-      lastByJob = byJob;
+      lastDecisionsByJob = decisionsByJob;
     }
 
     private static void writeDecision(EntryDecision decision) {
--- a/src/main/java/io/cherryspool/model/Team.java
+++ b/src/main/java/io/cherryspool/model/Team.java
@@ -13,36 +13,38 @@
     String name, double guaranteedCpus, double cpuQuota, double guaranteedGpus, double gpuQuota) {
 
   /** Whether the team's total usage is within its quota. */
-  public boolean isWithinQuota(Resources use) {
-    return isWithin(use.cpus(), cpuQuota) && isWithin(use.gpus(), gpuQuota);
+  public boolean isWithinQuota(Resources usage) {
+    return isWithin(usage.cpus(), cpuQuota) && isWithin(usage.gpus(), gpuQuota);
   }
 
   /**
    * Returns how many more tasks the quota allows, from 0 to {@code max}.
    *
-   * @param use the team's total usage without these tasks
+   * @param usage the team's total usage without these tasks
    * @param perTask the resources that each of these tasks uses
    */
-  public int countWithinQuota(Resources use, Resources perTask, int max) {
+  public int countWithinQuota(Resources usage, Resources perTask, int max) {
     double count = max;
     if (cpuQuota > 0 && perTask.cpus() > 0) {
       count =
-          Math.min(count, Math.floor((cpuQuota + Resources.EPSILON - use.cpus()) / perTask.cpus()));
+          Math.min(
+              count, Math.floor((cpuQuota + Resources.EPSILON - usage.cpus()) / perTask.cpus()));
     }
     if (gpuQuota > 0 && perTask.gpus() > 0) {
       count =
-          Math.min(count, Math.floor((gpuQuota + Resources.EPSILON - use.gpus()) / perTask.gpus()));
+          Math.min(
+              count, Math.floor((gpuQuota + Resources.EPSILON - usage.gpus()) / perTask.gpus()));
     }
     return (int) Math.max(0, count);
   }
 
   /** Whether the team's total usage is within its guaranteed quota. */
-  public boolean isWithinGuaranteedQuota(Resources use) {
-    return use.cpus() <= guaranteedCpus + Resources.EPSILON
-        && use.gpus() <= guaranteedGpus + Resources.EPSILON;
+  public boolean isWithinGuaranteedQuota(Resources usage) {
+    return usage.cpus() <= guaranteedCpus + Resources.EPSILON
+        && usage.gpus() <= guaranteedGpus + Resources.EPSILON;
   }
 
-  private static boolean isWithin(double use, double quota) {
-    return quota <= 0 || use <= quota + Resources.EPSILON;
+  private static boolean isWithin(double usage, double quota) {
+    return quota <= 0 || usage <= quota + Resources.EPSILON;
   }
 }
--- a/src/main/java/io/cherryspool/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/PlacementPlanner.java
@@ -99,7 +99,7 @@
   private void place(QueueOrder.Entry entry) {
     EntryPlan plan = new EntryPlan(entry);
     entryPlans.add(plan);
-    int allowedIfNoneLent = countAllowed(usageWithoutLending, plan);
+    int allowedWithoutLending = countAllowed(usageWithoutLending, plan);
     int allowed = countAllowed(usage, plan);
     if (allowed > 0) {
       assignTasks(plan, allowed, false);
@@ -112,7 +112,7 @@
       usage.add(plan.team(), plan.reservedQuota());
       usageWithoutLending.add(plan.team(), plan.reservedQuota());
     }
-    recordScaleOutCount(plan, allowedIfNoneLent);
+    recordScaleOutCount(plan, allowedWithoutLending);
     if (plan.withoutMachineCount() > 0) {
       withoutMachine.add(plan);
     }
@@ -144,8 +144,8 @@
    * those that it would allow if none were lent. The team's usage without lending, and all its
    * tasks that need machines, stay within its quota together.
    */
-  private void recordScaleOutCount(EntryPlan plan, int allowedIfNoneLent) {
-    int wanted = allowedIfNoneLent - plan.placedCount();
+  private void recordScaleOutCount(EntryPlan plan, int allowedWithoutLending) {
+    int wanted = allowedWithoutLending - plan.placedCount();
     if (wanted > 0 && (plan.withoutMachineCount() > 0 || !bins.hasRoom(plan.job()))) {
       plan.setScaleOutCount(wanted);
       usageWithoutLending.add(plan.team(), plan.job().perTask().times(wanted));
@@ -166,13 +166,13 @@
    */
   private void lendUnusableQuota(Preemption preemption) {
     for (EntryPlan plan : withoutMachine) {
-      int usable = preemption.preemptForRoom(plan.job(), plan.withoutMachineCount());
-      if (usable == 0 && plan.entry().isPromoted() && bins.hasEligibleMachine(plan.job())) {
-        usable = 1;
+      int reservedCount = preemption.preemptForRoom(plan.job(), plan.withoutMachineCount());
+      if (reservedCount == 0 && plan.entry().isPromoted() && bins.hasEligibleMachine(plan.job())) {
+        reservedCount = 1;
       }
-      if (usable < plan.withoutMachineCount()) {
+      if (reservedCount < plan.withoutMachineCount()) {
         usage.subtract(plan.team(), plan.reservedQuota());
-        plan.reserveQuota(usable);
+        plan.reserveQuota(reservedCount);
         usage.add(plan.team(), plan.reservedQuota());
         teamsWithLentQuota.add(plan.team());
       }
@@ -193,15 +193,15 @@
   }
 
   private void placeOnLentQuota(EntryPlan plan) {
-    Resources kept = plan.reservedQuotaOfPromotedTask();
-    usage.subtract(plan.team(), kept);
+    Resources reserved = plan.reservedQuotaOfPromotedTask();
+    usage.subtract(plan.team(), reserved);
     int allowed = countAllowed(usage, plan);
     if (allowed > 0) {
       assignTasks(plan, allowed, true);
       reserveMachineIfPromoted(plan);
     }
-    boolean isPlaced = plan.overQuotaCount() == 0 && plan.withoutMachineCount() == 0;
-    usage.add(plan.team(), isPlaced ? Resources.NONE : kept);
+    boolean isFullyPlaced = plan.overQuotaCount() == 0 && plan.withoutMachineCount() == 0;
+    usage.add(plan.team(), isFullyPlaced ? Resources.NONE : reserved);
   }
 
   private List<RoundPlan.TaskGroup> unschedulable() {
--- a/src/main/java/io/cherryspool/scheduler/QuotaVictims.java
+++ b/src/main/java/io/cherryspool/scheduler/QuotaVictims.java
@@ -41,22 +41,22 @@
   /**
    * Removes the tasks with the least loss until the team's usage without them fits into its quota.
    *
-   * @param use the team's usage before these tasks are preempted, with the pending task
+   * @param usage the team's usage before these tasks are preempted, with the pending task
    * @param excluded tasks that are preempted in any case
    * @return the removed tasks, or empty if the usage exceeds the quota even without all of them
    */
-  Optional<List<Victim>> take(Team team, Resources use, Collection<Candidate> excluded) {
-    Resources left = use;
+  Optional<List<Victim>> take(Team team, Resources usage, Collection<Candidate> excluded) {
+    Resources remainingUsage = usage;
     List<Victim> result = new ArrayList<>();
-    while (!team.isWithinQuota(left) && !victims.isEmpty()) {
+    while (!team.isWithinQuota(remainingUsage) && !victims.isEmpty()) {
       Victim victim = victims.poll();
       // The task may have been preempted in the meantime to make room on its machine.
       if (!excluded.contains(victim.candidate)
           && victim.machine.candidates().contains(victim.candidate)) {
         result.add(victim);
-        left = left.minus(victim.candidate.job().perTask());
+        remainingUsage = remainingUsage.minus(victim.candidate.job().perTask());
       }
     }
-    return team.isWithinQuota(left) ? Optional.of(result) : Optional.empty();
+    return team.isWithinQuota(remainingUsage) ? Optional.of(result) : Optional.empty();
   }
 }
