--- a/src/main/java/io/cherryspool/controller/rounds/TerminationCollector.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TerminationCollector.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Collects the proofs that attempts have ended. A proved end is pending until it is committed, and
- * counts at once for what is planned.
+ * Collects proofs that attempts have ended. A proved end becomes a pending release, which planning
+ * considers at once, before it is committed.
  *
  * <p>Used on the event loop only.
  */
@@ -30,13 +30,17 @@
   private final Meters meters;
   private final Duration maxSilence;
 
-  /** The machines of which a message or a change of records may prove something new. */
+  /**
+   * The machines whose attempts are to be examined, since a message or a change of records may
+   * prove that some have ended.
+   */
   private final Set<String> machinesToExamine = new LinkedHashSet<>();
 
   /**
-   * Creates a collector with nothing to examine.
+   * Creates a collector with no machines to examine.
    *
-   * @param maxSilence after so long without a heartbeat time alone may prove that tasks are lost
+   * @param maxSilence the time without a heartbeat after which a machine's attempts are examined
+   *     without an event, since the passing of time may prove them lost
    */
   TerminationCollector(TermState state, JobViewCache jobViews, Meters meters, Duration maxSilence) {
     this.state = state;
@@ -46,8 +50,11 @@
     this.maxSilence = maxSilence;
   }
 
-  /** Has the machine's attempts examined, since its messages or what it owns have changed. */
-  void machineChanged(String name) {
+  /**
+   * Has the next round examine the machine's attempts, after its messages or its owned tasks have
+   * changed.
+   */
+  void onMachineChanged(String name) {
     machinesToExamine.add(name);
     MachineState machine = state.fleet().get(name);
     if (machine != null) {
@@ -55,18 +62,24 @@
     }
   }
 
-  /** Has the attempts of all machines examined, since the records were all read again. */
-  void recordsReloaded() {
+  /**
+   * Discards the pending releases and has the next round examine the attempts of all machines,
+   * after all records were reloaded.
+   */
+  void onRecordsReloaded() {
     tasks.pendingReleases().clear();
     machinesToExamine.addAll(tasks.ownership().owningMachines());
   }
 
-  /** Whether the machine's attempts are examined in the next round anyway. */
-  boolean willExamine(String machine) {
+  /** Whether the next round examines the machine's attempts in any case. */
+  boolean isExaminationPending(String machine) {
     return machinesToExamine.contains(machine);
   }
 
-  /** Has the attempts of silent machines examined; returns whether any machine is now due. */
+  /**
+   * Adds silent machines to those that the next round examines, and returns whether there are any
+   * machines to examine.
+   */
   boolean addSilentMachines(Duration now) {
     for (String name : tasks.ownership().owningMachines()) {
       MachineState machine = state.fleet().get(name);
@@ -77,7 +90,10 @@
     return !machinesToExamine.isEmpty();
   }
 
-  /** Examines the attempts of the machines that are due; what is proved becomes pending. */
+  /**
+   * Examines the attempts of the machines that are due, and adds a pending release for each proved
+   * end.
+   */
   void collect(Duration now) {
     boolean needsFencing = false;
     int lost = 0;
@@ -85,7 +101,7 @@
     List<String> names = List.copyOf(machinesToExamine);
     machinesToExamine.clear();
     for (String name : names) {
-      MachineState machine = find(name, now);
+      MachineState machine = findMachine(name, now);
       for (Ownership.OwnedTask owned : tasks.ownership().ownedTasksOn(name)) {
         if (tasks.pendingReleases().contains(owned)) {
           continue;
@@ -104,7 +120,8 @@
       }
     }
     if (lost > 0) {
-      // One line for all: thousands may be lost in a round, when the processor is short anyway.
+      // One log line for all, since thousands of tasks may be lost in a round while processor time
+      // is scarce.
       LOG.info("tasks lost with their machines: count={}, machines={}", lost, lostMachines);
     }
     if (needsFencing) {
@@ -112,8 +129,11 @@
     }
   }
 
-  /** The machine's state; null if nothing is known of it, not even that it was deleted. */
-  private MachineState find(String name, Duration now) {
+  /**
+   * Returns the machine's state, which for a deleted machine is a placeholder; null if the machine
+   * is not known.
+   */
+  private MachineState findMachine(String name, Duration now) {
     MachineState machine = state.fleet().get(name);
     if (machine == null && state.fleet().isDeleted(name)) {
       machine = new MachineState(name, "", "", false, now);
@@ -128,12 +148,12 @@
       TerminationEvidence.Verdict verdict,
       Duration now) {
     tasks.pendingReleases().add(new PendingReleases.Release(owned, verdict, now));
-    boolean done = verdict == TerminationEvidence.Verdict.DONE;
-    jobViews.attemptEnded(owned.taskId(), done, now);
+    boolean isDone = verdict == TerminationEvidence.Verdict.DONE;
+    jobViews.onAttemptEnded(owned.taskId(), isDone, now);
     if (machine != null) {
       machine.invalidateView();
     }
-    if (done) {
+    if (isDone) {
       recordSuccess(owned, machine, now);
     } else {
       recordFailure(owned, machine, verdict, now);
@@ -157,19 +177,19 @@
       MachineState machine,
       TerminationEvidence.Verdict verdict,
       Duration now) {
-    boolean failed = verdict == TerminationEvidence.Verdict.FAILED;
+    boolean hasFailed = verdict == TerminationEvidence.Verdict.FAILED;
     if (verdict == TerminationEvidence.Verdict.LOST) {
       meters.lostTasks.increment();
-    } else if (failed) {
+    } else if (hasFailed) {
       meters.taskFailures.increment();
     }
-    if (!failed && verdict != TerminationEvidence.Verdict.REFUSED) {
+    if (!hasFailed && verdict != TerminationEvidence.Verdict.REFUSED) {
       return;
     }
     JobRecord job = owned.jobRecord();
     LOG.info(
         "task {}: task={}, attempt={}, machine={}",
-        failed ? "failed" : "was refused",
+        hasFailed ? "failed" : "was refused",
         owned.taskId(),
         owned.attempt().number(),
         owned.attempt().machine());
@@ -177,7 +197,7 @@
       return;
     }
     machine.history().recordJobFailure(job.job().id(), now);
-    if (failed && tasks.backoff().recordFailure(job, jobViews.hasSucceeded(job), machine, now)) {
+    if (hasFailed && tasks.backoff().recordFailure(job, jobViews.hasSucceeded(job), machine, now)) {
       machine.history().recordMachineFailure();
     }
   }
--- a/src/main/java/io/cherryspool/scheduler/TaskAssigner.java
+++ b/src/main/java/io/cherryspool/scheduler/TaskAssigner.java
@@ -12,34 +12,37 @@
 import java.util.Optional;
 
 /**
- * Assigns tasks to the best machines with room, whatever their teams' quotas. Quotas are the
- * caller's concern.
+ * Assigns tasks to the best machines with room. It does not check team quotas, which the caller has
+ * to respect.
  */
 final class TaskAssigner {
   private final BinPool bins;
   private final Map<String, Map<String, Integer>> tasksByZone = new HashMap<>();
   private final List<UnsatisfiableDemand> unsatisfiable = new ArrayList<>();
   private final List<RoundPlan.Assignment> assignments = new ArrayList<>();
-  private int examined;
+  private int machinesExamined;
 
   TaskAssigner(BinPool bins) {
     this.bins = bins;
   }
 
   /**
-   * What became of some tasks of a job.
+   * The result of assigning tasks of a job.
    *
-   * @param placed how many were assigned, the first ones
-   * @param causeOfRest why the others lack machines; says nothing if there are none
+   * @param placed the number of assigned tasks, which are the first of the list
+   * @param unplacedCause why the other tasks were not assigned; meaningless if all were
    */
-  record Result(int placed, HoldCause causeOfRest) {}
+  record Result(int placed, HoldCause unplacedCause) {}
 
-  /** A demand for which no machine has room any more in this round. */
+  /** A demand for which no machine has room in this round. */
   private record UnsatisfiableDemand(
       Resources perTask, List<String> allowedTypes, String requiredZone, boolean allowsSpot) {
 
-    /** Whether the job needs at least as much, of the same machines or fewer. */
-    boolean covers(Job job) {
+    /**
+     * Whether the job cannot be placed either, since its tasks need at least as much and may use no
+     * other machines.
+     */
+    boolean rulesOut(Job job) {
       return perTask.fitsIn(job.perTask())
           && Objects.equals(allowedTypes, job.allowedTypes())
           && Objects.equals(requiredZone, job.requiredZone())
@@ -47,18 +50,18 @@
     }
   }
 
-  /** All assignments in the order in which they were made. */
+  /** Returns all assignments in the order in which they were made. */
   List<RoundPlan.Assignment> assignments() {
     return assignments;
   }
 
-  /** How often a machine was examined for a task. */
-  int examined() {
-    return examined + bins.examined();
+  /** Returns the number of times a machine was examined, for a ranking or for a task. */
+  int machinesExamined() {
+    return machinesExamined + bins.machinesExamined();
   }
 
   /**
-   * Assigns the tasks in order as far as machines have room.
+   * Assigns tasks in order until no machine has room.
    *
    * @param usesLentQuota see {@link RoundPlan.Assignment}
    */
@@ -79,18 +82,18 @@
       return new Result(0, causeWithoutRoom(job));
     }
     filler.fill(bins.rank(job, zone.get()));
-    filler.hasMetZoneLimit = filler.placed < tasks.size() && bins.hasRoom(job);
+    filler.hasReachedZoneLimit = filler.placed < tasks.size() && bins.hasRoom(job);
     return filler.result();
   }
 
-  /** Assigns tasks of a job without constraints on the zones of its tasks together. */
+  /** Assigns tasks of a job that requires neither a single zone nor a spread over zones. */
   private Result assignInAnyZone(BinFiller filler) {
     Job job = filler.job;
     if (isUnsatisfiable(job)) {
       return new Result(0, causeWithoutRoom(job));
     }
     filler.fill(bins.sharedRanking(job));
-    if (filler.placed < filler.tasks.size() && !filler.hasMetExclusion) {
+    if (filler.placed < filler.tasks.size() && !filler.hasSkippedExcludedMachine) {
       unsatisfiable.add(
           new UnsatisfiableDemand(
               job.perTask(), job.allowedTypes(), job.requiredZone(), job.allowsSpot()));
@@ -100,7 +103,7 @@
 
   private boolean isUnsatisfiable(Job job) {
     for (UnsatisfiableDemand demand : unsatisfiable) {
-      if (demand.covers(job)) {
+      if (demand.rulesOut(job)) {
         return true;
       }
     }
@@ -111,30 +114,34 @@
     return bins.hasReservedRoom(job) ? HoldCause.RESERVED_MACHINE : HoldCause.NO_MACHINE;
   }
 
-  /** The zone that the job's tasks are in, or else the one with room for most of them. */
+  /**
+   * Returns the zone in which tasks of the job already run, or else the zone with room for the most
+   * of its tasks.
+   */
   private Optional<String> chooseZone(Job job, Map<String, Integer> byZone, int wanted) {
     for (Map.Entry<String, Integer> entry : byZone.entrySet()) {
       if (entry.getValue() > 0) {
         return Optional.of(entry.getKey());
       }
     }
-    return bins.roomiestZone(job, wanted);
+    return bins.zoneWithMostRoom(job, wanted);
   }
 
-  /** Assigns tasks of one job to machines in the order of their ranking. */
+  /** Assigns tasks of one job to machines in the order of a ranking. */
   private final class BinFiller {
     private final Job job;
     private final List<Integer> tasks;
     private final Map<String, Integer> byZone;
     private final boolean usesLentQuota;
     private int placed;
-    private boolean hasMetExclusion;
-    private boolean hasMetZoneLimit;
+    private boolean hasSkippedExcludedMachine;
+    private boolean hasReachedZoneLimit;
 
     /**
-     * Starts with no task placed.
+     * Creates a filler that has placed no task.
      *
-     * @param byZone counts the job's owned and placed tasks by zone, null if zones don't matter
+     * @param byZone the number of the job's owned and placed tasks by zone, to which placed tasks
+     *     are added; null if the job does not restrict the zones of its tasks together
      */
     BinFiller(Job job, List<Integer> tasks, Map<String, Integer> byZone, boolean usesLentQuota) {
       this.job = job;
@@ -144,44 +151,45 @@
     }
 
     Result result() {
-      if (hasMetZoneLimit) {
+      if (hasReachedZoneLimit) {
         return new Result(placed, HoldCause.ZONE_CONSTRAINT);
       }
-      if (hasMetExclusion) {
+      if (hasSkippedExcludedMachine) {
         return new Result(placed, HoldCause.EXCLUDED_MACHINE);
       }
       return new Result(placed, causeWithoutRoom(job));
     }
 
     /**
-     * Places the tasks in order as far as the machines have room. Machines without room are removed
-     * from the ranking.
+     * Places the tasks in order until no machine has room, and removes machines without room from
+     * the ranking.
      */
     void fill(List<Bin> ranking) {
       boolean hasFilledMachine = false;
-      for (Iterator<Bin> all = ranking.iterator(); all.hasNext() && placed < tasks.size(); ) {
-        Bin bin = all.next();
-        examined++;
+      for (Iterator<Bin> iterator = ranking.iterator();
+          iterator.hasNext() && placed < tasks.size(); ) {
+        Bin bin = iterator.next();
+        machinesExamined++;
         if (bin.isReserved() || !job.perTask().fitsIn(bin.free())) {
-          all.remove();
+          iterator.remove();
         } else if (bin.excludes(job)) {
-          hasMetExclusion = true;
+          hasSkippedExcludedMachine = true;
         } else {
           hasFilledMachine |= fill(bin);
         }
       }
       if (hasFilledMachine) {
-        bins.removeFull();
+        bins.removeFullMachines();
       }
     }
 
-    /** Places as many tasks as fit on the machine, and returns whether that leaves it full. */
+    /** Places as many tasks on the machine as fit, and returns whether the machine is full then. */
     private boolean fill(Bin bin) {
       String zone = bin.machine().zone();
       int wanted = tasks.size() - placed;
       if (byZone != null) {
         wanted = Math.min(wanted, job.maxTasksPerZone() - byZone.getOrDefault(zone, 0));
-        hasMetZoneLimit |= wanted <= 0;
+        hasReachedZoneLimit |= wanted <= 0;
       }
       int count = wanted <= 0 ? 0 : job.perTask().countFittingIn(bin.free(), wanted);
       if (count == 0) {
@@ -192,7 +200,7 @@
             new RoundPlan.Assignment(
                 job.id(), tasks.get(placed++), bin.machine().name(), usesLentQuota));
       }
-      bin.add(job, count);
+      bin.place(job, count);
       if (byZone != null) {
         byZone.merge(zone, count, Integer::sum);
       }
