--- a/src/main/java/io/cherryspool/controller/fleet/CommandDelivery.java
+++ b/src/main/java/io/cherryspool/controller/fleet/CommandDelivery.java
@@ -7,24 +7,24 @@
 import java.util.Map;
 
 /**
- * Which commands a leader has delivered to one machine, in replies to heartbeats and by direct
- * calls, and which of them may still run there. A token is 0 where there is none. Used on the event
- * loop only.
+ * The commands that a leader has sent to one machine, in replies to heartbeats and by direct calls,
+ * and whether any of them may still be executed there. A fencing token of 0 stands for none. Used
+ * on the event loop only.
  */
 public final class CommandDelivery {
-  /** Commands of the last reply to a heartbeat; the worker is given time to carry them out. */
+  /** The commands of the last reply to a heartbeat, with the time of the reply. */
   private final Map<WorkerCommand, Duration> delivered = new HashMap<>();
 
-  /** The highest token under which each start was sent. */
+  /** The token under which each start was last sent. */
   private final Map<WorkerCommand, Long> startTokens = new HashMap<>();
 
-  /** The highest token of a direct call that got no answer, so that it may still run. */
+  /** The highest token of a direct call that was not answered, so that it may still be executed. */
   private long unansweredToken;
 
   private long inFlightToken;
   private Duration retryAt = Duration.ZERO;
 
-  /** Records the commands of a reply in place of those of the reply before. */
+  /** Records the commands of a reply, which replace those of the previous reply. */
   public void recordDelivered(List<WorkerCommand> commands, long token, Duration now) {
     recordStarts(commands, token);
     delivered.clear();
@@ -33,7 +33,9 @@
     }
   }
 
-  /** Whether the command was part of the last reply and that came within the time before now. */
+  /**
+   * Whether the command was part of the last reply and that reply is more recent than the limit.
+   */
   public boolean wasDeliveredWithin(WorkerCommand command, Duration limit, Duration now) {
     Duration at = delivered.get(command);
     return at != null && now.minus(at).compareTo(limit) < 0;
@@ -44,37 +46,40 @@
     return inFlightToken != 0;
   }
 
-  /** Whether a direct call may be made now: one at a time, and a pause after one that failed. */
+  /**
+   * Whether a direct call may be made now. Only one is in flight at a time, and a pause follows a
+   * failed call.
+   */
   public boolean mayCall(Duration now) {
     return inFlightToken == 0 && now.compareTo(retryAt) >= 0;
   }
 
-  /** Records that a direct call with these commands is made under the token. */
+  /** Records that a direct call with these commands is being made under the token. */
   public void recordCallStarted(List<WorkerCommand> commands, long token) {
     inFlightToken = token;
     recordStarts(commands, token);
   }
 
-  /** Records that the direct call in flight was answered. */
+  /** Records that the direct call in flight has been answered. */
   public void recordCallAnswered() {
     inFlightToken = 0;
   }
 
-  /** Records that the direct call in flight got no answer; the next may follow at that time. */
+  /** Records that the direct call in flight was not answered, and when the next one may be made. */
   public void recordCallFailed(Duration nextCallAt) {
     unansweredToken = Math.max(unansweredToken, inFlightToken);
     inFlightToken = 0;
     retryAt = nextCallAt;
   }
 
-  /** The highest token of a direct call that may still run, 0 if none may. */
+  /** Returns the highest token of a direct call that may still be executed, 0 if there is none. */
   public long highestPendingToken() {
     return Math.max(unansweredToken, inFlightToken);
   }
 
-  /** The highest token under which the start was sent, or the given one if it was not. */
-  public long startTokenOr(WorkerCommand start, long otherwise) {
-    return startTokens.getOrDefault(start, otherwise);
+  /** Returns the token under which the start was last sent, or the default if it was never sent. */
+  public long startTokenOr(WorkerCommand start, long defaultToken) {
+    return startTokens.getOrDefault(start, defaultToken);
   }
 
   /** Drops the token of a start whose attempt has ended. */
--- a/src/main/java/io/cherryspool/controller/fleet/Fleet.java
+++ b/src/main/java/io/cherryspool/controller/fleet/Fleet.java
@@ -24,16 +24,22 @@
   private final Map<String, MachineState> machines = new LinkedHashMap<>();
 
   /**
-   * Machines whose deletion is confirmed. The list shows them a while longer; names are not reused.
+   * The names of machines whose deletion is confirmed. The cloud's list shows such machines for
+   * some time longer. Names are not reused.
    */
   private final Set<String> deleted = new HashSet<>();
 
-  /** The state of the machine, null if it is not known or was removed after its deletion. */
+  /**
+   * Returns the state of the machine, null if it is not known or was removed after its deletion.
+   */
   public MachineState get(String name) {
     return machines.get(name);
   }
 
-  /** All machines, also deleted ones that still own tasks, in the order they became known in. */
+  /**
+   * Returns all machines in the order in which they became known, including deleted ones that still
+   * own tasks.
+   */
   public Collection<MachineState> all() {
     return Collections.unmodifiableCollection(machines.values());
   }
@@ -50,9 +56,10 @@
   }
 
   /**
-   * Returns the state of the machine, which is made if the machine was not known.
+   * Returns the state of the machine, which is created if the machine was not known.
    *
-   * @param address where its worker takes calls, null if that is not known; the first one counts
+   * @param address the address at which its worker accepts calls, null if unknown; ignored if the
+   *     machine already has one
    */
   public MachineState register(
       String name, String address, String type, String zone, boolean isSpot, Duration now) {
@@ -62,7 +69,10 @@
       try {
         machine.setEndpoint(Endpoint.parse(address));
       } catch (IllegalArgumentException e) {
-        LOG.warn("machine={} has no usable address: {}", name, e.getMessage());
+        LOG.warn(
+            "machine={} gets no direct calls, its worker address is invalid: {}",
+            name,
+            e.getMessage());
       }
     }
     return machine;
@@ -74,7 +84,7 @@
     deleted.add(machine.name());
   }
 
-  /** Removes the states of deleted machines that own nothing any more. */
+  /** Removes the states of deleted machines that own no tasks any more. */
   public void removeDeleted(Ownership ownership) {
     for (Iterator<MachineState> all = machines.values().iterator(); all.hasNext(); ) {
       MachineState machine = all.next();
@@ -85,8 +95,8 @@
   }
 
   /**
-   * Records a worker's heartbeat; returns whether it is the newest one of a machine that is not
-   * deleted. What an older one says has been superseded.
+   * Records a worker's heartbeat, if it is the newest one of a machine that is not deleted; returns
+   * whether it is. An older heartbeat is superseded and ignored.
    */
   public boolean accept(WorkerHeartbeat heartbeat, Duration now) {
     if (deleted.contains(heartbeat.machine())) {
@@ -100,11 +110,11 @@
             heartbeat.zone(),
             heartbeat.isSpot(),
             now);
-    WorkerHeartbeat before = machine.latestHeartbeat();
+    WorkerHeartbeat previous = machine.latestHeartbeat();
     if (!machine.contact().accept(heartbeat, now)) {
       return false;
     }
-    if (heartbeat.hasChangedSince(before)) {
+    if (heartbeat.hasChangedSince(previous)) {
       machine.history().recordTasks(heartbeat, now);
     }
     return true;
--- a/src/main/java/io/cherryspool/controller/fleet/FleetPermissions.java
+++ b/src/main/java/io/cherryspool/controller/fleet/FleetPermissions.java
@@ -5,13 +5,14 @@
 import java.util.function.Predicate;
 
 /**
- * What the verdict on this node's links allows a leader to do with its machines.
+ * What a leader may do with its machines, depending on the state of this node's links.
  *
- * @param mayPlace whether anything may be planned and recorded, and machines be added and deleted
+ * @param mayPlace whether rounds may plan and record placements, and machines may be added and
+ *     deleted
  * @param mayScale whether machines may be added, and idle ones deleted
- * @param isZoneEvictionSuspended whether the machines of a zone, which is named, are taken for
- *     unreachable rather than dead
- * @param evictionRule decides when a single machine is given up
+ * @param isZoneEvictionSuspended whether the silent machines of the zone with this name are treated
+ *     as unreachable rather than dead
+ * @param evictionRule decides when a single machine is evicted
  */
 public record FleetPermissions(
     BooleanSupplier mayPlace,
--- a/src/main/java/io/cherryspool/controller/fleet/MachineContact.java
+++ b/src/main/java/io/cherryspool/controller/fleet/MachineContact.java
@@ -8,47 +8,56 @@
 import java.util.Optional;
 
 /**
- * What the heartbeats of one machine, and the replies to them, show of the contact with it during
- * one leader's term. Times are those of the event loop, on which alone it is used.
+ * The contact with the worker of one machine during one leader's term, derived from its heartbeats
+ * and the replies to them. Times are those of the event loop. Used on the event loop only.
  */
 public final class MachineContact {
-  /** After one ignored reply the next heartbeat may merely have been sent before it came. */
+  /**
+   * One ignored reply proves nothing: the worker may have sent its next heartbeat before the reply
+   * arrived.
+   */
   private static final int MAX_IGNORED_REPLIES = 1;
 
   private WorkerHeartbeat latestHeartbeat;
   private Duration lastHeartbeatAt;
 
-  /** {@link #lastHeartbeatAt} when the machine was last probed, null before that. */
+  /**
+   * The value of {@link #lastHeartbeatAt} when the machine was last probed, null before the first
+   * probe.
+   */
   private Duration heartbeatAtProbe;
 
   private boolean unresponsive;
 
   /**
-   * When the present agent epoch was first seen. An epoch lives for a lease from its start even if
-   * none of its heartbeats is answered, and it began before it was seen.
+   * When the current agent epoch was first seen. The worker's lease starts with the epoch, even if
+   * none of its heartbeats is answered, and the epoch started before it was first seen.
    */
-  private Duration epochSince;
+  private Duration epochFirstSeenAt;
 
   private Duration lastReplyAt;
 
-  /** The newest heartbeat that was answered, so that a late copy of it is recognised. */
+  /**
+   * The epoch and, below, the sequence number of the newest answered heartbeat, to recognise late
+   * copies.
+   */
   private long repliedEpoch;
 
   private long repliedSequence;
 
-  /** The token of the last reply; a worker that received it sends no lower one. */
+  /** The token of the last reply. A worker that has received it reports no lower token. */
   private long repliedToken;
 
   private int ignoredReplies;
   private Duration notReceivingSince;
 
-  /** Keeps the heartbeat if it is newer than any before; returns whether it is. */
+  /** Records the heartbeat if it is newer than all earlier ones; returns whether it is. */
   public boolean accept(WorkerHeartbeat heartbeat, Duration now) {
     if (latestHeartbeat != null && !heartbeat.isNewerThan(latestHeartbeat)) {
       return false;
     }
     if (latestHeartbeat == null || heartbeat.agentEpoch() > latestHeartbeat.agentEpoch()) {
-      epochSince = now;
+      epochFirstSeenAt = now;
     }
     latestHeartbeat = heartbeat;
     lastHeartbeatAt = now;
@@ -61,18 +70,19 @@
   }
 
   /**
-   * Records that this heartbeat is answered under the token; false if it was answered before, so
-   * that it is a late copy: nobody waits for the reply, and it keeps nothing alive.
+   * Records that this heartbeat is answered under the token, and returns true. Returns false
+   * without recording anything if the heartbeat is a late copy of one that was answered before: the
+   * worker no longer waits for the reply, so it renews no lease.
    *
-   * <p>A worker has one heartbeat in flight, so the next one shows whether the reply before it came
-   * through. A worker that receives no replies goes on sending and looks alive; it is recognised by
-   * the token that it lacks.
+   * <p>A worker has only one heartbeat in flight, so the next heartbeat shows whether the previous
+   * reply arrived. A worker that receives no replies continues to send heartbeats and appears
+   * alive; it is detected because it reports a token lower than that of the last reply.
    */
   public boolean recordReply(WorkerHeartbeat heartbeat, long token, Duration now) {
-    boolean isCopy =
+    boolean isDuplicate =
         heartbeat.agentEpoch() < repliedEpoch
             || (heartbeat.agentEpoch() == repliedEpoch && heartbeat.sequence() <= repliedSequence);
-    if (isCopy) {
+    if (isDuplicate) {
       return false;
     }
     if (heartbeat.highestFencingToken() < repliedToken) {
@@ -86,30 +96,33 @@
     return true;
   }
 
-  /** Whether any heartbeat, sent by the machine itself or in reply to a call, came in this term. */
+  /**
+   * Whether any heartbeat, sent by the worker on its own schedule or as the answer to a call, was
+   * received in this term.
+   */
   public boolean hasHeartbeat() {
     return latestHeartbeat != null;
   }
 
   /**
-   * The newest heartbeat, null before the first of this term. Not an {@link Optional}, since it is
-   * read for every machine in every round.
+   * Returns the newest heartbeat, null before the first one of this term. It is not an {@link
+   * Optional}, since it is read for every machine in every round.
    */
   public WorkerHeartbeat latestHeartbeat() {
     return latestHeartbeat;
   }
 
-  /** When the newest heartbeat came, null before the first of this term. */
+  /** Returns when the newest heartbeat was received, null before the first one of this term. */
   public Duration lastHeartbeatAt() {
     return lastHeartbeatAt;
   }
 
-  /** When a heartbeat was last answered, empty if none was. */
+  /** Returns when a heartbeat was last answered in this term, empty if none was. */
   public Optional<Duration> lastReplyAt() {
     return Optional.ofNullable(lastReplyAt);
   }
 
-  /** Whether no heartbeat came within the time before now. */
+  /** Whether no heartbeat was received within the limit before now. */
   public boolean isSilent(Duration now, Duration limit) {
     return lastHeartbeatAt == null || now.minus(lastHeartbeatAt).compareTo(limit) > 0;
   }
@@ -119,12 +132,14 @@
     return latestHeartbeat != null && latestHeartbeat.highestFencingToken() > token;
   }
 
-  /** How many replies in a row the worker has shown no sign of having received. */
+  /** Returns the number of consecutive replies that the worker has shown no sign of receiving. */
   public int ignoredReplies() {
     return ignoredReplies;
   }
 
-  /** For how long the worker has received no replies, empty while it is not known to lack any. */
+  /**
+   * Returns for how long the worker has received no replies, empty if it is not known to miss any.
+   */
   public Optional<Duration> notReceivingFor(Duration now) {
     return isNotReceiving() ? Optional.of(now.minus(notReceivingSince)) : Optional.empty();
   }
@@ -133,7 +148,7 @@
     return ignoredReplies > MAX_IGNORED_REPLIES;
   }
 
-  /** Whether it has not answered a probe, and sent no heartbeat since. */
+  /** Whether the worker did not answer the last probe and has sent no heartbeat since. */
   public boolean isUnresponsive() {
     return unresponsive;
   }
@@ -143,59 +158,65 @@
     unresponsive = true;
   }
 
-  /** Whether its last heartbeat came before that moment and it was not probed since. */
-  public boolean isProbeDue(Duration lateSince) {
+  /** Whether the last heartbeat was received before the cutoff and no probe was recorded since. */
+  public boolean isProbeDue(Duration lateCutoff) {
     return lastHeartbeatAt != null
         && !lastHeartbeatAt.equals(heartbeatAtProbe)
-        && lastHeartbeatAt.compareTo(lateSince) < 0;
+        && lastHeartbeatAt.compareTo(lateCutoff) < 0;
   }
 
-  /** Records that a probe of the machine is planned. */
+  /** Records that a probe of the machine is queued. */
   public void recordProbe() {
     heartbeatAtProbe = lastHeartbeatAt;
   }
 
-  /** Whether a heartbeat came since the machine was last to be probed. */
+  /** Whether a heartbeat was received since a probe was last recorded. */
   public boolean hasHeartbeatSinceProbe() {
     return !Objects.equals(lastHeartbeatAt, heartbeatAtProbe);
   }
 
   /**
-   * Since when nothing that this leader knows of has kept the agent epoch alive; null before the
-   * first heartbeat.
+   * Returns when the lease of the current agent epoch was last renewed, as far as this leader
+   * knows: by its last reply, or by the start of the epoch if that is later. Null before the first
+   * heartbeat.
    */
   public Duration lastLeaseRenewalAt() {
     boolean isEpochNewer =
-        lastReplyAt == null || (epochSince != null && epochSince.compareTo(lastReplyAt) > 0);
-    return isEpochNewer ? epochSince : lastReplyAt;
+        lastReplyAt == null
+            || (epochFirstSeenAt != null && epochFirstSeenAt.compareTo(lastReplyAt) > 0);
+    return isEpochNewer ? epochFirstSeenAt : lastReplyAt;
   }
 
   /**
-   * How the leader stands with the machine.
+   * Returns the state of the contact with the machine.
    *
-   * @param firstSeen when the leader learnt of the machine
-   * @param lateSince what last came before this is late
-   * @param termStart when the leader's term began, which answered nothing before
+   * @param firstSeen when the leader first knew of the machine
+   * @param lateCutoff a last heartbeat or last reply before this time counts as late
+   * @param termStart when the leader's term began, used as the time of the last reply if there was
+   *     none
    */
-  ContactState contactState(Duration firstSeen, Duration lateSince, Duration termStart) {
+  ContactState contactState(Duration firstSeen, Duration lateCutoff, Duration termStart) {
     if (latestHeartbeat == null) {
-      return firstSeen.compareTo(lateSince) < 0 ? ContactState.NEVER_SEEN : ContactState.NEW;
+      return firstSeen.compareTo(lateCutoff) < 0 ? ContactState.NEVER_SEEN : ContactState.NEW;
     }
     if (isNotReceiving()) {
       return ContactState.NOT_RECEIVING;
     }
-    if (lastHeartbeatAt.compareTo(lateSince) < 0) {
+    if (lastHeartbeatAt.compareTo(lateCutoff) < 0) {
       return ContactState.SILENT;
     }
     Duration repliedAt = lastReplyAt == null ? termStart : lastReplyAt;
-    return repliedAt.compareTo(lateSince) < 0 ? ContactState.LATE : ContactState.REACHABLE;
+    return repliedAt.compareTo(lateCutoff) < 0 ? ContactState.LATE : ContactState.REACHABLE;
   }
 
-  /** The task's attempt as the newest heartbeat has it; there must be one. */
+  /**
+   * Returns the status of the attempt in the newest heartbeat, empty if that does not list it.
+   * There must be a heartbeat.
+   */
   public Optional<WorkerHeartbeat.TaskStatus> findTask(TaskId task, int attempt) {
-    for (WorkerHeartbeat.TaskStatus item : latestHeartbeat.tasks()) {
-      if (item.attempt() == attempt && item.task().equals(task)) {
-        return Optional.of(item);
+    for (WorkerHeartbeat.TaskStatus status : latestHeartbeat.tasks()) {
+      if (status.attempt() == attempt && status.task().equals(task)) {
+        return Optional.of(status);
       }
     }
     return Optional.empty();
--- a/src/main/java/io/cherryspool/controller/fleet/MachineEligibility.java
+++ b/src/main/java/io/cherryspool/controller/fleet/MachineEligibility.java
@@ -1,17 +1,18 @@
 package io.cherryspool.controller.fleet;
 
 /**
- * What a round may do with a machine, as far as a heartbeat may change it beside its tasks.
+ * What a round may do with a machine, as far as this depends on the contact with its worker rather
+ * than on its tasks.
  *
- * @param schedulable whether the machine may be given work
- * @param commandsFenced whether no command sent earlier may still run there; otherwise the absence
- *     of a task proves nothing
+ * @param schedulable whether tasks may be placed on the machine
+ * @param commandsFenced whether no command sent earlier may still be executed there; if one may,
+ *     the absence of a task from a heartbeat proves nothing
  */
 public record MachineEligibility(boolean schedulable, boolean commandsFenced) {
   /** The eligibility of a machine that is not known. */
   public static final MachineEligibility UNKNOWN = new MachineEligibility(false, false);
 
-  /** Whether a round may do more with the machine after the change than before. */
+  /** Whether the later eligibility allows a round something that this one does not. */
   public boolean isImprovedBy(MachineEligibility after) {
     return (!schedulable && after.schedulable) || (!commandsFenced && after.commandsFenced);
   }
--- a/src/main/java/io/cherryspool/controller/fleet/MachineState.java
+++ b/src/main/java/io/cherryspool/controller/fleet/MachineState.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 
 /**
- * What a leader knows of one machine, in memory only; a new leader learns it again. Used on the
- * event loop only.
+ * What a leader knows about one machine. It is kept in memory only; a new leader builds it up
+ * again. Used on the event loop only.
  */
 public final class MachineState {
   private final String name;
@@ -22,7 +22,7 @@
   private final PlacementHistory history = new PlacementHistory();
   private Endpoint endpoint;
 
-  /** What planning sees of the machine, null when something has changed since. */
+  /** The cached planning view of the machine, null if it must be built again. */
   private ClusterView.MachineView view;
 
   private Duration idleSince;
@@ -30,7 +30,7 @@
   private boolean draining;
   private boolean deleted;
 
-  /** Type and zone may be empty, of a machine that is known by its name only. */
+  /** Creates the state of a machine. Type and zone are empty if only the name is known. */
   public MachineState(String name, String type, String zone, boolean spot, Duration now) {
     this.name = name;
     this.type = type;
@@ -39,37 +39,37 @@
     this.firstSeen = now;
   }
 
-  /** The name that the cloud gave it. */
+  /** Returns the name that the cloud assigned to the machine. */
   public String name() {
     return name;
   }
 
-  /** The name of its machine type, empty if unknown. */
+  /** Returns the name of its machine type, empty if unknown. */
   public String type() {
     return type;
   }
 
-  /** Its zone, empty if unknown. */
+  /** Returns its zone, empty if unknown. */
   public String zone() {
     return zone;
   }
 
-  /** Whether the cloud may take it back at short notice. */
+  /** Whether it is a spot instance, which the cloud may take back at short notice. */
   public boolean isSpot() {
     return spot;
   }
 
-  /** The contact with its worker. */
+  /** Returns the contact with its worker. */
   public MachineContact contact() {
     return contact;
   }
 
-  /** The delivery of commands to its worker. */
+  /** Returns the commands sent to its worker. */
   public CommandDelivery commands() {
     return commands;
   }
 
-  /** What has run on it. */
+  /** Returns the history of tasks and images on it. */
   public PlacementHistory history() {
     return history;
   }
@@ -79,77 +79,83 @@
     return contact.hasHeartbeat();
   }
 
-  /** See {@link MachineContact#latestHeartbeat()}. */
+  /** Returns its newest heartbeat, see {@link MachineContact#latestHeartbeat()}. */
   public WorkerHeartbeat latestHeartbeat() {
     return contact.latestHeartbeat();
   }
 
-  /** Whether it is known where its worker takes calls. */
+  /** Whether the address at which its worker accepts calls is known. */
   public boolean hasEndpoint() {
     return endpoint != null;
   }
 
-  /** Where its worker takes calls, null if that is not known. */
+  /** Returns the address at which its worker accepts calls, null if unknown. */
   public Endpoint endpoint() {
     return endpoint;
   }
 
-  void setEndpoint(Endpoint known) {
-    endpoint = known;
+  void setEndpoint(Endpoint newEndpoint) {
+    endpoint = newEndpoint;
   }
 
-  /** When the newest heartbeat came, or else when the leader learnt of the machine. */
+  /**
+   * Returns when the newest heartbeat was received; without one, when the leader first knew of the
+   * machine.
+   */
   public Duration lastSeenAt() {
     return contact.hasHeartbeat() ? contact.lastHeartbeatAt() : firstSeen;
   }
 
   /**
-   * How the leader stands with the machine.
+   * Returns the state of the contact with the machine.
    *
-   * @param lateSince what last came before this is late
-   * @param termStart when the leader's term began, which answered nothing before
+   * @param lateCutoff a last heartbeat or last reply before this time counts as late
+   * @param termStart when the leader's term began, used as the time of the last reply if there was
+   *     none
    */
-  public ContactState contactState(Duration lateSince, Duration termStart) {
-    return contact.contactState(firstSeen, lateSince, termStart);
+  public ContactState contactState(Duration lateCutoff, Duration termStart) {
+    return contact.contactState(firstSeen, lateCutoff, termStart);
   }
 
-  /** Whether no direct command sent before may still run on the worker. */
+  /** Whether the worker can no longer execute any direct call sent earlier. */
   public boolean areCommandsFenced() {
     return contact.hasTokenAbove(commands.highestPendingToken());
   }
 
   /**
-   * What planning last saw of the machine, null when something has changed since. Not an {@link
-   * Optional}, since it is read for every machine in every round.
+   * Returns the cached planning view of the machine, null if the machine has changed since it was
+   * built. It is not an {@link Optional}, since it is read for every machine in every round.
    */
   public ClusterView.MachineView cachedView() {
     return view;
   }
 
-  /** Keeps what planning sees of the machine until something changes. */
-  public void cacheView(ClusterView.MachineView seen) {
-    view = seen;
+  /** Caches the planning view of the machine until the machine changes. */
+  public void cacheView(ClusterView.MachineView newView) {
+    view = newView;
   }
 
-  /** Records that something has changed which planning sees. */
+  /** Discards the cached planning view, since the machine has changed. */
   public void invalidateView() {
     view = null;
   }
 
-  /** Records an image that the machine has or will fetch. */
+  /** Records a container image that the machine has cached or will fetch. */
   public void recordImage(String image) {
     view = null;
     history.recordImage(image);
   }
 
-  /** Lets jobs whose tasks last failed here longer ago be placed here again. */
+  /** Ends the expired exclusions of jobs from this machine, see {@link PlacementHistory}. */
   public void removeExpiredExclusions(Duration now) {
     if (history.removeExpiredExclusions(now)) {
       view = null;
     }
   }
 
-  /** Records whether it has nothing to do; idle time counts from when it began. */
+  /**
+   * Records whether the machine is idle. Its idle time begins when it is first recorded as idle.
+   */
   public void setIdle(boolean idle, Duration now) {
     if (!idle) {
       idleSince = null;
@@ -158,7 +164,7 @@
     }
   }
 
-  /** For how long it has had nothing to do, empty if it has. */
+  /** Returns for how long the machine has been idle, empty if it is not idle. */
   public Optional<Duration> idleFor(Duration now) {
     return idleSince == null ? Optional.empty() : Optional.of(now.minus(idleSince));
   }
@@ -173,15 +179,18 @@
     markedForDeletion = true;
   }
 
-  /** Whether it is given only work that fits nowhere else, since the fleet can do without it. */
+  /**
+   * Whether the machine is to be emptied because the fleet does not need it. Only tasks that fit
+   * nowhere else are placed on it.
+   */
   public boolean isDraining() {
     return draining;
   }
 
-  /** Decides whether it is given only work that fits nowhere else. */
-  public void setDraining(boolean drain) {
-    if (draining != drain) {
-      draining = drain;
+  /** Sets whether the machine is to be emptied, see {@link #isDraining}. */
+  public void setDraining(boolean shouldDrain) {
+    if (draining != shouldDrain) {
+      draining = shouldDrain;
       view = null;
     }
   }
--- a/src/main/java/io/cherryspool/controller/fleet/PlacementHistory.java
+++ b/src/main/java/io/cherryspool/controller/fleet/PlacementHistory.java
@@ -11,66 +11,68 @@
 import java.util.Set;
 
 /**
- * What has run on one machine, as far as it bears on what is placed there next: running tasks,
- * images, and failures. Used on the event loop only.
+ * The history of one machine that affects later placements: running tasks, container images, and
+ * failures. Used on the event loop only.
  */
 public final class PlacementHistory {
-  /** A machine on which so many tasks in a row failed is not used again. */
-  private static final int FAULTY_AFTER_FAILURES = 3;
+  /** The number of consecutive task failures after which a machine is not used again. */
+  private static final int FAULTY_FAILURE_COUNT = 3;
 
   /**
-   * So long after the first of its failures here a job may be placed here again. It must be well
-   * below the time that a job may wait beside a machine with room, and a later failure does not
-   * make it longer: of a large job some task fails now and then on each machine.
+   * How long a job is excluded from this machine, counted from the first failure of one of its
+   * tasks here. This must be well below the time that a job may wait while a machine has room for
+   * it. A later failure does not extend the exclusion, since a large job has occasional task
+   * failures on every machine.
    */
-  private static final Duration JOB_EXCLUSION = Duration.ofSeconds(60);
+  private static final Duration JOB_EXCLUSION_DURATION = Duration.ofSeconds(60);
 
-  /** Jobs of which it is remembered that a task completed here. */
+  /** The maximum number of jobs that are remembered for having completed a task here. */
   private static final int MAX_SUCCEEDED_JOBS = 32;
 
-  /** Images that are taken to be cached on the machine. */
+  /** The maximum number of images that are assumed to be cached on the machine. */
   private static final int MAX_IMAGES = 16;
 
   private final Map<TaskId, Duration> runningSince = new HashMap<>();
 
-  /** The oldest first. */
+  /** The images that the machine used last, the oldest first. */
   private final Set<String> images = new LinkedHashSet<>();
 
-  /** When the exclusion of each job began. */
+  /** The excluded jobs, each with the start of its exclusion. */
   private final Map<String, Duration> excludedJobs = new HashMap<>();
 
-  /** Jobs of which a task completed here and none has failed since, the oldest first. */
+  /** The jobs that completed a task here without a failure since, the oldest first. */
   private final Set<String> succeededJobs = new LinkedHashSet<>();
 
-  private int failuresInARow;
+  private int consecutiveFailures;
 
-  /** Records which tasks the machine has and when those that run were first seen running. */
+  /** Records which tasks the machine reports, and when each running task was first seen running. */
   void recordTasks(WorkerHeartbeat heartbeat, Duration now) {
     if (heartbeat.tasks().isEmpty()) {
       runningSince.clear();
       return;
     }
-    // Kept for an exited task too, so that its run time is known when its end is recorded.
+    // The start time of an exited task is kept as well, since it is needed when the end is
+    // recorded.
     Set<TaskId> present = new HashSet<>();
-    for (WorkerHeartbeat.TaskStatus item : heartbeat.tasks()) {
-      if (item.state() == WorkerHeartbeat.TaskState.RUNNING
-          || item.state() == WorkerHeartbeat.TaskState.CHECKPOINTING) {
-        runningSince.putIfAbsent(item.task(), now);
+    for (WorkerHeartbeat.TaskStatus status : heartbeat.tasks()) {
+      if (status.state() == WorkerHeartbeat.TaskState.RUNNING
+          || status.state() == WorkerHeartbeat.TaskState.CHECKPOINTING) {
+        runningSince.putIfAbsent(status.task(), now);
       }
-      present.add(item.task());
+      present.add(status.task());
     }
     runningSince.keySet().retainAll(present);
   }
 
   /**
-   * When the task was first seen running, for estimates of what stopping it loses; empty if it was
-   * not, or is no longer on the machine.
+   * Returns when the task was first seen running, to estimate how much work a stop would lose.
+   * Empty if it was never seen running, or is no longer on the machine.
    */
   public Optional<Duration> runningSince(TaskId task) {
     return Optional.ofNullable(runningSince.get(task));
   }
 
-  /** Records an image that the machine has or will fetch, as the newest one. */
+  /** Records an image that the machine has cached or will fetch as the most recent one. */
   void recordImage(String image) {
     images.remove(image);
     images.add(image);
@@ -79,44 +81,51 @@
     }
   }
 
-  /** The images that the machine last used, as a copy. */
+  /** Returns a copy of the set of images that the machine used last. */
   public Set<String> images() {
     return Set.copyOf(images);
   }
 
   /**
    * Records that a task of the job failed or was refused here. The first failure after a success
-   * says nothing of the machine: of a job of many tasks one fails now and then anywhere.
+   * does not exclude the job, since a job with many tasks has occasional failures on any machine.
    */
   public void recordJobFailure(String job, Duration now) {
     if (succeededJobs.remove(job)) {
       return;
     }
-    excludedJobs.merge(job, now, (since, latest) -> isOver(since, now) ? latest : since);
+    excludedJobs.merge(
+        job, now, (since, latest) -> isExclusionExpired(since, now) ? latest : since);
   }
 
-  /** Drops the jobs that may be placed here again; returns whether there were any. */
+  /** Removes the expired exclusions; returns whether there were any. */
   boolean removeExpiredExclusions(Duration now) {
-    return !excludedJobs.isEmpty() && excludedJobs.values().removeIf(since -> isOver(since, now));
+    return !excludedJobs.isEmpty()
+        && excludedJobs.values().removeIf(since -> isExclusionExpired(since, now));
   }
 
-  private static boolean isOver(Duration since, Duration now) {
-    return now.minus(since).compareTo(JOB_EXCLUSION) > 0;
+  private static boolean isExclusionExpired(Duration since, Duration now) {
+    return now.minus(since).compareTo(JOB_EXCLUSION_DURATION) > 0;
   }
 
-  /** The jobs that must not be placed here since tasks of theirs failed here, as a copy. */
+  /**
+   * Returns a copy of the set of jobs that must not be placed here because their tasks failed here.
+   */
   public Set<String> excludedJobs() {
     return Set.copyOf(excludedJobs.keySet());
   }
 
-  /** Records a failure that the machine rather than the job is to blame for. */
+  /** Records a task failure that is attributed to the machine rather than to the job. */
   public void recordMachineFailure() {
-    failuresInARow++;
+    consecutiveFailures++;
   }
 
-  /** Records that a task of the job completed here, which ends a row of failures. */
+  /**
+   * Records that a task of the job completed here, which resets the count of consecutive failures
+   * and ends the exclusion of the job.
+   */
   public void recordSuccess(String job) {
-    failuresInARow = 0;
+    consecutiveFailures = 0;
     excludedJobs.remove(job);
     succeededJobs.remove(job);
     succeededJobs.add(job);
@@ -125,8 +134,8 @@
     }
   }
 
-  /** Whether so many tasks in a row failed here that the machine is taken for a faulty one. */
+  /** Whether enough consecutive tasks have failed here to consider the machine faulty. */
   public boolean isFaulty() {
-    return failuresInARow >= FAULTY_AFTER_FAILURES;
+    return consecutiveFailures >= FAULTY_FAILURE_COUNT;
   }
 }
--- a/src/main/java/io/cherryspool/controller/fleet/package-info.java
+++ b/src/main/java/io/cherryspool/controller/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the leader knows of each machine, in memory for one term. All of it runs on the event loop
- * of the node.
+ * The state that a leader keeps about each machine, in memory and for one term. All classes are
+ * used on the event loop of the node only.
  */
 package io.cherryspool.controller.fleet;
--- a/src/main/java/io/cherryspool/controller/leader/CommandDispatcher.java
+++ b/src/main/java/io/cherryspool/controller/leader/CommandDispatcher.java
@@ -12,14 +12,17 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Decides which commands go to which machine and when: those that are due go with the reply to each
- * heartbeat, and by direct calls to the machines of which something has changed.
+ * Decides when each machine is sent the commands that are due for it: in the reply to each of its
+ * heartbeats, and by direct calls when its heartbeat or the records about it have changed.
  *
  * <p>Used on the event loop only.
  */
 final class CommandDispatcher {
-  /** Commands in a reply show in the worker's next heartbeat, which a change brings soon. */
-  private static final Duration DELIVERY_TIME = Duration.ofMillis(1200);
+  /**
+   * The time in which a worker executes the commands of a reply and sends a heartbeat that shows
+   * their effect; a worker sends one soon after each change.
+   */
+  private static final Duration REPLY_PROCESSING_TIME = Duration.ofMillis(1200);
 
   private final EventLoop loop;
   private final TermState state;
@@ -27,15 +30,15 @@
   private final CommandSender sender;
   private final BooleanSupplier mayCommandWorkers;
 
-  /** The machines that commands may be due for; one leaves when none are. */
+  /** The machines that commands may be due for. A machine is removed once no commands are due. */
   private final Set<String> changedMachines = new LinkedHashSet<>();
 
   private boolean stopped;
 
   /**
-   * Creates a dispatcher with no machine to consider.
+   * Creates a dispatcher without changed machines.
    *
-   * @param mayCommandWorkers whether the leader may act for the controllers now
+   * @param mayCommandWorkers whether the leader may send commands to workers now
    */
   CommandDispatcher(
       EventLoop loop,
@@ -50,29 +53,34 @@
     this.mayCommandWorkers = mayCommandWorkers;
   }
 
-  /** Sends nothing more of its own accord, since the term has ended. */
+  /** Stops direct calls, since the term has ended. */
   void stop() {
     stopped = true;
   }
 
-  /** Has the machine considered by {@link #sendDue}, since something about it has changed. */
-  void machineChanged(String machine) {
+  /** Marks the machine as changed, so that the next {@link #sendDue} checks it for due commands. */
+  void onMachineChanged(String machine) {
     changedMachines.add(machine);
   }
 
-  /** Has all machines that own anything considered, since the records were all read again. */
-  void recordsReloaded() {
+  /** Marks all machines that own tasks as changed, since all records were read again. */
+  void onRecordsReloaded() {
     changedMachines.addAll(state.tasks().ownership().owningMachines());
   }
 
-  /** The commands that go with the reply to the machine's heartbeat, recorded as delivered. */
+  /**
+   * Returns the commands for the reply to the machine's heartbeat, and records them as delivered.
+   */
   List<WorkerCommand> commandsForReply(MachineState machine, long token) {
     List<WorkerCommand> commands = commandsFor(machine);
     machine.commands().recordDelivered(commands, token, loop.now());
     return commands;
   }
 
-  /** Makes the machine take the current token by a direct call, if it has not shown it yet. */
+  /**
+   * Sends the machine the current fencing token by a direct call, unless its newest heartbeat
+   * already acknowledges that token.
+   */
   void fence(MachineState machine) {
     if (machine.hasHeartbeat()
         && machine.latestHeartbeat().highestFencingToken() < state.tokens().current()) {
@@ -80,7 +88,7 @@
     }
   }
 
-  /** Sends what is due to the machines that something has changed for. */
+  /** Sends the commands that are due to the machines marked as changed. */
   void sendDue() {
     if (stopped || !mayCommandWorkers.getAsBoolean()) {
       return;
@@ -107,16 +115,22 @@
     return planner.commandsFor(machine, state.tasks().ownership().ownedTasksOn(machine.name()));
   }
 
-  /** The commands for a direct call, which acknowledges nothing: that can wait for a reply. */
+  /**
+   * Returns the commands for a direct call. Acknowledgements are left out, since they can wait for
+   * the next heartbeat reply.
+   */
   private List<WorkerCommand> directCommands(MachineState machine) {
     List<WorkerCommand> due = commandsFor(machine);
     due.removeIf(command -> command.action() == WorkerCommand.Action.ACKNOWLEDGE);
     return due;
   }
 
-  /** Removes what went with a reply so lately that the worker may not have carried it out yet. */
+  /**
+   * Removes the commands of the last reply if the worker may not have had time to execute them yet.
+   */
   private void removeDelivered(List<WorkerCommand> due, MachineState machine) {
     Duration now = loop.now();
-    due.removeIf(command -> machine.commands().wasDeliveredWithin(command, DELIVERY_TIME, now));
+    due.removeIf(
+        command -> machine.commands().wasDeliveredWithin(command, REPLY_PROCESSING_TIME, now));
   }
 }
--- a/src/main/java/io/cherryspool/controller/leader/CommandSender.java
+++ b/src/main/java/io/cherryspool/controller/leader/CommandSender.java
@@ -12,10 +12,10 @@
 import java.util.Optional;
 
 /**
- * Sends committed commands straight to workers, so that a start need not wait for the next
- * heartbeat. One call at a time goes to a machine. A call without an answer may still run later, so
- * the token is raised at once, and the machine's commands count as not fenced until it has
- * acknowledged the higher one.
+ * Sends committed commands to workers by direct calls, so that a start need not wait for the next
+ * heartbeat. Each machine gets one call at a time. The worker may still execute a call that was not
+ * answered, so the sender then raises the fencing token at once, and the machine's commands count
+ * as not fenced until the worker has acknowledged the higher token.
  *
  * <p>Used on the event loop only.
  */
@@ -26,20 +26,22 @@
   private final Duration pauseAfterFailure;
   private final AnswerListener listener;
 
-  /** Whom the outcome of each call is passed to. */
+  /** Receives the outcome of each call. */
   interface AnswerListener {
     /**
      * Called when a call to the machine has ended.
      *
-     * @param answer the worker's state, or empty if the call got no answer
+     * @param answer the heartbeat with which the worker answered, empty if the call was not
+     *     answered
      */
-    void commandsAnswered(MachineState machine, Optional<WorkerHeartbeat> answer);
+    void onCommandsAnswered(MachineState machine, Optional<WorkerHeartbeat> answer);
   }
 
   /**
-   * Creates a sender; what is under way is kept with the machines.
+   * Creates a sender. The state of calls in flight is kept in each machine's {@link
+   * CommandDelivery}.
    *
-   * @param pauseAfterFailure for how long a machine is sent nothing after a call without an answer
+   * @param pauseAfterFailure how long to wait before the next call to a machine that did not answer
    */
   CommandSender(
       EventLoop loop,
@@ -55,8 +57,8 @@
   }
 
   /**
-   * Sends the commands, unless the machine can't be called now; with none, the call still makes the
-   * worker take the current token.
+   * Sends the commands, unless the machine can't be called now. An empty list is sent as well,
+   * since the call makes the worker adopt the current fencing token.
    */
   void send(MachineState machine, List<WorkerCommand> commands) {
     CommandDelivery delivery = machine.commands();
@@ -74,11 +76,11 @@
             (heartbeat, failure) -> {
               if (failure == null) {
                 delivery.recordCallAnswered();
-                listener.commandsAnswered(machine, Optional.of(heartbeat));
+                listener.onCommandsAnswered(machine, Optional.of(heartbeat));
               } else {
                 delivery.recordCallFailed(loop.now().plus(pauseAfterFailure));
                 tokens.advance();
-                listener.commandsAnswered(machine, Optional.empty());
+                listener.onCommandsAnswered(machine, Optional.empty());
               }
             });
   }
--- a/src/main/java/io/cherryspool/controller/leader/FailoverReconciliation.java
+++ b/src/main/java/io/cherryspool/controller/leader/FailoverReconciliation.java
@@ -15,7 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides when a new leader knows enough of what runs to place tasks.
+ * Decides when a new leader knows which tasks run on the machines well enough to place further
+ * tasks.
  *
  * <p>Used on the event loop only.
  */
@@ -23,8 +24,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(FailoverReconciliation.class);
 
   /**
-   * How long machines may take to answer once they are listed. A live worker answers a call within
-   * milliseconds; a lost packet costs some hundred.
+   * How long to wait for the answers of machines after the cloud has listed them. A live worker
+   * answers a call within milliseconds; a lost packet adds a few hundred milliseconds.
    */
   private static final Duration MAX_ANSWER_TIME = Duration.ofMillis(1200);
 
@@ -38,10 +39,10 @@
   private boolean done;
 
   /**
-   * Creates the reconciliation of a term that begins.
+   * Creates the reconciliation for a term that begins now.
    *
    * @param termStart when this leader's term began
-   * @param listLag after so long the cloud's list shows a new machine
+   * @param listLag the longest time until a new machine appears in the cloud's list
    */
   FailoverReconciliation(
       EventLoop loop,
@@ -60,16 +61,18 @@
     this.provisioner = provisioner;
   }
 
-  /** Whether ownership is rebuilt, so that tasks are placed. */
+  /** Whether ownership has been rebuilt, so that tasks may be placed. */
   boolean isDone() {
     return done;
   }
 
   /**
-   * After a loss of state tasks may run that no record holds. Placing waits until every machine
-   * that may run one has shown a token of this term, or its lease has surely expired.
+   * Ends the adoption of unrecorded tasks if all of them are known and recorded; requests another
+   * round otherwise. After a loss of state, tasks may run that no record holds. They are all known
+   * once every machine that may run one has acknowledged a token of this term, or once every lease
+   * from before this term has certainly expired.
    */
-  void checkAdopted() {
+  void checkAdoptionComplete() {
     Duration now = loop.now();
     Duration leasesExpiredAt =
         termStart.plus(timings.authority()).plus(timings.workerLeaseExpiry());
@@ -104,13 +107,15 @@
   }
 
   /**
-   * Placing waits for every live worker's heartbeat. A listed worker that has neither sent one nor
-   * answered a call in time does not count as live; without a list the wait is two heartbeat
-   * intervals. What the others own stays owned until its end is proved.
+   * Allows tasks to be placed if every live worker has sent a heartbeat. A listed worker that has
+   * neither sent a heartbeat nor answered a call within {@link #MAX_ANSWER_TIME} does not count as
+   * live. While the cloud's list has not been read, the wait ends two heartbeat intervals after the
+   * start of the term. Tasks of workers that are not live stay owned until they are proved to have
+   * ended.
    *
-   * @param firstListedAt when the cloud's list was first read, empty before that
+   * @param firstListedAt when the cloud's list was first read in this term, empty before that
    */
-  void checkRebuilt(Optional<Duration> firstListedAt) {
+  void checkOwnershipRebuilt(Optional<Duration> firstListedAt) {
     Duration now = loop.now();
     boolean isComplete = firstListedAt.isPresent() && haveAllSentHeartbeats();
     Duration limit =
--- a/src/main/java/io/cherryspool/controller/leader/HeartbeatHandler.java
+++ b/src/main/java/io/cherryspool/controller/leader/HeartbeatHandler.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes in the workers' heartbeats, and replies with the current token and the commands that are
- * due.
+ * Handles the workers' heartbeats, and replies with the current fencing token and the commands that
+ * are due.
  *
  * <p>Used on the event loop only.
  */
@@ -43,12 +43,14 @@
     this.historyCheck = historyCheck;
   }
 
-  /** Takes in nothing more, since the term has ended. */
+  /** Ignores all further heartbeats, since the term has ended. */
   void stop() {
     stopped = true;
   }
 
-  /** Takes in a heartbeat that the worker sent itself; returns the encoded reply. */
+  /**
+   * Handles a heartbeat that the worker sent on its own schedule, and returns the encoded reply.
+   */
   byte[] handle(WorkerHeartbeat heartbeat) {
     accept(heartbeat);
     MachineState machine = state.fleet().get(heartbeat.machine());
@@ -56,43 +58,47 @@
     if (machine == null || machine.isDeleted() || !machine.hasHeartbeat()) {
       return WorkerProtocol.encodeHeartbeatReply(token, List.of());
     }
-    MachineEligibility before = rounds.eligibility(machine);
-    boolean isAnswered = machine.contact().recordReply(heartbeat, token, loop.now());
-    if (before.isImprovedBy(rounds.eligibility(machine))) {
-      // The reply renews its lease, so that it may be given work again.
+    MachineEligibility eligibilityBefore = rounds.eligibility(machine);
+    boolean isNew = machine.contact().recordReply(heartbeat, token, loop.now());
+    if (eligibilityBefore.isImprovedBy(rounds.eligibility(machine))) {
+      // The reply renews the worker's lease, so that tasks may be placed on the machine again.
       rounds.requestRound();
     }
-    if (!isAnswered || heartbeat.agentEpoch() != machine.latestHeartbeat().agentEpoch()) {
+    if (!isNew || heartbeat.agentEpoch() != machine.latestHeartbeat().agentEpoch()) {
       return WorkerProtocol.encodeHeartbeatReply(token, List.of());
     }
     return WorkerProtocol.encodeHeartbeatReply(token, dispatcher.commandsForReply(machine, token));
   }
 
-  /** Takes in a heartbeat, whether the worker sent it itself or in answer to a direct call. */
+  /**
+   * Records a heartbeat, whether the worker sent it on its own schedule or as the answer to a
+   * direct call.
+   */
   void accept(WorkerHeartbeat heartbeat) {
     if (stopped) {
       return;
     }
     MachineState known = state.fleet().get(heartbeat.machine());
-    WorkerHeartbeat before = known == null ? null : known.latestHeartbeat();
-    if (historyCheck.isContradictedBy(heartbeat, before)) {
+    WorkerHeartbeat previous = known == null ? null : known.latestHeartbeat();
+    if (historyCheck.isContradictedBy(heartbeat, previous)) {
       return;
     }
-    MachineEligibility eligibility = rounds.eligibility(known);
+    MachineEligibility eligibilityBefore = rounds.eligibility(known);
     if (!state.fleet().accept(heartbeat, loop.now())) {
       return;
     }
     MachineState machine = state.fleet().get(heartbeat.machine());
-    // A newer token alone is no news: each round would touch every machine and ask for the next.
-    if (heartbeat.hasChangedSince(before)
-        || eligibility.isImprovedBy(rounds.eligibility(machine))
+    // A newer token alone is not a change: otherwise each round, which raises the token, would have
+    // every machine examined and another round requested.
+    if (heartbeat.hasChangedSince(previous)
+        || eligibilityBefore.isImprovedBy(rounds.eligibility(machine))
         || rounds.isExaminationPending(machine.name())) {
       rounds.onMachineChanged(machine.name());
-      dispatcher.machineChanged(machine.name());
+      dispatcher.onMachineChanged(machine.name());
       rounds.requestRound();
     }
     if (heartbeat.preemptionNotice() != null
-        && (before == null || before.preemptionNotice() == null)) {
+        && (previous == null || previous.preemptionNotice() == null)) {
       LOG.info(
           "preemption notice: machine={}, seconds={}",
           machine.name(),
@@ -101,7 +107,10 @@
     }
   }
 
-  /** Stops the tasks that can save their progress in time; the rest may still finish in it. */
+  /**
+   * Requests a stop of the tasks that can save a checkpoint before the machine is taken away. The
+   * other tasks keep running, since they may still finish in that time.
+   */
   private void checkpointTasks(MachineState machine, Duration notice) {
     for (Ownership.OwnedTask owned : state.tasks().ownership().ownedTasksOn(machine.name())) {
       Job job = owned.jobRecord().job();
--- a/src/main/java/io/cherryspool/controller/leader/HistoryCheck.java
+++ b/src/main/java/io/cherryspool/controller/leader/HistoryCheck.java
@@ -7,8 +7,9 @@
 import io.cherryspool.store.ClusterRecords;
 
 /**
- * Checks whether a heartbeat contradicts this leader's term or records: it shows a token of a later
- * leader, or an attempt whose start the records lack. Either ends the term.
+ * Checks whether a heartbeat contradicts this leader's term or records. It does if it shows the
+ * fencing token of a later leader, or an attempt whose start is missing from the records. Either
+ * ends the term.
  *
  * <p>Used on the event loop only.
  */
@@ -16,47 +17,52 @@
   private final ClusterRecords records;
   private final FencingTokenSource tokens;
   private final long term;
-  private final LeaderTerm.ContradictionListeners findings;
+  private final LeaderTerm.ContradictionListeners listeners;
 
   HistoryCheck(
       ClusterRecords records,
       FencingTokenSource tokens,
       long term,
-      LeaderTerm.ContradictionListeners findings) {
+      LeaderTerm.ContradictionListeners listeners) {
     this.records = records;
     this.tokens = tokens;
     this.term = term;
-    this.findings = findings;
+    this.listeners = listeners;
   }
 
   /**
-   * Whether the heartbeat is evidence against this term, which is then reported; nothing else may
-   * be concluded from it.
+   * Returns whether the heartbeat contradicts this term or its records, and reports the
+   * contradiction to the listeners. The caller must not use such a heartbeat for anything else.
    *
-   * @param before the newest heartbeat of the machine before, null if there is none
+   * @param previous the machine's newest heartbeat before this one, null if there is none
    */
-  boolean isContradictedBy(WorkerHeartbeat heartbeat, WorkerHeartbeat before) {
+  boolean isContradictedBy(WorkerHeartbeat heartbeat, WorkerHeartbeat previous) {
     if (heartbeat.highestFencingToken() > tokens.current()) {
-      // Of a later leader; or, in a lost history, of another leader in a term of this number.
-      findings
+      // The token comes from a later leader, or from another leader that had the same term number
+      // before the state store lost data.
+      listeners
           .onHigherTerm()
           .accept(Math.max(FencingToken.term(heartbeat.highestFencingToken()), term + 1));
       return true;
     }
-    // What a heartbeat repeats was checked before; of a start the records never come to know less.
-    return findings.onUnrecordedStart().isPresent()
+    // Unchanged tasks were checked with an earlier heartbeat, and a recorded start stays recorded.
+    return listeners.onUnrecordedStart().isPresent()
         && records.isReconciled()
-        && heartbeat.hasChangedSince(before)
+        && heartbeat.hasChangedSince(previous)
         && reportUnrecordedStart(heartbeat);
   }
 
-  /** This leader has read all that was recorded before its term, and has started nothing else. */
+  /**
+   * Reports the first attempt whose start is not recorded, and returns whether there is one. Such
+   * an attempt is a contradiction, since this leader has read all records from before its term and
+   * has started no other attempts.
+   */
   private boolean reportUnrecordedStart(WorkerHeartbeat heartbeat) {
     for (WorkerHeartbeat.TaskStatus status : heartbeat.tasks()) {
       String job = status.task().jobId();
-      boolean isNoted = records.isAbandonedJob(job) || records.isUnknownJob(job);
-      if (!isNoted && !Reconciliation.isStartRecorded(records.job(job), status)) {
-        findings.onUnrecordedStart().get().accept(status.task() + " try " + status.attempt());
+      boolean isExempt = records.isAbandonedJob(job) || records.isUnknownJob(job);
+      if (!isExempt && !Reconciliation.isStartRecorded(records.job(job), status)) {
+        listeners.onUnrecordedStart().get().accept(status.task() + " try " + status.attempt());
         return true;
       }
     }
--- a/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
@@ -37,16 +37,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term of this node as leader: reconciles what runs with the records, then runs rounds, until
- * it is stopped. All that it knows ends with it; the next leader starts from the records and the
- * workers' heartbeats.
+ * One term of this node as leader. A term first reconciles the tasks that run with the records, and
+ * then runs scheduling rounds until it is stopped. Its state is kept in memory only and is lost
+ * with the term; the next leader starts from the records and the workers' heartbeats.
  *
  * <p>Used on the event loop only.
  */
 public final class LeaderTerm implements Lifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
-  private static final Duration TICK_DURING_FAILOVER = Duration.ofMillis(100);
-  private static final Duration TICK = Duration.ofMillis(250);
+  private static final Duration FAILOVER_TICK_INTERVAL = Duration.ofMillis(100);
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
 
   private final EventLoop loop;
   private final long term;
@@ -62,7 +62,7 @@
   private final EventLoopLag lag = new EventLoopLag();
   private EventLoop.Timer timer;
 
-  /** What a term runs on and calls; it outlives the term. */
+  /** The services of the node that a term uses; they outlive the term. */
   public record Services(
       EventLoop loop,
       InstantSource clock,
@@ -73,10 +73,10 @@
       Meters meters) {}
 
   /**
-   * The settings that a term works by.
+   * The settings of a term.
    *
    * @param teams the teams by name
-   * @param heldClasses see {@link TaskAdoption}
+   * @param heldClasses the job classes held after a loss of state, see {@link TaskAdoption}
    */
   public record TermSettings(
       Timings timings,
@@ -86,12 +86,11 @@
       Set<String> heldClasses) {}
 
   /**
-   * What the leader may do now.
+   * The conditions under which the leader may act, checked before each action.
    *
-   * @param mayCommandWorkers whether it may act for the controllers towards workers
-   * @param mayChangeFleet whether there is surely no other leader, so that it may have machines
-   *     added and deleted
-   * @param permissions what the verdict on this node's links allows
+   * @param mayCommandWorkers whether it may send commands to workers
+   * @param mayChangeFleet whether there is certainly no other leader that changes the fleet
+   * @param permissions what the state of this node's links allows
    */
   public record Authority(
       BooleanSupplier mayCommandWorkers,
@@ -99,11 +98,11 @@
       FleetPermissions permissions) {}
 
   /**
-   * Receivers of what a term finds out and the whole node must know; each may end the term.
+   * Receivers of evidence that contradicts the term or its records. Each of them may end the term.
    *
-   * @param onHigherTerm receives a higher term that a worker has shown
-   * @param onUnrecordedStart receives an attempt that a worker has and no record, where losses of
-   *     state are looked for
+   * @param onHigherTerm receives the number of a higher term whose fencing token a worker has shown
+   * @param onUnrecordedStart receives the description of an attempt that a worker runs and no
+   *     record holds; empty if this node does not look for losses of state
    */
   public record ContradictionListeners(
       LongConsumer onHigherTerm, Optional<Consumer<String>> onUnrecordedStart) {}
@@ -117,7 +116,7 @@
       Services services,
       TermSettings settings,
       Authority authority,
-      ContradictionListeners findings,
+      ContradictionListeners contradictionListeners,
       RoundCommitter committer,
       long term) {
     this.term = term;
@@ -127,7 +126,7 @@
     state =
         TermState.create(
             term, termStart, services.records(), services.clock(), timings, settings.heldClasses());
-    rounds = newRounds(services, settings, committer, authority.permissions());
+    rounds = newSchedulingLoop(services, settings, committer, authority.permissions());
     provisioner = newProvisioner(services, settings, authority);
     CommandSender sender =
         new CommandSender(
@@ -135,7 +134,7 @@
             services.workers(),
             state.tokens(),
             timings.workerTimeout(),
-            this::commandsAnswered);
+            this::onCommandsAnswered);
     dispatcher =
         new CommandDispatcher(
             loop,
@@ -144,16 +143,16 @@
             sender,
             authority.mayCommandWorkers());
     HistoryCheck historyCheck =
-        new HistoryCheck(services.records(), state.tokens(), term, findings);
+        new HistoryCheck(services.records(), state.tokens(), term, contradictionListeners);
     heartbeats = new HeartbeatHandler(loop, state, rounds, dispatcher, historyCheck);
-    prober = new MachineProber(loop, state, services.workers(), timings, lag, this::probeAnswered);
+    prober = new MachineProber(loop, state, services.workers(), timings, lag, this::onProbeReply);
     Duration listLag = settings.provisioning().listLag();
     failover =
         new FailoverReconciliation(loop, termStart, timings, listLag, state, rounds, provisioner);
     state.tasks().ownership().setListener(new OwnershipChangeHandler(state, rounds, dispatcher));
   }
 
-  private SchedulingLoop newRounds(
+  private SchedulingLoop newSchedulingLoop(
       Services services,
       TermSettings settings,
       RoundCommitter committer,
@@ -186,7 +185,7 @@
             state.demand(),
             services.catalog()),
         authority.permissions(),
-        () -> prober.machinesListed());
+        () -> prober.onMachinesListed());
   }
 
   @Override
@@ -210,77 +209,77 @@
     timer.cancel();
   }
 
-  /** The number of the term. */
+  /** Returns the number of the term. */
   public long term() {
     return term;
   }
 
-  /** How this leader reaches its machines. */
+  /** Returns the contact state of all machines that are not deleted. */
   public FleetReachability fleetReachability() {
-    Duration lateSince = loop.now().minus(timings.heartbeatLateAfter());
+    Duration lateCutoff = loop.now().minus(timings.heartbeatLateAfter());
     FleetReachability.Builder view = new FleetReachability.Builder();
     for (MachineState machine : state.fleet().all()) {
       if (!machine.isDeleted()) {
         view.addMachine(
             machine.zone(),
             provisioner.isListed(machine.name()),
-            machine.contactState(lateSince, termStart));
+            machine.contactState(lateCutoff, termStart));
       }
     }
     return view.build();
   }
 
-  /** The machines that this leader knows. */
+  /** Returns the machines that this leader knows. */
   public Fleet fleet() {
     return state.fleet();
   }
 
-  /** Has a round run soon, since the records or this node's links have changed. */
+  /** Requests a scheduling round, since the records or this node's links have changed. */
   public void requestRound() {
     rounds.requestRound();
   }
 
   /**
-   * Takes in a heartbeat, which may end the term; returns the encoded reply with the current token
-   * and the commands that are due.
+   * Handles a heartbeat, which may end the term. Returns the encoded reply with the current fencing
+   * token and the commands that are due.
    */
   public byte[] handleHeartbeat(WorkerHeartbeat heartbeat) {
     return heartbeats.handle(heartbeat);
   }
 
   private void tick() {
-    Duration next = failover.isDone() ? TICK : TICK_DURING_FAILOVER;
-    lag.timerFired(loop.now(), next);
+    Duration next = failover.isDone() ? TICK_INTERVAL : FAILOVER_TICK_INTERVAL;
+    lag.onTimerFired(loop.now(), next);
     timer = loop.schedule(next, this::tick);
     if (state.tasks().adoption().isInProgress()) {
-      failover.checkAdopted();
-      prober.probeLate();
+      failover.checkAdoptionComplete();
+      prober.probeLateMachines();
     } else if (failover.isDone()) {
-      prober.probeLate();
+      prober.probeLateMachines();
     } else {
-      failover.checkRebuilt(prober.firstListedAt());
+      failover.checkOwnershipRebuilt(prober.firstListedAt());
     }
     dispatcher.sendDue();
   }
 
-  private void commandsAnswered(MachineState machine, Optional<WorkerHeartbeat> answer) {
+  private void onCommandsAnswered(MachineState machine, Optional<WorkerHeartbeat> answer) {
     answer.ifPresent(heartbeats::accept);
-    // Whether the call may still run bears on what absence proves.
-    machineChanged(machine.name());
+    // The absence of a task proves nothing while the call may still be executed.
+    onMachineChanged(machine.name());
   }
 
-  private void probeAnswered(MachineState machine, WorkerHeartbeat heartbeat) {
+  private void onProbeReply(MachineState machine, WorkerHeartbeat heartbeat) {
     heartbeats.accept(heartbeat);
     dispatcher.fence(machine);
   }
 
-  /** Something about the machine may prove an end or make a command due. */
-  private void machineChanged(String machine) {
+  /** Has the machine checked for attempts that have ended and commands that are due. */
+  private void onMachineChanged(String machine) {
     rounds.onMachineChanged(machine);
-    dispatcher.machineChanged(machine);
+    dispatcher.onMachineChanged(machine);
   }
 
-  /** What the rounds need of the term. */
+  /** Gives the scheduling loop access to the term. */
   private final class RoundHost implements SchedulingLoop.Host {
     private final FleetPermissions permissions;
 
--- a/src/main/java/io/cherryspool/controller/leader/MachineProber.java
+++ b/src/main/java/io/cherryspool/controller/leader/MachineProber.java
@@ -17,21 +17,24 @@
 import java.util.function.BiConsumer;
 
 /**
- * Requests the state of machines by direct calls: after a failover of all machines that have not
- * sent a heartbeat yet, and later of those that own tasks and are late. Calls renew no lease.
+ * Probes machines, that is, requests a heartbeat from them by direct calls. After a failover it
+ * probes all machines that have not sent a heartbeat yet, and later those that own tasks and whose
+ * heartbeat is late. A probe does not renew the worker's lease.
  *
- * <p>A few calls run at a time: a thousand at once would take all sockets, and all of the
- * processor. On 7.6% of a core they did so after each failover, so that heartbeats were answered
- * too late and a thousand tasks lost their leases after a single controller had ended.
+ * <p>The number of concurrent calls is limited, since a thousand calls at once use up all sockets
+ * and the whole CPU. On a controller with 7.6% of a core this happened after each failover:
+ * heartbeats were answered too late, and a thousand tasks lost their leases after a single
+ * controller had stopped.
  *
  * <p>Used on the event loop only.
  */
 final class MachineProber {
-  /** Calls at a time; each holds a socket. */
+  /** The maximum number of concurrent calls; each uses a socket. */
   private static final int MAX_CALLS = 32;
 
   /**
-   * Calls at a time while the event loop is behind: the heartbeats bring the same, and go first.
+   * The maximum number of concurrent calls while the event loop is behind. Heartbeats carry the
+   * same information as the answers and must be handled first.
    */
   private static final int MAX_CALLS_WHEN_BEHIND = 1;
 
@@ -42,20 +45,23 @@
   private final EventLoopLag lag;
   private final BiConsumer<MachineState, WorkerHeartbeat> answerListener;
 
-  /** The machines to call, in order. */
+  /** The names of the machines to call, in order. */
   private final Set<String> queue = new LinkedHashSet<>();
 
-  /** The machines that were queued before their first heartbeat, which is done once. */
+  /**
+   * The machines that were queued before their first heartbeat. Each is queued for this reason only
+   * once.
+   */
   private final Set<String> calledBeforeHeartbeat = new HashSet<>();
 
-  private int callsUnderWay;
+  private int callsInFlight;
   private Duration firstListedAt;
   private boolean stopped;
 
   /**
-   * Creates a prober without calls.
+   * Creates a prober with an empty queue.
    *
-   * @param answerListener receives each answer with the machine it is from
+   * @param answerListener receives each machine that answered, and the heartbeat of the answer
    */
   MachineProber(
       EventLoop loop,
@@ -72,18 +78,21 @@
     this.answerListener = answerListener;
   }
 
-  /** Makes no more calls and passes on no more answers, since the term has ended. */
+  /** Stops calling machines and ignores outstanding answers, since the term has ended. */
   void stop() {
     stopped = true;
   }
 
-  /** When the cloud's list of machines was first read, empty before that. */
+  /** Returns when the cloud's list of machines was first read in this term, empty before that. */
   Optional<Duration> firstListedAt() {
     return Optional.ofNullable(firstListedAt);
   }
 
-  /** Calls listed machines without a heartbeat, so that a failover need not wait for these. */
-  void machinesListed() {
+  /**
+   * Calls the listed machines that have sent no heartbeat in this term, so that a failover need not
+   * wait for their heartbeats.
+   */
+  void onMachinesListed() {
     firstListedAt = firstListedAt == null ? loop.now() : firstListedAt;
     for (MachineState machine : state.fleet().all()) {
       if (machine.hasEndpoint()
@@ -96,18 +105,18 @@
   }
 
   /**
-   * Calls machines that own tasks and are late, once in each silence: a dead or hung one is known
-   * in half the time that its heartbeats alone would take, and a live one whose heartbeats are lost
-   * is not taken for dead.
+   * Calls each machine that owns tasks and whose heartbeat is late, once until its next heartbeat.
+   * A dead or hung machine is detected in half the time that missing heartbeats alone would take,
+   * and a live machine whose heartbeats are lost is not treated as dead.
    */
-  void probeLate() {
-    Duration lateSince = loop.now().minus(timings.heartbeatLateAfter());
+  void probeLateMachines() {
+    Duration lateCutoff = loop.now().minus(timings.heartbeatLateAfter());
     for (String name : state.tasks().ownership().owningMachines()) {
       MachineState machine = state.fleet().get(name);
       if (machine != null
           && !machine.isDeleted()
           && machine.hasEndpoint()
-          && machine.contact().isProbeDue(lateSince)) {
+          && machine.contact().isProbeDue(lateCutoff)) {
         machine.contact().recordProbe();
         queue.add(name);
       }
@@ -117,7 +126,7 @@
 
   private void callNext() {
     int maxCalls = lag.isBehind() ? MAX_CALLS_WHEN_BEHIND : MAX_CALLS;
-    while (callsUnderWay < maxCalls && !queue.isEmpty() && !stopped) {
+    while (callsInFlight < maxCalls && !queue.isEmpty() && !stopped) {
       Iterator<String> first = queue.iterator();
       MachineState machine = state.fleet().get(first.next());
       first.remove();
@@ -128,25 +137,28 @@
   }
 
   private void call(MachineState machine) {
-    callsUnderWay++;
+    callsInFlight++;
     Duration sentAt = loop.now();
     workers
         .requestHeartbeat(machine.endpoint())
         .whenComplete(
             (heartbeat, failure) -> {
-              callsUnderWay--;
-              Duration took = loop.now().minus(sentAt);
+              callsInFlight--;
+              Duration elapsed = loop.now().minus(sentAt);
               if (failure == null && !stopped) {
                 answerListener.accept(machine, heartbeat);
-              } else if (!machine.contact().hasHeartbeatSinceProbe() && isTimeout(took)) {
+              } else if (!machine.contact().hasHeartbeatSinceProbe() && isTimeout(elapsed)) {
                 machine.contact().markUnresponsive();
               }
               callNext();
             });
   }
 
-  /** A call that fails at once found no socket, which says nothing of the machine. */
-  private boolean isTimeout(Duration took) {
-    return took.compareTo(Durations.divide(timings.workerTimeout(), 2)) > 0;
+  /**
+   * Whether the call failed by its timeout. A call that fails at once found no free socket, which
+   * proves nothing about the machine.
+   */
+  private boolean isTimeout(Duration elapsed) {
+    return elapsed.compareTo(Durations.divide(timings.workerTimeout(), 2)) > 0;
   }
 }
--- a/src/main/java/io/cherryspool/controller/leader/OwnershipChangeHandler.java
+++ b/src/main/java/io/cherryspool/controller/leader/OwnershipChangeHandler.java
@@ -10,7 +10,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Passes changes of ownership on to the parts of the term that they concern.
+ * Forwards changes of task ownership to the parts of the term that depend on them.
  *
  * <p>Used on the event loop only.
  */
@@ -28,24 +28,24 @@
   }
 
   @Override
-  public void machineChanged(String machine) {
+  public void onMachineChanged(String machine) {
     rounds.onMachineChanged(machine);
-    dispatcher.machineChanged(machine);
+    dispatcher.onMachineChanged(machine);
   }
 
   @Override
-  public void jobChanged(JobRecord job) {
-    rounds.onJobChanged(job);
-    state.demand().onJobAccepted(job);
+  public void onJobChanged(JobRecord jobRecord) {
+    rounds.onJobChanged(jobRecord);
+    state.demand().onJobAccepted(jobRecord);
   }
 
   @Override
-  public void jobEnded(JobRecord job) {
-    LOG.info("job ended: job={}, outcome={}", job.job().id(), job.outcome());
+  public void onJobEnded(JobRecord jobRecord) {
+    LOG.info("job ended: job={}, outcome={}", jobRecord.job().id(), jobRecord.outcome());
   }
 
   @Override
-  public void attemptReleased(Ownership.OwnedTask owned) {
+  public void onAttemptReleased(Ownership.OwnedTask owned) {
     state.tasks().pendingReleases().remove(owned);
     state.tasks().stopRequests().remove(owned);
     MachineState machine = state.fleet().get(owned.attempt().machine());
@@ -55,8 +55,8 @@
   }
 
   @Override
-  public void recordsReloaded() {
-    dispatcher.recordsReloaded();
+  public void onRecordsReloaded() {
+    dispatcher.onRecordsReloaded();
     state.demand().onRecordsReloaded();
     rounds.onRecordsReloaded();
   }
--- a/src/main/java/io/cherryspool/controller/leader/WorkerCommandPlanner.java
+++ b/src/main/java/io/cherryspool/controller/leader/WorkerCommandPlanner.java
@@ -12,8 +12,9 @@
 import java.util.Optional;
 
 /**
- * Plans what a worker is to do, from the committed records and its newest heartbeat alone. The same
- * commands come again until a heartbeat shows them done, so that none is lost with a reply.
+ * Derives the commands for a worker from the committed records and its newest heartbeat. A command
+ * is repeated until a heartbeat shows that it was executed, so no command is lost if a reply is
+ * lost.
  *
  * <p>Used on the event loop only.
  */
@@ -27,23 +28,24 @@
   }
 
   /**
-   * The commands that are due; the list is the caller's to change.
+   * Returns the commands that are due, in a new list that the caller may modify.
    *
-   * @param machine has sent a heartbeat in this term
-   * @param owned the tasks that the records give to the machine
+   * @param machine the machine, which must have sent a heartbeat in this term
+   * @param owned the tasks that the machine owns by the committed records
    */
   List<WorkerCommand> commandsFor(MachineState machine, List<Ownership.OwnedTask> owned) {
     List<WorkerCommand> commands = new ArrayList<>();
     for (WorkerHeartbeat.TaskStatus status : machine.latestHeartbeat().tasks()) {
       Ownership.OwnedTask owner = findOwned(status, owned, machine);
       if (owner != null) {
-        addStop(commands, status, owner);
+        addStopIfRequested(commands, status, owner);
       } else {
-        addEnd(commands, status, machine);
+        addStopOrAcknowledgement(commands, status, machine);
       }
     }
     if (tasks.adoption().isInProgress()) {
-      // What is owned and not here may run elsewhere as a later attempt.
+      // Nothing is started yet: a task that is missing here may run elsewhere as a later attempt
+      // that no record holds.
       return commands;
     }
     for (Ownership.OwnedTask item : owned) {
@@ -54,8 +56,10 @@
     return commands;
   }
 
-  /** For a task that the machine owns: it goes on, unless its stop is requested. */
-  private void addStop(
+  /**
+   * Adds a stop command for a task that the machine owns if a stop was requested and has not begun.
+   */
+  private void addStopIfRequested(
       List<WorkerCommand> commands, WorkerHeartbeat.TaskStatus status, Ownership.OwnedTask owned) {
     Optional<Duration> gracePeriod = tasks.stopRequests().gracePeriodFor(owned);
     if (gracePeriod.isEmpty()) {
@@ -64,18 +68,21 @@
     boolean isRunning =
         status.state() == WorkerHeartbeat.TaskState.FETCHING
             || status.state() == WorkerHeartbeat.TaskState.RUNNING;
-    boolean isCutShort =
+    boolean mustAbortCheckpoint =
         status.state() == WorkerHeartbeat.TaskState.CHECKPOINTING && gracePeriod.get().isZero();
-    if (isRunning || isCutShort) {
+    if (isRunning || mustAbortCheckpoint) {
       commands.add(WorkerCommand.stop(status.task(), status.attempt(), gracePeriod.get()));
     }
   }
 
-  /** For a task that the records give to no machine, or to another attempt. */
-  private void addEnd(
+  /**
+   * Adds the command for a reported attempt that does not own its task: a stop while it runs, an
+   * acknowledgement once it has exited.
+   */
+  private void addStopOrAcknowledgement(
       List<WorkerCommand> commands, WorkerHeartbeat.TaskStatus status, MachineState machine) {
     if (tasks.adoption().isProtected(machine, status)) {
-      // The records lack what happened last, and this may be part of it.
+      // The records were restored without the latest changes, and this attempt may be one of them.
       return;
     }
     if (status.state() != WorkerHeartbeat.TaskState.EXITED) {
@@ -90,12 +97,12 @@
         && owned.jobRecord().outcome() == null
         && !tasks.adoption().isPlacementBlocked(owned.jobRecord())
         && !tasks.stopRequests().isRequested(owned)
-        // An attempt that has ended must not run once more while its end waits to be written.
+        // An attempt that has ended must not be started again while its release is not written yet.
         && !tasks.pendingReleases().contains(owned)
         && machine.contact().findTask(owned.taskId(), owned.attempt().number()).isEmpty();
   }
 
-  /** The owned task that the status is of, null if there is none. */
+  /** Returns the owned task whose attempt the status describes, null if there is none. */
   private static Ownership.OwnedTask findOwned(
       WorkerHeartbeat.TaskStatus status, List<Ownership.OwnedTask> owned, MachineState machine) {
     long epoch = machine.latestHeartbeat().agentEpoch();
--- a/src/main/java/io/cherryspool/controller/leader/package-info.java
+++ b/src/main/java/io/cherryspool/controller/leader/package-info.java
@@ -1,6 +1,7 @@
 /**
- * One term of this node as leader: intake of worker heartbeats, failover, and the commands that
- * workers are sent. {@code LeaderTerm} wires it, and is where to begin.
+ * One term of this node as leader: handling of worker heartbeats, reconciliation after a failover,
+ * and the commands sent to workers. {@code LeaderTerm} creates and connects the other classes;
+ * start reading there.
  *
  * <p>May depend on {@code controller.provisioning} and the packages below it, and on {@code
  * worker}, {@code cloud}, {@code reachability}, {@code recovery}, {@code store}, {@code wire},
--- a/src/main/java/io/cherryspool/controller/metrics/EventCounter.java
+++ b/src/main/java/io/cherryspool/controller/metrics/EventCounter.java
@@ -4,8 +4,9 @@
 import io.micrometer.core.instrument.MeterRegistry;
 
 /**
- * Counts events on the event loop. The number is kept here and not by a registry, so that a
- * registry that is made when metrics are first asked for shows all events since the start.
+ * A counter that is incremented on the event loop. The total is kept here and not by a meter
+ * registry, so that a registry that is created when metrics are first requested shows all events
+ * since the start of the node.
  */
 public final class EventCounter {
   private long total;
@@ -15,12 +16,12 @@
     add(1);
   }
 
-  /** Counts so many events. */
+  /** Adds the number of events to the count. */
   public void add(long events) {
     total += events;
   }
 
-  /** Makes the registry read the count under this name. */
+  /** Registers the counter with the registry under this name. */
   void bindTo(MeterRegistry registry, String name) {
     FunctionCounter.builder(name, this, counter -> counter.total).register(registry);
   }
--- a/src/main/java/io/cherryspool/controller/metrics/HeldTasks.java
+++ b/src/main/java/io/cherryspool/controller/metrics/HeldTasks.java
@@ -6,16 +6,16 @@
 import io.micrometer.core.instrument.binder.MeterBinder;
 import java.util.Map;
 
-/** The pending tasks that the leader's last plan left without a machine, by cause. */
+/** Gauges of the pending tasks that the leader's last plan left without a machine, by cause. */
 public final class HeldTasks implements MeterBinder {
   private Map<HoldCause, Integer> counts = Map.of();
 
-  /** Shows the counts of a plan in place of those of the one before. */
+  /** Replaces the counts by those of a new plan. */
   public void set(Map<HoldCause, Integer> countByCause) {
     counts = countByCause;
   }
 
-  /** Shows zero for each cause, since this node plans no more. */
+  /** Sets all counts to zero, since this node no longer leads. */
   public void clear() {
     counts = Map.of();
   }
--- a/src/main/java/io/cherryspool/controller/metrics/Meters.java
+++ b/src/main/java/io/cherryspool/controller/metrics/Meters.java
@@ -4,31 +4,32 @@
 import io.micrometer.core.instrument.binder.MeterBinder;
 
 /**
- * What a node counts while it runs, whoever leads. Each counter is raised where the event occurs,
- * on the event loop.
+ * The counters of a node, kept whether or not it leads. Each counter is incremented where the event
+ * occurs, on the event loop.
  */
 public final class Meters implements MeterBinder {
   /** Rounds that changed records. */
   public final EventCounter committedRounds = new EventCounter();
 
-  /** Rounds for which a placement was computed, whatever came of it. */
+  /** Rounds for which a placement was computed, whether or not it was committed. */
   public final EventCounter plannedRounds = new EventCounter();
 
   /**
-   * Tasks released since their worker's lease expired, or their machine is deleted or restarted.
+   * Tasks released because their worker's lease expired, or because their machine was deleted or
+   * restarted.
    */
   public final EventCounter lostTasks = new EventCounter();
 
   /** Tasks that failed by themselves. */
   public final EventCounter taskFailures = new EventCounter();
 
-  /** Tasks stopped as victims of a preemption. */
+  /** Tasks stopped to make room for others by preemption. */
   public final EventCounter preemptions = new EventCounter();
 
-  /** What the last plan left without a machine; zero on nodes that do not lead. */
+  /** Tasks that the last plan left without a machine; zero on nodes that do not lead. */
   public final HeldTasks heldTasks = new HeldTasks();
 
-  /** Heartbeats that were not this node's to answer. */
+  /** Heartbeats that this node did not handle because it was not the leader. */
   public final EventCounter redirectedHeartbeats = new EventCounter();
 
   /** Users' requests that were forwarded to another node. */
--- a/src/main/java/io/cherryspool/controller/metrics/ReachabilityMeters.java
+++ b/src/main/java/io/cherryspool/controller/metrics/ReachabilityMeters.java
@@ -11,18 +11,18 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The meters of a node's links, read when they are exported. A link is 0 if it is up, 1 if
- * something failed, 2 if it is down.
+ * The meters of a node's links, read when they are exported. The value of a link is 0 if it is up,
+ * 1 if it is suspect, and 2 if it is down.
  */
 public final class ReachabilityMeters implements MeterBinder {
-  /** The names of verdicts as dashboards have them. */
+  /** The names of the verdicts that are exported. Dashboards use these names. */
   private static final List<String> VERDICTS =
       List.of("pass-on", "hold-placing", "hold-zones", "hold-fleet", "make-way");
 
   private final Reachability reachability;
   private final EventLoop loop;
 
-  /** Reads the meters at the time of the loop. */
+  /** Creates the meters, which use the time of the event loop. */
   public ReachabilityMeters(Reachability reachability, EventLoop loop) {
     this.reachability = reachability;
     this.loop = loop;
@@ -33,7 +33,7 @@
     bindLink(registry, "state", reachability.stateStoreLink());
     bindLink(registry, "cloud", reachability.cloudLink());
     bindGauge(registry, "cherryspool.links.zones.flaps", meters -> reachability.zoneFlapCount());
-    bindGauge(registry, "cherryspool.links.peers.down", meters -> peersDown());
+    bindGauge(registry, "cherryspool.links.peers.down", meters -> countDownPeers());
     bindGauge(registry, "cherryspool.leadership.losses", meters -> reachability.leadershipLosses());
     bindGauge(
         registry,
@@ -54,7 +54,7 @@
     return reachability.verdict().name().equals(name);
   }
 
-  private double peersDown() {
+  private double countDownPeers() {
     return reachability.linkSummary(loop.now(), false, "").peers().stream()
         .filter(peer -> peer.state() == LinkState.DOWN)
         .count();
--- a/src/main/java/io/cherryspool/controller/metrics/RecoveryMeters.java
+++ b/src/main/java/io/cherryspool/controller/metrics/RecoveryMeters.java
@@ -9,7 +9,10 @@
 import io.micrometer.core.instrument.binder.MeterBinder;
 import java.util.function.ToDoubleFunction;
 
-/** The meters of a node that looks for losses of its records, read when they are exported. */
+/**
+ * The meters of a node that detects losses of the state store's records, read when they are
+ * exported.
+ */
 public final class RecoveryMeters implements MeterBinder {
   private final Recovery recovery;
   private final ClusterRecords records;
@@ -18,7 +21,7 @@
   /**
    * Creates the recovery meters.
    *
-   * @param snapshots null if none are taken
+   * @param snapshots the snapshot writer, null if no snapshots are taken
    */
   public RecoveryMeters(Recovery recovery, ClusterRecords records, SnapshotWriter snapshots) {
     this.recovery = recovery;
@@ -44,13 +47,17 @@
     if (snapshots != null) {
       bindGauge(registry, "snapshot.age.seconds", meters -> snapshots.ageSeconds());
       bindGauge(
-          registry, "snapshot.bytes", meters -> lastWrite(SnapshotRepository.WriteResult::bytes));
+          registry,
+          "snapshot.bytes",
+          meters -> lastWriteValue(SnapshotRepository.WriteResult::bytes));
       bindGauge(
-          registry, "snapshot.seconds", meters -> lastWrite(last -> last.durationNanos() / 1e9));
+          registry,
+          "snapshot.seconds",
+          meters -> lastWriteValue(last -> last.durationNanos() / 1e9));
     }
   }
 
-  private double lastWrite(ToDoubleFunction<SnapshotRepository.WriteResult> value) {
+  private double lastWriteValue(ToDoubleFunction<SnapshotRepository.WriteResult> value) {
     SnapshotRepository.WriteResult last = snapshots.lastResult().orElse(null);
     return last == null ? 0 : value.applyAsDouble(last);
   }
--- a/src/main/java/io/cherryspool/controller/metrics/package-info.java
+++ b/src/main/java/io/cherryspool/controller/metrics/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Counters and gauges of a node, kept without a registry until metrics are first asked for. All of
- * it runs on the event loop of the node.
+ * Counters and gauges of a node, kept without a meter registry until metrics are first requested.
+ * All classes are used on the event loop of the node only.
  */
 package io.cherryspool.controller.metrics;
--- a/src/main/java/io/cherryspool/controller/ownership/FencingTokenSource.java
+++ b/src/main/java/io/cherryspool/controller/ownership/FencingTokenSource.java
@@ -3,30 +3,31 @@
 import io.cherryspool.model.FencingToken;
 
 /**
- * The fencing tokens of one term, one a round. Only the leader of the term makes them, and they
- * only grow. Used on the event loop only.
+ * Issues the fencing tokens of one term, one per round. Only the leader of the term issues them,
+ * and each is higher than the one before. Used on the event loop only.
  */
 public final class FencingTokenSource {
   private final long term;
   private long round = 1;
 
-  /** Begins with the first round of the term. */
+  /** Creates a source that begins with the token of the term's first round. */
   public FencingTokenSource(long term) {
     this.term = term;
   }
 
-  /** Below every token of this term, and above every token of earlier ones. */
+  /** Returns a value below every token of this term and above every token of earlier terms. */
   public long termBase() {
     return FencingToken.of(term, 0);
   }
 
-  /** The token of the present round, under which commands and replies are sent. */
+  /** Returns the token of the current round, under which commands and replies are sent. */
   public long current() {
     return FencingToken.of(term, round);
   }
 
   /**
-   * Begins the next round. A worker that has received its token ignores messages of earlier rounds.
+   * Moves to the token of the next round. A worker that has received that token ignores messages
+   * with lower tokens.
    */
   public void advance() {
     round++;
--- a/src/main/java/io/cherryspool/controller/ownership/Ownership.java
+++ b/src/main/java/io/cherryspool/controller/ownership/Ownership.java
@@ -15,31 +15,34 @@
 import java.util.Set;
 
 /**
- * Which attempts own tasks, by machine, as the committed records have it. It follows the records
- * change by change, so that a heartbeat costs the look-up of one machine however many tasks run.
- * Used on the event loop only.
+ * An index of the attempts that own tasks, by machine, as in the committed records. It is updated
+ * with each change of the records, so that handling a heartbeat needs the look-up of one machine
+ * only, however many tasks run. Used on the event loop only.
  */
 public final class Ownership implements ClusterRecords.RecordsListener, Lifecycle {
 
-  /** One owned task, and the attempt that owns it. */
+  /** An owned task, the record of its job, and the attempt that owns the task. */
   public record OwnedTask(JobRecord jobRecord, TaskId taskId, Attempt attempt) {}
 
-  /** Acts on changes of the records as they are applied. */
+  /** Receives changes of the records as they are applied. */
   public interface Listener {
-    /** What the machine owns has changed, or is to be stopped. */
-    void machineChanged(String machine);
+    /**
+     * Called when the machine has gained or lost an owned task, or when one of its tasks must stop
+     * because its job was cancelled.
+     */
+    void onMachineChanged(String machine);
 
-    /** The job's outcome or progress has changed. */
-    void jobChanged(JobRecord entry);
+    /** Called when the job's outcome or progress has changed. */
+    void onJobChanged(JobRecord jobRecord);
 
-    /** The job has an outcome. */
-    void jobEnded(JobRecord entry);
+    /** Called when the job has ended and its outcome is recorded. */
+    void onJobEnded(JobRecord jobRecord);
 
-    /** The records no longer hold this attempt. */
-    void attemptReleased(OwnedTask owned);
+    /** Called when the attempt no longer owns its task by the records. */
+    void onAttemptReleased(OwnedTask owned);
 
-    /** The records were read anew, so that everything may have changed. */
-    void recordsReloaded();
+    /** Called when all records were read again, so that anything may have changed. */
+    void onRecordsReloaded();
   }
 
   private final ClusterRecords records;
@@ -47,17 +50,17 @@
   private Listener listener;
 
   /**
-   * Creates the ownership.
+   * Creates an empty index.
    *
-   * @param records are followed from {@link #start} to {@link #stop}
+   * @param records the records whose changes are applied from {@link #start} to {@link #stop}
    */
   public Ownership(ClusterRecords records) {
     this.records = records;
   }
 
-  /** Sets the one listener, before the start. */
-  public void setListener(Listener only) {
-    listener = only;
+  /** Sets the only listener. This must be called before {@link #start}. */
+  public void setListener(Listener newListener) {
+    listener = newListener;
   }
 
   @Override
@@ -71,47 +74,47 @@
     records.removeListener(this);
   }
 
-  /** What the machine owns, as a live view; empty if nothing. */
+  /** Returns a live view of the tasks that the machine owns, empty if there are none. */
   public List<OwnedTask> ownedTasksOn(String machine) {
     return byMachine.getOrDefault(machine, List.of());
   }
 
-  /** The names of the machines that own anything, as a live view. */
+  /** Returns a live view of the names of the machines that own tasks. */
   public Set<String> owningMachines() {
     return Collections.unmodifiableSet(byMachine.keySet());
   }
 
   @Override
-  public void onProgress(JobRecord entry, Shard before, Shard after) {
+  public void onProgress(JobRecord jobRecord, Shard before, Shard after) {
     for (Attempt attempt : before.ownedAttempts().values()) {
       if (!attempt.equals(after.ownedAttempt(attempt.taskIndex()))) {
-        remove(entry, attempt);
+        remove(jobRecord, attempt);
       }
     }
     for (Attempt attempt : after.ownedAttempts().values()) {
       if (!attempt.equals(before.ownedAttempt(attempt.taskIndex()))) {
-        add(entry, attempt);
-        listener.machineChanged(attempt.machine());
+        add(jobRecord, attempt);
+        listener.onMachineChanged(attempt.machine());
       }
     }
-    listener.jobChanged(entry);
+    listener.onJobChanged(jobRecord);
   }
 
   @Override
-  public void onJobChanged(JobRecord entry) {
-    listener.jobChanged(entry);
-    if (entry.outcome() != null) {
-      listener.jobEnded(entry);
+  public void onJobChanged(JobRecord jobRecord) {
+    listener.onJobChanged(jobRecord);
+    if (jobRecord.outcome() != null) {
+      listener.onJobEnded(jobRecord);
     }
-    if (entry.outcome() == Outcome.DONE) {
-      // All its attempts have ended, which is what its outcome rests on.
-      for (JobRecord.VersionedShard item : entry.shards().values()) {
-        item.shard().ownedAttempts().values().forEach(attempt -> remove(entry, attempt));
+    if (jobRecord.outcome() == Outcome.DONE) {
+      // A job is recorded as done only after all its attempts have ended.
+      for (JobRecord.VersionedShard item : jobRecord.shards().values()) {
+        item.shard().ownedAttempts().values().forEach(attempt -> remove(jobRecord, attempt));
       }
-    } else if (entry.outcome() == Outcome.CANCELLED) {
-      for (JobRecord.VersionedShard item : entry.shards().values()) {
+    } else if (jobRecord.outcome() == Outcome.CANCELLED) {
+      for (JobRecord.VersionedShard item : jobRecord.shards().values()) {
         for (Attempt attempt : item.shard().ownedAttempts().values()) {
-          listener.machineChanged(attempt.machine());
+          listener.onMachineChanged(attempt.machine());
         }
       }
     }
@@ -120,36 +123,38 @@
   @Override
   public void onReloaded() {
     byMachine.clear();
-    for (JobRecord entry : records.activeJobs()) {
-      if (entry.outcome() == Outcome.DONE) {
+    for (JobRecord jobRecord : records.activeJobs()) {
+      if (jobRecord.outcome() == Outcome.DONE) {
         continue;
       }
-      for (JobRecord.VersionedShard item : entry.shards().values()) {
+      for (JobRecord.VersionedShard item : jobRecord.shards().values()) {
         for (Attempt attempt : item.shard().ownedAttempts().values()) {
-          add(entry, attempt);
+          add(jobRecord, attempt);
         }
       }
     }
-    listener.recordsReloaded();
+    listener.onRecordsReloaded();
   }
 
-  private void add(JobRecord entry, Attempt attempt) {
+  private void add(JobRecord jobRecord, Attempt attempt) {
     byMachine
         .computeIfAbsent(attempt.machine(), key -> new ArrayList<>(4))
-        .add(new OwnedTask(entry, new TaskId(entry.job().id(), attempt.taskIndex()), attempt));
+        .add(
+            new OwnedTask(
+                jobRecord, new TaskId(jobRecord.job().id(), attempt.taskIndex()), attempt));
   }
 
-  private void remove(JobRecord entry, Attempt attempt) {
-    List<OwnedTask> list = ownedTasksOn(attempt.machine());
-    for (int i = 0; i < list.size(); i++) {
-      OwnedTask owned = list.get(i);
-      if (owned.jobRecord() == entry && owned.attempt().equals(attempt)) {
-        list.remove(i);
-        if (list.isEmpty()) {
+  private void remove(JobRecord jobRecord, Attempt attempt) {
+    List<OwnedTask> ownedTasks = ownedTasksOn(attempt.machine());
+    for (int i = 0; i < ownedTasks.size(); i++) {
+      OwnedTask owned = ownedTasks.get(i);
+      if (owned.jobRecord() == jobRecord && owned.attempt().equals(attempt)) {
+        ownedTasks.remove(i);
+        if (ownedTasks.isEmpty()) {
           byMachine.remove(attempt.machine());
         }
-        listener.machineChanged(attempt.machine());
-        listener.attemptReleased(owned);
+        listener.onMachineChanged(attempt.machine());
+        listener.onAttemptReleased(owned);
         return;
       }
     }
--- a/src/main/java/io/cherryspool/controller/ownership/StopRequests.java
+++ b/src/main/java/io/cherryspool/controller/ownership/StopRequests.java
@@ -8,28 +8,32 @@
 import java.util.Optional;
 
 /**
- * Which attempts are to stop: as victims of a preemption, for a cancel, or since their machine will
- * be taken away. Kept in memory: a new leader decides anew. Used on the event loop only.
+ * The attempts that must stop: because they are preempted, because their job was cancelled, or
+ * because the cloud will take their machine away. Requests are kept in memory only; a new leader
+ * decides again. Used on the event loop only.
  */
 public final class StopRequests {
   private final Map<TaskId, StopRequest> requests = new HashMap<>();
 
   private record StopRequest(int attempt, Duration gracePeriod) {}
 
-  /** Requests a stop. The first one of an attempt counts; one of an earlier attempt is replaced. */
+  /**
+   * Requests a stop of the attempt. Ignored if a stop of this attempt or a later one is already
+   * requested; a request for an earlier attempt is replaced.
+   */
   public void add(TaskId task, int attempt, Duration gracePeriod) {
-    StopRequest known = requests.get(task);
-    if (known == null || known.attempt < attempt) {
+    StopRequest existing = requests.get(task);
+    if (existing == null || existing.attempt < attempt) {
       requests.put(task, new StopRequest(attempt, gracePeriod));
     }
   }
 
-  /** Whether the attempt is to stop. */
+  /** Whether the attempt must stop. */
   public boolean isRequested(Ownership.OwnedTask owned) {
     return gracePeriodFor(owned).isPresent();
   }
 
-  /** The grace period of the stop requested for the attempt, empty if it is to go on. */
+  /** Returns the grace period of the stop requested for the attempt, empty if none is requested. */
   public Optional<Duration> gracePeriodFor(Ownership.OwnedTask owned) {
     if (owned.jobRecord().outcome() == Outcome.CANCELLED) {
       return Optional.of(Duration.ZERO);
@@ -40,7 +44,10 @@
         : Optional.empty();
   }
 
-  /** Drops the request for an attempt that the records have released. */
+  /**
+   * Removes the request for this attempt or an earlier one, since the attempt no longer owns its
+   * task.
+   */
   public void remove(Ownership.OwnedTask owned) {
     StopRequest request = requests.get(owned.taskId());
     if (request != null && request.attempt <= owned.attempt().number()) {
--- a/src/main/java/io/cherryspool/controller/provisioning/CloudCallSlot.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/CloudCallSlot.java
@@ -3,8 +3,8 @@
 import io.cherryspool.cloud.CloudClient;
 
 /**
- * Hands out the cloud's client for one call at a time, since the cloud bounds the rate of calls,
- * and for none after the term has ended. Used on the event loop only.
+ * Limits the calls to the cloud to one at a time, since the cloud limits their rate, and allows
+ * none after the term has ended. Used on the event loop only.
  */
 final class CloudCallSlot {
   private final CloudClient cloud;
@@ -20,23 +20,23 @@
     return !inFlight && !closed;
   }
 
-  /** Whether the term has ended; the call in flight may still be answered. */
+  /** Whether the term has ended. A call in flight may still be answered afterwards. */
   boolean isClosed() {
     return closed;
   }
 
-  /** Takes the slot until {@link #release}. */
+  /** Takes the slot until {@link #release}, and returns the client for the call. */
   CloudClient acquire() {
     inFlight = true;
     return cloud;
   }
 
-  /** The call is answered, or has failed. */
+  /** Frees the slot, since the call was answered or has failed. */
   void release() {
     inFlight = false;
   }
 
-  /** No call may be made any more. */
+  /** Allows no further calls, since the term has ended. */
   void close() {
     closed = true;
   }
--- a/src/main/java/io/cherryspool/controller/provisioning/InstanceList.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/InstanceList.java
@@ -14,15 +14,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The instances as the cloud lists them, read page by page; the list lags behind what the cloud
- * knows. Each complete reading replaces the one before and registers the running instances with the
- * fleet. Used on the event loop only.
+ * The instances as the cloud lists them. The list is read page by page and lags behind the real
+ * state of the instances. Each complete read replaces the previous one and registers the running
+ * instances with the fleet. Used on the event loop only.
  */
 final class InstanceList {
   private static final Logger LOG = LoggerFactory.getLogger(InstanceList.class);
 
-  /** How long after a reading was begun the next one is due. */
-  private static final Duration READING_INTERVAL = Duration.ofSeconds(3);
+  /** The time from the start of one read to the start of the next. */
+  private static final Duration READ_INTERVAL = Duration.ofSeconds(3);
 
   private final EventLoop loop;
   private final CloudCallSlot calls;
@@ -30,16 +30,16 @@
   private final Runnable onRead;
   private final Map<String, Instance> instances = new HashMap<>();
 
-  /** When the last reading was begun, null before the first. */
-  private Duration lastBegunAt;
+  /** When the last read was started, null before the first one. */
+  private Duration lastReadStartedAt;
 
-  /** When the last reading that was completed had been begun, null before that. */
-  private Duration completeSince;
+  /** When the last completed read was started, null before one was completed. */
+  private Duration lastCompleteReadStartedAt;
 
   /**
    * Creates the instance list.
    *
-   * @param onRead is run after each complete reading
+   * @param onRead called after each complete read
    */
   InstanceList(EventLoop loop, CloudCallSlot calls, Fleet fleet, Runnable onRead) {
     this.loop = loop;
@@ -48,43 +48,46 @@
     this.onRead = onRead;
   }
 
-  /** Whether the list is to be read again. */
-  boolean isReadingDue(Duration now) {
-    return lastBegunAt == null || now.minus(lastBegunAt).compareTo(READING_INTERVAL) > 0;
+  /** Whether it is time to read the list again. */
+  boolean isReadDue(Duration now) {
+    return lastReadStartedAt == null || now.minus(lastReadStartedAt).compareTo(READ_INTERVAL) > 0;
   }
 
-  /** Begins to read the list; the call slot must be free, and is taken until the last page. */
+  /** Starts to read the list. The call slot must be free; it is taken again for each page. */
   void read(Duration now) {
-    lastBegunAt = now;
+    lastReadStartedAt = now;
     readPage(null, new HashMap<>());
   }
 
-  /** Whether the whole list was read in this term. */
+  /** Whether the whole list has been read in this term. */
   boolean isRead() {
-    return completeSince != null;
+    return lastCompleteReadStartedAt != null;
   }
 
-  /** Whether the whole list was read at this moment or later. */
+  /** Whether a complete read of the list was started at this moment or later. */
   boolean isReadSince(Duration moment) {
-    return completeSince != null && completeSince.compareTo(moment) >= 0;
+    return lastCompleteReadStartedAt != null && lastCompleteReadStartedAt.compareTo(moment) >= 0;
   }
 
-  /** The instances last listed, whatever their state. */
+  /** Returns a view of the instances that the last complete read listed, in any state. */
   Collection<Instance> all() {
     return Collections.unmodifiableCollection(instances.values());
   }
 
-  /** Whether an instance of this name was last listed. */
+  /** Whether the last complete read listed an instance with this name. */
   boolean contains(String name) {
     return instances.containsKey(name);
   }
 
-  /** The names of the instances that may run tasks, as a copy. */
+  /**
+   * Returns a copy of the set of names of the listed instances that have not failed and so may run
+   * tasks.
+   */
   Set<String> usableNames() {
     Set<String> names = new HashSet<>();
-    for (Instance item : instances.values()) {
-      if (item.status() != Instance.Status.FAILED) {
-        names.add(item.name());
+    for (Instance instance : instances.values()) {
+      if (instance.status() != Instance.Status.FAILED) {
+        names.add(instance.name());
       }
     }
     return names;
@@ -98,7 +101,8 @@
             (page, failure) -> {
               calls.release();
               if (failure != null || calls.isClosed()) {
-                LOG.debug("listing instances failed: {}", String.valueOf(failure));
+                LOG.debug(
+                    "listing instances failed or the term has ended: {}", String.valueOf(failure));
                 return;
               }
               page.instances().forEach(item -> found.put(item.name(), item));
@@ -111,13 +115,19 @@
   }
 
   private void replaceWith(Map<String, Instance> found) {
-    completeSince = lastBegunAt;
+    lastCompleteReadStartedAt = lastReadStartedAt;
     instances.clear();
     instances.putAll(found);
     Duration now = loop.now();
-    for (Instance item : found.values()) {
-      if (!fleet.isDeleted(item.name()) && item.status() == Instance.Status.RUNNING) {
-        fleet.register(item.name(), item.address(), item.type(), item.zone(), item.isSpot(), now);
+    for (Instance instance : found.values()) {
+      if (!fleet.isDeleted(instance.name()) && instance.status() == Instance.Status.RUNNING) {
+        fleet.register(
+            instance.name(),
+            instance.address(),
+            instance.type(),
+            instance.zone(),
+            instance.isSpot(),
+            now);
       }
     }
     onRead.run();
--- a/src/main/java/io/cherryspool/controller/provisioning/InstanceRequests.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/InstanceRequests.java
@@ -18,37 +18,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Scales the fleet out: requests instances from the cloud, repeats a request whose answer is not
- * known under the same name, and keeps what was requested and has not sent a heartbeat yet. Used on
- * the event loop only.
+ * Requests instances from the cloud to scale the fleet out. A request whose outcome is unknown is
+ * repeated under the same name. Instances that were requested and have sent no heartbeat yet are
+ * kept as expected. Used on the event loop only.
  */
 final class InstanceRequests {
   private static final Logger LOG = LoggerFactory.getLogger(InstanceRequests.class);
   private static final int MAX_INSTANCES_PER_REQUEST = 50;
 
-  /** How long an offering that had no capacity is not requested again. */
-  private static final Duration UNAVAILABLE_FOR = Duration.ofSeconds(15);
+  /** How long an offering is not requested again after it had no capacity. */
+  private static final Duration UNAVAILABLE_DURATION = Duration.ofSeconds(15);
 
   private final EventLoop loop;
   private final CloudCallSlot calls;
   private final Fleet fleet;
   private final String namePrefix;
   private final Duration unlistedLimit;
-  private final Map<String, Expected> expected = new HashMap<>();
+  private final Map<String, ExpectedInstance> expected = new HashMap<>();
   private final Map<ScalingPlanner.Offering, Duration> unavailableSince = new HashMap<>();
   private Request unanswered;
-  private int counter;
+  private int requestCount;
 
   /** An instance requested in this term that has sent no heartbeat yet. */
-  private record Expected(ScalingPlanner.Offering offering, Duration since) {}
+  private record ExpectedInstance(ScalingPlanner.Offering offering, Duration requestedAt) {}
 
   private record Request(String name, ScalingPlanner.Offering offering, int count) {}
 
   /**
-   * Creates the instance requests.
+   * Creates the instance requests of a term.
    *
-   * @param namePrefix makes the names of this term's requests unlike those of any other
-   * @param listLag how far the cloud's list may be behind
+   * @param namePrefix the prefix that distinguishes the names of this term's requests from those of
+   *     all other terms
+   * @param listLag the longest time until a new instance appears in the cloud's list
    */
   InstanceRequests(
       EventLoop loop, CloudCallSlot calls, Fleet fleet, String namePrefix, Duration listLag) {
@@ -59,63 +60,77 @@
     this.unlistedLimit = Durations.multiply(listLag, 4);
   }
 
-  /** Whether the outcome of a request is unknown, so that it has to be repeated. */
+  /** Whether the outcome of a request is unknown, so that the request must be repeated. */
   boolean hasUnanswered() {
     return unanswered != null;
   }
 
-  /** Sends the request with the unknown outcome again, which the cloud takes for the same one. */
+  /**
+   * Repeats the request whose outcome is unknown. The cloud recognises it by its name and does not
+   * provide the instances twice.
+   */
   void repeatUnanswered() {
     send(unanswered);
   }
 
-  /** Requests instances, at most as many as one request may ask for. */
+  /** Requests instances, at most {@link #MAX_INSTANCES_PER_REQUEST}. */
   void request(ScalingPlanner.Offering offering, int count) {
-    counter++;
-    send(new Request(namePrefix + counter, offering, Math.min(count, MAX_INSTANCES_PER_REQUEST)));
+    requestCount++;
+    send(
+        new Request(
+            namePrefix + requestCount, offering, Math.min(count, MAX_INSTANCES_PER_REQUEST)));
   }
 
-  /** The offerings that lately had no capacity, as a view. */
+  /** Returns a view of the offerings that had no capacity recently. */
   Set<ScalingPlanner.Offering> unavailableOfferings(Duration now) {
-    unavailableSince.values().removeIf(at -> now.minus(at).compareTo(UNAVAILABLE_FOR) > 0);
+    unavailableSince.values().removeIf(at -> now.minus(at).compareTo(UNAVAILABLE_DURATION) > 0);
     return unavailableSince.keySet();
   }
 
-  /** The instance is deleted and will send no heartbeat. */
+  /** Stops expecting a heartbeat of the instance, since it has been deleted. */
   void removeExpected(String name) {
     expected.remove(name);
   }
 
-  /** The offerings of instances on their way: requested in this term, or listed as booting. */
-  List<ScalingPlanner.Offering> provisioning(InstanceList list, Map<String, MachineType> types) {
+  /**
+   * Returns the offerings of the instances that are being provisioned: those requested in this
+   * term, and those listed as booting.
+   */
+  List<ScalingPlanner.Offering> provisioningOfferings(
+      InstanceList list, Map<String, MachineType> types) {
     removeArrived(list, loop.now());
     List<ScalingPlanner.Offering> result = new ArrayList<>();
-    for (Expected item : expected.values()) {
-      result.add(item.offering);
+    for (ExpectedInstance instance : expected.values()) {
+      result.add(instance.offering);
     }
-    for (Instance item : list.all()) {
-      if (item.status() == Instance.Status.BOOTING
-          && !fleet.hasSentHeartbeat(item.name())
-          && !expected.containsKey(item.name())
-          && !fleet.isDeleted(item.name())
-          && types.containsKey(item.type())) {
-        result.add(new ScalingPlanner.Offering(types.get(item.type()), item.zone(), item.isSpot()));
+    for (Instance instance : list.all()) {
+      if (instance.status() == Instance.Status.BOOTING
+          && !fleet.hasSentHeartbeat(instance.name())
+          && !expected.containsKey(instance.name())
+          && !fleet.isDeleted(instance.name())
+          && types.containsKey(instance.type())) {
+        result.add(
+            new ScalingPlanner.Offering(
+                types.get(instance.type()), instance.zone(), instance.isSpot()));
       }
     }
     return result;
   }
 
-  /** Drops what has arrived or is deleted, and what the list should show by now and does not. */
+  /**
+   * Stops expecting instances that have sent a heartbeat, are deleted, or are still missing from
+   * the list although it should show them by now.
+   */
   private void removeArrived(InstanceList list, Duration now) {
     expected
         .entrySet()
         .removeIf(
             entry -> {
               String name = entry.getKey();
-              boolean isLost =
+              boolean isOverdueInList =
                   !list.contains(name)
-                      && now.minus(entry.getValue().since).compareTo(unlistedLimit) > 0;
-              return fleet.hasSentHeartbeat(name) || isLost || fleet.isDeleted(name);
+                      && now.minus(entry.getValue().requestedAt).compareTo(unlistedLimit) > 0;
+              return fleet.hasSentHeartbeat(name) || isOverdueInList || fleet.isDeleted(name);
             });
   }
 
@@ -132,7 +147,7 @@
               if (failure == null) {
                 unanswered = null;
                 recordProvided(request, names);
-              } else if (cause(failure) instanceof CloudClient.RefusedException refused
+              } else if (unwrap(failure) instanceof CloudClient.RefusedException refused
                   && refused.isOutOfCapacity()) {
                 unanswered = null;
                 unavailableSince.put(offering, loop.now());
@@ -156,13 +171,13 @@
         offering.isSpot(),
         request.name);
     Duration now = loop.now();
-    names.forEach(name -> expected.put(name, new Expected(offering, now)));
+    names.forEach(name -> expected.put(name, new ExpectedInstance(offering, now)));
     if (names.size() < request.count) {
       unavailableSince.put(offering, now);
     }
   }
 
-  private static Throwable cause(Throwable failure) {
+  private static Throwable unwrap(Throwable failure) {
     return failure instanceof CompletionException && failure.getCause() != null
         ? failure.getCause()
         : failure;
--- a/src/main/java/io/cherryspool/controller/provisioning/MachineRemoval.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/MachineRemoval.java
@@ -18,14 +18,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Deletes machines: decides which of them have failed, and deletes these and the ones marked for
- * another reason, until the cloud has confirmed it. Used on the event loop only.
+ * Deletes machines. Marks those that have failed, and repeats the deletion of all marked machines
+ * until the cloud confirms it. Used on the event loop only.
  */
 final class MachineRemoval {
   private static final Logger LOG = LoggerFactory.getLogger(MachineRemoval.class);
   private static final int MAX_MACHINES_PER_CALL = 100;
 
-  /** How long a machine of a type that is not known may boot. */
+  /** The longest boot time of a machine whose type is not known. */
   private static final Duration DEFAULT_BOOT_LIMIT = Duration.ofMinutes(5);
 
   private final EventLoop loop;
@@ -35,7 +35,7 @@
   private final Provisioner.ClusterState cluster;
   private final FleetPermissions permissions;
   private final Duration listLag;
-  private final Set<String> marked = new LinkedHashSet<>();
+  private final Set<String> markedMachines = new LinkedHashSet<>();
 
   MachineRemoval(
       EventLoop loop,
@@ -55,36 +55,39 @@
   }
 
   /**
-   * Marks the machines that have failed, and only for reasons that hold whatever a late list says.
+   * Marks the machines that have failed, only for reasons that are valid even if the cloud's list
+   * is out of date.
    *
-   * @param steadyFor for how long this node has kept up; a longer silence may be its own
+   * @param healthyFor for how long this node's steps have run on time; a longer silence of a
+   *     machine may be caused by this node
    */
-  void markFailed(Duration now, Duration steadyFor) {
-    for (Instance item : list.all()) {
-      markFailedInstance(item);
+  void markFailedMachines(Duration now, Duration healthyFor) {
+    for (Instance instance : list.all()) {
+      markFailedInstance(instance);
     }
     for (MachineState machine : cluster.fleet().all()) {
       if (!machine.isDeleted()) {
-        markFailedMachine(machine, now, steadyFor);
+        markFailedMachine(machine, now, healthyFor);
       }
     }
   }
 
-  private void markFailedInstance(Instance item) {
+  private void markFailedInstance(Instance instance) {
     Fleet fleet = cluster.fleet();
-    if (fleet.isDeleted(item.name())) {
+    if (fleet.isDeleted(instance.name())) {
       return;
     }
-    if (item.status() == Instance.Status.FAILED) {
-      markForDeletion(item.name(), "it has failed");
-    } else if (item.status() == Instance.Status.BOOTING
-        && !fleet.hasSentHeartbeat(item.name())
-        && item.age().compareTo(bootLimit(item.type())) > 0) {
-      markForDeletion(item.name(), "it has been booting for " + item.age().toSeconds() + " s");
+    if (instance.status() == Instance.Status.FAILED) {
+      markForDeletion(instance.name(), "it has failed");
+    } else if (instance.status() == Instance.Status.BOOTING
+        && !fleet.hasSentHeartbeat(instance.name())
+        && instance.age().compareTo(bootLimit(instance.type())) > 0) {
+      markForDeletion(
+          instance.name(), "it has been booting for " + instance.age().toSeconds() + " s");
     }
   }
 
-  private void markFailedMachine(MachineState machine, Duration now, Duration steadyFor) {
+  private void markFailedMachine(MachineState machine, Duration now, Duration healthyFor) {
     boolean isIdle =
         cluster.ownership().ownedTasksOn(machine.name()).isEmpty()
             && !cluster.adoption().hasUnknownUsage(machine);
@@ -99,7 +102,7 @@
             list.contains(machine.name())
                 && permissions.isZoneEvictionSuspended().test(machine.zone()));
     Optional<MachineEvictionRule.EvictionReason> fault =
-        permissions.evictionRule().evaluate(observation, steadyFor);
+        permissions.evictionRule().evaluate(observation, healthyFor);
     if (fault.isPresent()) {
       markForDeletion(
           machine.name(),
@@ -123,9 +126,9 @@
     return DEFAULT_BOOT_LIMIT;
   }
 
-  /** Decides to delete the machine, for the first reason given. */
+  /** Marks the machine for deletion. Only the first reason is logged. */
   void markForDeletion(String name, String reason) {
-    if (marked.add(name)) {
+    if (markedMachines.add(name)) {
       LOG.info("deleting machine={}: {}", name, reason);
       MachineState machine = cluster.fleet().get(name);
       if (machine != null) {
@@ -134,14 +137,17 @@
     }
   }
 
-  /** Whether any marked machine is not confirmed to be deleted. */
-  boolean hasMarked() {
-    return !marked.isEmpty();
+  /** Whether the deletion of any marked machine is not confirmed yet. */
+  boolean hasMarkedMachines() {
+    return !markedMachines.isEmpty();
   }
 
-  /** Asks the cloud to delete the machines marked first; they stay marked until it confirms. */
-  void deleteMarked() {
-    List<String> names = new ArrayList<>(marked);
+  /**
+   * Requests the deletion of the machines that were marked first, at most {@link
+   * #MAX_MACHINES_PER_CALL}. They stay marked until the cloud confirms the deletion.
+   */
+  void deleteMarkedMachines() {
+    List<String> names = new ArrayList<>(markedMachines);
     List<String> batch = names.subList(0, Math.min(names.size(), MAX_MACHINES_PER_CALL));
     calls
         .acquire()
@@ -150,7 +156,7 @@
             (nothing, failure) -> {
               calls.release();
               if (failure != null) {
-                LOG.debug("deleting failed, to be repeated: {}", failure.toString());
+                LOG.debug("deleting machines failed, will be repeated: {}", failure.toString());
                 return;
               }
               recordDeleted(batch);
@@ -161,7 +167,7 @@
     Fleet fleet = cluster.fleet();
     Duration now = loop.now();
     for (String name : names) {
-      marked.remove(name);
+      markedMachines.remove(name);
       requests.removeExpected(name);
       fleet.markDeleted(fleet.register(name, null, "", "", false, now));
     }
--- a/src/main/java/io/cherryspool/controller/provisioning/MachineTypeCatalog.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/MachineTypeCatalog.java
@@ -18,14 +18,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machine types on offer: read from the cloud, or while that does not answer as a leader last
- * recorded them, so that a restarted node can accept jobs during an outage of the cloud. Used on
- * the event loop only.
+ * The machine types that the cloud offers. Until this node has read them from the cloud, it uses
+ * the ones that a leader recorded last, so that a restarted node can accept jobs during an outage
+ * of the cloud. Used on the event loop only.
  */
 public final class MachineTypeCatalog implements Lifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
   private static final Duration REFRESH_INTERVAL = Duration.ofSeconds(30);
-  private static final Duration RETRY_PAUSE = Duration.ofSeconds(2);
+  private static final Duration RETRY_DELAY = Duration.ofSeconds(2);
 
   private final EventLoop loop;
   private final CloudClient cloud;
@@ -34,8 +34,8 @@
   private final RateLimiter rateLimiter;
   private final BooleanSupplier isLeader;
 
-  /** As the cloud last gave them, null before it did. */
-  private List<MachineType> fetched;
+  /** The machine types last read from the cloud, null before the first successful read. */
+  private List<MachineType> fetchedTypes;
 
   private EventLoop.Timer timer;
 
@@ -71,9 +71,9 @@
     }
   }
 
-  /** The machine types, null while neither the cloud nor the records have given them. */
+  /** Returns the machine types, null until they were read from the cloud or the records. */
   public List<MachineType> types() {
-    return fetched != null ? fetched : records.catalog();
+    return fetchedTypes != null ? fetchedTypes : records.catalog();
   }
 
   private void fetch() {
@@ -82,15 +82,15 @@
         .whenComplete(
             (types, failure) -> {
               if (failure == null) {
-                if (fetched == null) {
+                if (fetchedTypes == null) {
                   LOG.info("the cloud offers {} machine types", types.size());
                 }
-                fetched = types;
+                fetchedTypes = types;
                 recordIfChanged();
               } else {
                 LOG.debug("reading the machine types failed: {}", failure.toString());
               }
-              timer = loop.schedule(failure == null ? REFRESH_INTERVAL : RETRY_PAUSE, this::fetch);
+              timer = loop.schedule(failure == null ? REFRESH_INTERVAL : RETRY_DELAY, this::fetch);
             });
   }
 
@@ -99,7 +99,7 @@
     if (!isLeader.getAsBoolean()) {
       return;
     }
-    if (recorded != null && areSameButPrices(recorded, fetched)) {
+    if (recorded != null && areEqualIgnoringPrices(recorded, fetchedTypes)) {
       return;
     }
     Map<String, Long> conditions =
@@ -110,12 +110,15 @@
             conditions,
             List.of(
                 new StateStoreProtocol.Change(
-                    Records.CATALOG, CloudProtocol.encodeCatalog(fetched), 0)))
+                    Records.CATALOG, CloudProtocol.encodeCatalog(fetchedTypes), 0)))
         .exceptionally(failure -> null);
   }
 
-  /** Spot prices move all the time and are not worth a write. */
-  private static boolean areSameButPrices(List<MachineType> one, List<MachineType> other) {
+  /**
+   * Whether the lists are equal apart from prices. Spot prices change too often to write each
+   * change to the records.
+   */
+  private static boolean areEqualIgnoringPrices(List<MachineType> one, List<MachineType> other) {
     if (one.size() != other.size()) {
       return false;
     }
--- a/src/main/java/io/cherryspool/controller/provisioning/Provisioner.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/Provisioner.java
@@ -24,22 +24,28 @@
 import java.util.function.Supplier;
 
 /**
- * Sizes the fleet for one term of the leader. Each step makes at most one call to the cloud, by
- * precedence: reads the list, deletes machines, repeats a request for instances, or scales the
- * fleet by the plan. Used on the event loop only.
+ * Adjusts the size of the fleet during one term of the leader. Each step starts at most one action
+ * at the cloud, the first that is due of: reading the instance list, deleting machines, repeating a
+ * request for instances, and scaling the fleet to the demand. Used on the event loop only.
  */
 public final class Provisioner implements Lifecycle {
-  /** Steps that find nothing to do take at most about one part in so many of the processor. */
-  private static final int COST_SHARE = 40;
+  /**
+   * The pause after a step without a call to the cloud, as a multiple of the time that the step
+   * took. This limits the CPU share of such steps.
+   */
+  private static final int PAUSE_TO_STEP_TIME_RATIO = 40;
 
-  /** However long a step took, the next one comes after this. */
-  private static final Duration MAX_PAUSE = Duration.ofSeconds(2);
+  /** The longest pause between steps, however long a step took. */
+  private static final Duration MAX_STEP_PAUSE = Duration.ofSeconds(2);
 
-  /** How late a step may come before this node counts as having stood still. */
+  /** How late a step may run before this node counts as having been stalled. */
   private static final Duration MAX_STEP_DELAY = Duration.ofMillis(1500);
 
-  /** The pause between steps keeps the calls to two thirds of the rate that the cloud allows. */
-  private static final double PAUSE_NANOS_PER_RATE = 1.5e9;
+  /**
+   * The interval between steps in nanoseconds if the cloud allows one request per second. It keeps
+   * the calls to two thirds of the allowed rate.
+   */
+  private static final double STEP_INTERVAL_NANOS_AT_ONE_RPS = 1.5e9;
 
   private final EventLoop loop;
   private final CloudCallSlot calls;
@@ -48,17 +54,17 @@
   private final BooleanSupplier mayChangeFleet;
   private final Duration stepInterval;
   private final Duration idleTimeout;
-  private final InstanceList list;
+  private final InstanceList instanceList;
   private final InstanceRequests requests;
   private final MachineRemoval removal;
   private final LocalHealth health = new LocalHealth(MAX_STEP_DELAY);
   private EventLoop.Timer timer;
 
   /**
-   * What the fleet is sized by.
+   * The state of the cluster that determines the size of the fleet.
    *
-   * @param adoption what runs without a record after a loss of state
-   * @param catalog the machine types, null while they are not known
+   * @param adoption the tasks that run without a record after a loss of state
+   * @param catalog supplies the machine types, null while they are not known
    */
   public record ClusterState(
       Fleet fleet,
@@ -69,10 +75,11 @@
       Supplier<List<MachineType>> catalog) {}
 
   /**
-   * The cloud as one term may use it.
+   * The access of one term to the cloud.
    *
-   * @param requestPrefix makes the names of this term's requests unlike those of any other
-   * @param mayChangeFleet whether no other leader may be changing the fleet
+   * @param requestPrefix the prefix that distinguishes the names of this term's requests from those
+   *     of all other terms
+   * @param mayChangeFleet whether there is certainly no other leader that changes the fleet
    */
   public record CloudAccess(
       CloudClient client,
@@ -83,7 +90,7 @@
   /**
    * Creates the provisioner.
    *
-   * @param onListRead is run after each complete reading of the cloud's list
+   * @param onListRead called after each complete read of the cloud's list
    */
   public Provisioner(
       EventLoop loop,
@@ -98,13 +105,14 @@
     this.permissions = permissions;
     this.mayChangeFleet = cloud.mayChangeFleet();
     this.stepInterval =
-        Duration.ofNanos((long) (PAUSE_NANOS_PER_RATE / limits.cloudRequestsPerSecond()));
+        Duration.ofNanos((long) (STEP_INTERVAL_NANOS_AT_ONE_RPS / limits.cloudRequestsPerSecond()));
     this.idleTimeout = limits.idleTimeout();
-    this.list = new InstanceList(loop, calls, cluster.fleet(), onListRead);
+    this.instanceList = new InstanceList(loop, calls, cluster.fleet(), onListRead);
     this.requests =
         new InstanceRequests(loop, calls, cluster.fleet(), cloud.requestPrefix(), limits.listLag());
     this.removal =
-        new MachineRemoval(loop, calls, list, requests, cluster, permissions, limits.listLag());
+        new MachineRemoval(
+            loop, calls, instanceList, requests, cluster, permissions, limits.listLag());
   }
 
   @Override
@@ -121,61 +129,65 @@
     }
   }
 
-  /** Whether the cloud's whole list was read at this moment or later. */
+  /** Whether a complete read of the cloud's list was started at this moment or later. */
   public boolean isListReadSince(Duration moment) {
-    return list.isReadSince(moment);
+    return instanceList.isReadSince(moment);
   }
 
-  /** The names of the machines that the cloud last listed and that may run tasks, as a copy. */
+  /**
+   * Returns a copy of the set of names of the machines that the cloud last listed and that may run
+   * tasks.
+   */
   public Set<String> listedMachines() {
-    return list.usableNames();
+    return instanceList.usableNames();
   }
 
-  /** Whether the cloud lists the machine. */
+  /** Whether the cloud's list, as last read, contains the machine. */
   public boolean isListed(String machine) {
-    return list.contains(machine);
+    return instanceList.contains(machine);
   }
 
   private void step() {
-    Duration begun = loop.now();
-    // What came while this node stood still, or was far behind, waits in its sockets.
-    health.recordTick(begun, stepInterval);
+    Duration startedAt = loop.now();
+    // Messages that arrived while this node was stalled or far behind may still wait unread in its
+    // sockets.
+    health.recordTick(startedAt, stepInterval);
     timer = loop.schedule(stepInterval, this::step);
-    act();
-    Duration pause = Durations.multiply(loop.now().minus(begun), COST_SHARE);
-    // After a call to the cloud the next one may follow. The timer is gone if it was stopped
-    // meanwhile.
+    performAction();
+    Duration pause = Durations.multiply(loop.now().minus(startedAt), PAUSE_TO_STEP_TIME_RATIO);
+    // A step that made a call to the cloud is not followed by a longer pause. The timer is null if
+    // the provisioner was stopped during the step.
     if (timer != null && calls.isFree() && pause.compareTo(stepInterval) > 0) {
       timer.cancel();
-      Duration next = pause.compareTo(MAX_PAUSE) < 0 ? pause : MAX_PAUSE;
-      health.postpone(loop.now(), next);
-      timer = loop.schedule(next, this::step);
+      Duration nextPause = pause.compareTo(MAX_STEP_PAUSE) < 0 ? pause : MAX_STEP_PAUSE;
+      health.postpone(loop.now(), nextPause);
+      timer = loop.schedule(nextPause, this::step);
     }
   }
 
-  private void act() {
-    // A leader that is cut off would take workers that went over to its successor for silent ones,
-    // and delete their machines.
+  private void performAction() {
+    // A partitioned leader must not delete machines: workers that now send their heartbeats to its
+    // successor appear silent to it.
     if (!calls.isFree()
         || !mayChangeFleet.getAsBoolean()
         || !permissions.mayPlace().getAsBoolean()) {
       return;
     }
     Duration now = loop.now();
-    if (list.isReadingDue(now)) {
-      list.read(now);
+    if (instanceList.isReadDue(now)) {
+      instanceList.read(now);
       return;
     }
-    if (!list.isRead()) {
+    if (!instanceList.isRead()) {
       return;
     }
-    removal.markFailed(now, health.healthyFor(now));
-    if (removal.hasMarked()) {
-      removal.deleteMarked();
+    removal.markFailedMachines(now, health.healthyFor(now));
+    if (removal.hasMarkedMachines()) {
+      removal.deleteMarkedMachines();
     } else if (requests.hasUnanswered()) {
       requests.repeatUnanswered();
     } else if (!cluster.adoption().isInProgress() && permissions.mayScale().getAsBoolean()) {
-      // Until it is known what runs, what is needed besides is not known either.
+      // While tasks may run that no record holds, the demand for machines is not known.
       scale(now);
     }
   }
@@ -195,7 +207,7 @@
                 cluster.demand().now(),
                 cluster.rounds().lastPlan().unschedulable(),
                 cluster.rounds().lastPlan().relocatable(),
-                requests.provisioning(list, types),
+                requests.provisioningOfferings(instanceList, types),
                 activeMachines(types, now),
                 cluster.demand().estimateDemand(),
                 catalog,
--- a/src/main/java/io/cherryspool/controller/provisioning/package-info.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The size of the fleet: requests to the cloud for instances, their deletion, and the machine types
- * on offer. All of it runs on the event loop of the node.
+ * Scaling of the fleet: requests to the cloud for instances, their deletion, and the machine types
+ * that the cloud offers. All classes are used on the event loop of the node only.
  */
 package io.cherryspool.controller.provisioning;
--- a/src/main/java/io/cherryspool/controller/release/CrashLoopBackoff.java
+++ b/src/main/java/io/cherryspool/controller/release/CrashLoopBackoff.java
@@ -11,43 +11,50 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The jobs that may have been submitted with a mistake: their tasks fail on several machines, and
- * none has ever succeeded. Such a job would fill machines, records and rounds with tries until its
- * user cancels it, so that it gets a few tries at a time, ever more seldom, until one succeeds.
+ * Detects crash-looping jobs, whose tasks fail on several machines and have never succeeded,
+ * probably because of a mistake in the job, and delays their retries. Without the backoff, the
+ * retries of such a job would take up machines, records and rounds until its user cancels it. With
+ * it, a few tasks are retried at a time, with increasing delays, until one succeeds.
  *
- * <p>A job of which some tasks fail now and then soon has one that succeeds, and one with a bad
- * machine fails on that machine only: neither is held back for longer than a run. Used on the event
- * loop only.
+ * <p>A job with occasional task failures soon has a task that succeeds, and a job on a faulty
+ * machine fails on that machine only. Neither is delayed for longer than a task takes to run. Used
+ * on the event loop only.
  */
 public final class CrashLoopBackoff {
   private static final Logger LOG = LoggerFactory.getLogger(CrashLoopBackoff.class);
 
-  /** Machines on which a job must have failed before the job, not they, is to blame. */
+  /**
+   * The number of machines on which a job must have failed before its failures are attributed to
+   * the job instead of the machines.
+   */
   private static final int MIN_MACHINES = 3;
 
-  /** Tries of a crash-looping job at a time. */
+  /** The maximum number of tasks of a crash-looping job that are retried at a time. */
   public static final int MAX_CONCURRENT_RETRIES = 2;
 
-  private static final long FIRST_PAUSE_MILLIS = 500;
-  private static final Duration MAX_PAUSE = Duration.ofSeconds(30);
+  private static final long INITIAL_DELAY_MILLIS = 500;
+  private static final Duration MAX_DELAY = Duration.ofSeconds(30);
 
-  /** Keeps the doubled pause from overflowing; by then it is above its limit. */
+  /**
+   * Keeps the doubled delay from overflowing; after this many doublings it exceeds the limit
+   * anyway.
+   */
   private static final int MAX_DOUBLINGS = 10;
 
   private final Map<String, CrashLoop> loops = new HashMap<>();
 
-  /** A job's failures before any success. */
+  /** The failures of a job that has had no success. */
   private static final class CrashLoop {
     private final Set<String> machines = new HashSet<>();
     private Duration lastFailureAt;
-    private int tries;
+    private int retries;
     private boolean isLogged;
 
-    /** Returns whether it is the first failure on that machine. */
+    /** Records a failure; returns whether it is the job's first failure on that machine. */
     boolean recordFailure(String machine, Duration now) {
       boolean isFirstOnMachine = machines.add(machine);
-      // Those that were under way together count as one try.
-      tries += isEstablished() && now.compareTo(nextRetryAt(now)) >= 0 ? 1 : 0;
+      // Failures of tasks that ran concurrently count as one retry.
+      retries += isEstablished() && now.compareTo(nextRetryAt(now)) >= 0 ? 1 : 0;
       lastFailureAt = now;
       return isFirstOnMachine;
     }
@@ -56,8 +63,7 @@
       if (!isLogged) {
         isLogged = true;
         LOG.warn(
-            "crash loop: job={} fails on {} machines and has succeeded on none, last machine={}; it"
-                + " gets {} tries at a time until it succeeds or is cancelled",
+            "crash loop: job={} fails on {} machines and has succeeded on none, last machine={}; at most {} of its tasks are retried at a time until one succeeds or the job is cancelled",
             job,
             machines.size(),
             machine,
@@ -73,56 +79,63 @@
       if (lastFailureAt == null) {
         return now;
       }
-      Duration pause = Duration.ofMillis(FIRST_PAUSE_MILLIS << Math.min(tries, MAX_DOUBLINGS));
-      return lastFailureAt.plus(pause.compareTo(MAX_PAUSE) < 0 ? pause : MAX_PAUSE);
+      Duration delay = Duration.ofMillis(INITIAL_DELAY_MILLIS << Math.min(retries, MAX_DOUBLINGS));
+      return lastFailureAt.plus(delay.compareTo(MAX_DELAY) < 0 ? delay : MAX_DELAY);
     }
   }
 
   /**
-   * Records that a task of the job failed by itself; returns whether the machine is to blame rather
-   * than the job.
+   * Records that a task of the job failed by itself. Returns whether the failure is attributed to
+   * the machine rather than the job.
    *
-   * @param succeeded whether any task of the job was ever done
+   * @param hasSucceeded whether any task of the job has ever completed
    */
   public boolean recordFailure(
-      JobRecord entry, boolean succeeded, MachineState machine, Duration now) {
-    if (succeeded) {
+      JobRecord jobRecord, boolean hasSucceeded, MachineState machine, Duration now) {
+    if (hasSucceeded) {
       return true;
     }
-    String id = entry.job().id();
-    CrashLoop loop = loops.computeIfAbsent(id, key -> new CrashLoop());
+    String jobId = jobRecord.job().id();
+    CrashLoop loop = loops.computeIfAbsent(jobId, key -> new CrashLoop());
     boolean isFirstOnMachine = loop.recordFailure(machine.name(), now);
     if (loop.isEstablished()) {
-      loop.logOnce(id, machine.name());
+      loop.logOnce(jobId, machine.name());
       return false;
     }
-    // What has succeeded nowhere says no more of a machine by failing there again and again.
+    // While the job has succeeded nowhere, only its first failure on a machine counts against that
+    // machine.
     return isFirstOnMachine;
   }
 
-  /** Ends the backoff, since the job has ended or a task of it has succeeded. */
-  public void reset(String job) {
-    loops.remove(job);
+  /** Ends the backoff, since the job has ended or one of its tasks has succeeded. */
+  public void reset(String jobId) {
+    loops.remove(jobId);
   }
 
   /**
-   * Whether the job, of which no task has succeeded, is crash-looping. A new leader goes by the
-   * records until it has recorded failures itself.
+   * Whether the job is crash-looping; none of its tasks may have succeeded. The recorded failure
+   * counts are considered as well, since a new leader has observed no failures itself.
    */
-  public boolean isCrashLooping(JobRecord entry) {
-    CrashLoop loop = loops.get(entry.job().id());
-    return (loop != null && loop.isEstablished()) || isCrashLoopingByRecords(entry);
+  public boolean isCrashLooping(JobRecord jobRecord) {
+    CrashLoop loop = loops.get(jobRecord.job().id());
+    return (loop != null && loop.isEstablished()) || isCrashLoopingByRecords(jobRecord);
   }
 
-  /** When the job may be tried again, which may be in the past; now, if nothing is known of it. */
-  public Duration nextRetryAt(JobRecord entry, Duration now) {
-    CrashLoop loop = loops.get(entry.job().id());
+  /**
+   * Returns when the job may be retried, which may be in the past; now, if this leader has recorded
+   * no failure of it.
+   */
+  public Duration nextRetryAt(JobRecord jobRecord, Duration now) {
+    CrashLoop loop = loops.get(jobRecord.job().id());
     return loop == null ? now : loop.nextRetryAt(now);
   }
 
-  /** All that was ever tried has failed, but for what may be under way as a try. */
-  private static boolean isCrashLoopingByRecords(JobRecord entry) {
-    JobRecord.FailureCounts failures = entry.failureCounts();
+  /**
+   * Whether, by the records, every task of the job that was ever attempted has failed, except those
+   * that may be running as retries.
+   */
+  private static boolean isCrashLoopingByRecords(JobRecord jobRecord) {
+    JobRecord.FailureCounts failures = jobRecord.failureCounts();
     return failures.totalFailures() >= MIN_MACHINES
         && failures.failedTasks() >= failures.attemptedTasks() - MAX_CONCURRENT_RETRIES;
   }
--- a/src/main/java/io/cherryspool/controller/release/PendingReleases.java
+++ b/src/main/java/io/cherryspool/controller/release/PendingReleases.java
@@ -10,24 +10,27 @@
 import java.util.TreeMap;
 
 /**
- * The releases of owned tasks that are proved and not yet in the records. What is proved stays
- * true, so a release may wait and share a write with others of its job: the capacity and the quota
- * that it frees count at once. A leader that ends before the write loses nothing by it, since
- * workers repeat an exited task until it is acknowledged, and a task started again after it was
- * done exits as done. Used on the event loop only.
+ * The releases of owned tasks whose end is proved but not yet written to the records. Such a proof
+ * stays valid, so a release may wait and share a write with other releases of its job, while the
+ * capacity and quota that it frees are available at once. Nothing is lost if the leader's term ends
+ * before the write: workers keep reporting an exited task until it is acknowledged, and a task that
+ * is started again after it was done exits as done. Used on the event loop only.
  */
 public final class PendingReleases {
 
-  /** That the attempt has ended, how, and when this leader learnt it. */
+  /**
+   * The release of an owned task: the attempt that ended, how it ended, and when this leader
+   * learned of it.
+   */
   public record Release(
       Ownership.OwnedTask owned, TerminationEvidence.Verdict verdict, Duration learnedAt) {
 
-    /** Whether the task is completed. */
+    /** Whether the attempt completed its task. */
     public boolean isDone() {
       return verdict == TerminationEvidence.Verdict.DONE;
     }
 
-    /** Whether the task's count of failures is raised by it. */
+    /** Whether the release increases the task's failure count. */
     public boolean countsAsFailure() {
       return verdict == TerminationEvidence.Verdict.FAILED
           || verdict == TerminationEvidence.Verdict.LOST;
@@ -36,30 +39,33 @@
 
   private final Map<String, Map<Integer, Release>> byJob = new LinkedHashMap<>();
 
-  /** Adds a release, in place of one of an earlier attempt of the task. */
+  /** Adds a release, which replaces one of an earlier attempt of the same task. */
   public void add(Release release) {
     byJob
         .computeIfAbsent(release.owned().taskId().jobId(), key -> new TreeMap<>())
         .put(release.owned().taskId().index(), release);
   }
 
-  /** Whether a release of this very attempt is pending. */
+  /** Whether a release of exactly this attempt is pending. */
   public boolean contains(Ownership.OwnedTask owned) {
     Release release = releasesOf(owned.taskId().jobId()).get(owned.taskId().index());
     return release != null && release.owned().attempt().equals(owned.attempt());
   }
 
-  /** The job's releases by task index, in order; a live view, empty if there are none. */
-  public Map<Integer, Release> releasesOf(String id) {
-    return byJob.getOrDefault(id, Map.of());
+  /**
+   * Returns a live view of the job's pending releases in the order of their task indexes, empty if
+   * there are none.
+   */
+  public Map<Integer, Release> releasesOf(String jobId) {
+    return byJob.getOrDefault(jobId, Map.of());
   }
 
-  /** The jobs that have releases pending, as a live view. */
+  /** Returns a live view of the ids of the jobs that have pending releases. */
   public Set<String> jobIds() {
     return Collections.unmodifiableSet(byJob.keySet());
   }
 
-  /** How many of the releases complete their task. */
+  /** Returns how many of the releases complete their task. */
   public static int countDone(Collection<Release> releases) {
     int count = 0;
     for (Release release : releases) {
@@ -68,7 +74,7 @@
     return count;
   }
 
-  /** Removes the attempt's release, since the records do not have the attempt as owner any more. */
+  /** Removes the attempt's release, since the attempt no longer owns its task by the records. */
   public void remove(Ownership.OwnedTask owned) {
     if (contains(owned)) {
       Map<Integer, Release> releases = byJob.get(owned.taskId().jobId());
@@ -79,7 +85,7 @@
     }
   }
 
-  /** Removes all releases, since the records were read anew. */
+  /** Removes all releases, since all records were read again. */
   public void clear() {
     byJob.clear();
   }
--- a/src/main/java/io/cherryspool/controller/release/TerminationEvidence.java
+++ b/src/main/java/io/cherryspool/controller/release/TerminationEvidence.java
@@ -12,10 +12,19 @@
 import java.util.Optional;
 
 /**
- * Decides what is proved of an owned task. A task is free again only on proof: its worker reports
- * that the attempt ended, or that it is absent after every start that could still run was fenced;
- * the worker is in a later agent epoch; the cloud has confirmed the machine's deletion; or the
- * lease that could keep the worker's tasks alive has surely expired. Used on the event loop only.
+ * Decides whether the attempt that owns a task is proved to have ended. A task is released only on
+ * one of these proofs:
+ *
+ * <ul>
+ *   <li>its worker reports that the attempt ended;
+ *   <li>its worker no longer reports the attempt, after every start command that could still be
+ *       executed was fenced;
+ *   <li>its worker is in a later agent epoch;
+ *   <li>the cloud has confirmed the deletion of the machine;
+ *   <li>the last lease that could keep the worker's tasks running has certainly expired.
+ * </ul>
+ *
+ * <p>Used on the event loop only.
  */
 public final class TerminationEvidence {
   private final Timings timings;
@@ -24,9 +33,9 @@
   private final Duration termStart;
 
   /**
-   * Creates the termination evidence.
+   * Creates the termination evidence of a term.
    *
-   * @param termStart when the leader's term began, by the event loop
+   * @param termStart when the leader's term began, by the clock of the event loop
    */
   public TerminationEvidence(
       Timings timings, FencingTokenSource tokens, StopRequests stopRequests, Duration termStart) {
@@ -36,28 +45,32 @@
     this.termStart = termStart;
   }
 
-  /** What is proved of an attempt. */
+  /** What is proved about an attempt. */
   public enum Verdict {
-    /** Nothing: it may run, or run yet. */
+    /** Nothing is proved: it may be running, or may still start. */
     OWNED,
     /** It has completed its task. */
     DONE,
-    /** It was stopped, or will not start any more. */
+    /** It was stopped, or can no longer start. */
     ENDED,
-    /** Its worker did not start it. */
+    /** Its worker refused to start it. */
     REFUSED,
     /** It ended by itself without completing the task. */
     FAILED,
     /** Its machine is deleted or has begun a new agent epoch, or the worker's lease has expired. */
     LOST,
-    /** Nothing, but a higher token at the worker would prove that it has ended. */
+    /**
+     * Nothing is proved yet. If the worker acknowledges a higher fencing token, that proves the
+     * end.
+     */
     NEEDS_FENCING
   }
 
   /**
-   * Assesses an owned attempt by all that this leader knows of its machine.
+   * Assesses an owned attempt by all that this leader knows about its machine.
    *
-   * @param machine the machine that owns it, null if nothing is known of that
+   * @param machine the machine that the attempt was assigned to, null if this leader does not know
+   *     it
    */
   public Verdict assess(Ownership.OwnedTask owned, MachineState machine, Duration now) {
     if (machine == null) {
@@ -75,7 +88,7 @@
         return reported;
       }
     }
-    return assessLease(keptAliveUntil(machine), now);
+    return assessLease(latestPossibleRenewal(machine), now);
   }
 
   private Verdict assessHeartbeat(Ownership.OwnedTask owned, MachineState machine) {
@@ -92,7 +105,8 @@
     if (status.cause() == WorkerHeartbeat.ExitCause.DONE) {
       return Verdict.DONE;
     }
-    // A start without an answer yet could run once more after the worker has dropped the attempt.
+    // A start command that is still in flight could run the attempt again after the worker has
+    // dropped it.
     if (!machine.contact().hasTokenAbove(tokens.termBase()) || !machine.areCommandsFenced()) {
       return Verdict.NEEDS_FENCING;
     }
@@ -103,7 +117,10 @@
     };
   }
 
-  /** Absence proves something only of a task that will not be started again. */
+  /**
+   * Assesses an attempt that the heartbeat does not list. This proves its end only if no start
+   * command for it is due or can still be executed.
+   */
   private Verdict assessAbsence(Ownership.OwnedTask owned, MachineState machine) {
     if (!stopRequests.isRequested(owned)
         || machine.latestHeartbeat().agentEpoch() != owned.attempt().agentEpoch()) {
@@ -117,17 +134,20 @@
     return Verdict.ENDED;
   }
 
-  /** Until when this leader or an earlier one may have kept the worker alive. */
-  private Duration keptAliveUntil(MachineState machine) {
-    Duration keptAlive = machine.contact().lastLeaseRenewalAt();
-    Duration byThisLeader = keptAlive == null ? termStart : keptAlive;
+  /**
+   * Returns the latest time at which this leader or an earlier one may have renewed the worker's
+   * lease.
+   */
+  private Duration latestPossibleRenewal(MachineState machine) {
+    Duration renewedAt = machine.contact().lastLeaseRenewalAt();
+    Duration byThisLeader = renewedAt == null ? termStart : renewedAt;
     boolean isFenced = machine.contact().hasTokenAbove(tokens.termBase());
     Duration byEarlierLeader = isFenced ? termStart : termStart.plus(timings.authority());
     return byThisLeader.compareTo(byEarlierLeader) > 0 ? byThisLeader : byEarlierLeader;
   }
 
-  private Verdict assessLease(Duration keptAliveAt, Duration now) {
-    return now.minus(keptAliveAt).compareTo(timings.workerLeaseExpiry()) > 0
+  private Verdict assessLease(Duration renewedAt, Duration now) {
+    return now.minus(renewedAt).compareTo(timings.workerLeaseExpiry()) > 0
         ? Verdict.LOST
         : Verdict.OWNED;
   }
--- a/src/main/java/io/cherryspool/controller/timing/Timings.java
+++ b/src/main/java/io/cherryspool/controller/timing/Timings.java
@@ -6,16 +6,18 @@
 import java.time.Duration;
 
 /**
- * The durations that the safety of ownership rests on, from the settings.
+ * The durations on which the safety of task ownership depends, derived from the settings.
  *
  * @param heartbeatInterval how often a worker sends a heartbeat
- * @param authority how long after sending its last confirmed renewal and reading a leader may keep
- *     workers alive, see {@link Settings#authority()}
- * @param workerLeaseExpiry how long after a worker was last kept alive its tasks have surely ended
+ * @param authority how long a leader may renew the leases of workers after it sent the last
+ *     requests that confirmed its own lease and a read of the state store, see {@link
+ *     Settings#authority()}
+ * @param workerLeaseExpiry how long after the last renewal of a worker's lease its tasks have
+ *     certainly ended
  * @param stateStoreLease how long a leader's lease in the state store lasts without renewal
- * @param stateStoreTimeout after so long a call to the state store has failed
- * @param workerTimeout after so long a call to a worker has failed
- * @param cloudTimeout after so long a call to the cloud has failed
+ * @param stateStoreTimeout the timeout of calls to the state store
+ * @param workerTimeout the timeout of calls to workers
+ * @param cloudTimeout the timeout of calls to the cloud
  */
 public record Timings(
     Duration heartbeatInterval,
@@ -29,29 +31,34 @@
   private static final Duration MAX_WORKER_TIMEOUT = Duration.ofSeconds(2);
   private static final Duration CLOUD_TIMEOUT = Duration.ofSeconds(5);
 
-  /** Calls to the state store that fit into one lease of it. */
+  /** The number of consecutive state store calls that can time out within one state store lease. */
   private static final int CALLS_PER_STATE_STORE_LEASE = 4;
 
-  /** After so long without a heartbeat a worker is late, whatever the deviation of its interval. */
+  /**
+   * Returns how long after its last heartbeat a worker counts as late. This exceeds the heartbeat
+   * interval by more than its normal deviation.
+   */
   public Duration heartbeatLateAfter() {
     return Durations.divide(Durations.multiply(heartbeatInterval, 5), 4).plusMillis(250);
   }
 
   /**
-   * How much later than this node another must have read the state store for this one to be the one
-   * that is partitioned from it. Each reads at least four times in a lease.
+   * Returns how much older than the last state store read of another node this node's last read
+   * must be for this node to count as partitioned from the state store. Each node reads at least
+   * four times per state store lease.
    */
   public Duration staleReadLag() {
     return Durations.divide(stateStoreLease, 2);
   }
 
-  /** Derives the durations from the deploy file's settings and the operators'. */
+  /** Derives the durations from the settings of the deploy file and those of the operators. */
   public static Timings fromSettings(Settings settings, OperatorSettings operators) {
     Duration workerLease = settings.workerLease();
     Duration heartbeatInterval = settings.heartbeatInterval();
     Duration authority = settings.authority();
-    // Where the cancel limit leaves little, leadership is renewed more often: stretching the
-    // authority to the state store's lease instead would let cancelled tasks outlast the limit.
+    // If the cancel limit leaves less authority than the configured state store lease, the lease is
+    // shortened, so leadership is renewed more often. Raising the authority instead would let
+    // cancelled tasks run beyond the limit.
     Duration stateStoreLease =
         authority.compareTo(operators.stateStoreLease()) < 0
             ? authority
--- a/src/main/java/io/cherryspool/controller/timing/package-info.java
+++ b/src/main/java/io/cherryspool/controller/timing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The durations by which a node and its leader act, derived from the settings, and how far the
- * event loop is behind. All of it runs on the event loop of the node.
+ * The durations that a node and its leader use, derived from the settings, and the detection of a
+ * lagging event loop. All classes are used on the event loop of the node only.
  */
 package io.cherryspool.controller.timing;
--- a/src/test/java/io/cherryspool/controller/ownership/OwnershipTest.java
+++ b/src/test/java/io/cherryspool/controller/ownership/OwnershipTest.java
@@ -23,21 +23,21 @@
     ownership.setListener(
         new Ownership.Listener() {
           @Override
-          public void machineChanged(String machine) {}
+          public void onMachineChanged(String machine) {}
 
           @Override
-          public void jobChanged(JobRecord touched) {}
+          public void onJobChanged(JobRecord touched) {}
 
           @Override
-          public void jobEnded(JobRecord ended) {}
+          public void onJobEnded(JobRecord ended) {}
 
           @Override
-          public void attemptReleased(Ownership.OwnedTask owned) {
+          public void onAttemptReleased(Ownership.OwnedTask owned) {
             released.add(owned.taskId().index());
           }
 
           @Override
-          public void recordsReloaded() {}
+          public void onRecordsReloaded() {}
         });
     ownership.onProgress(entry, Shard.EMPTY, entry.shard(0).shard());
   }
--- a/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
+++ b/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
@@ -84,7 +84,7 @@
     assertArrayEquals(sent.get(0).body(), sent.get(1).body(), "the same name and size");
     answerLast(200, "{\"spindles\":[\"host-1\",\"host-2\",\"host-3\"]}");
     assertFalse(requests.hasUnanswered());
-    assertEquals(3, requests.provisioning(list, TYPES).size());
+    assertEquals(3, requests.provisioningOfferings(list, TYPES).size());
   }
 
   @Test
@@ -110,7 +110,7 @@
     requests.request(OFFERING, 3);
     answerLast(200, "{\"spindles\":[\"host-1\"]}");
     assertEquals(Set.of(OFFERING), requests.unavailableOfferings(time.now()));
-    assertEquals(List.of(OFFERING), requests.provisioning(list, TYPES));
+    assertEquals(List.of(OFFERING), requests.provisioningOfferings(list, TYPES));
   }
 
   @Test
@@ -120,7 +120,7 @@
     fleet.accept(
         new WorkerHeartbeat("host-1", "127.0.0.1:1", "box", "a", true, 1, 1, 0, null, List.of()),
         time.now());
-    assertEquals(List.of(), requests.provisioning(list, TYPES));
+    assertEquals(List.of(), requests.provisioningOfferings(list, TYPES));
   }
 
   @Test
@@ -128,9 +128,10 @@
     requests.request(OFFERING, 1);
     answerLast(200, "{\"spindles\":[\"host-1\"]}");
     pass(LIST_LAG.multipliedBy(4));
-    assertEquals(1, requests.provisioning(list, TYPES).size(), "the list may be that late");
+    assertEquals(
+        1, requests.provisioningOfferings(list, TYPES).size(), "the list may be that late");
     pass(Duration.ofSeconds(1));
-    assertEquals(List.of(), requests.provisioning(list, TYPES));
+    assertEquals(List.of(), requests.provisioningOfferings(list, TYPES));
   }
 
   @Test
--- a/src/test/java/io/cherryspool/controller/timing/EventLoopLagTest.java
+++ b/src/test/java/io/cherryspool/controller/timing/EventLoopLagTest.java
@@ -13,13 +13,13 @@
   void aTimerThatRunsLateShowsALoopThatIsBehind() {
     EventLoopLag backlog = new EventLoopLag();
     assertFalse(backlog.isBehind());
-    backlog.timerFired(Duration.ofSeconds(5), NEXT);
+    backlog.onTimerFired(Duration.ofSeconds(5), NEXT);
     assertFalse(backlog.isBehind(), "nothing is known yet");
-    backlog.timerFired(Duration.ofMillis(5140), NEXT);
+    backlog.onTimerFired(Duration.ofMillis(5140), NEXT);
     assertFalse(backlog.isBehind(), "40 ms are usual");
-    backlog.timerFired(Duration.ofMillis(5300), NEXT);
+    backlog.onTimerFired(Duration.ofMillis(5300), NEXT);
     assertTrue(backlog.isBehind(), "60 ms late");
-    backlog.timerFired(Duration.ofMillis(5400), NEXT);
+    backlog.onTimerFired(Duration.ofMillis(5400), NEXT);
     assertFalse(backlog.isBehind(), "on time again");
   }
 }
