--- a/src/test/java/io/cherryspool/controller/fleet/CommandDeliveryTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/CommandDeliveryTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which commands count as delivered, and which calls as pending. */
+/** Which commands count as delivered, and which direct calls as pending. */
 class CommandDeliveryTest {
   private static final Duration NOW = Duration.ofSeconds(100);
   private static final Duration LIMIT = Duration.ofSeconds(1);
@@ -21,7 +21,7 @@
   private final CommandDelivery delivery = new CommandDelivery();
 
   @Test
-  void aCallWithoutAnswerStaysPendingAndDelaysTheNext() {
+  void anUnansweredCallStaysPendingAndDelaysTheNextCall() {
     delivery.recordCallStarted(List.of(), 7);
     assertFalse(delivery.mayCall(NOW), "one call at a time");
     assertEquals(7, delivery.highestPendingToken());
@@ -32,11 +32,11 @@
     delivery.recordCallStarted(List.of(), 9);
     assertEquals(9, delivery.highestPendingToken());
     delivery.recordCallAnswered();
-    assertEquals(7, delivery.highestPendingToken(), "the first call may still run");
+    assertEquals(7, delivery.highestPendingToken(), "the first call may still be executed");
   }
 
   @Test
-  void onlyCommandsOfTheLastReplyCountAsDeliveredAndOnlyForAWhile() {
+  void onlyCommandsOfTheLastReplyCountAsDeliveredWithinTheLimit() {
     delivery.recordDelivered(List.of(START), 7, NOW);
     assertTrue(delivery.wasDeliveredWithin(START, LIMIT, NOW));
     assertFalse(delivery.wasDeliveredWithin(START, LIMIT, NOW.plus(LIMIT)));
@@ -50,10 +50,10 @@
     assertEquals(3, delivery.startTokenOr(START, 3));
     delivery.recordDelivered(List.of(START), 7, NOW);
     delivery.recordDelivered(List.of(STOP), 8, NOW);
-    assertEquals(7, delivery.startTokenOr(START, 3), "it may still be under way");
+    assertEquals(7, delivery.startTokenOr(START, 3), "the start may still be in flight");
     delivery.recordCallStarted(List.of(START, STOP), 9);
     assertEquals(9, delivery.startTokenOr(START, 3));
-    assertEquals(3, delivery.startTokenOr(STOP, 3), "a stop is no start");
+    assertEquals(3, delivery.startTokenOr(STOP, 3), "a stop has no start token");
     delivery.removeStart(START);
     assertEquals(3, delivery.startTokenOr(START, 3));
   }
--- a/src/test/java/io/cherryspool/controller/fleet/MachineContactTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/MachineContactTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What a machine's heartbeats show of the replies to them; a late copy shows nothing. */
+/** Detection of ignored replies, and of late copies of heartbeats. */
 class MachineContactTest {
   private final MachineContact contact = new MachineContact();
 
@@ -19,20 +19,26 @@
         "host-1", "127.0.0.1:1", "box", "a", false, agentEpoch, sequence, token, null, List.of());
   }
 
-  /** A heartbeat comes and is answered at that second; false if it was answered before. */
+  /**
+   * Receives a heartbeat and records the reply to it, both at that second; returns false if the
+   * heartbeat was answered before.
+   */
   private boolean exchange(long agentEpoch, long sequence, long token, int second) {
     WorkerHeartbeat heartbeat = heartbeat(agentEpoch, sequence, token);
     contact.accept(heartbeat, Duration.ofSeconds(second));
     return contact.recordReply(heartbeat, 50 + second, Duration.ofSeconds(second));
   }
 
-  /** Such a machine kept sending heartbeats and was given work lease after lease. */
+  /**
+   * Guards against a machine that sends heartbeats without receiving replies and is given new tasks
+   * whenever its lease has expired.
+   */
   @Test
-  void repliesWithoutEffectOnTheNextHeartbeatCountUntilOneHasIt() {
+  void ignoredRepliesAreCountedUntilAReplyIsAcknowledged() {
     exchange(1, 1, 0, 1);
-    assertEquals(0, contact.ignoredReplies(), "it had no reply before");
+    assertEquals(0, contact.ignoredReplies(), "there was no earlier reply");
     exchange(1, 2, 51, 3);
-    assertEquals(0, contact.ignoredReplies(), "merely between heartbeats");
+    assertEquals(0, contact.ignoredReplies(), "the heartbeat acknowledges the first reply");
     exchange(1, 3, 51, 6);
     exchange(1, 4, 51, 9);
     assertEquals(2, contact.ignoredReplies());
@@ -40,13 +46,13 @@
         Optional.of(Duration.ofSeconds(4)), contact.notReceivingFor(Duration.ofSeconds(10)));
     exchange(2, 5, 51, 20);
     assertEquals(
-        3, contact.ignoredReplies(), "a new agent epoch is no sign that it receives replies");
+        3, contact.ignoredReplies(), "a new agent epoch does not prove that replies are received");
     contact.accept(heartbeat(2, 6, 70), Duration.ofSeconds(21));
-    assertEquals(0, contact.ignoredReplies(), "an acknowledged token of a later reply is one");
+    assertEquals(0, contact.ignoredReplies(), "acknowledging the last reply's token does");
   }
 
   @Test
-  void aLateCopyIsNotAnsweredAgainAndRenewsNothing() {
+  void aLateCopyIsNotAnsweredAgainAndRenewsNoLease() {
     assertTrue(exchange(1, 1, 0, 1));
     assertTrue(exchange(1, 2, 51, 3));
     Duration before = contact.lastHeartbeatAt();
@@ -54,10 +60,13 @@
     assertFalse(exchange(1, 2, 51, 40), "a copy of the newest");
     assertEquals(before, contact.lastHeartbeatAt());
     assertEquals(Optional.of(Duration.ofSeconds(3)), contact.lastReplyAt());
-    assertEquals(0, contact.ignoredReplies(), "nor does it count as an ignored reply");
+    assertEquals(0, contact.ignoredReplies(), "a late copy does not count as an ignored reply");
   }
 
-  /** The worker waits for the reply to a heartbeat that a direct call's answer has overtaken. */
+  /**
+   * The worker still waits for the reply to a heartbeat that was overtaken by its answer to a
+   * direct call.
+   */
   @Test
   void aHeartbeatOvertakenByADirectAnswerStillCountsAsAnswered() {
     contact.accept(heartbeat(1, 8, 60), Duration.ofSeconds(5));
--- a/src/test/java/io/cherryspool/controller/fleet/PlacementHistoryTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/PlacementHistoryTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * From which machines a job is kept since its tasks failed there. A large job bound to one zone
- * once waited beside idle machines while it ran on another: of its 57 tasks one failed now and then
- * on each of the zone's three machines, and each time the whole job was kept from that machine.
- * Seen in seed 237 of the random faults: req-000086 was excluded on two of three idle machines for
- * 90 s with {@code cause=excluded-machine}, although tasks of it had completed on all of them.
+ * Exclusion of jobs from machines on which their tasks failed. Guards against a large job waiting
+ * while machines are idle, because an occasional task failure excluded the whole job from a
+ * machine. Seen in seed 237 of the random faults: req-000086, with 57 tasks and restricted to a
+ * zone with three machines, was excluded from two of the three idle machines for 90 s with {@code
+ * cause=excluded-machine}, although its tasks had completed on all of them.
  */
 class PlacementHistoryTest {
   private static final String JOB = "req-000001";
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void aJobThatCompletedATaskHereIsExcludedByTheSecondFailureInARow() {
+  void aJobThatCompletedATaskHereIsExcludedByTwoConsecutiveFailures() {
     history.recordSuccess(JOB);
     history.recordJobFailure(JOB, NOW);
     assertEquals(Set.of(), history.excludedJobs());
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void aSuccessBetweenTwoFailuresKeepsTheJobHere() {
+  void aSuccessBetweenFailuresPreventsTheExclusion() {
     for (int i = 0; i < 5; i++) {
       history.recordSuccess(JOB);
       history.recordJobFailure(JOB, NOW.plusSeconds(i));
--- a/src/test/java/io/cherryspool/controller/fleet/ZonePartitionTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/ZonePartitionTest.java
@@ -15,11 +15,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * That the partition of a zone is recognised before its machines are deleted. A zone partitioned
- * for 20 s lost 208 machines, deleted one by one as they came to count as silent.
+ * Detection of a partitioned zone before its machines are deleted. Guards against a failure in
+ * which a zone that was partitioned for 20 s lost 208 machines, which were deleted one by one as
+ * each was found silent.
  */
 class ZonePartitionTest {
-  private static final Duration LATE = Duration.ofSeconds(11);
+  private static final Duration LATE_AFTER = Duration.ofSeconds(11);
 
   private final List<MachineState> fleet = new ArrayList<>();
   private final Set<String> listed = new HashSet<>();
@@ -34,16 +35,16 @@
     listed.add(name);
   }
 
-  private Set<String> partitionedAt(double second) {
-    return partitionedAt(Duration.ofMillis((long) (second * 1000)), LATE);
+  private Set<String> partitionedZonesAt(double second) {
+    return partitionedZonesAt(Duration.ofMillis((long) (second * 1000)), LATE_AFTER);
   }
 
-  private Set<String> partitionedAt(Duration now, Duration late) {
+  private Set<String> partitionedZonesAt(Duration now, Duration lateAfter) {
     FleetReachability.Builder view = new FleetReachability.Builder();
     Set<String> zones = new HashSet<>();
     for (MachineState machine : fleet) {
       zones.add(machine.zone());
-      ContactState contact = machine.contactState(now.minus(late), Duration.ZERO);
+      ContactState contact = machine.contactState(now.minus(lateAfter), Duration.ZERO);
       view.addMachine(machine.zone(), listed.contains(machine.name()), contact);
     }
     Reachability reachability = ReachabilityFixture.reachability("node-0", List.of("node-1"));
@@ -53,13 +54,16 @@
   }
 
   @Test
-  void isKnownBeforeTheFirstOfItsMachinesCountsAsSilent() {
+  void aPartitionIsDetectedBeforeItsFirstMachineCountsAsSilent() {
     for (int i = 0; i < 60; i++) {
       addMachine("a", 100 + i * 5.0 / 60);
       addMachine("b", 116 + i * 5.0 / 60);
     }
-    assertEquals(Set.of(), partitionedAt(110));
-    assertEquals(Set.of("a"), partitionedAt(117), "silent since 100, and deleted from 117 on");
+    assertEquals(Set.of(), partitionedZonesAt(110));
+    assertEquals(
+        Set.of("a"),
+        partitionedZonesAt(117),
+        "silent since second 100, and would be deleted from second 117 on");
   }
 
   /**
@@ -67,31 +71,31 @@
    * unresponsive.
    */
   @Test
-  void isKnownBeforeTheFirstOfItsMachinesCountsAsUnresponsive() {
+  void aPartitionIsDetectedBeforeItsFirstMachineCountsAsUnresponsive() {
     Duration heartbeatInterval = Duration.ofSeconds(4);
     for (int i = 0; i < 60; i++) {
       addMachine("a", 100 + i * 4.0 / 60);
       addMachine("b", 104 + i * 4.0 / 60);
     }
-    Duration late = heartbeatInterval.multipliedBy(5).dividedBy(4).plusMillis(250);
-    Duration first = Duration.ofSeconds(100).plus(heartbeatInterval.multipliedBy(2));
-    assertEquals(Set.of("a"), partitionedAt(first, late));
+    Duration lateAfter = heartbeatInterval.multipliedBy(5).dividedBy(4).plusMillis(250);
+    Duration firstUnresponsiveAt = Duration.ofSeconds(100).plus(heartbeatInterval.multipliedBy(2));
+    assertEquals(Set.of("a"), partitionedZonesAt(firstUnresponsiveAt, lateAfter));
   }
 
   @Test
-  void machinesThatDieTogetherAreNoPartition() {
+  void simultaneousMachineFailuresAreNotAPartition() {
     for (int i = 0; i < 40; i++) {
       addMachine("a", i < 13 ? 100 : 118);
     }
-    assertEquals(Set.of(), partitionedAt(119));
+    assertEquals(Set.of(), partitionedZonesAt(119));
   }
 
   @Test
-  void machinesThatTheCloudTookBackAreNotListedAndNoPartition() {
+  void unlistedMachinesThatTheCloudTookBackAreNotAPartition() {
     for (int i = 0; i < 40; i++) {
       addMachine("a", i < 20 ? 100 : 118);
     }
     fleet.subList(0, 20).forEach(machine -> listed.remove(machine.name()));
-    assertEquals(Set.of(), partitionedAt(119));
+    assertEquals(Set.of(), partitionedZonesAt(119));
   }
 }
--- a/src/test/java/io/cherryspool/controller/leader/LeaderCostTest.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderCostTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the leader may use for what happens most: heartbeats without news, of which a thousand
- * machines send hundreds a second. Bytes and rounds are counted, and no time is taken.
+ * Limits the leader's cost of its most frequent event, unchanged heartbeats: a thousand machines
+ * send hundreds of them per second. The tests count bytes and rounds instead of measuring time.
  */
 class LeaderCostTest {
   private static final String MACHINE = "host-000001";
@@ -29,7 +29,7 @@
   private static final int MACHINES = 5000;
   private static final long MAX_RETAINED_BYTES_PER_MACHINE = 1_800;
   private static final int SENDING_MACHINES = 50;
-  private static final Duration QUIET = Duration.ofSeconds(20);
+  private static final Duration QUIET_PERIOD = Duration.ofSeconds(20);
 
   private final LeaderTermFixture leader = new LeaderTermFixture();
 
@@ -42,40 +42,41 @@
   }
 
   @Test
-  void anUnchangedHeartbeatAllocatesLittle() {
-    heartbeats(WARM_UP).forEach(leader::send);
+  void handlingAnUnchangedHeartbeatAllocatesLittle() {
+    heartbeats(WARM_UP).forEach(leader::handleHeartbeat);
     List<byte[]> unchanged = heartbeats(HEARTBEATS);
-    long bytes = HeapMeter.allocatedBytes(() -> unchanged.forEach(leader::send)) / HEARTBEATS;
-    assertTrue(bytes <= MAX_ALLOCATED_BYTES_PER_HEARTBEAT, bytes + " bytes a heartbeat");
+    long bytes =
+        HeapMeter.allocatedBytes(() -> unchanged.forEach(leader::handleHeartbeat)) / HEARTBEATS;
+    assertTrue(bytes <= MAX_ALLOCATED_BYTES_PER_HEARTBEAT, bytes + " bytes per heartbeat");
   }
 
   @Test
-  void anUnchangedHeartbeatPutsNothingOnTheEventLoop() {
-    leader.send(leader.nextHeartbeat(MACHINE, TASKS));
-    leader.run(Duration.ofMillis(100));
+  void anUnchangedHeartbeatSchedulesNoEventLoopTask() {
+    leader.handleHeartbeat(leader.nextHeartbeat(MACHINE, TASKS));
+    leader.advance(Duration.ofMillis(100));
     int before = leader.scheduledTasks();
-    heartbeats(HEARTBEATS).forEach(leader::send);
+    heartbeats(HEARTBEATS).forEach(leader::handleHeartbeat);
     assertEquals(before, leader.scheduledTasks());
-    leader.send(leader.nextHeartbeat(MACHINE, TASKS + 1));
-    assertEquals(before + 1, leader.scheduledTasks(), "news starts a round");
+    leader.handleHeartbeat(leader.nextHeartbeat(MACHINE, TASKS + 1));
+    assertEquals(before + 1, leader.scheduledTasks(), "a changed heartbeat schedules a round");
   }
 
-  /** No machine fits the waiting job, so that each round has something to plan. */
+  /** No machine has room for the waiting job, so each round has something to plan. */
   @Test
-  void roundsWithoutNewsAreNoMoreThanTheLongestIntervalAsksFor() {
-    leader.accept(JobFixture.job("req-000002", Priority.NORMAL, 1, 1000));
+  void unchangedHeartbeatsCauseNoMoreRoundsThanTheMaximumInterval() {
+    leader.recordJob(JobFixture.job("req-000002", Priority.NORMAL, 1, 1000));
     for (int i = 0; i < SENDING_MACHINES; i++) {
       Duration first =
           LeaderTermFixture.HEARTBEAT_INTERVAL.multipliedBy(i).dividedBy(SENDING_MACHINES);
       sendRegularly("host-" + i, first);
     }
-    leader.run(QUIET);
+    leader.advance(QUIET_PERIOD);
     int before = leader.clockReadings();
-    leader.run(QUIET);
+    leader.advance(QUIET_PERIOD);
     int rounds = leader.clockReadings() - before;
-    long most = QUIET.dividedBy(LeaderTermFixture.MAX_ROUND_INTERVAL);
-    assertTrue(rounds > 0, "the job is planned for");
-    assertTrue(rounds <= most, rounds + " rounds");
+    long maxRounds = QUIET_PERIOD.dividedBy(LeaderTermFixture.MAX_ROUND_INTERVAL);
+    assertTrue(rounds > 0, "rounds plan for the waiting job");
+    assertTrue(rounds <= maxRounds, rounds + " rounds");
   }
 
   private void sendRegularly(String machine, Duration delay) {
@@ -84,27 +85,27 @@
         .schedule(
             delay,
             () -> {
-              leader.send(leader.nextHeartbeat(machine, 0));
+              leader.handleHeartbeat(leader.nextHeartbeat(machine, 0));
               sendRegularly(machine, LeaderTermFixture.HEARTBEAT_INTERVAL);
             });
   }
 
   @Test
-  void aMachineRetainsLittle() {
+  void aMachineRetainsLittleMemory() {
     long bytes = HeapMeter.retainedBytes(this::fleet) / MACHINES;
-    assertTrue(bytes <= MAX_RETAINED_BYTES_PER_MACHINE, bytes + " bytes a machine");
+    assertTrue(bytes <= MAX_RETAINED_BYTES_PER_MACHINE, bytes + " bytes per machine");
   }
 
-  /** A fleet of which each machine has sent a heartbeat with its tasks. */
+  /** Returns a fleet in which each machine has sent a heartbeat with its tasks. */
   private Fleet fleet() {
     Fleet fleet = new Fleet();
     for (int i = 0; i < MACHINES; i++) {
-      fleet.accept(parsed(leader.nextHeartbeat("host-" + i, TASKS)), Duration.ZERO);
+      fleet.accept(parse(leader.nextHeartbeat("host-" + i, TASKS)), Duration.ZERO);
     }
     return fleet;
   }
 
-  private static WorkerHeartbeat parsed(byte[] heartbeat) {
+  private static WorkerHeartbeat parse(byte[] heartbeat) {
     try {
       return WorkerProtocol.parseHeartbeat(Json.parseObject(heartbeat));
     } catch (MalformedMessageException e) {
--- a/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
@@ -42,14 +42,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A leader in simulated time whose workers are heartbeats that the test makes. Neither the cloud
- * nor a worker answers its calls.
+ * Runs a leader's term in simulated time. The test creates the heartbeats of its workers. Neither
+ * the cloud nor the workers answer the leader's calls.
  */
 final class LeaderTermFixture {
   static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(2500);
   static final Duration MAX_ROUND_INTERVAL = Duration.ofSeconds(1);
 
-  private static final Endpoint ANYWHERE = new Endpoint("127.0.0.1", 1);
+  private static final Endpoint UNUSED_ENDPOINT = new Endpoint("127.0.0.1", 1);
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
   private static final int MAX_TRANSACTION_CHANGES = 8;
   private static final long TERM = 5;
@@ -71,11 +71,11 @@
     RateLimiter rateLimiter = new RateLimiter(loop, 1, 1000, 1000);
     StateStoreClient client =
         new StateStoreClient(
-            loop, rateLimiter, new ControlledTransport(time, state), ANYWHERE, CALL_TIMEOUT);
+            loop, rateLimiter, new ControlledTransport(time, state), UNUSED_ENDPOINT, CALL_TIMEOUT);
     Replica replica =
         new Replica(loop, client, rateLimiter, Duration.ofMillis(5), CALL_TIMEOUT.dividedBy(2));
     replica.start();
-    run(Duration.ofMillis(50));
+    advance(Duration.ofMillis(50));
     assertTrue(replica.isLoaded());
     RoundCommitter committer =
         new RoundCommitter(loop, client, rateLimiter, MAX_TRANSACTION_CHANGES, 0);
@@ -98,7 +98,7 @@
         this::clock,
         replica,
         new WorkerClient(unanswered, CALL_TIMEOUT),
-        new CloudClient(unanswered, ANYWHERE, CALL_TIMEOUT),
+        new CloudClient(unanswered, UNUSED_ENDPOINT, CALL_TIMEOUT),
         () -> TYPES,
         new Meters());
   }
@@ -161,12 +161,15 @@
     return Instant.EPOCH.plus(time.now());
   }
 
-  /** How many tasks the leader has put on its event loop. */
+  /** Returns how many tasks the leader has scheduled on its event loop. */
   int scheduledTasks() {
     return scheduledTasks;
   }
 
-  /** How often the wall clock was read: once a planned round while no job comes or ends. */
+  /**
+   * Returns how often the wall clock was read, which is once per planned round while no job is
+   * submitted or ends.
+   */
   int clockReadings() {
     return clockReadings;
   }
@@ -175,21 +178,24 @@
     return time;
   }
 
-  void run(Duration length) {
+  void advance(Duration length) {
     Duration end = time.now().plus(length);
     while (time.runNextEvent(end)) {
       // Each event may schedule more.
     }
   }
 
-  /** Records a job as some node does that accepts it. */
-  void accept(Job job) {
+  /** Writes a job to the state store, as the node that accepts it does. */
+  void recordJob(Job job) {
     StateStoreProtocol.Change change =
         new StateStoreProtocol.Change(Records.jobKey(job.id()), Records.encodeJob(job, 100), 0);
     state.handle(StateStoreProtocol.transactionRequest(Map.of(), List.of(change)));
   }
 
-  /** The next heartbeat of a machine that runs so many tasks, as its worker would encode it. */
+  /**
+   * Returns the next heartbeat of a machine that runs the number of tasks, as its worker encodes
+   * it.
+   */
   byte[] nextHeartbeat(String machine, int tasks) {
     StringBuilder taskList = new StringBuilder();
     for (int task = 0; task < tasks; task++) {
@@ -208,8 +214,8 @@
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Has the leader receive an encoded heartbeat; returns the encoded reply. */
-  byte[] send(byte[] heartbeat) {
+  /** Passes an encoded heartbeat to the leader; returns the encoded reply. */
+  byte[] handleHeartbeat(byte[] heartbeat) {
     try {
       return term.handleHeartbeat(WorkerProtocol.parseHeartbeat(Json.parseObject(heartbeat)));
     } catch (MalformedMessageException e) {
--- a/src/test/java/io/cherryspool/controller/leader/WorkerCommandPlannerTest.java
+++ b/src/test/java/io/cherryspool/controller/leader/WorkerCommandPlannerTest.java
@@ -22,7 +22,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a worker is to do, by what it reports and by what the records give it. */
+/**
+ * The commands for a worker, depending on the tasks that it reports and those that it owns by the
+ * records.
+ */
 class WorkerCommandPlannerTest {
   private static final TaskId TASK = new TaskId("req-000001", 0);
   private static final Duration START = Duration.ofSeconds(100);
@@ -73,14 +76,14 @@
   }
 
   @Test
-  void anOwnedTaskThatIsAbsentIsStarted() {
+  void anOwnedTaskThatIsNotReportedIsStarted() {
     receive();
     assertEquals(
         List.of(WorkerCommand.start(TASK, 1)), planner.commandsFor(machine, List.of(owned)));
   }
 
   @Test
-  void anOwnedTaskThatRunsIsStoppedOnlyOnRequest() {
+  void aRunningOwnedTaskIsStoppedOnlyOnRequest() {
     receive(running());
     assertEquals(List.of(), planner.commandsFor(machine, List.of(owned)));
     stopRequests.add(TASK, 1, Duration.ofSeconds(7));
@@ -89,9 +92,12 @@
         planner.commandsFor(machine, List.of(owned)));
   }
 
-  /** After its acknowledgement, a start that is still under way would run the attempt once more. */
+  /**
+   * An acknowledged attempt is dropped by the worker, so a start command still in flight would run
+   * it again.
+   */
   @Test
-  void anEndedAttemptIsNotAcknowledgedWhileACommandHasNoAnswer() {
+  void anExitedAttemptIsNotAcknowledgedUntilAnUnansweredCallIsFenced() {
     machine.commands().recordCallStarted(List.of(), tokens.current());
     machine.commands().recordCallFailed(START);
     receive(failed());
@@ -103,7 +109,7 @@
   }
 
   @Test
-  void aTaskThatTheRecordsGiveToNoMachineIsStopped() {
+  void aRunningTaskThatNoMachineOwnsIsStopped() {
     receive(running());
     assertEquals(
         List.of(WorkerCommand.stop(TASK, 1, Duration.ZERO)),
--- a/src/test/java/io/cherryspool/controller/metrics/HeldTasksTest.java
+++ b/src/test/java/io/cherryspool/controller/metrics/HeldTasksTest.java
@@ -7,9 +7,12 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** A gauge for each cause shows the last plan's count, and zero once the node plans no more. */
+/**
+ * Each cause has a gauge that shows the count of the last plan, and zero once the node no longer
+ * leads.
+ */
 class HeldTasksTest {
-  private final HeldTasks held = new HeldTasks();
+  private final HeldTasks heldTasks = new HeldTasks();
   private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
 
   private double value(HoldCause cause) {
@@ -17,13 +20,13 @@
   }
 
   @Test
-  void eachCauseHasItsCount() {
-    held.bindTo(registry);
-    held.set(Map.of(HoldCause.OVER_QUOTA, 5, HoldCause.ZONE_CONSTRAINT, 2));
+  void eachCauseShowsItsCountUntilTheCountsAreCleared() {
+    heldTasks.bindTo(registry);
+    heldTasks.set(Map.of(HoldCause.OVER_QUOTA, 5, HoldCause.ZONE_CONSTRAINT, 2));
     assertEquals(5, value(HoldCause.OVER_QUOTA));
     assertEquals(2, value(HoldCause.ZONE_CONSTRAINT));
     assertEquals(0, value(HoldCause.NO_MACHINE));
-    held.clear();
+    heldTasks.clear();
     assertEquals(0, value(HoldCause.OVER_QUOTA));
   }
 }
--- a/src/test/java/io/cherryspool/controller/ownership/OwnershipTest.java
+++ b/src/test/java/io/cherryspool/controller/ownership/OwnershipTest.java
@@ -12,14 +12,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which attempts own tasks as the records change. */
+/** Which attempts own tasks after changes of the records. */
 class OwnershipTest {
-  private final List<Integer> released = new ArrayList<>();
+  private final List<Integer> releasedTaskIndexes = new ArrayList<>();
   private final Ownership ownership = new Ownership(null);
-  private final JobRecord entry =
+  private final JobRecord jobRecord =
       JobRecordFixture.running(JobFixture.job("req-000001", Priority.LOW, 2, 1), 2, "host-1");
 
-  private void listen() {
+  private void startListening() {
     ownership.setListener(
         new Ownership.Listener() {
           @Override
@@ -33,34 +33,37 @@
 
           @Override
           public void onAttemptReleased(Ownership.OwnedTask owned) {
-            released.add(owned.taskId().index());
+            releasedTaskIndexes.add(owned.taskId().index());
           }
 
           @Override
           public void onRecordsReloaded() {}
         });
-    ownership.onProgress(entry, Shard.EMPTY, entry.shard(0).shard());
+    ownership.onProgress(jobRecord, Shard.EMPTY, jobRecord.shard(0).shard());
   }
 
-  /** Its records are cleared much later; until then its machines must count as empty. */
+  /**
+   * The records of a done job are cleared much later; until then its machines must count as owning
+   * none of its tasks.
+   */
   @Test
-  void aJobThatIsDoneOwnsNothingWhateverItsRecordsHold() {
-    listen();
+  void aDoneJobOwnsNoTasksAlthoughItsRecordsStillListAttempts() {
+    startListening();
     assertEquals(2, ownership.ownedTasksOn("host-1").size());
-    JobRecordFixture.end(entry, Outcome.DONE);
-    ownership.onJobChanged(entry);
+    JobRecordFixture.end(jobRecord, Outcome.DONE);
+    ownership.onJobChanged(jobRecord);
     assertEquals(List.of(), ownership.ownedTasksOn("host-1"));
-    assertEquals(0, entry.ownedCount());
-    released.sort(null);
-    assertEquals(List.of(0, 1), released);
+    assertEquals(0, jobRecord.ownedCount());
+    releasedTaskIndexes.sort(null);
+    assertEquals(List.of(0, 1), releasedTaskIndexes);
   }
 
   @Test
-  void aCancelledJobOwnsItsTasksUntilTheirEndsAreProved() {
-    listen();
-    JobRecordFixture.end(entry, Outcome.CANCELLED);
-    ownership.onJobChanged(entry);
+  void aCancelledJobOwnsItsTasksUntilTheyAreProvedToHaveEnded() {
+    startListening();
+    JobRecordFixture.end(jobRecord, Outcome.CANCELLED);
+    ownership.onJobChanged(jobRecord);
     assertEquals(2, ownership.ownedTasksOn("host-1").size());
-    assertEquals(2, entry.ownedCount());
+    assertEquals(2, jobRecord.ownedCount());
   }
 }
--- a/src/test/java/io/cherryspool/controller/ownership/StopRequestsTest.java
+++ b/src/test/java/io/cherryspool/controller/ownership/StopRequestsTest.java
@@ -14,18 +14,18 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Which attempts are to stop, and with which grace period. */
+/** Which attempts must stop, and with which grace period. */
 class StopRequestsTest {
   private static final TaskId TASK = new TaskId("req-000001", 0);
   private static final Duration SHORT = Duration.ofSeconds(5);
   private static final Duration LONG = Duration.ofSeconds(60);
 
-  private final JobRecord job =
+  private final JobRecord jobRecord =
       JobRecordFixture.accepted(JobFixture.job("req-000001", Priority.NORMAL, 1, 1));
   private final StopRequests requests = new StopRequests();
 
   private Ownership.OwnedTask attempt(int number) {
-    return new Ownership.OwnedTask(job, TASK, new Attempt(0, "host-1", 3, number, 1));
+    return new Ownership.OwnedTask(jobRecord, TASK, new Attempt(0, "host-1", 3, number, 1));
   }
 
   @Test
@@ -35,7 +35,7 @@
     requests.add(TASK, 1, LONG);
     assertEquals(Optional.of(SHORT), requests.gracePeriodFor(attempt(2)));
     assertFalse(requests.isRequested(attempt(1)));
-    assertFalse(requests.isRequested(attempt(3)), "a later attempt is to go on");
+    assertFalse(requests.isRequested(attempt(3)), "no stop of a later attempt is requested");
   }
 
   @Test
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void aReleasedAttemptTakesItsRequestAlongButNotThatOfALaterOne() {
+  void releasingAnAttemptRemovesItsRequestButNotThatOfALaterAttempt() {
     requests.add(TASK, 2, SHORT);
     requests.remove(attempt(1));
     assertEquals(Optional.of(SHORT), requests.gracePeriodFor(attempt(2)));
@@ -57,7 +57,7 @@
   @Test
   void allAttemptsOfACancelledJobStopAtOnce() {
     requests.add(TASK, 1, LONG);
-    JobRecordFixture.end(job, Outcome.CANCELLED);
+    JobRecordFixture.end(jobRecord, Outcome.CANCELLED);
     assertEquals(Optional.of(Duration.ZERO), requests.gracePeriodFor(attempt(1)));
   }
 }
--- a/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
+++ b/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of requests for instances, by the cloud's answers to them. */
+/** Handling of the cloud's answers to requests for instances. */
 class InstanceRequestsTest {
   private static final Duration LIST_LAG = Duration.ofSeconds(6);
   private static final MachineType BOX =
@@ -66,15 +66,15 @@
     answers.get(answers.size() - 1).completeExceptionally(new IOException("no answer"));
   }
 
-  private void pass(Duration length) {
+  private void advance(Duration length) {
     Duration end = time.now().plus(length);
     while (time.runNextEvent(end)) {
-      // Only the time moves.
+      // Each event advances the time.
     }
   }
 
   @Test
-  void aRequestWithoutAnswerIsRepeatedAsItWas() {
+  void anUnansweredRequestIsRepeatedUnchanged() {
     requests.request(OFFERING, 3);
     assertFalse(calls.isFree(), "one call at a time");
     failLast();
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void anOutageOfTheCloudLeavesTheRequestToBeRepeated() {
+  void aRequestIsToBeRepeatedAfterAnOutageOfTheCloud() {
     requests.request(OFFERING, 3);
     answerLast(503, "{\"error\":\"later\"}");
     assertTrue(requests.hasUnanswered());
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void anOfferingWithoutCapacityIsUnavailableForAWhile() {
+  void anOfferingWithoutCapacityIsTemporarilyUnavailable() {
     requests.request(OFFERING, 3);
     answerLast(503, "{\"error\":\"no capacity\"}");
     assertFalse(requests.hasUnanswered());
@@ -124,13 +124,13 @@
   }
 
   @Test
-  void anInstanceThatTheListNeverShowsIsGivenUp() {
+  void anInstanceThatTheListNeverShowsIsNoLongerExpected() {
     requests.request(OFFERING, 1);
     answerLast(200, "{\"spindles\":[\"host-1\"]}");
-    pass(LIST_LAG.multipliedBy(4));
+    advance(LIST_LAG.multipliedBy(4));
     assertEquals(
-        1, requests.provisioningOfferings(list, TYPES).size(), "the list may be that late");
-    pass(Duration.ofSeconds(1));
+        1, requests.provisioningOfferings(list, TYPES).size(), "the list may still lag behind");
+    advance(Duration.ofSeconds(1));
     assertEquals(List.of(), requests.provisioningOfferings(list, TYPES));
   }
 
--- a/src/test/java/io/cherryspool/controller/release/TerminationEvidenceTest.java
+++ b/src/test/java/io/cherryspool/controller/release/TerminationEvidenceTest.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What counts as proof that a task's attempt has ended, case by case. */
+/** Which observations prove that a task's attempt has ended. */
 class TerminationEvidenceTest {
   private static final TaskId TASK = new TaskId("req-000001", 0);
   private static final Duration START = Duration.ofSeconds(100);
@@ -62,54 +62,54 @@
     assertTrue(machine.contact().accept(heartbeat, START.plusSeconds(1)));
   }
 
-  private TerminationEvidence.Verdict at(double seconds) {
+  private TerminationEvidence.Verdict assessAt(double seconds) {
     return evidence.assess(owned, machine, START.plusMillis((long) (seconds * 1000)));
   }
 
   @Test
-  void absenceProvesNothingWhileAStartMayStillRun() {
+  void anUnreportedAttemptIsNotEndedWhileAStartMayStillBeExecuted() {
     stopRequests.add(TASK, 1, Duration.ZERO);
     receive(3, tokens.termBase() - 1, null, null);
     assertEquals(
         TerminationEvidence.Verdict.NEEDS_FENCING,
-        at(2),
+        assessAt(2),
         "an earlier leader's start is not fenced yet");
     receive(3, tokens.current(), null, null);
-    assertEquals(TerminationEvidence.Verdict.ENDED, at(2));
+    assertEquals(TerminationEvidence.Verdict.ENDED, assessAt(2));
     machine
         .commands()
         .recordDelivered(List.of(WorkerCommand.start(TASK, 1)), tokens.current(), START);
     assertEquals(
         TerminationEvidence.Verdict.NEEDS_FENCING,
-        at(2),
-        "this leader's own start may be on its way");
+        assessAt(2),
+        "this leader's own start may be in flight");
     tokens.advance();
     receive(3, tokens.current(), null, null);
-    assertEquals(TerminationEvidence.Verdict.ENDED, at(2));
+    assertEquals(TerminationEvidence.Verdict.ENDED, assessAt(2));
   }
 
   @Test
-  void absenceProvesNothingOfATaskThatIsStillWanted() {
+  void anUnreportedAttemptWithoutStopRequestIsStillOwned() {
     receive(3, tokens.current(), null, null);
-    assertEquals(TerminationEvidence.Verdict.OWNED, at(2));
+    assertEquals(TerminationEvidence.Verdict.OWNED, assessAt(2));
   }
 
-  /** A start that is still under way could run the attempt once more. */
+  /** A start command that is still in flight could run the attempt again. */
   @Test
-  void anEndedAttemptIsNotFreedWhileACommandHasNoAnswer() {
+  void anExitedAttemptIsNotReleasedUntilAnUnansweredCallIsFenced() {
     machine.commands().recordCallStarted(List.of(), tokens.current());
     machine.commands().recordCallFailed(START);
     receive(3, tokens.current(), WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR);
-    assertEquals(TerminationEvidence.Verdict.NEEDS_FENCING, at(2));
+    assertEquals(TerminationEvidence.Verdict.NEEDS_FENCING, assessAt(2));
     tokens.advance();
     receive(3, tokens.current(), WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR);
-    assertEquals(TerminationEvidence.Verdict.FAILED, at(2));
+    assertEquals(TerminationEvidence.Verdict.FAILED, assessAt(2));
   }
 
   @Test
-  void aLaterAgentEpochOrADeletionIsProofAndAnOlderHeartbeatIsNot() {
+  void aLaterAgentEpochOrADeletionProvesTheLossAndAnOlderHeartbeatIsIgnored() {
     receive(4, tokens.termBase() - 1, null, null);
-    assertEquals(TerminationEvidence.Verdict.LOST, at(2));
+    assertEquals(TerminationEvidence.Verdict.LOST, assessAt(2));
     WorkerHeartbeat old =
         new WorkerHeartbeat("host-1", "127.0.0.1:1", "box", "a", false, 3, 99, 0, null, List.of());
     assertEquals(false, machine.contact().accept(old, START));
@@ -119,31 +119,32 @@
   }
 
   @Test
-  void aSilentMachineIsLostOnlyWhenNoLeaderCanHaveKeptItAlive() {
-    double earlier = AUTHORITY.toSeconds() + LEASE.toSeconds();
+  void aSilentMachineIsLostOnlyAfterEveryLeadersLastPossibleLeaseHasExpired() {
+    double earlierLeaseExpiry = AUTHORITY.toSeconds() + LEASE.toSeconds();
     assertEquals(
         TerminationEvidence.Verdict.OWNED,
-        at(earlier - 0.1),
-        "a cut-off leader may still answer it");
-    assertEquals(TerminationEvidence.Verdict.LOST, at(earlier + 0.1));
+        assessAt(earlierLeaseExpiry - 0.1),
+        "a partitioned earlier leader may still renew its lease");
+    assertEquals(TerminationEvidence.Verdict.LOST, assessAt(earlierLeaseExpiry + 0.1));
     assertEquals(
         TerminationEvidence.Verdict.OWNED,
-        evidence.assess(owned, null, START.plusMillis((long) (earlier * 1000) - 100)),
-        "nor is a machine that was never seen free any sooner");
+        evidence.assess(owned, null, START.plusMillis((long) (earlierLeaseExpiry * 1000) - 100)),
+        "the same limit holds for a machine that this leader has never seen");
     receive(3, tokens.current(), WorkerHeartbeat.TaskState.RUNNING, null);
     machine
         .contact()
         .recordReply(machine.latestHeartbeat(), tokens.current(), START.plusSeconds(4));
-    assertEquals(TerminationEvidence.Verdict.OWNED, at(4 + LEASE.toSeconds() - 0.1));
-    assertEquals(TerminationEvidence.Verdict.LOST, at(4 + LEASE.toSeconds() + 0.1));
+    assertEquals(TerminationEvidence.Verdict.OWNED, assessAt(4 + LEASE.toSeconds() - 0.1));
+    assertEquals(TerminationEvidence.Verdict.LOST, assessAt(4 + LEASE.toSeconds() + 0.1));
   }
 
   /**
-   * A machine whose heartbeats were lost while it answered direct calls began a new agent epoch,
-   * was given work there, and had it taken for lost at once, by the last reply in the epoch before.
+   * Guards against declaring tasks lost as soon as they are placed. A machine whose heartbeats were
+   * lost, but which answered direct calls, began a new agent epoch and was given tasks; its lease
+   * was then computed from the last reply in the previous epoch.
    */
   @Test
-  void anAgentEpochLivesForALeaseFromItsStartWithoutAnyReply() {
+  void anAgentEpochHasALeaseFromItsStartWithoutAnyReply() {
     receive(2, tokens.current(), null, null);
     machine
         .contact()
@@ -162,8 +163,8 @@
             List.of(
                 new WorkerHeartbeat.TaskStatus(TASK, 1, WorkerHeartbeat.TaskState.RUNNING, null)));
     assertTrue(machine.contact().accept(next, START.plusSeconds(30)));
-    assertEquals(TerminationEvidence.Verdict.OWNED, at(31));
-    assertEquals(TerminationEvidence.Verdict.OWNED, at(30 + LEASE.toSeconds() - 0.1));
-    assertEquals(TerminationEvidence.Verdict.LOST, at(30 + LEASE.toSeconds() + 0.1));
+    assertEquals(TerminationEvidence.Verdict.OWNED, assessAt(31));
+    assertEquals(TerminationEvidence.Verdict.OWNED, assessAt(30 + LEASE.toSeconds() - 0.1));
+    assertEquals(TerminationEvidence.Verdict.LOST, assessAt(30 + LEASE.toSeconds() + 0.1));
   }
 }
--- a/src/test/java/io/cherryspool/controller/timing/EventLoopLagTest.java
+++ b/src/test/java/io/cherryspool/controller/timing/EventLoopLagTest.java
@@ -10,16 +10,16 @@
   private static final Duration NEXT = Duration.ofMillis(100);
 
   @Test
-  void aTimerThatRunsLateShowsALoopThatIsBehind() {
-    EventLoopLag backlog = new EventLoopLag();
-    assertFalse(backlog.isBehind());
-    backlog.onTimerFired(Duration.ofSeconds(5), NEXT);
-    assertFalse(backlog.isBehind(), "nothing is known yet");
-    backlog.onTimerFired(Duration.ofMillis(5140), NEXT);
-    assertFalse(backlog.isBehind(), "40 ms are usual");
-    backlog.onTimerFired(Duration.ofMillis(5300), NEXT);
-    assertTrue(backlog.isBehind(), "60 ms late");
-    backlog.onTimerFired(Duration.ofMillis(5400), NEXT);
-    assertFalse(backlog.isBehind(), "on time again");
+  void theEventLoopIsBehindWhileItsTimerFiresLate() {
+    EventLoopLag lag = new EventLoopLag();
+    assertFalse(lag.isBehind());
+    lag.onTimerFired(Duration.ofSeconds(5), NEXT);
+    assertFalse(lag.isBehind(), "the first firing has no expected time");
+    lag.onTimerFired(Duration.ofMillis(5140), NEXT);
+    assertFalse(lag.isBehind(), "40 ms late is within the limit");
+    lag.onTimerFired(Duration.ofMillis(5300), NEXT);
+    assertTrue(lag.isBehind(), "60 ms late");
+    lag.onTimerFired(Duration.ofMillis(5400), NEXT);
+    assertFalse(lag.isBehind(), "on time again");
   }
 }
--- a/src/test/java/io/cherryspool/controller/timing/TimingsTest.java
+++ b/src/test/java/io/cherryspool/controller/timing/TimingsTest.java
@@ -13,19 +13,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The bound on cancels holds whatever the operators set. */
+/** The cancel limit is kept with any settings of the operators. */
 class TimingsTest {
-  private static final Endpoint ANYWHERE = new Endpoint("127.0.0.1", 1);
+  private static final Endpoint UNUSED_ENDPOINT = new Endpoint("127.0.0.1", 1);
 
   private static Settings settings(double lease, double cancel) {
     return new Settings(
         "n0",
         "a",
-        ANYWHERE,
-        ANYWHERE,
+        UNUSED_ENDPOINT,
+        UNUSED_ENDPOINT,
         List.of(),
-        ANYWHERE,
-        ANYWHERE,
+        UNUSED_ENDPOINT,
+        UNUSED_ENDPOINT,
         List.of(),
         Map.of(),
         Duration.ofSeconds(2),
@@ -41,7 +41,9 @@
     return Duration.ofMillis((long) (seconds * 1000));
   }
 
-  /** The authority was raised to the state lease where it was the shorter one. */
+  /**
+   * Guards against raising the authority to the state store lease where the authority is shorter.
+   */
   @ParameterizedTest
   @CsvSource({"16,36,4", "16,36,60", "16,24,4", "30,37,10", "24,54,1"})
   void theStateStoreLeaseIsShortenedRatherThanTheAuthorityRaised(
@@ -64,6 +66,6 @@
     assertTrue(timings.stateStoreLease().compareTo(seconds(stateLease)) <= 0);
     assertTrue(
         timings.authority().plus(settings.workerLease()).compareTo(seconds(cancel)) < 0,
-        "a task kept alive to the last is gone within the limit");
+        "a task whose lease is renewed as late as possible ends within the limit");
   }
 }
