--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -158,23 +158,23 @@
     Duration interval = Durations.divide(stateStoreLease, ControllerModule.HEARTBEATS_PER_LEASE);
     timer = loop.schedule(interval, this::tick);
     Duration now = loop.now();
-    mesh.broadcast(module.heartbeats().at(now));
+    mesh.broadcast(module.heartbeatFactory().create(now));
     rateLimiter.setOtherNodesWriteRates(
         reachability.matrix().freshHeartbeats(stateStoreLease, now).stream()
             .mapToInt(Mesh.PeerHeartbeat::writeRateTenths)
             .toArray());
-    judgeLinks(now);
+    evaluateLinks(now);
   }
 
   /** Judges this node's links; whatever is done about them rests on the verdict alone. */
-  private void judgeLinks(Duration now) {
+  private void evaluateLinks(Duration now) {
     FleetReachability fleet = terms.fleetReachability();
-    Verdict before = reachability.verdict();
-    Verdict verdict = reachability.evaluate(now, terms.isTermUnderWay(), isLeading(), fleet);
+    Verdict previous = reachability.verdict();
+    Verdict verdict = reachability.evaluate(now, terms.isTermActive(), isLeading(), fleet);
     if (verdict instanceof Verdict.HandOverLeadership handover) {
       election.handOverTo(handover.successor());
     }
-    if (verdict.equals(before)) {
+    if (verdict.equals(previous)) {
       return;
     }
     LOG.info(
--- a/src/main/java/io/cherryspool/controller/ControllerModule.java
+++ b/src/main/java/io/cherryspool/controller/ControllerModule.java
@@ -73,7 +73,7 @@
   private final MachineTypeCatalog catalog;
   private final GroupCommit commits;
   private final LeaderTerms terms;
-  private final PeerHeartbeats heartbeats;
+  private final PeerHeartbeatFactory heartbeatFactory;
   private final NodeApi api;
 
   ControllerModule(
@@ -104,11 +104,11 @@
     terms =
         new LeaderTerms(loop, election, stateStore, reachability, recovery, this::newLeaderTerm);
     StateStoreHealth health = newStateStoreHealth();
-    heartbeats = newPeerHeartbeats(health);
+    heartbeatFactory = newPeerHeartbeatFactory(health);
     api = newApi(health);
   }
 
-  private RecoveryModule newRecovery(RecoverySettings wanted) {
+  private RecoveryModule newRecovery(RecoverySettings recoverySettings) {
     Settings.StateStoreLimits limits = settings.stateStoreLimits();
     Duration bootstrap =
         timings.heartbeatInterval().multipliedBy(2).plus(timings.stateStoreLease());
@@ -130,13 +130,13 @@
             dependencies.environment().clock()),
         node,
         new RecoveryTimings(
-            wanted.gatherDuration(),
+            recoverySettings.gatherDuration(),
             bootstrap,
             limits.maxValueBytes(),
             limits.maxTransactionOperations(),
             limits.writesPerSecond() * REBUILD_WRITE_SHARE),
         dependencies.snapshotTarget(),
-        wanted.snapshotInterval());
+        recoverySettings.snapshotInterval());
   }
 
   /** The recovery is made before the terms, but calls this only once the node is started. */
@@ -171,8 +171,8 @@
         loop, stateStore.records(), reachability, timings, recovery, hasPeers);
   }
 
-  private PeerHeartbeats newPeerHeartbeats(StateStoreHealth health) {
-    return new PeerHeartbeats(
+  private PeerHeartbeatFactory newPeerHeartbeatFactory(StateStoreHealth health) {
+    return new PeerHeartbeatFactory(
         settings.name(),
         settings.clientAddress(),
         stateStore,
@@ -185,7 +185,7 @@
   private NodeApi newApi(StateStoreHealth health) {
     NodeService node =
         new ControllerNodeService(
-            loop, terms, reachability, heartbeats, dependencies.metricsText());
+            loop, terms, reachability, heartbeatFactory, dependencies.metricsText());
     Optional<RequestForwarder> forwarder =
         operators.partitions().forwardsRequests()
             ? Optional.of(
@@ -269,7 +269,7 @@
   public void bindTo(MeterRegistry registry) {
     ClusterRecords records = stateStore.records();
     meters.bindTo(registry);
-    Gauge.builder("cherryspool.leading", () -> terms.isTermUnderWay() ? 1 : 0).register(registry);
+    Gauge.builder("cherryspool.leading", () -> terms.isTermActive() ? 1 : 0).register(registry);
     Gauge.builder("cherryspool.term", records::term).register(registry);
     Gauge.builder("cherryspool.jobs.active", () -> records.activeJobs().size()).register(registry);
     Gauge.builder("cherryspool.jobs.accepted", records::jobCount).register(registry);
@@ -312,8 +312,8 @@
     return terms;
   }
 
-  PeerHeartbeats heartbeats() {
-    return heartbeats;
+  PeerHeartbeatFactory heartbeatFactory() {
+    return heartbeatFactory;
   }
 
   NodeApi api() {
--- a/src/main/java/io/cherryspool/controller/ControllerNodeService.java
+++ b/src/main/java/io/cherryspool/controller/ControllerNodeService.java
@@ -16,19 +16,19 @@
   private final EventLoop loop;
   private final LeaderTerms terms;
   private final Reachability reachability;
-  private final PeerHeartbeats heartbeats;
+  private final PeerHeartbeatFactory heartbeatFactory;
   private final Supplier<String> metricsText;
 
   ControllerNodeService(
       EventLoop loop,
       LeaderTerms terms,
       Reachability reachability,
-      PeerHeartbeats heartbeats,
+      PeerHeartbeatFactory heartbeatFactory,
       Supplier<String> metricsText) {
     this.loop = loop;
     this.terms = terms;
     this.reachability = reachability;
-    this.heartbeats = heartbeats;
+    this.heartbeatFactory = heartbeatFactory;
     this.metricsText = metricsText;
   }
 
@@ -38,7 +38,7 @@
   }
 
   @Override
-  public void workerRedirected(WorkerHeartbeat heartbeat) {
+  public void recordRedirectedWorker(WorkerHeartbeat heartbeat) {
     reachability
         .redirectedWorkers()
         .recordRedirect(heartbeat.machine(), heartbeat.zone(), loop.now());
@@ -50,9 +50,9 @@
   }
 
   @Override
-  public LinksApi.Observations links() {
+  public LinksApi.Observations linkObservations() {
     Duration now = loop.now();
-    return new LinksApi.Observations(now, heartbeats.linkSummaryAt(now), reachability.matrix());
+    return new LinksApi.Observations(now, heartbeatFactory.linkSummary(now), reachability.matrix());
   }
 
   @Override
--- a/src/main/java/io/cherryspool/controller/LeaderTerms.java
+++ b/src/main/java/io/cherryspool/controller/LeaderTerms.java
@@ -87,7 +87,7 @@
   }
 
   /** Whether a term is under way, even if this node may not act by it at the moment. */
-  boolean isTermUnderWay() {
+  boolean isTermActive() {
     return current != null;
   }
 
--- a/src/main/java/io/cherryspool/controller/PeerHeartbeats.java
+++ b/src/main/java/io/cherryspool/controller/PeerHeartbeatFactory.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 
 /** Makes the heartbeats by which this node describes itself to the other nodes. */
-final class PeerHeartbeats {
+final class PeerHeartbeatFactory {
   private final String nodeName;
   private final String clientAddress;
   private final StateStoreAccess stateStore;
@@ -25,7 +25,7 @@
    *
    * @param clientAddress where this node answers users' requests
    */
-  PeerHeartbeats(
+  PeerHeartbeatFactory(
       String nodeName,
       Endpoint clientAddress,
       StateStoreAccess stateStore,
@@ -43,7 +43,7 @@
   }
 
   /** The heartbeat of this moment. */
-  Mesh.PeerHeartbeat at(Duration now) {
+  Mesh.PeerHeartbeat create(Duration now) {
     int writeRateTenths = (int) Math.ceil(10 * stateStore.rateLimiter().recentWritesPerSecond());
     return new Mesh.PeerHeartbeat(
         nodeName,
@@ -55,11 +55,11 @@
         recovery
             .map(RecoveryModule::retainedRecordsSummary)
             .orElse(Mesh.RetainedRecordsSummary.NONE),
-        linkSummaryAt(now));
+        linkSummary(now));
   }
 
   /** What this node has observed of its links. */
-  LinkSummary linkSummaryAt(Duration now) {
+  LinkSummary linkSummary(Duration now) {
     return reachability.linkSummary(now, terms.isLeading(), clientAddress);
   }
 }
--- a/src/main/java/io/cherryspool/controller/ServiceClients.java
+++ b/src/main/java/io/cherryspool/controller/ServiceClients.java
@@ -49,7 +49,7 @@
     stateStore = newStateStoreAccess(settings, timings);
     cloud =
         new CloudClient(
-            observed(request -> true, CloudClient::isOutage, reachability.cloudLink()),
+            newObservedTransport(request -> true, CloudClient::isOutage, reachability.cloudLink()),
             settings.cloudAddress(),
             timings.cloudTimeout());
     workers = new WorkerClient(transport, timings.workerTimeout());
@@ -60,7 +60,7 @@
       PartitionSettings partitions,
       Timings timings,
       Optional<VerdictRule> rule) {
-    ReachabilityTimings times =
+    ReachabilityTimings reachabilityTimings =
         new ReachabilityTimings(
             Durations.divide(timings.stateStoreLease(), ControllerModule.HEARTBEATS_PER_LEASE),
             timings.heartbeatLateAfter(),
@@ -73,9 +73,9 @@
     return new Reachability(
         settings.name(),
         settings.peerNames(),
-        times,
+        reachabilityTimings,
         partitions.dampsFlapping(),
-        rule.orElse(new PartitionRule(times)));
+        rule.orElse(new PartitionRule(reachabilityTimings)));
   }
 
   private StateStoreAccess newStateStoreAccess(Settings settings, Timings timings) {
@@ -87,7 +87,7 @@
         new StateStoreClient(
             loop,
             rateLimiter,
-            observed(
+            newObservedTransport(
                 request -> !StateStoreProtocol.isWatch(request),
                 reply -> reply.status() == HTTP_UNAVAILABLE,
                 reachability.stateStoreLink()),
@@ -101,7 +101,7 @@
   }
 
   /** The transport, with its outcomes reported to the observer of a link. */
-  private Transport observed(
+  private Transport newObservedTransport(
       Predicate<Request> isSignificant,
       Predicate<Reply> isRefusal,
       ObservedTransport.Observer observer) {
--- a/src/main/java/io/cherryspool/controller/api/JobRoutes.java
+++ b/src/main/java/io/cherryspool/controller/api/JobRoutes.java
@@ -62,21 +62,21 @@
   }
 
   private CompletableFuture<Reply> serve(
-      String method, Request request, Supplier<CompletableFuture<Reply>> ownAnswer) {
+      String method, Request request, Supplier<CompletableFuture<Reply>> localAnswer) {
     return Replies.ifMethod(
-        method, request, () -> answer(request, ownAnswer).thenApply(this::sendElsewhereIfRefused));
+        method, request, () -> answer(request, localAnswer).thenApply(this::handleRefusal));
   }
 
   private CompletableFuture<Reply> answer(
-      Request request, Supplier<CompletableFuture<Reply>> ownAnswer) {
+      Request request, Supplier<CompletableFuture<Reply>> localAnswer) {
     if (forwarder.isEmpty() || RequestForwarder.isForwarded(request)) {
-      return ownAnswer.get();
+      return localAnswer.get();
     }
     // A link that is down would keep the user waiting; one that is suspect is tried first.
     if (stateStore.linkState() == LinkState.DOWN) {
-      return forward(forwarder.get(), request, ownAnswer);
+      return forward(forwarder.get(), request, localAnswer);
     }
-    return ownAnswer
+    return localAnswer
         .get()
         .thenCompose(
             reply ->
@@ -107,7 +107,7 @@
    * Closes the connection of a user whom this node can't serve while others can, so that the load
    * balancer picks another node.
    */
-  private Reply sendElsewhereIfRefused(Reply reply) {
+  private Reply handleRefusal(Reply reply) {
     if (reply.status() != Replies.UNAVAILABLE) {
       return reply;
     }
--- a/src/main/java/io/cherryspool/controller/api/LinksApi.java
+++ b/src/main/java/io/cherryspool/controller/api/LinksApi.java
@@ -45,7 +45,7 @@
   Reply answer(Observations observations) {
     ObjectNode root = Json.object().put("node", node);
     ArrayNode nodes = root.putArray("nodes");
-    boolean areAllUp = describe(nodes.addObject(), node, 0, observations.own());
+    boolean areAllUp = writeLinks(nodes.addObject(), node, 0, observations.own());
     for (String peer : peers) {
       Optional<ReachabilityMatrix.Row> row = observations.matrix().row(peer);
       if (row.isEmpty()) {
@@ -54,21 +54,22 @@
         continue;
       }
       Mesh.PeerHeartbeat heartbeat = row.get().heartbeat();
-      long age = observations.now().minus(row.get().receivedAt()).toMillis();
-      areAllUp &= describe(nodes.addObject(), peer, age, heartbeat.links());
+      long ageMillis = observations.now().minus(row.get().receivedAt()).toMillis();
+      areAllUp &= writeLinks(nodes.addObject(), peer, ageMillis, heartbeat.links());
     }
     root.put("all_up", areAllUp);
     return Reply.json(Replies.OK, Json.toBytes(root));
   }
 
   /** Writes one node's links; true if all of them are up. */
-  private static boolean describe(ObjectNode target, String name, long age, LinkSummary links) {
-    target.put("node", name).put("heard_ms", age).put("address", links.address());
+  private static boolean writeLinks(
+      ObjectNode target, String name, long ageMillis, LinkSummary links) {
+    target.put("node", name).put("heard_ms", ageMillis).put("address", links.address());
     target.put("leading", links.isLeading()).put("doubtful", links.wasStalled());
     target.put("verdict", links.verdict());
     target.put("leadership_penalty", links.leadershipPenalty() / 10.0);
     target.put("state", name(links.stateStore())).put("cloud", name(links.cloud()));
-    boolean up = links.stateStore() == LinkState.UP && links.cloud() == LinkState.UP;
+    boolean areAllUp = links.stateStore() == LinkState.UP && links.cloud() == LinkState.UP;
     ArrayNode peers = target.putArray("peers");
     for (LinkSummary.PeerLink peer : links.peers()) {
       peers
@@ -76,7 +77,7 @@
           .put("node", peer.node())
           .put("link", name(peer.state()))
           .put("heard_ms", peer.heartbeatAgeMillis());
-      up &= peer.state() == LinkState.UP;
+      areAllUp &= peer.state() == LinkState.UP;
     }
     ArrayNode zones = target.putArray("zones");
     for (LinkSummary.ZoneLink zone : links.zones()) {
@@ -87,9 +88,9 @@
           .put("machines", zone.knownMachines())
           .put("missing", zone.missingMachines())
           .put("redirected", zone.redirectedWorkers());
-      up &= zone.state() == LinkState.UP;
+      areAllUp &= zone.state() == LinkState.UP;
     }
-    return up;
+    return areAllUp;
   }
 
   private static String name(LinkState state) {
--- a/src/main/java/io/cherryspool/controller/api/NodeApi.java
+++ b/src/main/java/io/cherryspool/controller/api/NodeApi.java
@@ -60,7 +60,8 @@
               "POST", request, () -> Replies.completed(workers.answer(request.body())));
       case READY_PATH -> Replies.ifMethod("GET", request, () -> Replies.completed(ready()));
       case LinksApi.PATH ->
-          Replies.ifMethod("GET", request, () -> Replies.completed(links.answer(node.links())));
+          Replies.ifMethod(
+              "GET", request, () -> Replies.completed(links.answer(node.linkObservations())));
       case METRICS_PATH -> Replies.ifMethod("GET", request, () -> Replies.completed(metrics()));
       default -> Replies.completed(Replies.unknownPath());
     };
--- a/src/main/java/io/cherryspool/controller/api/NodeService.java
+++ b/src/main/java/io/cherryspool/controller/api/NodeService.java
@@ -11,13 +11,13 @@
   Optional<byte[]> answerHeartbeat(WorkerHeartbeat heartbeat);
 
   /** A worker was redirected to the node that leads. */
-  void workerRedirected(WorkerHeartbeat heartbeat);
+  void recordRedirectedWorker(WorkerHeartbeat heartbeat);
 
   /** The latest heartbeats of the other nodes, without those that are too old to count. */
   List<Mesh.PeerHeartbeat> recentPeerHeartbeats();
 
   /** What this node and the others have observed of their links. */
-  LinksApi.Observations links();
+  LinksApi.Observations linkObservations();
 
   /** The node's metrics in the Prometheus text format. */
   String metricsText();
--- a/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
+++ b/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
@@ -100,10 +100,10 @@
     boolean isOutage =
         others.stream().noneMatch(Mesh.PeerHeartbeat::isStateStoreReachable)
             && (!others.isEmpty() || !hasPeers);
-    return isReadableHereOrNowhere() && (isReachable() || isOutage) && !isBehindPeers();
+    return areRecordsLoadedOrServedNowhere() && (isReachable() || isOutage) && !isBehindPeers();
   }
 
-  private boolean isReadableHereOrNowhere() {
+  private boolean areRecordsLoadedOrServedNowhere() {
     return records.isLoaded() || recovery.map(RecoveryModule::hasNoServingNode).orElse(false);
   }
 }
--- a/src/main/java/io/cherryspool/controller/api/UserApi.java
+++ b/src/main/java/io/cherryspool/controller/api/UserApi.java
@@ -21,7 +21,7 @@
  * answered 503.
  */
 public final class UserApi {
-  private static final String STATE_STORE_SILENT = "the state service is silent";
+  private static final String STATE_STORE_NOT_ANSWERING = "the state service is silent";
 
   private final ClusterRecords records;
   private final GroupCommit commits;
@@ -100,7 +100,7 @@
               JobRecord job = records.job(id);
               boolean isUncertain = !records.isLoaded() || isBehindPeers.getAsBoolean();
               if (failure != null && (job != null || isUncertain)) {
-                return Replies.retryLater(STATE_STORE_SILENT);
+                return Replies.retryLater(STATE_STORE_NOT_ANSWERING);
               }
               return job == null ? refusal : currentStatus(job);
             });
@@ -136,7 +136,7 @@
     return records
         .refresh()
         .thenCompose(nothing -> cancelCurrent(id))
-        .exceptionally(failure -> Replies.retryLater(STATE_STORE_SILENT));
+        .exceptionally(failure -> Replies.retryLater(STATE_STORE_NOT_ANSWERING));
   }
 
   private CompletableFuture<Reply> cancelCurrent(String id) {
@@ -188,7 +188,7 @@
               JobRecord job = records.job(id);
               return job == null ? ifUnknown.get() : currentStatus(job);
             })
-        .exceptionally(failure -> Replies.retryLater(STATE_STORE_SILENT));
+        .exceptionally(failure -> Replies.retryLater(STATE_STORE_NOT_ANSWERING));
   }
 
   private static boolean hasEnded(JobRecord job) {
--- a/src/main/java/io/cherryspool/controller/api/WorkerApi.java
+++ b/src/main/java/io/cherryspool/controller/api/WorkerApi.java
@@ -67,7 +67,7 @@
     recovery.ifPresent(module -> module.observeUnansweredHeartbeat(heartbeat));
     Optional<String> leader = otherLeader();
     if (leader.isPresent()) {
-      node.workerRedirected(heartbeat);
+      node.recordRedirectedWorker(heartbeat);
     }
     meters.redirectedHeartbeats.increment();
     return Reply.json(
--- a/src/main/java/io/cherryspool/controller/election/Campaign.java
+++ b/src/main/java/io/cherryspool/controller/election/Campaign.java
@@ -78,14 +78,14 @@
    *
    * @param leader the leader by the records; empty if there is none
    */
-  void consider(Optional<Records.Leader> leader) {
+  void campaignIfNeeded(Optional<Records.Leader> leader) {
     if (leases.current().isEmpty() || isRequestPending || candidacyTimer != null) {
       return;
     }
     if (leader.isEmpty()) {
       long maxJitter = timings.stateStoreLease().toMillis() / LEASE_PER_MAX_JITTER;
       long jitter = random.nextLong(Math.max(1, maxJitter));
-      candidacyTimer = loop.schedule(candidacyDelay().plusMillis(jitter), this::stand);
+      candidacyTimer = loop.schedule(candidacyDelay().plusMillis(jitter), this::runForElection);
     } else if (leadership.isEarlierProcess(leader.get())) {
       revokeLeaseOfEarlierProcess(leader.get());
     }
@@ -104,10 +104,10 @@
     LOG.info("revoking the lease of an earlier process of this node, lease={}", leader.leaseId());
     isRequestPending = true;
     rateLimiter.forceAcquire(0);
-    client.revokeLease(leader.leaseId()).whenComplete((nothing, failure) -> conclude());
+    client.revokeLease(leader.leaseId()).whenComplete((nothing, failure) -> readOutcome());
   }
 
-  private void stand() {
+  private void runForElection() {
     candidacyTimer = null;
     Optional<StateStoreLease> current = leases.current();
     if (!records.isLoaded() || current.isEmpty() || records.leader() != null) {
@@ -121,7 +121,7 @@
     rateLimiter.forceAcquire(2);
     LOG.info("standing for election, term={}", term);
     client
-        .commit(electionConditions(), electionChanges(term, lease))
+        .commit(transactionConditions(), transactionChanges(term, lease))
         .whenComplete(
             (result, failure) -> {
               if (failure != null
@@ -129,18 +129,18 @@
                       == StateStoreException.Kind.INVALID_REQUEST) {
                 leases.discardCurrent(lease);
               }
-              conclude();
+              readOutcome();
             });
   }
 
-  private Map<String, Long> electionConditions() {
+  private Map<String, Long> transactionConditions() {
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put(Records.LEADER, 0L);
     conditions.put(Records.TERM, records.termVersion());
     return conditions;
   }
 
-  private List<StateStoreProtocol.Change> electionChanges(long term, StateStoreLease lease) {
+  private List<StateStoreProtocol.Change> transactionChanges(long term, StateStoreLease lease) {
     Records.Leader record = leadership.leaderRecord(term, lease);
     return List.of(
         new StateStoreProtocol.Change(Records.TERM, Records.encodeTerm(term), 0),
@@ -148,7 +148,7 @@
   }
 
   /** Reads the outcome from the records, whatever the answer was. */
-  private void conclude() {
+  private void readOutcome() {
     records
         .refresh()
         .whenComplete(
--- a/src/main/java/io/cherryspool/controller/election/Election.java
+++ b/src/main/java/io/cherryspool/controller/election/Election.java
@@ -204,6 +204,6 @@
     if (leader != null) {
       replacement.completeIfMoved(leader);
     }
-    campaign.consider(Optional.ofNullable(leader));
+    campaign.campaignIfNeeded(Optional.ofNullable(leader));
   }
 }
--- a/src/main/java/io/cherryspool/controller/election/LeadershipHandover.java
+++ b/src/main/java/io/cherryspool/controller/election/LeadershipHandover.java
@@ -36,7 +36,7 @@
       return;
     }
     isPending = true;
-    StateStoreLease held = leases.current().orElse(null);
+    StateStoreLease leaseAtBegin = leases.current().orElse(null);
     Records.Successor record =
         new Records.Successor(
             records.term(), /* node= */ successor, /* predecessor= */ leadership.node());
@@ -50,7 +50,7 @@
         .whenComplete(
             (result, failure) -> {
               isPending = false;
-              if (leases.isCurrent(held)) {
+              if (leases.isCurrent(leaseAtBegin)) {
                 leases.relinquish();
               }
             });
--- a/src/main/java/io/cherryspool/controller/election/LeaseReplacement.java
+++ b/src/main/java/io/cherryspool/controller/election/LeaseReplacement.java
@@ -61,18 +61,18 @@
 
   /** Requests another lease if the leader's lease should be longer or shorter now. */
   private void adjustLength() {
-    Duration wanted = reachability.leaseLength(loop.now());
+    Duration targetLength = reachability.leaseLength(loop.now());
     if (leases.isRequestPending() || handover.isPending() || !leadership.mayChangeFleet()) {
       return;
     }
-    StateStoreLease held = leases.current().orElseThrow();
-    if (wanted.equals(held.length())) {
+    StateStoreLease currentLease = leases.current().orElseThrow();
+    if (targetLength.equals(currentLease.length())) {
       return;
     }
     leases.request(
-        wanted,
+        targetLength,
         granted -> {
-          if (leases.isCurrent(held) && leadership.isLeader()) {
+          if (leases.isCurrent(currentLease) && leadership.isLeader()) {
             leases.setReplacement(granted);
             moveRecord();
           } else {
--- a/src/main/java/io/cherryspool/controller/recovery/ElectionClusterNode.java
+++ b/src/main/java/io/cherryspool/controller/recovery/ElectionClusterNode.java
@@ -16,8 +16,8 @@
   private final EventLoop loop;
   private final String name;
   private final int peerCount;
-  private final Supplier<ReachabilityMatrix> heartbeatsByNode;
-  private final Duration heartbeatLifetime;
+  private final Supplier<ReachabilityMatrix> peerHeartbeats;
+  private final Duration maxHeartbeatAge;
   private final Election election;
   private final Runnable onServingChanged;
   private boolean hasWorkerReportedToken;
@@ -25,29 +25,29 @@
   /**
    * Creates the election cluster node.
    *
-   * @param heartbeatsByNode the latest heartbeats of the other nodes
-   * @param heartbeatLifetime how long after its receipt a heartbeat counts
+   * @param peerHeartbeats the latest heartbeats of the other nodes
+   * @param maxHeartbeatAge how long after its receipt a heartbeat counts
    * @param onServingChanged called when the records can be relied on again, or no longer
    */
   public ElectionClusterNode(
       EventLoop loop,
       String name,
       int peerCount,
-      Supplier<ReachabilityMatrix> heartbeatsByNode,
-      Duration heartbeatLifetime,
+      Supplier<ReachabilityMatrix> peerHeartbeats,
+      Duration maxHeartbeatAge,
       Election election,
       Runnable onServingChanged) {
     this.loop = loop;
     this.name = name;
     this.peerCount = peerCount;
-    this.heartbeatsByNode = heartbeatsByNode;
-    this.heartbeatLifetime = heartbeatLifetime;
+    this.peerHeartbeats = peerHeartbeats;
+    this.maxHeartbeatAge = maxHeartbeatAge;
     this.election = election;
     this.onServingChanged = onServingChanged;
   }
 
   /** Notes that a worker has shown a fencing token. */
-  void observeWorkerToken() {
+  void observeWorkerFencingToken() {
     hasWorkerReportedToken = true;
   }
 
@@ -60,7 +60,7 @@
   public List<Peer> peers() {
     List<Peer> result = new ArrayList<>();
     for (Mesh.PeerHeartbeat heartbeat :
-        heartbeatsByNode.get().freshHeartbeats(heartbeatLifetime, loop.now())) {
+        peerHeartbeats.get().freshHeartbeats(maxHeartbeatAge, loop.now())) {
       result.add(
           new Peer(
               heartbeat.node(),
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
@@ -50,21 +50,21 @@
   /**
    * Creates the recovery module.
    *
-   * @param target where snapshots go; empty if none are taken
+   * @param snapshotTarget where snapshots go; empty if none are taken
    * @param snapshotInterval how often they are taken
    */
   public RecoveryModule(
       Dependencies dependencies,
       ElectionClusterNode node,
       RecoveryTimings timings,
-      Optional<SnapshotTarget> target,
+      Optional<SnapshotTarget> snapshotTarget,
       Duration snapshotInterval) {
     this.node = node;
     this.election = dependencies.election();
     StateStoreAccess stateStore = dependencies.stateStore();
     Optional<SnapshotRepository> repository =
-        target.map(present -> new SnapshotRepository(present.store()));
-    RecordsSnapshot newest =
+        snapshotTarget.map(present -> new SnapshotRepository(present.store()));
+    RecordsSnapshot newestSnapshot =
         repository
             .flatMap(SnapshotRepository::readNewest)
             .map(SnapshotFile::records)
@@ -77,9 +77,9 @@
             dependencies.random(),
             timings,
             node,
-            newest);
+            newestSnapshot);
     snapshots =
-        target.map(
+        snapshotTarget.map(
             present ->
                 new SnapshotWriter(
                     dependencies.loop(),
@@ -160,7 +160,7 @@
   public void observeUnansweredHeartbeat(WorkerHeartbeat heartbeat) {
     if (!recovery.isServing()) {
       if (heartbeat.highestFencingToken() > 0) {
-        node.observeWorkerToken();
+        node.observeWorkerFencingToken();
       }
       election.observeTerm(FencingToken.term(heartbeat.highestFencingToken()));
     }
--- a/src/main/java/io/cherryspool/mesh/NettyMesh.java
+++ b/src/main/java/io/cherryspool/mesh/NettyMesh.java
@@ -71,7 +71,7 @@
    * Begins to listen. Called once, from outside the loop, and blocks. Fails with {@link
    * java.net.BindException}, which Netty does not declare, if the port is taken.
    */
-  public void bind(Endpoint at) throws InterruptedException {
+  public void bind(Endpoint endpoint) throws InterruptedException {
     listener =
         new ServerBootstrap()
             .group(loop.group())
@@ -87,10 +87,10 @@
                         .addLast(
                             new LengthFieldBasedFrameDecoder(
                                 MAX_FRAME_BYTES, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES))
-                        .addLast(new Inbound());
+                        .addLast(new InboundHandler());
                   }
                 })
-            .bind(new InetSocketAddress(at.host(), at.port()))
+            .bind(new InetSocketAddress(endpoint.host(), endpoint.port()))
             .sync()
             .channel();
   }
@@ -157,7 +157,7 @@
   }
 
   /** One connection from another node. */
-  private final class Inbound extends SimpleChannelInboundHandler<ByteBuf> {
+  private final class InboundHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws IOException {
       receiver.accept(PeerHeartbeatCodec.decode(ByteBufUtil.getBytes(frame)));
--- a/src/main/java/io/cherryspool/reachability/FlapDamper.java
+++ b/src/main/java/io/cherryspool/reachability/FlapDamper.java
@@ -16,7 +16,7 @@
 
   private final Duration halfLife;
   private double penalty;
-  private Duration penalizedAt = Duration.ZERO;
+  private Duration penaltyUpdatedAt = Duration.ZERO;
   private boolean isFlapping;
   private long flapCount;
 
@@ -32,14 +32,14 @@
   /** Counts one more failure, or one more return, of the link. */
   public void recordFlap(Duration now) {
     penalty = penalty(now) + 1;
-    penalizedAt = now;
+    penaltyUpdatedAt = now;
     isFlapping |= penalty >= SUPPRESS_PENALTY;
     flapCount++;
   }
 
   /** The penalty as it has decayed until now; without a unit, one for each flap. */
   public double penalty(Duration now) {
-    double halfLives = (double) now.minus(penalizedAt).toNanos() / halfLife.toNanos();
+    double halfLives = (double) now.minus(penaltyUpdatedAt).toNanos() / halfLife.toNanos();
     return penalty * Math.pow(0.5, halfLives);
   }
 
--- a/src/main/java/io/cherryspool/reachability/LeaseLength.java
+++ b/src/main/java/io/cherryspool/reachability/LeaseLength.java
@@ -38,13 +38,13 @@
   /** The length for the penalty as it is now; hysteresis makes it depend on earlier calls. */
   Duration forPenalty(double penalty) {
     level = Math.max(level(penalty), Math.min(level, level(penalty + HYSTERESIS)));
-    Duration wanted =
+    Duration length =
         switch (level) {
           case 0 -> shortest;
           case 1 -> shortest.multipliedBy(2);
           default -> longest;
         };
-    return wanted.compareTo(longest) < 0 ? wanted : longest;
+    return length.compareTo(longest) < 0 ? length : longest;
   }
 
   private static int level(double penalty) {
--- a/src/main/java/io/cherryspool/reachability/LocalHealth.java
+++ b/src/main/java/io/cherryspool/reachability/LocalHealth.java
@@ -7,22 +7,22 @@
  * nobody's silence: it may wait in its sockets, unread. Confined to the event loop.
  */
 public final class LocalHealth {
-  private final Duration tolerance;
+  private final Duration maxTickDelay;
   private Duration nextTickDue;
   private Duration healthySince;
 
   /**
    * The health of a node that has run no step yet.
    *
-   * @param tolerance how late a step may be
+   * @param maxTickDelay how late a step may be
    */
-  public LocalHealth(Duration tolerance) {
-    this.tolerance = tolerance;
+  public LocalHealth(Duration maxTickDelay) {
+    this.maxTickDelay = maxTickDelay;
   }
 
   /** Records that a step runs now; the next one is due after the interval. */
   public void recordTick(Duration now, Duration interval) {
-    if (nextTickDue == null || now.minus(nextTickDue).compareTo(tolerance) > 0) {
+    if (nextTickDue == null || now.minus(nextTickDue).compareTo(maxTickDelay) > 0) {
       healthySince = now;
     }
     nextTickDue = now.plus(interval);
--- a/src/main/java/io/cherryspool/reachability/MachineEvictionRule.java
+++ b/src/main/java/io/cherryspool/reachability/MachineEvictionRule.java
@@ -23,7 +23,7 @@
 
   private final Duration silenceTimeout;
   private final Duration unresponsiveTimeout;
-  private final Duration leaseExpiry;
+  private final Duration taskLeaseExpiry;
   private final Duration unreachableZoneTimeout;
 
   /** Why a machine is given up. */
@@ -55,18 +55,18 @@
     Duration interval = timings.workerHeartbeatInterval();
     silenceTimeout = Durations.multiply(interval, MAX_MISSED_HEARTBEATS).plus(HEARTBEAT_GRACE);
     unresponsiveTimeout = Durations.multiply(interval, MAX_MISSED_HEARTBEATS_IF_UNRESPONSIVE);
-    leaseExpiry = timings.taskLeaseExpiry();
-    unreachableZoneTimeout = Durations.multiply(leaseExpiry, UNREACHABLE_ZONE_LEASES);
+    taskLeaseExpiry = timings.taskLeaseExpiry();
+    unreachableZoneTimeout = Durations.multiply(taskLeaseExpiry, UNREACHABLE_ZONE_LEASES);
   }
 
   /**
    * Why the machine is to be given up; empty while it is not.
    *
-   * @param steadyFor for how long this node has kept up; a longer silence may be its own
+   * @param observerHealthyFor for how long this node has kept up; a longer silence may be its own
    */
-  public Optional<EvictionReason> evaluate(Observation machine, Duration steadyFor) {
+  public Optional<EvictionReason> evaluate(Observation machine, Duration observerHealthyFor) {
     Duration timeout = silenceTimeout(machine);
-    if (machine.silentFor().compareTo(timeout) > 0 && steadyFor.compareTo(timeout) > 0) {
+    if (machine.silentFor().compareTo(timeout) > 0 && observerHealthyFor.compareTo(timeout) > 0) {
       return Optional.of(EvictionReason.SILENT);
     }
     if (machine.notReceivingFor().isPresent()
@@ -87,6 +87,6 @@
     if (machine.isZoneEvictionSuspended()) {
       return unreachableZoneTimeout;
     }
-    return machine.ownsTasks() ? leaseExpiry : silenceTimeout;
+    return machine.ownsTasks() ? taskLeaseExpiry : silenceTimeout;
   }
 }
--- a/src/main/java/io/cherryspool/reachability/PartitionRule.java
+++ b/src/main/java/io/cherryspool/reachability/PartitionRule.java
@@ -21,10 +21,10 @@
   private static final int MIN_MISSING_MACHINES = 3;
 
   /** With fewer than one machine of so many missing, neither. */
-  private static final int MISSING_FRACTION = 6;
+  private static final int MIN_MISSING_DIVISOR = 6;
 
   /** Each recent change of the leader doubles what a further one must be worth. */
-  private static final int COST_GROWTH = 2;
+  private static final int RECENT_CHANGES_THRESHOLD_FACTOR = 2;
 
   /** Penalties below this are a single change some time ago. */
   private static final double RECENT_CHANGES_PENALTY = 1.5;
@@ -45,19 +45,19 @@
   @Override
   public Verdict evaluate(NodeView view) {
     return switch (view.leadership().role()) {
-      case LEADER -> judgeLeader(view);
-      case CANDIDATE -> judgeCandidate(view);
-      case FOLLOWER -> judgeFollower(view);
+      case LEADER -> evaluateLeader(view);
+      case CANDIDATE -> evaluateCandidate(view);
+      case FOLLOWER -> evaluateFollower(view);
     };
   }
 
-  private static Verdict judgeFollower(NodeView view) {
+  private static Verdict evaluateFollower(NodeView view) {
     return view.stateStoreLink().state() == LinkState.DOWN
         ? new Verdict.ForwardRequests(Reason.STATE_UNREACHABLE)
         : new Verdict.Serve();
   }
 
-  private Verdict judgeLeader(NodeView view) {
+  private Verdict evaluateLeader(NodeView view) {
     if (isHandoverWorthwhile(view)) {
       Optional<Verdict> handover = handOver(view);
       if (handover.isPresent()) {
@@ -99,14 +99,15 @@
    */
   private boolean isHandoverWorthwhile(NodeView view) {
     int missing = view.fleet().machines().missing();
-    if (missing < MIN_MISSING_MACHINES || !isSteady(view)) {
+    if (missing < MIN_MISSING_MACHINES || !hasBeenHealthyLongEnough(view)) {
       return false;
     }
-    int cost = view.leadership().penalty() < RECENT_CHANGES_PENALTY ? 1 : COST_GROWTH;
-    return missing * MISSING_FRACTION >= view.fleet().machines().known() * cost;
+    int thresholdFactor =
+        view.leadership().penalty() < RECENT_CHANGES_PENALTY ? 1 : RECENT_CHANGES_THRESHOLD_FACTOR;
+    return missing * MIN_MISSING_DIVISOR >= view.fleet().machines().known() * thresholdFactor;
   }
 
-  private boolean isSteady(NodeView view) {
+  private boolean hasBeenHealthyLongEnough(NodeView view) {
     Duration required = Durations.multiply(timings.workerHeartbeatOverdueAfter(), 2);
     return view.leadership().healthyFor().compareTo(required) >= 0;
   }
@@ -157,7 +158,7 @@
    * The successor stands first, and the former leader last; a node whose link to the state store
    * flaps stands after the others.
    */
-  private Verdict judgeCandidate(NodeView view) {
+  private Verdict evaluateCandidate(NodeView view) {
     Duration lease = timings.leaderLease();
     NodeView.Handover handover = view.leadership().handover().orElse(null);
     if (handover != null && handover.successor().equals(view.node())) {
--- a/src/main/java/io/cherryspool/reachability/Reachability.java
+++ b/src/main/java/io/cherryspool/reachability/Reachability.java
@@ -18,10 +18,10 @@
  */
 public final class Reachability {
   /** Ages of heartbeats are shown up to a day. */
-  private static final int MAX_SHOWN_AGE_MILLIS = 86_400_000;
+  private static final int MAX_REPORTED_AGE_MILLIS = 86_400_000;
 
   /** Of a node from which no heartbeat was received. */
-  private static final int NEVER_RECEIVED = -1;
+  private static final int NEVER_RECEIVED_AGE_MILLIS = -1;
 
   private final String node;
   private final List<String> peers;
@@ -68,9 +68,9 @@
     this.stateStoreLink = new RequestLink(timings.stateStoreCallTimeout(), timings.flapHalfLife());
     this.cloudLink = new RequestLink(timings.leaderLease(), timings.flapHalfLife());
     this.zones = new ZoneLinks(timings.flapHalfLife());
-    Duration tolerance = Durations.divide(timings.peerHeartbeatInterval(), 2);
-    this.loopHealth = new LocalHealth(tolerance);
-    this.leaderHealth = new LocalHealth(tolerance);
+    Duration maxTickDelay = Durations.divide(timings.peerHeartbeatInterval(), 2);
+    this.loopHealth = new LocalHealth(maxTickDelay);
+    this.leaderHealth = new LocalHealth(maxTickDelay);
     this.leadershipLosses = new FlapDamper(timings.flapHalfLife());
     this.leaseLength = new LeaseLength(timings.leaderLease(), timings.maxLeaderAuthority());
   }
@@ -115,17 +115,17 @@
    *
    * @param isLeading whether this node leads
    * @param mayAnswerWorkers whether it may answer workers
-   * @param observed how well it reaches its machines
+   * @param observedFleet how well it reaches its machines
    */
   public Verdict evaluate(
-      Duration now, boolean isLeading, boolean mayAnswerWorkers, FleetReachability observed) {
+      Duration now, boolean isLeading, boolean mayAnswerWorkers, FleetReachability observedFleet) {
     loopHealth.recordTick(now, timings.peerHeartbeatInterval());
     leaderHealth.recordTick(now, timings.peerHeartbeatInterval());
     if (!mayAnswerWorkers) {
       leaderHealth.reset(now);
     }
-    fleet = observed;
-    zones.observe(observed, now);
+    fleet = observedFleet;
+    zones.observe(observedFleet, now);
     NodeView.Role role = isLeading ? NodeView.Role.LEADER : NodeView.Role.FOLLOWER;
     verdict = rule.evaluate(view(role, now, Optional.empty()));
     return verdict;
@@ -161,8 +161,10 @@
 
   /** How long to wait before standing for leader, so that better placed nodes go first. */
   public Duration candidacyDelay(Duration now, Optional<NodeView.Handover> handover) {
-    Verdict judged = rule.evaluate(view(NodeView.Role.CANDIDATE, now, handover));
-    return judged instanceof Verdict.DelayCandidacy delayed ? delayed.delay() : Duration.ZERO;
+    Verdict candidateVerdict = rule.evaluate(view(NodeView.Role.CANDIDATE, now, handover));
+    return candidateVerdict instanceof Verdict.DelayCandidacy delayed
+        ? delayed.delay()
+        : Duration.ZERO;
   }
 
   /** Records that this node no longer leads, though its process lives on. */
@@ -246,13 +248,13 @@
       result.add(
           row.isPresent()
               ? peerLink(peer, now.minus(row.get().receivedAt()))
-              : new LinkSummary.PeerLink(peer, LinkState.DOWN, NEVER_RECEIVED));
+              : new LinkSummary.PeerLink(peer, LinkState.DOWN, NEVER_RECEIVED_AGE_MILLIS));
     }
     return result;
   }
 
   private LinkSummary.PeerLink peerLink(String peer, Duration heartbeatAge) {
-    int ageMillis = (int) Math.min(heartbeatAge.toMillis(), MAX_SHOWN_AGE_MILLIS);
+    int ageMillis = (int) Math.min(heartbeatAge.toMillis(), MAX_REPORTED_AGE_MILLIS);
     return new LinkSummary.PeerLink(peer, peerState(heartbeatAge), ageMillis);
   }
 
--- a/src/main/java/io/cherryspool/reachability/RedirectedWorkers.java
+++ b/src/main/java/io/cherryspool/reachability/RedirectedWorkers.java
@@ -16,37 +16,37 @@
    * For how long a visit counts. A worker waits 4 s for the leader, 1 s before it tries the next
    * node, and half a second more.
    */
-  private static final Duration VISIT_RETENTION = Duration.ofMillis(6500);
+  private static final Duration REDIRECT_RETENTION = Duration.ofMillis(6500);
 
   /** The last visit of each machine, the oldest first. */
-  private final Map<String, Visit> visits = new LinkedHashMap<>();
+  private final Map<String, Redirect> lastRedirects = new LinkedHashMap<>();
 
-  private record Visit(String zone, Duration at) {}
+  private record Redirect(String zone, Duration at) {}
 
   /** Records that a worker of the zone came, and was redirected. */
   public void recordRedirect(String machine, String zone, Duration now) {
-    visits.remove(machine);
-    visits.put(machine, new Visit(zone, now));
+    lastRedirects.remove(machine);
+    lastRedirects.put(machine, new Redirect(zone, now));
     evictExpired(now);
   }
 
   /** How many came lately. */
   public int count(Duration now) {
     evictExpired(now);
-    return visits.size();
+    return lastRedirects.size();
   }
 
   /** How many came lately, by zone. */
   public Map<String, Integer> countByZone(Duration now) {
     evictExpired(now);
     Map<String, Integer> result = new TreeMap<>();
-    visits.values().forEach(visit -> result.merge(visit.zone, 1, Integer::sum));
+    lastRedirects.values().forEach(redirect -> result.merge(redirect.zone, 1, Integer::sum));
     return result;
   }
 
   private void evictExpired(Duration now) {
-    Iterator<Visit> oldest = visits.values().iterator();
-    while (oldest.hasNext() && now.minus(oldest.next().at).compareTo(VISIT_RETENTION) > 0) {
+    Iterator<Redirect> oldest = lastRedirects.values().iterator();
+    while (oldest.hasNext() && now.minus(oldest.next().at).compareTo(REDIRECT_RETENTION) > 0) {
       oldest.remove();
     }
   }
--- a/src/main/java/io/cherryspool/reachability/RequestLink.java
+++ b/src/main/java/io/cherryspool/reachability/RequestLink.java
@@ -32,23 +32,23 @@
   }
 
   @Override
-  public void onAnswer(Duration sent) {
-    if (lastAnsweredRequestSentAt == null || sent.compareTo(lastAnsweredRequestSentAt) > 0) {
-      lastAnsweredRequestSentAt = sent;
+  public void onAnswer(Duration sentAt) {
+    if (lastAnsweredRequestSentAt == null || sentAt.compareTo(lastAnsweredRequestSentAt) > 0) {
+      lastAnsweredRequestSentAt = sentAt;
     }
-    if (failingSince != null && sent.compareTo(failingSince) > 0) {
+    if (failingSince != null && sentAt.compareTo(failingSince) > 0) {
       failingSince = null;
       failures = 0;
     }
   }
 
   @Override
-  public void onFailure(Duration sent, Duration now) {
-    if (lastAnsweredRequestSentAt != null && sent.compareTo(lastAnsweredRequestSentAt) <= 0) {
+  public void onFailure(Duration sentAt, Duration now) {
+    if (lastAnsweredRequestSentAt != null && sentAt.compareTo(lastAnsweredRequestSentAt) <= 0) {
       return;
     }
-    if (failingSince == null || sent.compareTo(failingSince) < 0) {
-      failingSince = sent;
+    if (failingSince == null || sentAt.compareTo(failingSince) < 0) {
+      failingSince = sentAt;
     }
     failures++;
     if (failures == MIN_FAILURES_FOR_DOWN) {
--- a/src/main/java/io/cherryspool/reachability/ZoneLinks.java
+++ b/src/main/java/io/cherryspool/reachability/ZoneLinks.java
@@ -21,10 +21,10 @@
   private static final int MIN_UNREACHABLE_MACHINES = 2;
 
   /** With more than one machine of so many unreachable, the zone is. */
-  private static final int DOWN_FRACTION = 3;
+  private static final int DOWN_DIVISOR = 3;
 
   /** While more than one machine of so many is unreachable, a zone that was down still is. */
-  private static final int UP_FRACTION = 6;
+  private static final int UP_DIVISOR = 6;
 
   private final Duration halfLife;
   private final Map<String, ZoneLink> links = new HashMap<>();
@@ -58,10 +58,10 @@
 
   /** Takes in how well the machines are reached now. */
   void observe(FleetReachability fleet, Duration now) {
-    for (Map.Entry<String, FleetReachability.Zone> item : fleet.zones().entrySet()) {
+    for (Map.Entry<String, FleetReachability.Zone> entry : fleet.zones().entrySet()) {
       links
-          .computeIfAbsent(item.getKey(), name -> new ZoneLink(halfLife))
-          .observe(item.getValue(), now);
+          .computeIfAbsent(entry.getKey(), name -> new ZoneLink(halfLife))
+          .observe(entry.getValue(), now);
     }
     links.keySet().retainAll(fleet.zones().keySet());
     if (!isFleetUnreachable(fleet)) {
@@ -79,11 +79,11 @@
     for (FleetReachability.Zone zone : fleet.zones().values()) {
       listed += zone.listed();
       unreachable += zone.unreachable();
-      affectedZones += zone.unreachable() * UP_FRACTION > zone.listed() ? 1 : 0;
+      affectedZones += zone.unreachable() * UP_DIVISOR > zone.listed() ? 1 : 0;
     }
     return affectedZones > 1
         && unreachable >= MIN_UNREACHABLE_MACHINES
-        && unreachable * DOWN_FRACTION > listed;
+        && unreachable * DOWN_DIVISOR > listed;
   }
 
   /** For how long much of the fleet, in several zones, has been unreachable; empty if it is not. */
@@ -91,15 +91,15 @@
     return Optional.ofNullable(fleetUnreachableSince).map(now::minus);
   }
 
-  private static LinkState nextState(LinkState before, FleetReachability.Zone zone) {
+  private static LinkState nextState(LinkState previous, FleetReachability.Zone zone) {
     if (zone.unreachable() < MIN_UNREACHABLE_MACHINES) {
       return LinkState.UP;
     }
-    if (zone.unreachable() * DOWN_FRACTION > zone.listed()) {
+    if (zone.unreachable() * DOWN_DIVISOR > zone.listed()) {
       return LinkState.DOWN;
     }
-    if (zone.unreachable() * UP_FRACTION > zone.listed()) {
-      return before == LinkState.DOWN ? LinkState.DOWN : LinkState.SUSPECT;
+    if (zone.unreachable() * UP_DIVISOR > zone.listed()) {
+      return previous == LinkState.DOWN ? LinkState.DOWN : LinkState.SUSPECT;
     }
     return LinkState.UP;
   }
@@ -113,9 +113,9 @@
   /** The zones that are unreachable, as far as this node can tell, in the order of names. */
   Set<String> unreachableZones() {
     Set<String> result = new TreeSet<>();
-    for (Map.Entry<String, ZoneLink> item : links.entrySet()) {
-      if (item.getValue().state == LinkState.DOWN) {
-        result.add(item.getKey());
+    for (Map.Entry<String, ZoneLink> entry : links.entrySet()) {
+      if (entry.getValue().state == LinkState.DOWN) {
+        result.add(entry.getKey());
       }
     }
     return result;
