--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -34,7 +34,7 @@
 
 /**
  * One controller node: answers requests, takes part in elections, and leads while it is elected.
- * Sockets, clocks and random numbers come from outside. All methods are called on the event loop,
+ * The caller provides sockets, clocks and random numbers. All methods are called on the event loop,
  * except the constructor and {@link #bindTo}.
  */
 public final class Controller implements Lifecycle, RequestHandler, MeterBinder {
@@ -55,20 +55,21 @@
   private EventLoop.Timer timer;
 
   /**
-   * A node's sources of time and of random numbers, which the simulation replaces.
+   * A node's sources of time and random numbers, which the simulation replaces.
    *
-   * @param loop the one thread of the node, with its monotonic clock
-   * @param clock the wall clock, which may be set back
+   * @param loop the event loop on which the whole node runs, with the node's monotonic clock
+   * @param clock the wall clock, which may jump backwards
    */
   public record Environment(EventLoop loop, InstantSource clock, RandomGenerator random) {}
 
   /**
-   * What a node works with.
+   * The dependencies of a node on its surroundings.
    *
-   * @param processId differs for each process of the node
-   * @param metricsText prints the node's meters
-   * @param snapshotTarget empty if no snapshots are taken
-   * @param verdictRule judges the links; empty for the usual rule
+   * @param processId the id of the process, different for each process of the node
+   * @param metricsText returns the node's metrics in the Prometheus text format
+   * @param snapshotTarget where snapshots are written; empty if none are taken
+   * @param verdictRule determines the verdict on the node's links; empty for {@link
+   *     io.cherryspool.reachability.PartitionRule}
    */
   public record Dependencies(
       Environment environment,
@@ -79,7 +80,7 @@
       Optional<SnapshotTarget> snapshotTarget,
       Optional<VerdictRule> verdictRule) {}
 
-  /** Makes a node that does nothing before {@link #start}. */
+  /** Creates a node that does nothing before {@link #start}. */
   public Controller(Settings settings, OperatorSettings operators, Dependencies dependencies) {
     loop = dependencies.environment().loop();
     mesh = dependencies.mesh();
@@ -123,7 +124,7 @@
     records.stop();
   }
 
-  /** Sets a listener that is called once the records are first read. */
+  /** Sets the listener that is called when the records have been loaded for the first time. */
   public void onRecordsLoaded(Runnable listener) {
     records.onFirstLoaded(listener);
   }
@@ -133,17 +134,17 @@
     return terms.isLeading();
   }
 
-  /** What this node does about the state of its links. */
+  /** The latest verdict on this node's links. */
   public Verdict verdict() {
     return reachability.verdict();
   }
 
-  /** Whether this node rebuilds lost records. */
+  /** Whether this node is rebuilding lost records. */
   public boolean isRebuilding() {
     return recovery.map(RecoveryModule::isRebuilding).orElse(false);
   }
 
-  /** Takes in a heartbeat of another node. */
+  /** Records a heartbeat of another node. */
   public void receivePeerHeartbeat(Mesh.PeerHeartbeat heartbeat) {
     terms.observeTerm(heartbeat.term());
     reachability.receivePeerHeartbeat(heartbeat, loop.now());
@@ -166,7 +167,10 @@
     evaluateLinks(now);
   }
 
-  /** Judges this node's links; whatever is done about them rests on the verdict alone. */
+  /**
+   * Determines the verdict on this node's links. Everything that the node does about its links
+   * follows from the verdict.
+   */
   private void evaluateLinks(Duration now) {
     FleetReachability fleet = terms.fleetReachability();
     Verdict previous = reachability.verdict();
--- a/src/main/java/io/cherryspool/controller/ControllerModule.java
+++ b/src/main/java/io/cherryspool/controller/ControllerModule.java
@@ -44,17 +44,24 @@
 import java.util.Set;
 
 /**
- * Makes the parts of one controller node and connects them. It has no behaviour of its own; {@link
- * Controller} runs what is made here. Longer than other classes, since it names every part once.
+ * Creates the components of one controller node and connects them. It has no behaviour of its own;
+ * {@link Controller} runs the components. The class is longer than others because it creates every
+ * component.
  */
 final class ControllerModule implements MeterBinder {
-  /** How often a node sends heartbeats to the others in the length of a state store lease. */
+  /**
+   * The number of heartbeats that a node sends to the other nodes within the length of a state
+   * store lease.
+   */
   static final int HEARTBEATS_PER_LEASE = 8;
 
-  /** A rebuild's part of the state store's write limit; the nodes' leases need none of it. */
+  /**
+   * The part of the state store's write limit that a rebuild may use. Renewals of the nodes' leases
+   * don't count against that limit.
+   */
   private static final double REBUILD_WRITE_SHARE = 0.85;
 
-  /** How many full transactions a node's waiting changes may fill. */
+  /** The most changes that may wait on a node, as a number of full transactions. */
   private static final int QUEUED_TRANSACTIONS = 4;
 
   private final Settings settings;
@@ -139,7 +146,10 @@
         recoverySettings.snapshotInterval());
   }
 
-  /** The recovery is made before the terms, but calls this only once the node is started. */
+  /**
+   * Updates the terms. The recovery is created before the terms, but calls this only after the node
+   * has started.
+   */
   private void updateTerms() {
     terms.update();
   }
@@ -213,7 +223,7 @@
         recovery);
   }
 
-  /** The leader of the term that this node was just elected for. */
+  /** Creates the leader for the term for which this node was just elected. */
   private LeaderTerm newLeaderTerm() {
     ClusterRecords records = stateStore.records();
     int maxChanges = settings.stateStoreLimits().maxTransactionOperations();
@@ -299,7 +309,7 @@
     return election;
   }
 
-  /** Empty on a node that doesn't look for lost records. */
+  /** The recovery; empty on a node that doesn't detect lost records. */
   Optional<RecoveryModule> recovery() {
     return recovery;
   }
--- a/src/main/java/io/cherryspool/controller/ControllerNodeService.java
+++ b/src/main/java/io/cherryspool/controller/ControllerNodeService.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** What this node does for the handlers of its HTTP requests. */
+/** Implements {@link NodeService} on the components of this node. */
 final class ControllerNodeService implements NodeService {
   private final EventLoop loop;
   private final LeaderTerms terms;
--- a/src/main/java/io/cherryspool/controller/LeaderTerms.java
+++ b/src/main/java/io/cherryspool/controller/LeaderTerms.java
@@ -14,8 +14,8 @@
 import java.util.function.Supplier;
 
 /**
- * Starts and stops this node's terms as leader, as elections decide. There is at most one at a
- * time.
+ * Starts and stops this node's terms as leader, according to the elections. At most one term is
+ * active at a time.
  */
 final class LeaderTerms {
   private final EventLoop loop;
@@ -26,13 +26,13 @@
   private final Optional<RecoveryModule> recovery;
   private final Supplier<LeaderTerm> newTerm;
 
-  /** Null while this node does not lead. */
+  /** The active term; null while this node does not lead. */
   private LeaderTerm current;
 
   /**
-   * Creates the leader terms.
+   * Creates the terms of a node that does not lead yet.
    *
-   * @param newTerm makes the leader of the records' current term, without starting it
+   * @param newTerm creates the leader for the term that the records contain, without starting it
    */
   LeaderTerms(
       EventLoop loop,
@@ -50,7 +50,7 @@
     this.newTerm = newTerm;
   }
 
-  /** Stops a term that has ended and starts the one that this node was elected for. */
+  /** Stops the active term if it has ended, and starts the term for which this node was elected. */
   void update() {
     boolean isLeader = election.isLeader();
     if (current != null && (!isLeader || current.term() != records.term())) {
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Stops the current term, if there is one. */
+  /** Stops the active term, if there is one. */
   void stop() {
     if (current != null) {
       current.stop();
@@ -73,20 +73,20 @@
     }
   }
 
-  /** Takes note of a term that a worker or another node has shown. */
+  /** Records a term that a worker or another node has sent. */
   void observeTerm(long term) {
     election.observeTerm(term);
     recovery.ifPresent(module -> module.observeTerm(term));
   }
 
-  /** Lets the current term take up a change of the records. */
+  /** Notifies the active term, if there is one, that the records have changed. */
   void recordsChanged() {
     if (current != null) {
       current.requestRound();
     }
   }
 
-  /** Whether a term is under way, even if this node may not act by it at the moment. */
+  /** Whether a term is active, even if this node may not act as the leader at the moment. */
   boolean isTermActive() {
     return current != null;
   }
@@ -96,22 +96,25 @@
     return current != null && election.mayCommandWorkers();
   }
 
-  /** The answer to a worker's heartbeat; empty if this node may not act as the leader. */
+  /** Returns the answer to a worker's heartbeat; empty if this node may not act as the leader. */
   Optional<byte[]> answerHeartbeat(WorkerHeartbeat heartbeat) {
     if (!isLeading()) {
       return Optional.empty();
     }
     byte[] answer = current.handleHeartbeat(heartbeat);
-    // What a heartbeat shows may end the term.
+    // A heartbeat may contain a higher term, or reveal a loss of records, which ends this term.
     return current == null ? Optional.empty() : Optional.of(answer);
   }
 
-  /** How this node, as leader, receives its machines' heartbeats; empty while it does not lead. */
+  /**
+   * Returns how many machines this node, as the leader, reaches; {@link FleetReachability#EMPTY}
+   * while it does not lead.
+   */
   FleetReachability fleetReachability() {
     return current == null ? FleetReachability.EMPTY : current.fleetReachability();
   }
 
-  /** The number of machines that the current term knows of; 0 while there is no term. */
+  /** Returns the number of machines that the active term knows; 0 while no term is active. */
   int machineCount() {
     return current == null ? 0 : current.fleet().all().size();
   }
--- a/src/main/java/io/cherryspool/controller/PeerHeartbeatFactory.java
+++ b/src/main/java/io/cherryspool/controller/PeerHeartbeatFactory.java
@@ -10,7 +10,7 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Makes the heartbeats by which this node describes itself to the other nodes. */
+/** Creates the heartbeats that this node sends to the other nodes. */
 final class PeerHeartbeatFactory {
   private final String nodeName;
   private final String clientAddress;
@@ -21,9 +21,9 @@
   private final Optional<RecoveryModule> recovery;
 
   /**
-   * Creates the peer heartbeats.
+   * Creates the factory.
    *
-   * @param clientAddress where this node answers users' requests
+   * @param clientAddress the address at which this node serves users' requests
    */
   PeerHeartbeatFactory(
       String nodeName,
@@ -42,7 +42,7 @@
     this.recovery = recovery;
   }
 
-  /** The heartbeat of this moment. */
+  /** Creates the heartbeat for this time. */
   Mesh.PeerHeartbeat create(Duration now) {
     int writeRateTenths = (int) Math.ceil(10 * stateStore.rateLimiter().recentWritesPerSecond());
     return new Mesh.PeerHeartbeat(
@@ -58,7 +58,7 @@
         linkSummary(now));
   }
 
-  /** What this node has observed of its links. */
+  /** Returns the summary of this node's links at this time. */
   LinkSummary linkSummary(Duration now) {
     return reachability.linkSummary(now, terms.isLeading(), clientAddress);
   }
--- a/src/main/java/io/cherryspool/controller/ServiceClients.java
+++ b/src/main/java/io/cherryspool/controller/ServiceClients.java
@@ -25,8 +25,8 @@
 import java.util.function.Predicate;
 
 /**
- * Makes the node's clients of the state store, the cloud and the workers, with the outcomes of
- * their requests reported to {@link Reachability}.
+ * Creates the node's clients for the state store, the cloud and the workers. The outcomes of
+ * requests to the state store and the cloud are reported to {@link Reachability}.
  */
 final class ServiceClients {
   private static final int HTTP_UNAVAILABLE = 503;
@@ -100,7 +100,7 @@
     return new StateStoreAccess(client, rateLimiter, records);
   }
 
-  /** The transport, with its outcomes reported to the observer of a link. */
+  /** Creates a transport that reports the outcomes of its requests to the observer of a link. */
   private Transport newObservedTransport(
       Predicate<Request> isSignificant,
       Predicate<Reply> isRefusal,
--- a/src/main/java/io/cherryspool/controller/api/JobRoutes.java
+++ b/src/main/java/io/cherryspool/controller/api/JobRoutes.java
@@ -11,11 +11,11 @@
 import java.util.function.Supplier;
 
 /**
- * Routes users' requests: to this node's {@link UserApi}, or through another node where this one
- * can't reach the state store.
+ * Routes users' requests to this node's {@link UserApi}, or to another node if this one can't reach
+ * the state store.
  */
 public final class JobRoutes {
-  /** The path of all jobs, which the paths of single jobs begin with. */
+  /** The path of all jobs, and the prefix of the paths of single jobs. */
   static final String PATH = "/api/jobs";
 
   private static final String CANCEL_SUFFIX = "/withdraw";
@@ -26,9 +26,9 @@
   private final Meters meters;
 
   /**
-   * Creates the job routes.
+   * Creates the routes.
    *
-   * @param forwarder empty if requests are not to be forwarded
+   * @param forwarder forwards requests to other nodes; empty if requests are not forwarded
    */
   public JobRoutes(
       UserApi users,
@@ -72,7 +72,8 @@
     if (forwarder.isEmpty() || RequestForwarder.isForwarded(request)) {
       return localAnswer.get();
     }
-    // A link that is down would keep the user waiting; one that is suspect is tried first.
+    // A request over a link that is down would keep the user waiting. A suspect link is tried
+    // first.
     if (stateStore.linkState() == LinkState.DOWN) {
       return forward(forwarder.get(), request, localAnswer);
     }
@@ -85,7 +86,7 @@
                     : Replies.completed(reply));
   }
 
-  /** Another node's answer, or the fallback if no other node serves the request. */
+  /** Returns the answer of another node, or the fallback if no other node serves the request. */
   private CompletableFuture<Reply> forward(
       RequestForwarder forwarder, Request request, Supplier<CompletableFuture<Reply>> fallback) {
     Optional<Endpoint> target = forwarder.nextTarget();
@@ -104,8 +105,8 @@
   }
 
   /**
-   * Closes the connection of a user whom this node can't serve while others can, so that the load
-   * balancer picks another node.
+   * Counts a refusal. If other nodes can serve the user, closes the connection as well, so that the
+   * load balancer picks another node.
    */
   private Reply handleRefusal(Reply reply) {
     if (reply.status() != Replies.UNAVAILABLE) {
--- a/src/main/java/io/cherryspool/controller/api/JobSubmission.java
+++ b/src/main/java/io/cherryspool/controller/api/JobSubmission.java
@@ -4,19 +4,20 @@
 import io.cherryspool.http.Reply;
 import java.util.Optional;
 
-/** A submission as {@link SubmissionValidator} judges it. */
+/** The result of validating a submission, see {@link SubmissionValidator}. */
 sealed interface JobSubmission {
   /**
-   * A job that may be accepted.
+   * A submission that may be accepted.
    *
-   * @param record the job's record as it is to be stored
+   * @param record the job's record in the form in which it is stored
    */
   record Valid(String jobId, JsonNode record) implements JobSubmission {}
 
   /**
-   * A submission that is to be refused, unless it repeats that of an accepted job.
+   * A submission that must be refused, unless it repeats the submission of an accepted job.
    *
-   * @param jobId the job that it names; empty if it names none
+   * @param jobId the id of the job in the submission; empty if it contains none
+   * @param refusal the answer by which the submission is refused
    */
   record Invalid(Optional<String> jobId, Reply refusal) implements JobSubmission {}
 }
--- a/src/main/java/io/cherryspool/controller/api/LinksApi.java
+++ b/src/main/java/io/cherryspool/controller/api/LinksApi.java
@@ -13,7 +13,10 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Answers operators with the state of all links, as this node knows it from heartbeats. */
+/**
+ * Answers operators' requests for the state of all nodes' links, as far as this node knows it from
+ * heartbeats.
+ */
 public final class LinksApi {
   /** The path of the request. */
   public static final String PATH = "/links";
@@ -22,26 +25,26 @@
   private final List<String> peers;
 
   /**
-   * What nodes have observed of their links.
+   * The observations that the nodes have made of their links.
    *
    * @param now the time of the answer, on the event loop's clock
    * @param own the observations of this node
-   * @param matrix those of the other nodes, by their last heartbeats
+   * @param matrix the observations of the other nodes, from their latest heartbeats
    */
   public record Observations(Duration now, LinkSummary own, ReachabilityMatrix matrix) {}
 
   /**
-   * Creates the links API.
+   * Creates the API.
    *
    * @param node the name of this node
-   * @param peers the names of the other nodes, in the order of the answer
+   * @param peers the names of the other nodes, in the order in which answers list them
    */
   public LinksApi(String node, List<String> peers) {
     this.node = node;
     this.peers = peers;
   }
 
-  /** The JSON document that describes all links. */
+  /** Returns a JSON document that describes all links. */
   Reply answer(Observations observations) {
     ObjectNode root = Json.object().put("node", node);
     ArrayNode nodes = root.putArray("nodes");
@@ -61,7 +64,7 @@
     return Reply.json(Replies.OK, Json.toBytes(root));
   }
 
-  /** Writes one node's links; true if all of them are up. */
+  /** Writes the links of one node; returns true if all of them are up. */
   private static boolean writeLinks(
       ObjectNode target, String name, long ageMillis, LinkSummary links) {
     target.put("node", name).put("heard_ms", ageMillis).put("address", links.address());
--- a/src/main/java/io/cherryspool/controller/api/NodeApi.java
+++ b/src/main/java/io/cherryspool/controller/api/NodeApi.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Routes the HTTP requests that come to a node's address: from workers, users, operators and the
- * load balancer. Called on the event loop only.
+ * Routes the HTTP requests that a node receives from workers, users, operators and the load
+ * balancer. Called on the event loop only.
  */
 public final class NodeApi implements RequestHandler {
   private static final String READY_PATH = "/ready";
@@ -26,9 +26,10 @@
   private final Optional<RecoveryModule> recovery;
 
   /**
-   * Creates the node API.
+   * Creates the API.
    *
-   * @param recovery empty on a node that doesn't look for lost records
+   * @param recovery answers operators' requests about lost records; empty on a node that doesn't
+   *     detect lost records
    */
   public NodeApi(
       NodeService node,
--- a/src/main/java/io/cherryspool/controller/api/Replies.java
+++ b/src/main/java/io/cherryspool/controller/api/Replies.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** The replies that the handlers of this package share. */
+/** Replies and status codes that the handlers of this package share. */
 final class Replies {
   static final int OK = 200;
   static final int CREATED = 201;
@@ -17,12 +17,12 @@
   static final int UNPROCESSABLE = 422;
   static final int UNAVAILABLE = 503;
 
-  /** What can't be served now is refused at once; clients are asked to come back this soon. */
+  /** After how many seconds clients should repeat a request that this node can't serve now. */
   private static final int RETRY_AFTER_SECONDS = 1;
 
   private Replies() {}
 
-  /** The answer to a path that doesn't exist. */
+  /** Returns the answer to a request for a path that doesn't exist. */
   static Reply unknownPath() {
     return error(NOT_FOUND, "no such thing");
   }
@@ -31,7 +31,7 @@
     return Reply.json(status, UserProtocol.encodeError(message));
   }
 
-  /** A refusal that asks the client to repeat the request. */
+  /** Returns a refusal that asks the client to repeat the request later. */
   static Reply retryLater(String message) {
     return Reply.withRetryAfter(
         UNAVAILABLE, UserProtocol.encodeError(message), RETRY_AFTER_SECONDS);
@@ -41,7 +41,7 @@
     return CompletableFuture.completedFuture(reply);
   }
 
-  /** The answer to a request with this method; one with any other is refused. */
+  /** Answers the request if it has this method, and refuses it otherwise. */
   static CompletableFuture<Reply> ifMethod(
       String method, Request request, Supplier<CompletableFuture<Reply>> answer) {
     return request.method().equals(method)
--- a/src/main/java/io/cherryspool/controller/api/RequestForwarder.java
+++ b/src/main/java/io/cherryspool/controller/api/RequestForwarder.java
@@ -14,16 +14,16 @@
 import java.util.function.Supplier;
 
 /**
- * Forwards users' requests to another node while this one does not reach the state store and the
- * other does. The other node answers by its own reads and writes, as it answers any user, so that
- * its answer can be returned as it is. Requests are idempotent, so that one which both nodes carry
- * out does no harm.
+ * Forwards users' requests to another node that reaches the state store, while this node does not.
+ * The other node serves the request by its own reads and writes, as it serves those of its users,
+ * so its answer can be returned unchanged. Requests are idempotent, so it does no harm if both
+ * nodes carry out the same request.
  */
 public final class RequestForwarder {
   /** The timeout of a forwarded request; users wait 2 s for the state of a job. */
   private static final Duration TIMEOUT = Duration.ofMillis(1500);
 
-  /** The query of a forwarded request, which is not forwarded again. */
+  /** The query that marks a forwarded request, so that it is not forwarded again. */
   private static final String FORWARDED_QUERY = "?forwarded";
 
   private final Transport transport;
@@ -31,21 +31,24 @@
   private int nextIndex;
 
   /**
-   * Creates the request forwarder.
+   * Creates the forwarder.
    *
-   * @param peers the latest heartbeats of the other nodes, without those too old to count
+   * @param peers returns the latest heartbeats of the other nodes, without those that are too old
+   *     for the node to count as reachable
    */
   public RequestForwarder(Transport transport, Supplier<List<Mesh.PeerHeartbeat>> peers) {
     this.transport = transport;
     this.peers = peers;
   }
 
-  /** Whether another node has forwarded the request to this one. */
+  /** Whether another node has forwarded the request to this node. */
   static boolean isForwarded(Request request) {
     return request.target().endsWith(FORWARDED_QUERY);
   }
 
-  /** The next of the nodes that can serve users now, in turn; empty if there is none. */
+  /**
+   * Returns the next of the other nodes that can serve users now, in turn; empty if there is none.
+   */
   Optional<Endpoint> nextTarget() {
     List<Endpoint> targets = new ArrayList<>();
     for (Mesh.PeerHeartbeat heartbeat : peers.get()) {
@@ -60,7 +63,10 @@
         : Optional.of(targets.get(nextIndex++ % targets.size()));
   }
 
-  /** The other node's answer; fails as {@link Transport#send} does if there is none in time. */
+  /**
+   * Returns the answer of the other node. Fails as {@link Transport#send} does if there is no
+   * answer in time.
+   */
   CompletableFuture<Reply> forward(Endpoint target, Request request) {
     Request forwarded =
         new Request(request.method(), request.path() + FORWARDED_QUERY, request.body());
--- a/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
+++ b/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
@@ -12,8 +12,8 @@
 import java.util.Optional;
 
 /**
- * How well this node reaches the state store, by itself and compared with the other nodes. Called
- * on the event loop only.
+ * Determines whether this node reaches the state store, and how its reads compare with those of the
+ * other nodes. Called on the event loop only.
  */
 public final class StateStoreHealth {
   private final EventLoop loop;
@@ -24,9 +24,9 @@
   private final boolean hasPeers;
 
   /**
-   * Creates the state store health.
+   * Creates the health check.
    *
-   * @param recovery empty on a node that doesn't look for lost records
+   * @param recovery rebuilds lost records; empty on a node that doesn't detect them
    * @param hasPeers whether there are other nodes
    */
   public StateStoreHealth(
@@ -44,11 +44,15 @@
     this.hasPeers = hasPeers;
   }
 
-  /** Whether the state store answered this node within the length of a lease. */
+  /**
+   * Whether the state store has answered a request that this node sent within the last length of a
+   * lease.
+   */
   public boolean isReachable() {
     Optional<Duration> lastAnswered = Optional.ofNullable(records.lastConfirmedAt());
     if (recovery.isPresent() && !recovery.get().isServing()) {
-      // A node that rebuilds the records reads them by other requests.
+      // While a node is not serving, because the records are being rebuilt, it reads them by other
+      // requests.
       lastAnswered = recovery.get().lastAnsweredRequestSentAt();
     }
     return lastAnswered.isPresent()
@@ -56,8 +60,8 @@
   }
 
   /**
-   * How long ago the last read that succeeded was sent, in ms; {@link Integer#MAX_VALUE} before the
-   * first.
+   * Returns how long ago the last successful read was sent, in ms; {@link Integer#MAX_VALUE} if
+   * there was none yet.
    */
   public int millisSinceLastRead() {
     Duration lastRead = records.lastConfirmedAt();
@@ -65,9 +69,9 @@
   }
 
   /**
-   * Whether another node has read the records well after this one last did: then the state store is
-   * up, and users are better served there. In an outage all nodes last read at about the same time,
-   * and none of them is behind.
+   * Whether another node has read the records well after this node last did. If so, the state store
+   * is up, and other nodes serve users better. In an outage the last reads of all nodes are about
+   * equally old, so that no node is behind.
    */
   public boolean isBehindPeers() {
     Duration ownRead = records.lastConfirmedAt();
@@ -78,21 +82,24 @@
             && peersRead.get().minus(ownRead).compareTo(timings.staleReadLag()) > 0);
   }
 
-  /** Whether the state store may not answer this node, so that another serves users better. */
+  /**
+   * Whether this node possibly can't reach the state store, so that another node may serve users
+   * better.
+   */
   boolean mayBeUnreachable() {
     return records.isReadOverdue() || linkState() != LinkState.UP;
   }
 
-  /** The state of the link to the state store, by the last requests. */
+  /** Returns the state of this node's link to the state store, according to its recent requests. */
   LinkState linkState() {
     return reachability.stateStoreLink().state(loop.now());
   }
 
   /**
-   * Whether users can be served here: the records are loaded and the state store is reachable.
-   * While the state store answers no node, being passed over by the load balancer helps nobody, so
-   * that a node whose peers report the same stays ready; one without heartbeats of its peers is
-   * more likely cut off itself.
+   * Whether this node is ready to serve users: the records are loaded, and the state store is
+   * reachable. If the state store answers no node, it helps no user if the load balancer avoids
+   * this node, so a node whose peers don't reach the state store either remains ready. A node that
+   * receives no heartbeats from its peers does not, because it is more likely to be cut off itself.
    */
   boolean isReady() {
     List<Mesh.PeerHeartbeat> others =
--- a/src/main/java/io/cherryspool/controller/api/SubmissionValidator.java
+++ b/src/main/java/io/cherryspool/controller/api/SubmissionValidator.java
@@ -16,7 +16,7 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** Checks submissions by themselves, without regard to the jobs that were accepted before. */
+/** Validates the contents of submissions, regardless of the jobs that were accepted before. */
 public final class SubmissionValidator {
   private final Map<String, Team> teams;
   private final Supplier<List<MachineType>> machineTypes;
@@ -24,10 +24,10 @@
   private final int maxRecordBytes;
 
   /**
-   * Creates the submission validator.
+   * Creates the validator.
    *
-   * @param teams the known teams by name
-   * @param machineTypes the machine types; null while they are not known
+   * @param teams the configured teams, by name
+   * @param machineTypes returns the machine types; null while they are not known
    * @param maxRecordBytes the state store's limit on the size of a value
    */
   public SubmissionValidator(
@@ -41,7 +41,7 @@
     this.maxRecordBytes = maxRecordBytes;
   }
 
-  /** Judges the body of a submission. */
+  /** Validates the body of a submission. */
   JobSubmission validate(byte[] body) {
     JsonNode node;
     try {
--- a/src/main/java/io/cherryspool/controller/api/UserApi.java
+++ b/src/main/java/io/cherryspool/controller/api/UserApi.java
@@ -15,10 +15,10 @@
 import java.util.function.Supplier;
 
 /**
- * Serves users' requests. Any node does, with or without a leader: a submission and a cancel are
- * one compare-and-swap transaction each, and everything but a final state is read after the request
- * came in. A submission is an idempotent request. No method fails: what can't be served now is
- * answered 503.
+ * Serves users' requests. Every node can do so, with or without a leader: a submission and a
+ * cancellation are one compare-and-swap transaction each, and any state of a job but a final one is
+ * read from the state store after the request was received. Submissions are idempotent. The
+ * returned futures never fail: a request that can't be served now is answered with 503.
  */
 public final class UserApi {
   private static final String STATE_STORE_NOT_ANSWERING = "the state service is silent";
@@ -30,10 +30,10 @@
   private final int failureCap;
 
   /**
-   * Creates the user API.
+   * Creates the API.
    *
-   * @param isBehindPeers whether other nodes read the state store while this one does not
-   * @param failureCap the failures of one task after which it counts as failing
+   * @param isBehindPeers returns whether other nodes read the state store while this node does not
+   * @param failureCap the number of failures after which a task counts as failing
    */
   public UserApi(
       ClusterRecords records,
@@ -48,7 +48,7 @@
     this.failureCap = failureCap;
   }
 
-  /** Accepts a job, or answers with the state of the job if it was accepted earlier. */
+  /** Accepts a job, or answers with its state if it was accepted earlier. */
   CompletableFuture<Reply> submit(byte[] body) {
     JobSubmission submission = validator.validate(body);
     if (submission instanceof JobSubmission.Invalid invalid) {
@@ -81,10 +81,10 @@
   }
 
   /**
-   * Refuses a submission unless the job was accepted earlier, by any node: one who repeats an
-   * accepted submission never gets the answer that it is malformed or can never run. While no node
-   * reads the state store none accepts anything either, so that this node's copy is enough; a node
-   * that is behind others can't know.
+   * Refuses a submission unless any node has accepted the job earlier: a user who repeats an
+   * accepted submission must never be answered that it is malformed or can never run. While no node
+   * can read the state store, no node accepts jobs, so that this node's copy of the records is
+   * sufficient. A node that is behind its peers can't know whether the job was accepted.
    */
   private CompletableFuture<Reply> refuse(String id, Reply refusal) {
     if (records.job(id) != null) {
@@ -106,19 +106,20 @@
             });
   }
 
-  /** The answer to a submission of a job that was accepted earlier. */
+  /** Returns the answer to a submission of a job that was accepted earlier. */
   private CompletableFuture<Reply> acceptedEarlier(String id) {
     return read(id, () -> Replies.retryLater("the job's record is not to be seen"));
   }
 
-  /** The state of a job. */
+  /** Answers with the state of a job. */
   CompletableFuture<Reply> poll(String id) {
     return read(id, () -> unknownJob(id));
   }
 
   /**
-   * The answer for a job without a record. After records were lost, a job that workers run was
-   * accepted earlier, whoever its user was; which jobs they run is known only after reconciliation.
+   * Returns the answer for a job without a record. After a loss of records, a job whose tasks
+   * workers run must have been accepted before the loss. Which jobs the workers run is known only
+   * after reconciliation.
    */
   private Reply unknownJob(String id) {
     boolean neverAccepted = records.isAbandonedJob(id) || !records.isUnknownJob(id);
@@ -127,7 +128,7 @@
         : Replies.retryLater("the records of this job are lost; submit it again");
   }
 
-  /** Cancels a job, or answers with its end if it has ended. */
+  /** Cancels a job, or answers with its final state if it has ended. */
   CompletableFuture<Reply> cancel(String id) {
     JobRecord known = records.job(id);
     if (hasEnded(known)) {
@@ -161,9 +162,8 @@
   }
 
   /**
-   * The answer to a cancel that met a conflict. How the job ended is answered only from a record
-   * that is there: without one nothing shows how it ended, nor that it did, and the user asks
-   * again.
+   * Returns the answer to a cancellation whose transaction met a conflict. Only a record of the
+   * job's outcome shows that the job has ended, and how. Without one, the user must ask again.
    */
   private static Reply afterConflict(JobRecord job) {
     return hasEnded(job)
@@ -172,9 +172,9 @@
   }
 
   /**
-   * The job's state as of now, not as of the last change that this node has read. Only an end is
-   * answered from this node's copy alone, whatever the state store's condition, since nothing
-   * follows it.
+   * Answers with the job's present state, which it reads from the state store first. Only a final
+   * state is answered from this node's copy, even if the state store is unreachable, because a
+   * final state never changes.
    */
   private CompletableFuture<Reply> read(String id, Supplier<Reply> ifUnknown) {
     JobRecord known = records.job(id);
--- a/src/main/java/io/cherryspool/controller/api/WorkerApi.java
+++ b/src/main/java/io/cherryspool/controller/api/WorkerApi.java
@@ -15,7 +15,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Answers workers' heartbeats, or redirects the workers to the node that leads. */
+/**
+ * Answers workers' heartbeats if this node leads, and otherwise redirects the workers to the
+ * leader.
+ */
 public final class WorkerApi {
   /** The path of workers' heartbeats. */
   static final String PATH = "/v1/report";
@@ -30,10 +33,11 @@
   private final Meters meters;
 
   /**
-   * Creates the worker API.
+   * Creates the API.
    *
    * @param nodeName the name of this node
-   * @param recovery empty on a node that doesn't look for lost records
+   * @param recovery observes heartbeats that this node can't answer; empty on a node that doesn't
+   *     detect lost records
    */
   public WorkerApi(
       String nodeName,
@@ -56,7 +60,7 @@
     try {
       heartbeat = WorkerProtocol.parseHeartbeat(Json.parseObject(body));
     } catch (MalformedMessageException e) {
-      LOG.warn("malformed heartbeat of a worker: {}", e.getMessage());
+      LOG.warn("refused a malformed heartbeat from a worker: {}", e.getMessage());
       return Replies.error(Replies.BAD_REQUEST, e.getMessage());
     }
     Optional<byte[]> answer = node.answerHeartbeat(heartbeat);
@@ -75,8 +79,9 @@
   }
 
   /**
-   * The other node that leads, if it is known: by the records where they can be read here, else by
-   * the nodes' heartbeats. A redirect is only a hint; a node that does not lead redirects again.
+   * Returns the name of the other node that leads, if it is known: from the records if this node
+   * can read them, and otherwise from the other nodes' heartbeats. A redirect is only a hint; a
+   * node that does not lead redirects the worker again.
    */
   private Optional<String> otherLeader() {
     if (stateStore.isReachable()) {
--- a/src/main/java/io/cherryspool/controller/api/package-info.java
+++ b/src/main/java/io/cherryspool/controller/api/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The HTTP routes of a node: users, workers, operators, and forwarding to other nodes. All of it
- * runs on the event loop of the node.
+ * The HTTP API of a node for users, workers and operators, and the forwarding of users' requests to
+ * other nodes. All of it runs on the node's event loop.
  */
 package io.cherryspool.controller.api;
--- a/src/main/java/io/cherryspool/controller/election/Campaign.java
+++ b/src/main/java/io/cherryspool/controller/election/Campaign.java
@@ -20,13 +20,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stands for election while the records name no leader. Whatever a transaction is answered, only
- * the records that are read afterwards decide who was elected.
+ * Runs for election on behalf of this node while the records name no leader. The answer to the
+ * election's transaction may be lost or late, so the records that are read afterwards decide who
+ * was elected.
  */
 final class Campaign {
   private static final Logger LOG = LoggerFactory.getLogger(Campaign.class);
 
-  /** The random part of a candidacy's delay is at most the lease's length divided by this. */
+  /** The random part of a candidacy's delay is less than the lease's length divided by this. */
   private static final int LEASE_PER_MAX_JITTER = 20;
 
   private final EventLoop loop;
@@ -61,7 +62,10 @@
     this.reachability = reachability;
   }
 
-  /** Called when a transaction of this campaign has ended and the records were read after it. */
+  /**
+   * Sets the listener that is called when a request of this campaign has ended and the records have
+   * been read after it, or could not be read.
+   */
   void onConcluded(Runnable listener) {
     onConcluded = listener;
   }
@@ -73,10 +77,10 @@
   }
 
   /**
-   * Schedules a candidacy if there is no leader, and revokes the lease of an earlier process of
-   * this node that is still named as leader. Called with the records loaded.
+   * Schedules a candidacy if there is no leader. If the records still name an earlier process of
+   * this node as leader, revokes that process's lease. The records must be loaded.
    *
-   * @param leader the leader by the records; empty if there is none
+   * @param leader the leader that the records name; empty if they name none
    */
   void campaignIfNeeded(Optional<Records.Leader> leader) {
     if (leases.current().isEmpty() || isRequestPending || candidacyTimer != null) {
@@ -91,7 +95,10 @@
     }
   }
 
-  /** How long to wait before standing, by the state of this node's links and of the others'. */
+  /**
+   * Returns how long to wait before running for election, given the links of this node and of the
+   * other nodes.
+   */
   private Duration candidacyDelay() {
     Optional<NodeView.Handover> handover =
         Optional.ofNullable(records.successor())
@@ -99,7 +106,10 @@
     return reachability.candidacyDelay(loop.now(), handover);
   }
 
-  /** The process that held the lease has ended, since this one runs in its place. */
+  /**
+   * Revokes the lease of the process that ran on this node before. That process has ended, because
+   * this one has taken its place.
+   */
   private void revokeLeaseOfEarlierProcess(Records.Leader leader) {
     LOG.info("revoking the lease of an earlier process of this node, lease={}", leader.leaseId());
     isRequestPending = true;
@@ -115,8 +125,8 @@
     }
     isRequestPending = true;
     StateStoreLease lease = current.get();
-    // After records were lost, workers and other nodes may know of higher terms than the records
-    // do.
+    // After a loss of records, workers and other nodes may have observed a higher term than the
+    // records contain.
     long term = leadership.highestKnownTerm() + 1;
     rateLimiter.forceAcquire(2);
     LOG.info("standing for election, term={}", term);
@@ -147,7 +157,7 @@
         new StateStoreProtocol.Change(Records.LEADER, Records.encodeLeader(record), lease.id()));
   }
 
-  /** Reads the outcome from the records, whatever the answer was. */
+  /** Reads the outcome from the records, whether the request was answered or failed. */
   private void readOutcome() {
     records
         .refresh()
--- a/src/main/java/io/cherryspool/controller/election/Election.java
+++ b/src/main/java/io/cherryspool/controller/election/Election.java
@@ -12,18 +12,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * This node's part in leader election: keeps a lease in the state store, stands for election while
- * there is no leader, and hands leadership over. Who leads is read from the records alone: an
- * election whose answer was lost, or that is applied late, counts as soon as its record is seen,
- * and not before.
+ * Takes part in leader election for this node: keeps a lease in the state store, runs for election
+ * while there is no leader, and hands leadership over. Only the records decide who leads: an
+ * election whose answer was lost, or that the state store applied late, takes effect when this node
+ * reads its record, and not before.
  *
  * <p>All methods are called on the event loop.
  */
 public final class Election implements Lifecycle {
-  /** How often a node that doesn't lead renews its lease in the lease's length. */
+  /** The number of renewals within the length of a lease, for a node that doesn't lead. */
   private static final int RENEWALS_PER_LEASE = 4;
 
-  /** Leaders renew more often, so that a short refusal leaves most of the lease. */
+  /**
+   * The number of renewals within the length of a lease, for a leader. Leaders renew more often, so
+   * that most of the lease is left when the state store refuses requests for a short time.
+   */
   private static final int LEADER_RENEWALS_PER_LEASE = 8;
 
   private final EventLoop loop;
@@ -37,7 +40,7 @@
   private Runnable onLeadershipChange = () -> {};
   private Runnable onPrematureLeaseExpiry = () -> {};
 
-  /** When the records were last read on this election's behalf; null before the first time. */
+  /** When this election last requested a read of the records; null before the first request. */
   private Duration lastRefreshAt;
 
   private EventLoop.Timer timer;
@@ -45,8 +48,8 @@
   /**
    * Creates the election.
    *
-   * @param self the process that is to lead
-   * @param reachability decides how long leases are and how long a candidate waits
+   * @param self the process that takes part in elections
+   * @param reachability determines how long leases are and how long a candidate waits
    */
   public Election(
       EventLoop loop,
@@ -66,7 +69,7 @@
     campaign = new Campaign(loop, stateStore, random, timings, leases, leadership, reachability);
   }
 
-  /** What the leases set off. */
+  /** Responds to changes of this node's leases. */
   private final class LeaseEvents implements NodeLeases.Listener {
     @Override
     public void leaseGranted() {
@@ -90,8 +93,8 @@
   }
 
   /**
-   * Sets the listener that is called when leadership may have changed; it may be called without a
-   * change. To be called once, before {@link #start}.
+   * Sets the listener that is called when leadership may have changed; it may also be called
+   * without a change. Must be called once, before {@link #start}.
    */
   public void onLeadershipChange(Runnable listener) {
     onLeadershipChange = listener;
@@ -100,8 +103,8 @@
   }
 
   /**
-   * Sets the listener that is called when the state store no longer knows a lease that was renewed
-   * in time, which it does only after losing data.
+   * Sets the listener that is called when the state store no longer has a lease although it was
+   * renewed in time. This happens only if the state store has lost data.
    */
   public void onPrematureLeaseExpiry(Runnable listener) {
     onPrematureLeaseExpiry = listener;
@@ -121,12 +124,17 @@
     leases.stop();
   }
 
-  /** The highest term in the records or shown by a worker or another node. */
+  /**
+   * Returns the highest term that the records contain or that a worker or another node has sent.
+   */
   public long highestKnownTerm() {
     return leadership.highestKnownTerm();
   }
 
-  /** Takes note of a term that a worker or another node has shown; a lower leader stops at once. */
+  /**
+   * Records a term that a worker or another node has sent. If this node leads in a lower term, it
+   * stops leading at once.
+   */
   public void observeTerm(long term) {
     if (leadership.observeTerm(term) && records.term() < term) {
       records.refresh().exceptionally(failure -> null);
@@ -134,35 +142,39 @@
     }
   }
 
-  /** Whether the records name this process as the leader, by a lease that it still has. */
+  /**
+   * Whether the records name this process as the leader, by a lease that it still holds, and no
+   * higher term has been observed.
+   */
   public boolean isLeader() {
     return leadership.isLeader();
   }
 
   /**
-   * Whether this process leads and may keep workers alive and command them now. Counted from the
-   * sending of the last renewal that was confirmed, and of the last read, so that it misses no
-   * cancel for longer than {@link Timings#authority}.
+   * Whether this process leads and may now renew workers' leases and send them commands. Both the
+   * last confirmed renewal of its lease and its last confirmed read of the records must have been
+   * sent less than {@link Timings#authority} ago, so that it misses no cancellation for longer than
+   * that.
    */
   public boolean mayCommandWorkers() {
     return leadership.mayCommandWorkers();
   }
 
   /**
-   * Whether this process leads and its lease certainly still holds, so that there can be no other
-   * leader and it alone may change the fleet.
+   * Whether this process leads and its lease is certain to be valid, so that there can be no other
+   * leader and only this process may change the fleet.
    */
   public boolean mayChangeFleet() {
     return leadership.mayChangeFleet();
   }
 
   /**
-   * Hands leadership over to a node that workers reach better; without effect on a node that
-   * doesn't lead. The successor's record only sets the order in which the nodes stand for election,
-   * and the first to stand is elected as ever. The lease is given up whether or not the record
-   * could be written.
+   * Hands leadership over to a node that more workers reach; has no effect on a node that doesn't
+   * lead. The record of the successor only determines the order in which nodes run for election;
+   * the first node to run is elected, as in any other election. This node revokes its lease whether
+   * or not the record could be written.
    *
-   * @param successor the other node's name
+   * @param successor the name of the node that should lead next
    */
   public void handOverTo(String successor) {
     handover.begin(successor);
--- a/src/main/java/io/cherryspool/controller/election/Leadership.java
+++ b/src/main/java/io/cherryspool/controller/election/Leadership.java
@@ -7,8 +7,8 @@
 import java.time.Duration;
 
 /**
- * Whether this process leads, and what it may do as the leader. Judged by this node's copy of the
- * records, by the leases that it holds, and by the terms that others have shown.
+ * Determines whether this process leads and what it may do as the leader, from this node's copy of
+ * the records, the leases that it holds, and the terms that workers and other nodes have sent.
  */
 final class Leadership {
   private final EventLoop loop;
@@ -31,12 +31,17 @@
     this.timings = timings;
   }
 
-  /** The highest term in the records or shown by a worker or another node. */
+  /**
+   * Returns the highest term that the records contain or that a worker or another node has sent.
+   */
   long highestKnownTerm() {
     return Math.max(records.term(), highestObservedTerm);
   }
 
-  /** Notes a term that a worker or another node has shown; true if it is the highest so far. */
+  /**
+   * Records a term that a worker or another node has sent; returns true if it is higher than all
+   * those before.
+   */
   boolean observeTerm(long term) {
     boolean isHighest = term > highestObservedTerm;
     if (isHighest) {
@@ -82,7 +87,9 @@
     return leader.node().equals(self.node()) && !isThisProcess(leader);
   }
 
-  /** The record of this process as leader of the term, to be attached to the lease. */
+  /**
+   * Returns the record that names this process as leader of the term, to be attached to the lease.
+   */
   Records.Leader leaderRecord(long term, StateStoreLease lease) {
     return new Records.Leader(term, self.node(), self.processId(), lease.id());
   }
--- a/src/main/java/io/cherryspool/controller/election/LeadershipHandover.java
+++ b/src/main/java/io/cherryspool/controller/election/LeadershipHandover.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hands leadership over to another node: names it as successor, then gives up the lease. */
+/**
+ * Hands leadership over to another node: records it as the successor, then revokes this node's
+ * lease.
+ */
 final class LeadershipHandover {
   private final StateStoreClient client;
   private final RateLimiter rateLimiter;
@@ -25,7 +28,7 @@
     this.leadership = leadership;
   }
 
-  /** Whether the successor's record has been sent and not answered yet. */
+  /** Whether the record of the successor has been sent and not answered yet. */
   boolean isPending() {
     return isPending;
   }
--- a/src/main/java/io/cherryspool/controller/election/LeaseReplacement.java
+++ b/src/main/java/io/cherryspool/controller/election/LeaseReplacement.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Changes the length of a leader's lease: requests another lease, moves the leader's record to it,
- * and revokes the old one once the record is seen there. Until then both leases are renewed, and
- * the leader leads by either.
+ * Changes the length of a leader's lease: requests a lease of the new length, attaches the leader's
+ * record to it, and revokes the old lease once the records show that. Until then this node renews
+ * both leases, and it remains leader by whichever of them the record is attached to.
  */
 final class LeaseReplacement {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseReplacement.class);
@@ -50,7 +50,10 @@
     this.reachability = reachability;
   }
 
-  /** Takes the next step; called each time the leases are renewed, with a current lease. */
+  /**
+   * Takes the next step of a replacement, or begins one if the lease should have another length.
+   * Called each time the leases are renewed, while there is a current lease.
+   */
   void advance() {
     if (leases.replacement().isPresent()) {
       moveRecord();
@@ -59,7 +62,7 @@
     }
   }
 
-  /** Requests another lease if the leader's lease should be longer or shorter now. */
+  /** Requests another lease if the leader's lease should now be longer or shorter. */
   private void adjustLength() {
     Duration targetLength = reachability.leaseLength(loop.now());
     if (leases.isRequestPending() || handover.isPending() || !leadership.mayChangeFleet()) {
@@ -82,9 +85,10 @@
   }
 
   /**
-   * Attaches the leader's record to the replacement. The transaction names the record's version, so
-   * that it is sent unchanged until its outcome is known: the record is then seen attached to the
-   * replacement, or the replacement has expired and no copy can be applied any more.
+   * Attaches the leader's record to the replacement. The transaction is conditional on the version
+   * of the record that this node has read, so that the same transaction is sent until its outcome
+   * is known: either the record is read as attached to the replacement, or the replacement has
+   * expired and no copy of the transaction can be applied any more.
    */
   private void moveRecord() {
     if (isMovePending || handover.isPending() || !leadership.isLeader()) {
@@ -115,7 +119,10 @@
             });
   }
 
-  /** Completes the change if the leader's record, as just read, is attached to the replacement. */
+  /**
+   * Completes the replacement if the leader's record, as just read, is attached to the replacement
+   * lease.
+   */
   void completeIfMoved(Records.Leader leader) {
     if (leadership.isThisProcess(leader) && leases.isReplacement(leader.leaseId())) {
       LOG.info(
--- a/src/main/java/io/cherryspool/controller/election/NodeLeases.java
+++ b/src/main/java/io/cherryspool/controller/election/NodeLeases.java
@@ -13,14 +13,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Requests, renews and revokes this node's leases in the state store. A node has one current lease;
- * a leader that changes its length has a second one, the replacement, until its record has moved
- * there. Both are renewed alike.
+ * Requests, renews and revokes this node's leases in the state store. A node has one current lease.
+ * A leader that changes the length of its lease has a second one, the replacement, until its record
+ * is attached to that. Both are renewed at the same times.
  */
 final class NodeLeases {
   private static final Logger LOG = LoggerFactory.getLogger(NodeLeases.class);
 
-  /** How many retries of a failed renewal fit into the length of a lease. */
+  /** The length of a lease divided by the delay before a failed renewal is retried. */
   private static final int RETRIES_PER_LEASE = 16;
 
   private final EventLoop loop;
@@ -29,29 +29,30 @@
   private final Timings timings;
   private final Listener listener;
 
-  /** Null while this node has no lease. */
+  /** The current lease; null while this node has none. */
   private StateStoreLease current;
 
-  /** Null except while the length of a leader's lease changes. */
+  /** The replacement; null except while a leader changes the length of its lease. */
   private StateStoreLease replacement;
 
   private boolean isRequestPending;
   private EventLoop.Timer retryTimer;
 
-  /** Receives what happens to the leases, on the event loop. */
+  /** Receives events of the leases, on the event loop. */
   interface Listener {
-    /** A node without a lease was granted one. */
+    /** Called when a node without a lease was granted one. */
     void leaseGranted();
 
-    /** A lease has expired, was replaced by the other one, or was given up. */
+    /** Called when a lease has expired or was given up. */
     void leasesChanged();
 
     /**
-     * The state store has no lease although its last confirmed renewal still covers this moment.
+     * Called when the state store no longer has the lease, although it should still be valid after
+     * its last confirmed renewal.
      */
     void leaseExpiredPrematurely();
 
-    /** A renewal has failed, and the time to send it again has come. */
+    /** Called when a failed renewal is to be sent again. */
     void renewalRetryDue();
   }
 
@@ -63,51 +64,59 @@
     this.listener = listener;
   }
 
-  /** The lease by which this node stands for election and leads; empty while it has none. */
+  /**
+   * Returns the lease with which this node runs for election and leads; empty while it has none.
+   */
   Optional<StateStoreLease> current() {
     return Optional.ofNullable(current);
   }
 
-  /** The lease to which a leader moves its record; empty if it changes nothing. */
+  /**
+   * Returns the lease that is to replace the current one; empty while no replacement is in
+   * progress.
+   */
   Optional<StateStoreLease> replacement() {
     return Optional.ofNullable(replacement);
   }
 
-  /** Whether this is the current lease, not one that was current earlier. */
+  /** Whether this is the current lease, as opposed to one that was current earlier. */
   boolean isCurrent(StateStoreLease lease) {
     return lease == current;
   }
 
-  /** Whether the lease with this number is the current one or the replacement. */
+  /** Whether the lease with this id is the current one or the replacement. */
   boolean isHeld(long leaseId) {
     return (current != null && current.id() == leaseId) || isReplacement(leaseId);
   }
 
-  /** Whether the lease with this number is the replacement. */
+  /** Whether the lease with this id is the replacement. */
   boolean isReplacement(long leaseId) {
     return replacement != null && replacement.id() == leaseId;
   }
 
-  /** Whether this node has a lease, and the state store certainly still keeps all it has. */
+  /** Whether this node has a lease, and all its leases are certain to be valid at this time. */
   boolean areValidAt(Duration now) {
     return current != null
         && current.isValidAt(now)
         && (replacement == null || replacement.isValidAt(now));
   }
 
-  /** Whether this node has a lease, and renewals of all it has were sent after this moment. */
+  /**
+   * Whether this node has a lease, and the last confirmed renewal of each of its leases was sent
+   * after this time.
+   */
   boolean areRenewedSince(Duration start) {
     return current != null
         && current.lastRenewalSentAt().compareTo(start) > 0
         && (replacement == null || replacement.lastRenewalSentAt().compareTo(start) > 0);
   }
 
-  /** Whether a request for a lease has been sent and not answered yet. */
+  /** Whether a request for a new lease has been sent and not answered yet. */
   boolean isRequestPending() {
     return isRequestPending;
   }
 
-  /** Requests a lease for a node that has none, unless such a request is pending. */
+  /** Requests a lease for a node that has none, unless a request is already pending. */
   void requestCurrent() {
     if (isRequestPending) {
       return;
@@ -121,9 +130,9 @@
   }
 
   /**
-   * Requests a lease of this length. Only one request may be pending.
+   * Requests a lease of this length. Must not be called while another request is pending.
    *
-   * @param onGranted receives the lease; is not called if the request fails
+   * @param onGranted receives the lease; not called if the request fails
    */
   void request(Duration length, Consumer<StateStoreLease> onGranted) {
     Duration sentAt = loop.now();
@@ -140,7 +149,7 @@
             });
   }
 
-  /** Renews all leases that have no renewal pending. */
+  /** Renews all leases that have no pending renewal. */
   void renew() {
     renew(current);
     if (replacement != null) {
@@ -177,7 +186,8 @@
     } else if (lease == current) {
       LOG.info("state store lease expired, lease={}", lease.id());
       if (lease.isValidAt(loop.now())) {
-        // The state store never expires a lease early, so it must have lost the renewal.
+        // The state store never expires a lease early, so it must have lost the lease or its
+        // renewal.
         listener.leaseExpiredPrematurely();
       }
       current = replacement;
@@ -189,7 +199,10 @@
     }
   }
 
-  /** Retries soon, while this node's share of the state store's requests lasts. */
+  /**
+   * Schedules an early retry, unless this node's share of the state store's request rate is used
+   * up.
+   */
   private void scheduleRetry() {
     if (retryTimer == null && rateLimiter.mayWrite(RateLimiter.WriteClass.CANCEL, 0, 0)) {
       retryTimer =
@@ -202,7 +215,7 @@
     }
   }
 
-  /** Cancels the retry of a failed renewal, since all leases are renewed now. */
+  /** Cancels the retry of a failed renewal, because all leases are about to be renewed. */
   void cancelRetry() {
     if (retryTimer != null) {
       retryTimer.cancel();
@@ -210,12 +223,12 @@
     }
   }
 
-  /** Makes the lease the replacement of the current one. */
+  /** Makes this lease the replacement of the current one. */
   void setReplacement(StateStoreLease lease) {
     replacement = lease;
   }
 
-  /** Makes the replacement the current lease, and revokes the one it replaces. */
+  /** Makes the replacement the current lease, and revokes the lease that it replaces. */
   void promoteReplacement() {
     StateStoreLease replaced = current;
     current = replacement;
@@ -225,21 +238,21 @@
     }
   }
 
-  /** Drops the lease if it is the current one: the state store refuses it. */
+  /** Drops the lease if it is the current one, because the state store has refused to use it. */
   void discardCurrent(StateStoreLease refused) {
     if (current == refused) {
       current = null;
     }
   }
 
-  /** Drops the lease if it is the replacement: the state store refuses it. */
+  /** Drops the lease if it is the replacement, because the state store has refused to use it. */
   void discardReplacement(StateStoreLease refused) {
     if (replacement == refused) {
       replacement = null;
     }
   }
 
-  /** Gives up all leases, informs the listener, and then revokes them. */
+  /** Gives up all leases: stops using them, notifies the listener, and then revokes them. */
   void relinquish() {
     Optional<StateStoreLease> first = current();
     Optional<StateStoreLease> second = replacement();
@@ -250,13 +263,16 @@
     second.ifPresent(this::revoke);
   }
 
-  /** Revokes a lease to which no record is attached any more; a failure leaves it to expire. */
+  /**
+   * Revokes a lease that this node no longer uses. If the request fails, the lease expires by
+   * itself.
+   */
   void revoke(StateStoreLease lease) {
     rateLimiter.forceAcquire(0);
     client.revokeLease(lease.id()).exceptionally(failure -> null);
   }
 
-  /** Ends retries and revokes all leases, without informing the listener. */
+  /** Cancels retries and revokes all leases, without notifying the listener. */
   void stop() {
     if (retryTimer != null) {
       retryTimer.cancel();
--- a/src/main/java/io/cherryspool/controller/election/StateStoreAccess.java
+++ b/src/main/java/io/cherryspool/controller/election/StateStoreAccess.java
@@ -5,10 +5,11 @@
 import io.cherryspool.store.StateStoreClient;
 
 /**
- * How one node reads and writes the state store. All three are used on the event loop only.
+ * The objects through which one node reads and writes the state store. All of them are used on the
+ * event loop only.
  *
  * @param client sends requests
- * @param rateLimiter this node's share of the store's request and write limits
+ * @param rateLimiter limits this node to its share of the store's request and write limits
  * @param records this node's copy of the records
  */
 public record StateStoreAccess(StateStoreClient client, RateLimiter rateLimiter, Replica records) {}
--- a/src/main/java/io/cherryspool/controller/election/StateStoreLease.java
+++ b/src/main/java/io/cherryspool/controller/election/StateStoreLease.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** A lease of this node in the state store, with what is known of its renewals. */
+/** A lease that the state store has granted to this node, and the state of its renewal. */
 final class StateStoreLease {
   private final long id;
   private final Duration length;
@@ -10,10 +10,9 @@
   private boolean isRenewing;
 
   /**
-   * Creates the state store lease.
+   * Creates a lease that was just granted.
    *
-   * @param requestSentAt when the request that was answered by this lease was sent, on the event
-   *     loop's clock
+   * @param requestSentAt when the request for the lease was sent, on the event loop's clock
    */
   StateStoreLease(long id, Duration length, Duration requestSentAt) {
     this.id = id;
@@ -21,17 +20,20 @@
     this.lastRenewalSentAt = requestSentAt;
   }
 
-  /** The state store's number of the lease. */
+  /** The id that the state store has given to the lease. */
   long id() {
     return id;
   }
 
-  /** For how long the state store keeps the lease after a renewal. */
+  /** How long the lease is valid after a renewal. */
   Duration length() {
     return length;
   }
 
-  /** When the last renewal that was confirmed was sent, on the event loop's clock. */
+  /**
+   * When the last confirmed renewal, or else the request for the lease, was sent, on the event
+   * loop's clock.
+   */
   Duration lastRenewalSentAt() {
     return lastRenewalSentAt;
   }
@@ -41,23 +43,23 @@
     return isRenewing;
   }
 
-  /** Notes that a renewal is sent. */
+  /** Records that a renewal is sent. */
   void beginRenewal() {
     isRenewing = true;
   }
 
-  /** Notes that the renewal was answered or has failed. */
+  /** Records that the renewal was answered or has failed. */
   void endRenewal() {
     isRenewing = false;
   }
 
-  /** Notes that the renewal sent at this moment was confirmed. */
+  /** Records that the renewal sent at this time was confirmed. */
   void confirmRenewal(Duration sentAt) {
     lastRenewalSentAt = sentAt;
   }
 
   /**
-   * Whether the state store certainly still keeps the lease; false does not mean it has expired.
+   * Whether the lease is certain to be valid at this time. False does not mean that it has expired.
    */
   boolean isValidAt(Duration now) {
     return now.minus(lastRenewalSentAt).compareTo(length) < 0;
--- a/src/main/java/io/cherryspool/controller/package-info.java
+++ b/src/main/java/io/cherryspool/controller/package-info.java
@@ -1,17 +1,18 @@
 /**
- * One controller node: it takes part in elections, answers users and workers, and while it leads
+ * One controller node. It takes part in elections and answers users and workers. While it leads, it
  * plans and commits rounds, sends commands to workers, and scales the fleet. This package connects
- * the parts, which are the packages below it, and runs them.
+ * and runs the components, which are in its subpackages.
  *
- * <p>Committed state is read from the {@code store} package's copy of the records; all other state
- * in here is kept in memory for one term at most, and the next leader builds it anew from workers'
- * heartbeats. docs/design.md says why that is safe.
+ * <p>Committed state is read from the copy of the records in the {@code store} package. All other
+ * state is kept in memory for at most one term, and the next leader rebuilds it from workers'
+ * heartbeats. docs/design.md explains why that is safe.
  *
  * <p>May depend on {@code scheduler}, {@code store}, {@code cloud}, {@code worker}, {@code mesh},
  * {@code http}, {@code wire}, {@code model} and {@code lifecycle}, and on {@code config} for the
  * values of the settings.
  *
- * <p>Threading: all of it runs on the node's event loop; nothing in here is synchronized or blocks.
- * Time and random numbers come from outside, so that the simulation can run the same code.
+ * <p>Threading: all of it runs on the node's event loop; nothing in this package is synchronized or
+ * blocks. The caller provides time and random numbers, so that the simulation can run the same
+ * code.
  */
 package io.cherryspool.controller;
--- a/src/main/java/io/cherryspool/controller/recovery/ElectionClusterNode.java
+++ b/src/main/java/io/cherryspool/controller/recovery/ElectionClusterNode.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** The recovery's view of the cluster, by this node's election and the nodes' heartbeats. */
+/**
+ * Provides the recovery with its view of the cluster, from this node's election and the other
+ * nodes' heartbeats.
+ */
 public final class ElectionClusterNode implements ClusterNode {
   private final EventLoop loop;
   private final String name;
@@ -23,11 +26,11 @@
   private boolean hasWorkerReportedToken;
 
   /**
-   * Creates the election cluster node.
+   * Creates the view.
    *
-   * @param peerHeartbeats the latest heartbeats of the other nodes
-   * @param maxHeartbeatAge how long after its receipt a heartbeat counts
-   * @param onServingChanged called when the records can be relied on again, or no longer
+   * @param peerHeartbeats returns the latest heartbeats of the other nodes
+   * @param maxHeartbeatAge how long a heartbeat counts after it was received
+   * @param onServingChanged called when the records become reliable or cease to be
    */
   public ElectionClusterNode(
       EventLoop loop,
@@ -46,7 +49,7 @@
     this.onServingChanged = onServingChanged;
   }
 
-  /** Notes that a worker has shown a fencing token. */
+  /** Records that a worker has sent a fencing token. */
   void observeWorkerFencingToken() {
     hasWorkerReportedToken = true;
   }
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
@@ -29,12 +29,12 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Answers operators' requests about lost records, and carries out their decisions. Any node does; a
- * decision is one compare-and-swap transaction, and is refused with a reason where it would be
- * wrong.
+ * Answers operators' requests about lost records, and carries out their decisions. Every node can
+ * do so: a decision is one compare-and-swap transaction. A decision that doesn't fit the state of
+ * the job is refused, and the answer contains the reason.
  */
 public final class RecoveryApi {
-  /** The prefix of the paths of all these requests. */
+  /** The prefix of the paths of all requests to this API. */
   public static final String PATH = "/recovery/";
 
   private static final int RETRY_AFTER_SECONDS = 1;
@@ -47,9 +47,9 @@
   private final Optional<SnapshotWriter> snapshots;
 
   /**
-   * Creates the recovery API.
+   * Creates the API.
    *
-   * @param snapshots empty if none are taken
+   * @param snapshots writes the node's snapshots; empty if none are taken
    */
   RecoveryApi(
       ClusterNode node,
@@ -170,7 +170,7 @@
         .exceptionally(failure -> retryLater());
   }
 
-  /** Lets a held job run again where its tasks were not reported. */
+  /** Releases a held job, so that those of its tasks run again that no worker has reported. */
   private CompletableFuture<Reply> repeat(String id) {
     if (records.isUnknownJob(id) && records.job(id) == null) {
       return completed(
@@ -185,7 +185,7 @@
         "job " + id + " runs again where its tasks did not report");
   }
 
-  /** Cancels a held job, or stops the tasks of a job that nobody has described. */
+  /** Cancels a held job, or stops the tasks of a job whose description was lost. */
   private CompletableFuture<Reply> abandon(String id) {
     if (records.isUnknownJob(id) && records.job(id) == null) {
       return commit(
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
@@ -28,8 +28,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The parts of a node that detect a loss of the records and rebuild them, wired together. A node
- * that is not configured for recovery has none of them, and loads none of their classes.
+ * Creates and connects the components of a node that detect a loss of records and rebuild them. A
+ * node without recovery in its settings creates none of them and doesn't load their classes.
  */
 public final class RecoveryModule implements Lifecycle, MeterBinder {
   private final ElectionClusterNode node;
@@ -39,7 +39,7 @@
   private final RecoveryMeters meters;
   private final Optional<SnapshotWriter> snapshots;
 
-  /** What the recovery shares with the rest of the node. */
+  /** The components and clocks that the recovery shares with the rest of the node. */
   public record Dependencies(
       EventLoop loop,
       StateStoreAccess stateStore,
@@ -48,10 +48,10 @@
       InstantSource clock) {}
 
   /**
-   * Creates the recovery module.
+   * Creates the components.
    *
-   * @param snapshotTarget where snapshots go; empty if none are taken
-   * @param snapshotInterval how often they are taken
+   * @param snapshotTarget where snapshots are written; empty if none are taken
+   * @param snapshotInterval the time between snapshots
    */
   public RecoveryModule(
       Dependencies dependencies,
@@ -112,24 +112,25 @@
     meters.bindTo(registry);
   }
 
-  /** What this node's heartbeats say of the records that it retains. */
+  /** Returns the summary of the records that this node retains, for its heartbeats. */
   public Mesh.RetainedRecordsSummary retainedRecordsSummary() {
     return RetainedRecordsCodec.encode(recovery.retainedRecords());
   }
 
-  /** Whether the records may be relied on. */
+  /** Whether the records are reliable, so that this node may serve them. */
   public boolean isServing() {
     return recovery.isServing();
   }
 
-  /** Whether this node rebuilds lost records. */
+  /** Whether this node is rebuilding lost records. */
   public boolean isRebuilding() {
     return recovery.retainedRecords().phase() == RetainedRecords.Phase.REBUILDING;
   }
 
   /**
-   * Whether no node serves the records, as far as is known: while they are rebuilt, being passed
-   * over by the load balancer helps no user, and it counts such a node as unhealthy long after.
+   * Whether no node serves the records, as far as this node knows. While the records are being
+   * rebuilt, it helps no user if the load balancer avoids a node, and the load balancer would
+   * consider that node unhealthy for a long time afterwards.
    */
   public boolean hasNoServingNode() {
     return recovery.retainedRecords().phase() != RetainedRecords.Phase.STARTING
@@ -137,26 +138,32 @@
             .noneMatch(peer -> peer.retainedRecords().phase() == RetainedRecords.Phase.SERVING);
   }
 
-  /** When the last request that succeeded while not serving was sent; empty if none was. */
+  /**
+   * Returns when the last successful request while not serving was sent; empty if there was none.
+   */
   public Optional<Duration> lastAnsweredRequestSentAt() {
     return recovery.lastAnsweredRequestSentAt();
   }
 
-  /** Takes note of a term that a worker or another node has shown. */
+  /** Records a term that a worker or another node has sent. */
   public void observeTerm(long term) {
     recovery.observeTerm(term);
   }
 
   /**
-   * Reports a loss: a worker has a task whose start is in no record.
+   * Reports a loss of records that was detected because a worker has a task whose start is not
+   * recorded.
    *
-   * @param task the task and its attempt, for the log
+   * @param task the task and its attempt, for the log message
    */
   public void reportUnrecordedStart(String task) {
     recovery.reportLoss(RollbackDetector.Loss.START_MISSING, task);
   }
 
-  /** Takes from a heartbeat that came while nobody leads which tokens were once given out. */
+  /**
+   * Records the highest fencing token that a worker has sent in a heartbeat that this node could
+   * not answer as the leader. It is used only while the records are not reliable.
+   */
   public void observeUnansweredHeartbeat(WorkerHeartbeat heartbeat) {
     if (!recovery.isServing()) {
       if (heartbeat.highestFencingToken() > 0) {
@@ -166,7 +173,7 @@
     }
   }
 
-  /** Answers an operator's request, see {@link RecoveryApi}. */
+  /** Answers a request of an operator, see {@link RecoveryApi}. */
   public CompletableFuture<Reply> handle(Request request) {
     return api.handle(request);
   }
--- a/src/main/java/io/cherryspool/controller/recovery/RetainedRecordsCodec.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RetainedRecordsCodec.java
@@ -4,11 +4,14 @@
 import io.cherryspool.recovery.RetainedRecords;
 import io.cherryspool.store.Incarnation;
 
-/** Converts what a node retains of the records to and from the form that heartbeats carry. */
+/**
+ * Converts the description of a node's retained records to and from the form that heartbeats
+ * contain.
+ */
 final class RetainedRecordsCodec {
   private RetainedRecordsCodec() {}
 
-  /** The form that heartbeats carry; the phase is its ordinal. */
+  /** Returns the form that heartbeats contain; the phase is represented by its ordinal. */
   static Mesh.RetainedRecordsSummary encode(RetainedRecords retained) {
     return new Mesh.RetainedRecordsSummary(
         retained.phase().ordinal(),
@@ -20,8 +23,8 @@
   }
 
   /**
-   * What the sender retains; a phase that this version does not know counts as one in which the
-   * node does not serve.
+   * Returns the description of the records that the sender retains. A phase that this version does
+   * not know is read as {@link RetainedRecords.Phase#HOLDING}, in which a node does not serve.
    */
   static RetainedRecords decode(Mesh.RetainedRecordsSummary summary) {
     RetainedRecords.Phase[] phases = RetainedRecords.Phase.values();
--- a/src/main/java/io/cherryspool/controller/recovery/SnapshotTarget.java
+++ b/src/main/java/io/cherryspool/controller/recovery/SnapshotTarget.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.Executor;
 
 /**
- * Where a node's snapshots go, and what writes them.
+ * The place where a node's snapshots are kept, and the executor that writes them.
  *
  * @param store keeps the snapshot files
- * @param writerExecutor runs the writing, which may block, off the event loop
+ * @param writerExecutor writes snapshots outside the event loop, because writing may block
  */
 public record SnapshotTarget(SnapshotStore store, Executor writerExecutor) {}
--- a/src/main/java/io/cherryspool/controller/recovery/package-info.java
+++ b/src/main/java/io/cherryspool/controller/recovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The node's connection to the recovery of lost records: its view of the cluster, and the
- * operators' API. All of it runs on the event loop of the node.
+ * Connects the recovery of lost records to the node: provides its view of the cluster, and the API
+ * for operators. All of it runs on the node's event loop.
  */
 package io.cherryspool.controller.recovery;
--- a/src/main/java/io/cherryspool/mesh/LinkState.java
+++ b/src/main/java/io/cherryspool/mesh/LinkState.java
@@ -1,11 +1,14 @@
 package io.cherryspool.mesh;
 
-/** What a node concludes about one of its links. Heartbeats carry the ordinals. */
+/**
+ * The state of a node's link, as far as the node can tell. Heartbeats contain the ordinals, so the
+ * order must not change.
+ */
 public enum LinkState {
   /** Requests are answered, or messages arrive on time. */
   UP,
-  /** Something failed, which may be chance. */
+  /** Something has failed, possibly by chance. */
   SUSPECT,
-  /** Nothing gets through. */
+  /** Requests are not answered, or no messages arrive. */
   DOWN
 }
--- a/src/main/java/io/cherryspool/mesh/LinkSummary.java
+++ b/src/main/java/io/cherryspool/mesh/LinkSummary.java
@@ -3,21 +3,22 @@
 import java.util.List;
 
 /**
- * The state of a node's links, as it publishes it to the other nodes. Its size depends on the
- * numbers of controllers and zones, and not on the number of machines.
+ * The state of a node's links, as the node sends it to the other nodes. Its size depends on the
+ * numbers of controllers and zones, not on the number of machines.
  *
- * <p>It has more components than seven, one for each field of the message.
+ * <p>The record has more than seven components, because it has one for each field of the message.
  *
  * @param isLeading whether the node leads and may answer workers
- * @param address where the node takes users' requests; empty if that is not known
- * @param stateStore its link to the state store
- * @param cloud its link to the cloud; up for a node that does not use it
- * @param wasStalled whether the node was paused lately, or fell behind, so that messages that it
- *     missed prove nothing
- * @param leadershipPenalty how often it lately lost its leadership while it lived, in tenths
- * @param verdict what it does about its links, and why
- * @param peers its links from the other nodes
- * @param zones its links from the workers of each zone
+ * @param address the address at which the node serves users' requests; empty if it is not known
+ * @param stateStore the node's link to the state store
+ * @param cloud the node's link to the cloud; up for a node that does not use it
+ * @param wasStalled whether the node recently stalled or fell behind, so that missing messages may
+ *     be its own fault
+ * @param leadershipPenalty how often the node has recently lost leadership while its process kept
+ *     running, in tenths of a loss
+ * @param verdict what the node does about its links, and the reason
+ * @param peers the node's links from the other nodes
+ * @param zones the node's links from the workers of each zone
  */
 public record LinkSummary(
     boolean isLeading,
@@ -29,25 +30,26 @@
     String verdict,
     List<PeerLink> peers,
     List<ZoneLink> zones) {
-  /** The summary of a node whose version sends none. */
+  /** The summary of a node whose version does not send one. */
   public static final LinkSummary NONE =
       new LinkSummary(false, "", LinkState.UP, LinkState.UP, false, 0, "", List.of(), List.of());
 
   /**
    * The link from another node.
    *
-   * @param node the other node's name
-   * @param heartbeatAgeMillis how long ago its last heartbeat arrived; -1 if none ever did
+   * @param node the name of the other node
+   * @param heartbeatAgeMillis how long ago its last heartbeat arrived; -1 if none has ever arrived
    */
   public record PeerLink(String node, LinkState state, int heartbeatAgeMillis) {}
 
   /**
    * The links from the workers of a zone.
    *
-   * @param knownMachines how many machines the node knows there; 0 if it does not lead
-   * @param missingMachines how many of them send no heartbeats, or do not receive the replies
-   * @param redirectedWorkers how many workers of the zone send their heartbeats to this node
-   *     although another one leads
+   * @param knownMachines how many machines of the zone the node knows; 0 if it does not lead
+   * @param missingMachines how many of them send no heartbeats in time, or do not receive the
+   *     answers
+   * @param redirectedWorkers how many workers of the zone have recently sent their heartbeats to
+   *     this node while another one led
    */
   public record ZoneLink(
       String zone,
--- a/src/main/java/io/cherryspool/mesh/LinkSummaryCodec.java
+++ b/src/main/java/io/cherryspool/mesh/LinkSummaryCodec.java
@@ -7,20 +7,22 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Reads and writes a {@link LinkSummary} as MessagePack. Fields that a later version adds come
- * last, and are skipped.
+ * Reads and writes a {@link LinkSummary} as MessagePack. Later versions add fields only at the end;
+ * this version skips them.
  */
 final class LinkSummaryCodec {
   private static final int FIELDS = 9;
   private static final int PEER_FIELDS = 3;
   private static final int ZONE_FIELDS = 5;
 
-  /** Bounds the zones that are sent, the first ones, so that a heartbeat fits into a frame. */
+  /**
+   * The most zones that are sent, so that a heartbeat fits into a frame; further zones are omitted.
+   */
   private static final int MAX_ZONES = 40;
 
   private LinkSummaryCodec() {}
 
-  /** Appends a summary to a message. */
+  /** Appends the summary to the message. */
   static void pack(MessagePacker packer, LinkSummary summary) throws IOException {
     packer.packArrayHeader(FIELDS);
     packer.packBoolean(summary.isLeading());
@@ -52,7 +54,7 @@
   /**
    * Reads a summary from a message.
    *
-   * @throws IOException if it has too few fields, or one of another type
+   * @throws IOException if the summary has too few fields or a field has the wrong type
    */
   static LinkSummary unpack(MessageUnpacker unpacker) throws IOException {
     int fields = unpackFieldCount(unpacker, FIELDS);
@@ -106,7 +108,8 @@
   private static int unpackFieldCount(MessageUnpacker unpacker, int minFields) throws IOException {
     int fields = unpacker.unpackArrayHeader();
     if (fields < minFields) {
-      throw new IOException("a link summary with too few fields");
+      throw new IOException(
+          "link summary has too few fields: expected at least " + minFields + ", found " + fields);
     }
     return fields;
   }
--- a/src/main/java/io/cherryspool/mesh/NettyMesh.java
+++ b/src/main/java/io/cherryspool/mesh/NettyMesh.java
@@ -29,23 +29,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Heartbeats between the nodes over TCP, in length-prefixed frames. Each node opens one connection
- * to each other and sends only on those. A heartbeat that can't be sent now is dropped, since the
- * next one supersedes it. Used on the event loop, except for {@link #bind}.
+ * Sends and receives heartbeats between nodes over TCP, in length-prefixed frames. Each node opens
+ * one connection to each other node and sends only on the connections that it opened. A heartbeat
+ * that can't be sent now is dropped, because the next one supersedes it. Used on the event loop,
+ * except for {@link #bind}.
  */
 public final class NettyMesh implements Mesh, Lifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(NettyMesh.class);
   private static final int MAX_FRAME_BYTES = 4096;
 
-  /** The length that precedes each frame. */
+  /** The size of the length field that precedes each frame. */
   private static final int LENGTH_FIELD_BYTES = 4;
 
   private static final int CONNECT_TIMEOUT_MS = 1000;
 
-  /** Longer than several heartbeat intervals: the connection's sender is gone by then. */
+  /**
+   * The time without a frame after which an incoming connection is closed. It is longer than
+   * several heartbeat intervals, so the sender is gone by then.
+   */
   private static final int READ_TIMEOUT_S = 30;
 
-  /** Bounds what waits in a connection that is not read; beyond it the connection is closed. */
+  /**
+   * The most bytes that may wait in an outgoing connection that the receiver does not read; a
+   * connection with more is closed.
+   */
   private static final int MAX_UNSENT_BYTES = 16 * 1024;
 
   private final NettyEventLoop loop;
@@ -56,9 +63,9 @@
   private boolean isStopped;
 
   /**
-   * Makes a mesh that does not listen yet.
+   * Creates a mesh that does not listen yet.
    *
-   * @param peers where the other nodes take heartbeats
+   * @param peers the addresses at which the other nodes receive heartbeats
    * @param receiver receives the heartbeats of other nodes, on the event loop
    */
   public NettyMesh(NettyEventLoop loop, List<Endpoint> peers, Consumer<PeerHeartbeat> receiver) {
@@ -68,8 +75,8 @@
   }
 
   /**
-   * Begins to listen. Called once, from outside the loop, and blocks. Fails with {@link
-   * java.net.BindException}, which Netty does not declare, if the port is taken.
+   * Binds the port and starts listening. Called once, from outside the event loop; blocks. Fails
+   * with {@link java.net.BindException}, which Netty does not declare, if the port is in use.
    */
   public void bind(Endpoint endpoint) throws InterruptedException {
     listener =
@@ -103,7 +110,7 @@
   @Override
   public void stop() {
     isStopped = true;
-    // A copy, since closing a channel removes it from the map.
+    // Iterates over a copy, because closing a channel removes it from the map.
     List.copyOf(outbound.values()).forEach(Channel::close);
     outbound.clear();
     if (listener != null) {
@@ -156,7 +163,7 @@
     channel.closeFuture().addListener(closed -> outbound.remove(peer, channel));
   }
 
-  /** One connection from another node. */
+  /** Handles one incoming connection from another node. */
   private final class InboundHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws IOException {
--- a/src/main/java/io/cherryspool/mesh/PeerHeartbeatCodec.java
+++ b/src/main/java/io/cherryspool/mesh/PeerHeartbeatCodec.java
@@ -8,9 +8,9 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Reads and writes heartbeats between nodes as MessagePack arrays. Nodes are replaced one at a
- * time, so that versions meet: fields that earlier versions do not send have defaults, and those
- * that later ones add come last and are ignored.
+ * Reads and writes heartbeats between nodes as MessagePack arrays. Nodes are upgraded one at a
+ * time, so that nodes of different versions exchange heartbeats: fields that earlier versions do
+ * not send have defaults; later versions add fields only at the end, and this version ignores them.
  */
 final class PeerHeartbeatCodec {
   private static final int MIN_FIELDS = 6;
@@ -19,7 +19,7 @@
 
   private PeerHeartbeatCodec() {}
 
-  /** Writes a heartbeat as one message. */
+  /** Encodes a heartbeat as one message. */
   static byte[] encode(PeerHeartbeat heartbeat) {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       packer.packArrayHeader(ALL_FIELDS);
@@ -38,20 +38,21 @@
       LinkSummaryCodec.pack(packer, heartbeat.links());
       return packer.toByteArray();
     } catch (IOException e) {
-      throw new IllegalStateException("packing into a buffer in memory", e);
+      throw new IllegalStateException("cannot encode a heartbeat into a memory buffer", e);
     }
   }
 
   /**
-   * Reads a heartbeat of this version, or of one before or after it.
+   * Decodes a heartbeat of this version, an earlier one or a later one.
    *
-   * @throws IOException if it has too few fields, or one of another type
+   * @throws IOException if the heartbeat has too few fields or a field has the wrong type
    */
   static PeerHeartbeat decode(byte[] frame) throws IOException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(frame)) {
       int fields = unpacker.unpackArrayHeader();
       if (fields < MIN_FIELDS) {
-        throw new IOException("a heartbeat with too few fields");
+        throw new IOException(
+            "heartbeat has too few fields: expected at least " + MIN_FIELDS + ", found " + fields);
       }
       return new PeerHeartbeat(
           unpacker.unpackString(),
--- a/src/main/java/io/cherryspool/reachability/ContactState.java
+++ b/src/main/java/io/cherryspool/reachability/ContactState.java
@@ -1,26 +1,31 @@
 package io.cherryspool.reachability;
 
-/** How a leader stands with one machine that it has not given up. */
+/** The state of a leader's contact with one machine that it has not evicted. */
 public enum ContactState {
-  /** The machine's heartbeats arrive, and it follows the answers. */
+  /** The machine's heartbeats arrive, and it receives the answers. */
   REACHABLE,
-  /** Its heartbeats are late, but it answers direct calls, or did so lately. */
+  /**
+   * The machine's heartbeats are late, but it answers direct calls, or has answered one recently.
+   */
   LATE,
-  /** Its heartbeats arrive, and it receives no answer. */
+  /** The machine's heartbeats arrive, but it does not receive the answers. */
   NOT_RECEIVING,
-  /** Nothing has arrived from it for longer than a heartbeat may be late. */
+  /** No message has arrived from the machine for longer than a heartbeat may be late. */
   SILENT,
-  /** The cloud has listed it as running for longer than that, and nothing arrived in this term. */
+  /**
+   * The cloud has listed the machine as running for longer than that, but no message from it has
+   * arrived in this term.
+   */
   NEVER_SEEN,
-  /** Nothing has arrived from it yet, and nothing needs to have. */
+  /** No message has arrived from the machine yet, and none is overdue. */
   NEW;
 
-  /** Whether its heartbeats and their answers do not get through. */
+  /** Whether the machine's heartbeats, or the answers to them, are not delivered in time. */
   boolean isMissing() {
     return this == LATE || isUnreachable();
   }
 
-  /** Whether nothing gets through in one direction at least. */
+  /** Whether no messages are delivered in at least one direction. */
   boolean isUnreachable() {
     return this == NOT_RECEIVING || this == SILENT || this == NEVER_SEEN;
   }
--- a/src/main/java/io/cherryspool/reachability/FlapDamper.java
+++ b/src/main/java/io/cherryspool/reachability/FlapDamper.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 
 /**
- * Route-flap damping of one link: a penalty that grows by one with each flap and halves with time.
- * Between two thresholds the answer stays what it was, so that a link does not go in and out of use
- * with each flap. Confined to the event loop.
+ * Flap damping for one link, as in BGP route-flap damping: each flap adds one to a penalty, which
+ * decays exponentially. A link begins to count as flapping at one threshold and ceases to at a
+ * lower one, so that a single flap does not switch it back and forth. Confined to the event loop.
  */
 public final class FlapDamper {
-  /** From this penalty on the link counts as flapping. */
+  /** A link whose penalty reaches this value counts as flapping. */
   static final double SUPPRESS_PENALTY = 2;
 
-  /** Below this penalty it no longer does. */
+  /** A flapping link whose penalty falls below this value no longer counts as flapping. */
   static final double REUSE_PENALTY = 1;
 
   private final Duration halfLife;
@@ -21,15 +21,15 @@
   private long flapCount;
 
   /**
-   * A damper without any penalty.
+   * Creates a damper with a penalty of zero.
    *
-   * @param halfLife in what time the penalty halves
+   * @param halfLife the time in which the penalty halves
    */
   public FlapDamper(Duration halfLife) {
     this.halfLife = halfLife;
   }
 
-  /** Counts one more failure, or one more return, of the link. */
+  /** Records one more flap of the link. */
   public void recordFlap(Duration now) {
     penalty = penalty(now) + 1;
     penaltyUpdatedAt = now;
@@ -37,13 +37,13 @@
     flapCount++;
   }
 
-  /** The penalty as it has decayed until now; without a unit, one for each flap. */
+  /** The penalty at this time, after its decay; each flap adds one. */
   public double penalty(Duration now) {
     double halfLives = (double) now.minus(penaltyUpdatedAt).toNanos() / halfLife.toNanos();
     return penalty * Math.pow(0.5, halfLives);
   }
 
-  /** Whether the link fails too often to be relied on, also while it happens to be up. */
+  /** Whether the link fails too often to be relied on, even if it is up at this time. */
   public boolean isFlapping(Duration now) {
     if (isFlapping && penalty(now) < REUSE_PENALTY) {
       isFlapping = false;
@@ -51,7 +51,7 @@
     return isFlapping;
   }
 
-  /** How many flaps there were since the start. */
+  /** The number of flaps since this damper was created. */
   public long flapCount() {
     return flapCount;
   }
--- a/src/main/java/io/cherryspool/reachability/FleetReachability.java
+++ b/src/main/java/io/cherryspool/reachability/FleetReachability.java
@@ -5,27 +5,30 @@
 import java.util.TreeMap;
 
 /**
- * How well a leader reaches its machines, in numbers for each zone. Immutable.
+ * How many machines a leader reaches, in total and for each zone. Immutable.
  *
- * @param known machines that have sent a heartbeat in this term, or ought to have
- * @param missing those of them whose heartbeats and answers do not get through
- * @param zones the same by zone, in the order of names
+ * @param known the number of machines that have sent a heartbeat in this term, or should have
+ * @param missing how many of the known machines send no heartbeats in time or receive no answers
+ * @param zones the numbers of each zone, sorted by zone name
  */
 public record FleetReachability(int known, int missing, Map<String, Zone> zones) {
-  /** Of a node that does not lead. */
+  /** The numbers of a node that does not lead. */
   public static final FleetReachability EMPTY = new FleetReachability(0, 0, Map.of());
 
   /**
-   * The machines of one zone.
+   * The numbers of one zone.
    *
-   * @param known as for the fleet
-   * @param missing as for the fleet
-   * @param listed those that the cloud lists
-   * @param unreachable those of the listed ones to or from which nothing gets through
+   * @param known as in {@link FleetReachability}
+   * @param missing as in {@link FleetReachability}
+   * @param listed the number of machines that the cloud lists
+   * @param unreachable how many of the listed machines no message reaches, or none arrives from
    */
   public record Zone(int known, int missing, int listed, int unreachable) {}
 
-  /** Counts machines one by one, thousands of them twice a second. Confined to one thread. */
+  /**
+   * Counts machines one by one. A leader counts thousands of them twice a second. Confined to one
+   * thread.
+   */
   public static final class Builder {
     private final Map<String, Counts> zones = new TreeMap<>();
 
@@ -37,8 +40,8 @@
     }
 
     /**
-     * Counts a machine that is not deleted. One that the cloud does not list was taken back, or is
-     * too new for the list; it tells nothing of its zone.
+     * Counts a machine that has not been deleted. A machine that the cloud does not list was
+     * preempted, or is too new for the list; its contact state says nothing about its zone's link.
      */
     public void addMachine(String zone, boolean isListed, ContactState contact) {
       Counts counts = zones.computeIfAbsent(zone, key -> new Counts());
@@ -53,7 +56,7 @@
       }
     }
 
-    /** The numbers so far. */
+    /** Returns the numbers of the machines counted so far. */
     public FleetReachability build() {
       int known = 0;
       int missing = 0;
--- a/src/main/java/io/cherryspool/reachability/LocalHealth.java
+++ b/src/main/java/io/cherryspool/reachability/LocalHealth.java
@@ -3,8 +3,9 @@
 import java.time.Duration;
 
 /**
- * Whether this node itself kept up. What it did not receive while it stood still or was behind is
- * nobody's silence: it may wait in its sockets, unread. Confined to the event loop.
+ * Measures for how long this node has run its periodic ticks on time. While a node is stalled or
+ * falls behind, messages from others may be waiting unread in its sockets, so a message that it has
+ * not received then says nothing about the sender. Confined to the event loop.
  */
 public final class LocalHealth {
   private final Duration maxTickDelay;
@@ -12,15 +13,15 @@
   private Duration healthySince;
 
   /**
-   * The health of a node that has run no step yet.
+   * Creates the health of a node that has run no tick yet.
    *
-   * @param maxTickDelay how late a step may be
+   * @param maxTickDelay how late a tick may be for the node to count as healthy
    */
   public LocalHealth(Duration maxTickDelay) {
     this.maxTickDelay = maxTickDelay;
   }
 
-  /** Records that a step runs now; the next one is due after the interval. */
+  /** Records that a tick runs now and that the next one is due after the interval. */
   public void recordTick(Duration now, Duration interval) {
     if (nextTickDue == null || now.minus(nextTickDue).compareTo(maxTickDelay) > 0) {
       healthySince = now;
@@ -28,17 +29,20 @@
     nextTickDue = now.plus(interval);
   }
 
-  /** Moves the next step to this interval from now, instead of when it was due. */
+  /** Changes the time at which the next tick is due to this interval from now. */
   public void postpone(Duration now, Duration interval) {
     nextTickDue = now.plus(interval);
   }
 
-  /** Counts the steady time from now, because what was received before tells nothing of links. */
+  /**
+   * Restarts the healthy time from now, because what this node received before says nothing about
+   * its links.
+   */
   public void reset(Duration now) {
     healthySince = now;
   }
 
-  /** For how long all steps have run in time; zero before the first. */
+  /** Returns for how long all ticks have run on time; zero before the first tick. */
   public Duration healthyFor(Duration now) {
     return healthySince == null ? Duration.ZERO : now.minus(healthySince);
   }
--- a/src/main/java/io/cherryspool/reachability/MachineEvictionRule.java
+++ b/src/main/java/io/cherryspool/reachability/MachineEvictionRule.java
@@ -5,20 +5,24 @@
 import java.util.Optional;
 
 /**
- * When a leader gives up a single machine to or from which nothing gets through. Only the confirmed
- * deletion that follows proves anything. Immutable.
+ * Decides when a leader evicts a single machine that it does not reach, or that does not reach it.
+ * The decision is only a guess that the machine is lost; its tasks are free only after the
+ * machine's deletion, which follows, is confirmed. Immutable.
  */
 public final class MachineEvictionRule {
-  /** So many heartbeats in a row are missing from a machine that is given up. */
+  /** The number of heartbeat intervals without a message after which a machine is evicted. */
   private static final int MAX_MISSED_HEARTBEATS = 3;
 
-  /** The same for a machine that owns tasks and does not answer a direct call either. */
+  /** The same number for a machine that owns tasks and does not answer a direct call either. */
   private static final int MAX_MISSED_HEARTBEATS_IF_UNRESPONSIVE = 2;
 
-  /** For what a heartbeat may be late. */
+  /** How late a heartbeat may be, for example because of network delays. */
   private static final Duration HEARTBEAT_GRACE = Duration.ofSeconds(2);
 
-  /** A machine in a zone that is rather unreachable than dead is given up after so many leases. */
+  /**
+   * The number of task leases after which a machine is evicted if its zone is probably unreachable
+   * rather than dead.
+   */
   private static final int UNREACHABLE_ZONE_LEASES = 2;
 
   private final Duration silenceTimeout;
@@ -26,22 +30,25 @@
   private final Duration taskLeaseExpiry;
   private final Duration unreachableZoneTimeout;
 
-  /** Why a machine is given up. */
+  /** The reason for which a machine is evicted. */
   public enum EvictionReason {
-    /** Nothing arrives from it. */
+    /** No message arrives from the machine. */
     SILENT,
-    /** Its heartbeats arrive, and it receives no answer. */
+    /** The machine's heartbeats arrive, but it does not receive the answers. */
     NOT_RECEIVING
   }
 
   /**
-   * What is known of a machine.
+   * What the leader has observed of a machine.
    *
-   * @param silentFor how long ago its last message arrived
-   * @param notReceivingFor for how long it has ignored answers; empty while it follows them
-   * @param ownsTasks whether it owns tasks
-   * @param isUnresponsive whether it has not answered a direct call, and nothing arrived since
-   * @param isZoneEvictionSuspended whether its zone is rather unreachable than dead
+   * @param silentFor how long ago the last message from the machine arrived
+   * @param notReceivingFor for how long the machine has not received answers; empty while it
+   *     receives them
+   * @param ownsTasks whether the machine owns tasks
+   * @param isUnresponsive whether the machine has not answered a direct call and no message has
+   *     arrived since
+   * @param isZoneEvictionSuspended whether the machine's zone is probably unreachable rather than
+   *     dead
    */
   public record Observation(
       Duration silentFor,
@@ -50,7 +57,7 @@
       boolean isUnresponsive,
       boolean isZoneEvictionSuspended) {}
 
-  /** A rule with the deployment's times. */
+  /** Creates a rule with the deployment's timings. */
   public MachineEvictionRule(ReachabilityTimings timings) {
     Duration interval = timings.workerHeartbeatInterval();
     silenceTimeout = Durations.multiply(interval, MAX_MISSED_HEARTBEATS).plus(HEARTBEAT_GRACE);
@@ -60,9 +67,10 @@
   }
 
   /**
-   * Why the machine is to be given up; empty while it is not.
+   * Returns why the machine should be evicted; empty if it should not be.
    *
-   * @param observerHealthyFor for how long this node has kept up; a longer silence may be its own
+   * @param observerHealthyFor for how long this node has run on time, see {@link LocalHealth}; if a
+   *     machine has been silent for longer, the cause may be this node
    */
   public Optional<EvictionReason> evaluate(Observation machine, Duration observerHealthyFor) {
     Duration timeout = silenceTimeout(machine);
--- a/src/main/java/io/cherryspool/reachability/NodeView.java
+++ b/src/main/java/io/cherryspool/reachability/NodeView.java
@@ -6,14 +6,14 @@
 import java.util.Set;
 
 /**
- * All that a verdict rests on. Immutable.
+ * The input of a {@link VerdictRule}: what a node knows of itself and of its links. Immutable.
  *
  * @param node the node's name
- * @param now the time of the judgement, by the node's monotonic clock
- * @param leadership what the node is to the cluster
- * @param stateStoreLink its link to the state store
- * @param fleet how well it reaches its machines
- * @param matrix what the other nodes' heartbeats say
+ * @param now the time at which the rule is applied, by the node's monotonic clock
+ * @param leadership the node's role, and the recent changes of the leader
+ * @param stateStoreLink the node's link to the state store
+ * @param fleet how many of its machines the node reaches
+ * @param matrix the heartbeats of the other nodes
  */
 public record NodeView(
     String node,
@@ -23,47 +23,50 @@
     Fleet fleet,
     ReachabilityMatrix matrix) {
 
-  /** What the node is to the cluster now. */
+  /** The role of a node in the cluster. */
   public enum Role {
-    /** It leads. */
+    /** The node leads. */
     LEADER,
-    /** Another node leads. */
+    /** The node neither leads nor is about to run for election. */
     FOLLOWER,
-    /** There is no leader, and the node may stand. */
+    /** There is no leader, and the node may run for election. */
     CANDIDATE
   }
 
   /**
-   * The node's role, and how leadership changed before.
+   * The node's role, and the recent changes of the leader.
    *
-   * @param healthyFor for how long this node has led, been able to answer, and kept up
-   * @param penalty how often leaders of the cluster changed lately, see {@link FlapDamper}
-   * @param handover to whom the last leader handed leadership over, if it did
+   * @param healthyFor for how long this node has run on time and been able to answer workers, see
+   *     {@link LocalHealth}
+   * @param penalty how often leaders of the cluster have recently lost leadership, see {@link
+   *     FlapDamper}
+   * @param handover the handover by which the last term ended; empty if it ended otherwise
    */
   public record Leadership(
       Role role, Duration healthyFor, double penalty, Optional<Handover> handover) {}
 
   /**
-   * A leader handed leadership over.
+   * The handover of leadership by a former leader.
    *
-   * @param successor to whom, {@link Verdict.HandOverLeadership#ANY_NODE} if to no certain node
-   * @param formerLeader who it was
+   * @param successor the node that should lead next; {@link Verdict.HandOverLeadership#ANY_NODE}
+   *     for any node
+   * @param formerLeader the node that handed leadership over
    */
   public record Handover(String successor, String formerLeader) {}
 
   /**
-   * The link to the state store.
+   * The node's link to the state store.
    *
-   * @param isFlapping whether it fails again and again
+   * @param isFlapping whether the link fails repeatedly, see {@link FlapDamper}
    */
   public record StateStoreLink(LinkState state, boolean isFlapping) {}
 
   /**
-   * The machines of a leader; none for any other node.
+   * The machines of a leader; without any machines for other nodes.
    *
-   * @param unreachableZones the zones that the node takes for unreachable
-   * @param unreachableFor for how long many machines of several zones have been unreachable; empty
-   *     while they are not
+   * @param unreachableZones the zones that the node considers unreachable
+   * @param unreachableFor for how long many machines in several zones have been unreachable; empty
+   *     if they are not
    */
   public record Fleet(
       FleetReachability machines,
--- a/src/main/java/io/cherryspool/reachability/PartitionRule.java
+++ b/src/main/java/io/cherryspool/reachability/PartitionRule.java
@@ -8,36 +8,49 @@
 import java.util.Optional;
 
 /**
- * The rule by which nodes judge their links. Immutable.
+ * The rule that controllers follow in a network partition. Immutable.
  *
- * <p>A leader that loses its workers, but neither the state store nor the other nodes, would stay
- * leader while its workers try the nodes in turn, are redirected to it each time, and lose all
- * their tasks when their leases expire. The others count those workers in their heartbeats. Both
- * must agree: many machines have stopped reporting here, and about as many come to the others.
- * Machines that died, hang or are cut off with their zone come to no node.
+ * <p>A leader whose workers can't reach it, but which reaches the state store and the other nodes,
+ * would remain leader. Its workers would try the other nodes in turn, be redirected to it each
+ * time, and lose all their tasks when their leases expire. The other nodes therefore count the
+ * workers that they redirect and send the counts in their heartbeats. The leader hands leadership
+ * over only if both observations agree: many machines have stopped sending it heartbeats, and about
+ * as many workers come to the other nodes. Machines that have died, hang or are cut off together
+ * with their zone come to no node.
  */
 public final class PartitionRule implements VerdictRule {
-  /** Fewer missing machines are worth no change of the leader. */
+  /** The smallest number of missing machines for which a leader hands leadership over. */
   private static final int MIN_MISSING_MACHINES = 3;
 
-  /** With fewer than one machine of so many missing, neither. */
+  /**
+   * A leader hands leadership over only if at least the known machines divided by this are missing.
+   */
   private static final int MIN_MISSING_DIVISOR = 6;
 
-  /** Each recent change of the leader doubles what a further one must be worth. */
+  /**
+   * After recent changes of the leader, the part of the machines that must be missing is multiplied
+   * by this.
+   */
   private static final int RECENT_CHANGES_THRESHOLD_FACTOR = 2;
 
-  /** Penalties below this are a single change some time ago. */
+  /**
+   * From this penalty on, changes of the leader count as recent. A lower penalty results from at
+   * most one change, or from changes some time ago.
+   */
   private static final double RECENT_CHANGES_PENALTY = 1.5;
 
-  /** A node that flaps stands after this part of a lease. */
+  /** A node whose link to the state store flaps delays its candidacy by a lease divided by this. */
   private static final int FLAPPING_DELAY_DIVISOR = 2;
 
-  /** A node that is not the successor stands after this part of a lease. */
+  /**
+   * After a handover, a node that is not the successor delays its candidacy by a lease divided by
+   * this.
+   */
   private static final int NOT_SUCCESSOR_DELAY_DIVISOR = 4;
 
   private final ReachabilityTimings timings;
 
-  /** A rule with the deployment's times. */
+  /** Creates a rule with the deployment's timings. */
   public PartitionRule(ReachabilityTimings timings) {
     this.timings = timings;
   }
@@ -78,8 +91,9 @@
   }
 
   /**
-   * Whether much of the fleet is unreachable, for no longer than its tasks' leases last. Later what
-   * it ran is free for other machines, so that the fleet may have to grow.
+   * Whether much of the fleet is unreachable, but for less time than the leases of its tasks take
+   * to expire. After that, its tasks may be placed on other machines, and the fleet may have to
+   * grow for them.
    */
   private boolean mayMachinesStillOwnTasks(NodeView view) {
     Optional<Duration> unreachableFor = view.fleet().unreachableFor();
@@ -88,14 +102,16 @@
   }
 
   /**
-   * Whether enough machines are missing. Heartbeats that were late because this node stood still,
-   * or is behind, are nobody's absence, nor are those that it could not answer: after an outage of
-   * the state store all workers come from the other nodes at once.
+   * Whether enough machines are missing for a handover. Missing machines don't count if this node
+   * was recently stalled, behind, or unable to answer workers. Heartbeats were then late because of
+   * this node, and after an outage of the state store all workers come back from the other nodes at
+   * once.
    *
-   * <p>Nor are those that a busy node answers too late, so that their workers try the others. The
-   * next leader is no larger, and has the failover to pay besides: three controllers with 7.6% of a
-   * core handed leadership over every 10 to 20 s and lost thousands of tasks. A leader that its
-   * workers do not reach has little to do.
+   * <p>For the same reason a leader that is too busy to answer workers in time does not hand over,
+   * although its workers try the other nodes. Its successor would have no more capacity, and the
+   * work of a failover in addition: three controllers with 7.6% of a core handed leadership over
+   * every 10 to 20 s and lost thousands of tasks. A leader that its workers can't reach, by
+   * contrast, has little work and runs on time.
    */
   private boolean isHandoverWorthwhile(NodeView view) {
     int missing = view.fleet().machines().missing();
@@ -112,7 +128,10 @@
     return view.leadership().healthyFor().compareTo(required) >= 0;
   }
 
-  /** The handover to the node to which most of the missing workers come; empty if to none. */
+  /**
+   * Returns the handover to the node to which most of the missing workers come; empty if there is
+   * no such node.
+   */
   private Optional<Verdict> handOver(NodeView view) {
     List<Mesh.PeerHeartbeat> heartbeats =
         view.matrix().freshHeartbeats(timings.peerHeartbeatTimeout(), view.now());
@@ -120,8 +139,9 @@
   }
 
   /**
-   * A leader that receives no heartbeats can't know where its workers are; if it misses half of
-   * them, any other node is the better guess.
+   * Returns the handover of a leader that receives no heartbeats from other nodes, and so can't
+   * know to which node its workers come. If half of its machines are missing, any other node is
+   * probably the better leader. A leader that has never received a heartbeat does not hand over.
    */
   private static Optional<Verdict> handOverWithoutPeers(NodeView view) {
     boolean isHalfMissing =
@@ -155,8 +175,8 @@
   }
 
   /**
-   * The successor stands first, and the former leader last; a node whose link to the state store
-   * flaps stands after the others.
+   * Orders the candidacies. After a handover the successor runs first and the former leader last.
+   * Any other node whose link to the state store flaps runs after the nodes whose links do not.
    */
   private Verdict evaluateCandidate(NodeView view) {
     Duration lease = timings.leaderLease();
--- a/src/main/java/io/cherryspool/reachability/Reachability.java
+++ b/src/main/java/io/cherryspool/reachability/Reachability.java
@@ -13,14 +13,15 @@
 import java.util.TreeSet;
 
 /**
- * One node's links: what was observed of them, what other nodes' heartbeats tell, and the verdict
- * on them. Times are of the node's monotonic clock. Confined to the event loop.
+ * The links of one node: collects what the node observes of them and what other nodes' heartbeats
+ * contain, and determines the verdict. All times are of the node's monotonic clock. Confined to the
+ * event loop.
  */
 public final class Reachability {
-  /** Ages of heartbeats are shown up to a day. */
+  /** The highest age of a heartbeat that link summaries contain: one day. */
   private static final int MAX_REPORTED_AGE_MILLIS = 86_400_000;
 
-  /** Of a node from which no heartbeat was received. */
+  /** The age in link summaries for a node from which no heartbeat was ever received. */
   private static final int NEVER_RECEIVED_AGE_MILLIS = -1;
 
   private final String node;
@@ -34,10 +35,10 @@
   private final ZoneLinks zones;
   private final RedirectedWorkers redirectedWorkers = new RedirectedWorkers();
 
-  /** Whether this node's loop kept up. */
+  /** Whether this node's event loop has run on time. */
   private final LocalHealth loopHealth;
 
-  /** The same, while it could answer workers as well. */
+  /** Whether this node's event loop has run on time while the node was able to answer workers. */
   private final LocalHealth leaderHealth;
 
   private final FlapDamper leadershipLosses;
@@ -47,11 +48,11 @@
   private Verdict verdict = new Verdict.Serve();
 
   /**
-   * The links of a node that has observed nothing yet.
+   * Creates the links of a node that has observed nothing yet.
    *
    * @param peers the names of the other nodes
-   * @param isDampingEnabled whether flaps make leases longer and candidates wait
-   * @param rule judges the links
+   * @param isDampingEnabled whether flapping makes leases longer and delays candidacies
+   * @param rule determines the verdict on the links
    */
   public Reachability(
       String node,
@@ -85,37 +86,41 @@
     return cloudLink;
   }
 
-  /** The workers that come here although another node leads. */
+  /** The workers that sent a heartbeat to this node while another node led. */
   public RedirectedWorkers redirectedWorkers() {
     return redirectedWorkers;
   }
 
-  /** What the other nodes' heartbeats tell. */
+  /** The latest heartbeats of the other nodes. */
   public ReachabilityMatrix matrix() {
     return matrix;
   }
 
-  /** The latest heartbeats of the nodes that are reachable. */
+  /**
+   * Returns the latest heartbeats of the other nodes, without those that are too old for the node
+   * to count as reachable.
+   */
   public List<Mesh.PeerHeartbeat> freshPeerHeartbeats(Duration now) {
     return matrix.freshHeartbeats(timings.peerHeartbeatTimeout(), now);
   }
 
-  /** When a single machine is given up. */
+  /** The rule that decides when a single machine is evicted. */
   public MachineEvictionRule machineEvictionRule() {
     return machineEvictionRule;
   }
 
-  /** Takes in a heartbeat from another node. */
+  /** Records a heartbeat from another node. */
   public void receivePeerHeartbeat(Mesh.PeerHeartbeat heartbeat, Duration now) {
     matrix = matrix.withHeartbeat(heartbeat, now);
   }
 
   /**
-   * Judges the links; called once in each interval of heartbeats.
+   * Determines the verdict on the links; called once in each interval of the heartbeats between
+   * nodes.
    *
    * @param isLeading whether this node leads
-   * @param mayAnswerWorkers whether it may answer workers
-   * @param observedFleet how well it reaches its machines
+   * @param mayAnswerWorkers whether this node may answer workers
+   * @param observedFleet how many of its machines this node reaches
    */
   public Verdict evaluate(
       Duration now, boolean isLeading, boolean mayAnswerWorkers, FleetReachability observedFleet) {
@@ -131,22 +136,25 @@
     return verdict;
   }
 
-  /** What this node does about its links now. */
+  /** The latest verdict on this node's links. */
   public Verdict verdict() {
     return verdict;
   }
 
-  /** Whether a leader may plan and record, and call the cloud. */
+  /** Whether a leader may plan and commit placements, and call the cloud. */
   public boolean mayPlaceTasks() {
     return !(verdict instanceof Verdict.SuspendPlacement) && !isHandingOver();
   }
 
-  /** Whether this node's term is about to end for the sake of its links to workers. */
+  /** Whether this node is about to end its term because its workers do not reach it. */
   private boolean isHandingOver() {
     return verdict instanceof Verdict.HandOverLeadership;
   }
 
-  /** Whether the machines of this zone are unreachable rather than dead. */
+  /**
+   * Whether the machines of this zone are probably unreachable rather than dead, so that their
+   * eviction is suspended.
+   */
   public boolean isZoneEvictionSuspended(String zone) {
     return verdict instanceof Verdict.SuspendFleetChanges
         || isHandingOver()
@@ -159,7 +167,10 @@
     return mayPlaceTasks() && !(verdict instanceof Verdict.SuspendFleetChanges);
   }
 
-  /** How long to wait before standing for leader, so that better placed nodes go first. */
+  /**
+   * Returns how long this node must wait before it runs for election, so that nodes with better
+   * links run first.
+   */
   public Duration candidacyDelay(Duration now, Optional<NodeView.Handover> handover) {
     Verdict candidateVerdict = rule.evaluate(view(NodeView.Role.CANDIDATE, now, handover));
     return candidateVerdict instanceof Verdict.DelayCandidacy delayed
@@ -167,7 +178,7 @@
         : Duration.ZERO;
   }
 
-  /** Records that this node no longer leads, though its process lives on. */
+  /** Records that this node no longer leads although its process is still running. */
   public void recordLeadershipLoss(Duration now) {
     leadershipLosses.recordFlap(now);
     verdict = new Verdict.Serve();
@@ -175,12 +186,12 @@
     zones.clear();
   }
 
-  /** How often this node has lost its leadership since it started. */
+  /** The number of times that this node has lost leadership since its start. */
   public long leadershipLosses() {
     return leadershipLosses.flapCount();
   }
 
-  /** How long this node's lease is to be if it leads. */
+  /** Returns the length that this node's lease should have if it leads. */
   public Duration leaseLength(Duration now) {
     return isDampingEnabled
         ? leaseLength.forPenalty(leadershipPenalty(now))
@@ -188,8 +199,8 @@
   }
 
   /**
-   * How often leaders whose processes live on have lost their leadership lately, in the whole
-   * cluster; the sum of the nodes' penalties, see {@link FlapDamper}.
+   * Returns how often leaders of the cluster have recently lost leadership although their processes
+   * kept running: the sum of all nodes' penalties, see {@link FlapDamper}.
    */
   public double leadershipPenalty(Duration now) {
     double sum = leadershipLosses.penalty(now);
@@ -199,12 +210,12 @@
     return sum;
   }
 
-  /** Whether this node's own link to the state store fails too often to be relied on. */
+  /** Whether this node's link to the state store fails too often to be relied on. */
   public boolean isStateStoreLinkFlapping(Duration now) {
     return isDampingEnabled && stateStoreLink.damper().isFlapping(now);
   }
 
-  /** How often zones became unreachable in this term. */
+  /** The number of times that zones became unreachable in this term. */
   public long zoneFlapCount() {
     return zones.flapCount();
   }
@@ -221,10 +232,10 @@
   }
 
   /**
-   * What the other nodes are to know of this one's links.
+   * Returns the summary of this node's links for the other nodes.
    *
-   * @param isLeading whether it leads and may answer workers
-   * @param address where it takes users' requests
+   * @param isLeading whether this node leads and may answer workers
+   * @param address the address at which this node serves users' requests
    */
   public LinkSummary linkSummary(Duration now, boolean isLeading, String address) {
     boolean wasStalled =
--- a/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
+++ b/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
@@ -9,19 +9,20 @@
 import org.pcollections.PMap;
 
 /**
- * Which nodes reach which, as their latest heartbeats tell it, each with the time at which it was
- * received. Immutable: a new heartbeat makes a new matrix that shares what is left of the old one.
- * Nothing in it proves anything. Times are of the receiving node's monotonic clock.
+ * The latest heartbeat of each other node, which contains the state of that node's links, and the
+ * time at which it was received. Immutable: adding a heartbeat creates a new matrix, which shares
+ * the other rows with the old one. The contents are hints only, not proof. All times are of the
+ * receiving node's monotonic clock.
  */
 public final class ReachabilityMatrix {
-  /** Before any heartbeat. */
+  /** The matrix before any heartbeat was received. */
   public static final ReachabilityMatrix EMPTY = new ReachabilityMatrix(HashTreePMap.empty());
 
   private final PMap<String, Row> rows;
 
-  /** A node's latest heartbeat, and when it was received. */
+  /** The latest heartbeat of a node, and the time at which it was received. */
   public record Row(Mesh.PeerHeartbeat heartbeat, Duration receivedAt) {
-    /** Whether it was received less than this time ago. */
+    /** Whether the heartbeat was received less than this time ago. */
     boolean isFresh(Duration maxAge, Duration now) {
       return now.minus(receivedAt).compareTo(maxAge) < 0;
     }
@@ -31,22 +32,22 @@
     this.rows = rows;
   }
 
-  /** The matrix with this heartbeat in the place of its node's last one. */
+  /** Returns a matrix in which this heartbeat replaces the previous one of its node. */
   public ReachabilityMatrix withHeartbeat(Mesh.PeerHeartbeat heartbeat, Duration now) {
     return new ReachabilityMatrix(rows.plus(heartbeat.node(), new Row(heartbeat, now)));
   }
 
-  /** Whether a heartbeat of any node was ever received. */
+  /** Whether a heartbeat of any other node was ever received. */
   public boolean hasReceivedAny() {
     return !rows.isEmpty();
   }
 
-  /** The latest heartbeat of the node; empty if none was received. */
+  /** Returns the latest heartbeat of the node; empty if none was received. */
   public Optional<Row> row(String node) {
     return Optional.ofNullable(rows.get(node));
   }
 
-  /** The heartbeats that were received less than this time ago, in no order. */
+  /** Returns the heartbeats that were received less than this time ago, in no particular order. */
   public List<Mesh.PeerHeartbeat> freshHeartbeats(Duration maxAge, Duration now) {
     List<Mesh.PeerHeartbeat> result = new ArrayList<>();
     for (Row row : rows.values()) {
@@ -58,8 +59,9 @@
   }
 
   /**
-   * When any of the nodes sent its latest read of the state store that succeeded, as far as fresh
-   * heartbeats tell; empty if none tells of one.
+   * Returns when any of the other nodes sent its latest successful read of the state store,
+   * according to heartbeats that were received less than this time ago; empty if none of them
+   * reports one.
    */
   public Optional<Duration> latestStateStoreRead(Duration maxAge, Duration now) {
     Duration latest = null;
--- a/src/main/java/io/cherryspool/reachability/ReachabilityTimings.java
+++ b/src/main/java/io/cherryspool/reachability/ReachabilityTimings.java
@@ -3,17 +3,20 @@
 import java.time.Duration;
 
 /**
- * The times that judgements rest on. It has eight components, because they are eight settings of
- * one deployment, which the rules combine in different ways.
+ * The timings on which verdicts depend. The record has eight components because they are eight
+ * settings of one deployment, which the rules combine in different ways.
  *
  * @param peerHeartbeatInterval how often controllers send heartbeats to one another
- * @param workerHeartbeatOverdueAfter after so long without a heartbeat a worker is late
+ * @param workerHeartbeatOverdueAfter how long after a worker's last heartbeat the next one counts
+ *     as late
  * @param workerHeartbeatInterval how often workers send heartbeats
- * @param taskLeaseExpiry how long after a worker's last renewal its tasks have surely ended
- * @param leaderLease the length of a leader's lease while leaders do not change often
- * @param maxLeaderAuthority the longest that a leader may answer workers without the state store
- * @param stateStoreCallTimeout how long a request to the state store may take
- * @param flapHalfLife in what time a penalty for flaps halves
+ * @param taskLeaseExpiry how long after a worker's last lease renewal its tasks are certain to have
+ *     ended
+ * @param leaderLease the length of a leader's lease while leaders change rarely
+ * @param maxLeaderAuthority the longest time for which a leader may answer workers without an
+ *     answer from the state store
+ * @param stateStoreCallTimeout the timeout of a request to the state store
+ * @param flapHalfLife the time in which a penalty for flaps halves
  */
 public record ReachabilityTimings(
     Duration peerHeartbeatInterval,
@@ -27,7 +30,7 @@
 
   private static final int MAX_MISSED_PEER_HEARTBEATS = 3;
 
-  /** After this time without a heartbeat another controller counts as unreachable. */
+  /** The time without a heartbeat after which another controller counts as unreachable. */
   public Duration peerHeartbeatTimeout() {
     return peerHeartbeatInterval.multipliedBy(MAX_MISSED_PEER_HEARTBEATS);
   }
--- a/src/main/java/io/cherryspool/reachability/Reason.java
+++ b/src/main/java/io/cherryspool/reachability/Reason.java
@@ -1,32 +1,40 @@
 package io.cherryspool.reachability;
 
-/** Why a node does what it does about its links. */
+/** The reason for a {@link Verdict}. */
 public enum Reason {
-  /** Nothing is wrong. */
+  /** All links are up, as far as the node knows. */
   ALL_UP("all links are up as far as is known"),
 
   /** The link to the state store is down. */
   STATE_UNREACHABLE("the state service does not answer this node"),
 
-  /** Machines of several zones became unreachable together, rather by this node's own link. */
+  /**
+   * Machines of several zones became unreachable at the same time, so that this node's own link has
+   * probably failed.
+   */
   FLEET_UNREACHABLE("many machines of several zones are not heard at once"),
 
-  /** Machines of a zone became unreachable together, rather by the zone's link. */
+  /**
+   * Machines of one zone became unreachable at the same time, so that the zone's link has probably
+   * failed.
+   */
   ZONES_UNREACHABLE("many machines of a zone are not heard at once"),
 
-  /** Other nodes count the workers that this leader misses. */
+  /** The workers that this leader misses send their heartbeats to other nodes. */
   WORKERS_REACH_OTHER_NODES("the missing workers come to other nodes"),
 
-  /** This leader receives heartbeats from no node, and from half of its workers at the most. */
+  /** This leader receives heartbeats from no other node, and from at most half of its workers. */
   NO_PEERS_AND_WORKERS_MISSING("no other node is heard, and half of the workers are missing"),
 
-  /** The last leader handed over to another node, which is to stand first. */
+  /**
+   * The last leader handed leadership over to another node, which should run for election first.
+   */
   NOT_THE_SUCCESSOR("the last leader made way for another node"),
 
-  /** This node was the leader that handed over last. */
+  /** This node was the last leader and handed leadership over. */
   HANDED_OVER_LAST("this node was the last to make way"),
 
-  /** The link to the state store is up and down by turns. */
+  /** This node's link to the state store fails repeatedly. */
   STATE_LINK_FLAPS("this node's link to the state service fails again and again");
 
   private final String text;
@@ -35,7 +43,10 @@
     this.text = text;
   }
 
-  /** The reason in English. Heartbeats carry it and {@code /links} shows it: it may not change. */
+  /**
+   * The text of the reason. Heartbeats contain it and {@code /links} shows it, so it must not
+   * change.
+   */
   public String text() {
     return text;
   }
--- a/src/main/java/io/cherryspool/reachability/RedirectedWorkers.java
+++ b/src/main/java/io/cherryspool/reachability/RedirectedWorkers.java
@@ -7,36 +7,36 @@
 import java.util.TreeMap;
 
 /**
- * Counts the workers that come to this node although another leads. Each comes once when it is
- * redirected; one that does not reach the leader comes again and again, since it tries the nodes in
- * turn. Confined to the event loop.
+ * Counts the workers that this node has recently redirected to the leader. A worker that reaches
+ * the leader after its redirect does not come back. One that does not reach the leader comes
+ * repeatedly, because it tries the nodes in turn. Confined to the event loop.
  */
 public final class RedirectedWorkers {
   /**
-   * For how long a visit counts. A worker waits 4 s for the leader, 1 s before it tries the next
-   * node, and half a second more.
+   * For how long a redirect counts. A worker that tries the nodes in turn comes back within this
+   * time: it waits 4 s for the leader and 1 s before it tries the next node; the rest is a margin.
    */
   private static final Duration REDIRECT_RETENTION = Duration.ofMillis(6500);
 
-  /** The last visit of each machine, the oldest first. */
+  /** The last redirect of each machine, the oldest first. */
   private final Map<String, Redirect> lastRedirects = new LinkedHashMap<>();
 
   private record Redirect(String zone, Duration at) {}
 
-  /** Records that a worker of the zone came, and was redirected. */
+  /** Records that the worker on this machine was redirected. */
   public void recordRedirect(String machine, String zone, Duration now) {
     lastRedirects.remove(machine);
     lastRedirects.put(machine, new Redirect(zone, now));
     evictExpired(now);
   }
 
-  /** How many came lately. */
+  /** Returns the number of workers that were recently redirected. */
   public int count(Duration now) {
     evictExpired(now);
     return lastRedirects.size();
   }
 
-  /** How many came lately, by zone. */
+  /** Returns the number of workers that were recently redirected, by zone. */
   public Map<String, Integer> countByZone(Duration now) {
     evictExpired(now);
     Map<String, Integer> result = new TreeMap<>();
--- a/src/main/java/io/cherryspool/reachability/RequestLink.java
+++ b/src/main/java/io/cherryspool/reachability/RequestLink.java
@@ -6,12 +6,15 @@
 import java.util.Optional;
 
 /**
- * A link whose state is known by the answers to this node's requests. Requests are ordered by when
- * they were sent, because an answer that was delayed by seconds tells nothing of the link as it is
- * now. Confined to the event loop.
+ * A link whose state follows from the answers to this node's requests. Requests are ordered by the
+ * time at which they were sent, because an answer that was delayed by seconds says nothing about
+ * the present state of the link. Confined to the event loop.
  */
 public final class RequestLink implements ObservedTransport.Observer {
-  /** A single lost answer is chance. */
+  /**
+   * The number of failures since the last answer from which on a link may be down; a single failure
+   * may be chance.
+   */
   private static final int MIN_FAILURES_FOR_DOWN = 2;
 
   private final Duration downAfter;
@@ -21,10 +24,10 @@
   private int failures;
 
   /**
-   * A link that is up.
+   * Creates a link that is up.
    *
-   * @param downAfter how long all requests must have failed for the link to be down
-   * @param halfLife in what time the penalty for flaps halves
+   * @param downAfter how long requests must have failed without an answer for the link to be down
+   * @param halfLife the time in which the penalty for flaps halves
    */
   public RequestLink(Duration downAfter, Duration halfLife) {
     this.downAfter = downAfter;
@@ -56,7 +59,7 @@
     }
   }
 
-  /** What the requests so far tell of the link. */
+  /** Returns the state of the link, as far as the requests until now show it. */
   public LinkState state(Duration now) {
     if (failingSince == null) {
       return LinkState.UP;
@@ -66,12 +69,12 @@
     return isConfirmed && isLasting ? LinkState.DOWN : LinkState.SUSPECT;
   }
 
-  /** When the latest request that was answered was sent; empty if none was. */
+  /** Returns when the latest of the answered requests was sent; empty if none was answered. */
   Optional<Duration> lastAnsweredRequestSentAt() {
     return Optional.ofNullable(lastAnsweredRequestSentAt);
   }
 
-  /** How often the link failed lately. */
+  /** The damper that records each failure of the link. */
   public FlapDamper damper() {
     return damper;
   }
--- a/src/main/java/io/cherryspool/reachability/Verdict.java
+++ b/src/main/java/io/cherryspool/reachability/Verdict.java
@@ -4,23 +4,23 @@
 import java.util.Set;
 
 /**
- * What a node does about its links. None of these can break a rule, see docs/partitions.md. Names
- * and descriptions reach operators through metrics, heartbeats and {@code /links}, and may not
- * change.
+ * What a node does about the state of its links. No verdict can violate the cluster's safety rules,
+ * see docs/partitions.md. Names and descriptions reach operators through metrics, heartbeats and
+ * {@code /links}, so they must not change.
  */
 public sealed interface Verdict {
-  /** Why. */
+  /** The reason for this verdict. */
   Reason reason();
 
-  /** A short name, for metrics and operators. */
+  /** The short name of this kind of verdict, for metrics and operators. */
   String name();
 
-  /** The name, with what it applies to. */
+  /** Returns the name, followed by the zones or the node that the verdict applies to, if any. */
   default String describe() {
     return name();
   }
 
-  /** Everything goes on as usual. */
+  /** The node works normally. */
   record Serve() implements Verdict {
     @Override
     public Reason reason() {
@@ -33,7 +33,7 @@
     }
   }
 
-  /** A node that does not lead forwards users' requests to nodes that can serve them. */
+  /** A node that does not lead forwards users' requests to other nodes that can serve them. */
   record ForwardRequests(Reason reason) implements Verdict {
     @Override
     public String name() {
@@ -42,8 +42,8 @@
   }
 
   /**
-   * A leader plans and records nothing, and does not call the cloud, until the state store answers
-   * it again or its term ends.
+   * A leader plans and commits no placements, and does not call the cloud, until the state store
+   * answers it again or its term ends.
    */
   record SuspendPlacement(Reason reason) implements Verdict {
     @Override
@@ -53,9 +53,9 @@
   }
 
   /**
-   * The machines of these zones are unreachable, not dead: none of them is deleted for its silence
-   * before two leases have expired, and their tasks stay theirs until a lease or a deletion frees
-   * them.
+   * The machines of these zones are probably unreachable, not dead. None of them is deleted for
+   * being silent before the time of two task leases has passed. Each keeps its tasks until their
+   * lease has expired or the machine's deletion is confirmed.
    */
   record SuspendZoneEviction(Set<String> zones, Reason reason) implements Verdict {
     @Override
@@ -70,8 +70,9 @@
   }
 
   /**
-   * Machines of several zones are unreachable, which is rather this leader's fault than theirs: as
-   * for {@link SuspendZoneEviction}, in all zones, and nothing is scaled out or in meanwhile.
+   * Machines of several zones are unreachable, probably because of this leader's own link.
+   * Evictions are suspended as by {@link SuspendZoneEviction}, but in all zones, and the fleet is
+   * scaled neither out nor in meanwhile.
    */
   record SuspendFleetChanges(Reason reason) implements Verdict {
     @Override
@@ -81,13 +82,15 @@
   }
 
   /**
-   * A leader ends its term in favour of another node. Until it has ended, nothing is placed, and no
-   * machine is taken for dead: its silence is rather this leader's fault.
+   * A leader ends its term in favour of another node. Until the term has ended, it places no tasks,
+   * and suspends evictions as by {@link SuspendZoneEviction} in all zones: machines are silent
+   * probably because of this leader's own link.
    *
-   * @param successor the name of that node, {@link #ANY_NODE} if it is not known which
+   * @param successor the name of the node that should lead next, or {@link #ANY_NODE} if the leader
+   *     can't tell which node that should be
    */
   record HandOverLeadership(String successor, Reason reason) implements Verdict {
-    /** No node's name. */
+    /** The successor's name if any other node may lead next. */
     public static final String ANY_NODE = "";
 
     @Override
@@ -101,7 +104,9 @@
     }
   }
 
-  /** A candidate stands only after this delay, so that others go first. */
+  /**
+   * A candidate waits for this delay before it runs for election, so that other nodes run first.
+   */
   record DelayCandidacy(Duration delay, Reason reason) implements Verdict {
     @Override
     public String name() {
--- a/src/main/java/io/cherryspool/reachability/VerdictRule.java
+++ b/src/main/java/io/cherryspool/reachability/VerdictRule.java
@@ -1,8 +1,10 @@
 package io.cherryspool.reachability;
 
-/** How a node's links are judged: a pure function. */
+/**
+ * Determines what a node does about the state of its links. Implementations must be pure functions.
+ */
 @FunctionalInterface
 public interface VerdictRule {
-  /** What the node does about its links. */
+  /** Returns the verdict for a node with this view. */
   Verdict evaluate(NodeView view);
 }
--- a/src/main/java/io/cherryspool/reachability/ZoneLinks.java
+++ b/src/main/java/io/cherryspool/reachability/ZoneLinks.java
@@ -9,21 +9,27 @@
 import java.util.TreeSet;
 
 /**
- * A leader's links to the workers of each zone. A zone in which a third of the machines that the
- * cloud still lists became unreachable at once is rather cut off than dead, and so is this node
- * where its workers' heartbeats are late: the machines may be running their tasks well. Of a zone
- * that is cut off more than half are late when the first of them have been silent for two
- * heartbeats; machines that die or hang together are a smaller part of it. Confined to the event
- * loop.
+ * A leader's links to the workers of each zone. If more than a third of the machines that the cloud
+ * lists in a zone became unreachable at the same time, the zone is probably cut off rather than
+ * dead, or this node is, and the machines may still be running their tasks. In a zone that is cut
+ * off, more than half of the machines are late by the time that the first of them have missed two
+ * heartbeats. Machines that die or hang together are a smaller part of their zone. Confined to the
+ * event loop.
  */
 final class ZoneLinks {
-  /** One machine may be dead. */
+  /**
+   * The smallest number of unreachable machines that says anything about a zone; a single machine
+   * may be dead.
+   */
   private static final int MIN_UNREACHABLE_MACHINES = 2;
 
-  /** With more than one machine of so many unreachable, the zone is. */
+  /** A zone is down once more than its listed machines divided by this are unreachable. */
   private static final int DOWN_DIVISOR = 3;
 
-  /** While more than one machine of so many is unreachable, a zone that was down still is. */
+  /**
+   * A zone that was down remains down while more than its listed machines divided by this are
+   * unreachable.
+   */
   private static final int UP_DIVISOR = 6;
 
   private final Duration halfLife;
@@ -48,15 +54,15 @@
   }
 
   /**
-   * Links of a leader that has observed nothing yet.
+   * Creates the links of a leader that has observed nothing yet.
    *
-   * @param halfLife in what time the penalty for flaps of a zone halves
+   * @param halfLife the time in which the penalty for a zone's flaps halves
    */
   ZoneLinks(Duration halfLife) {
     this.halfLife = halfLife;
   }
 
-  /** Takes in how well the machines are reached now. */
+  /** Updates the links from the numbers of machines that the leader reaches now. */
   void observe(FleetReachability fleet, Duration now) {
     for (Map.Entry<String, FleetReachability.Zone> entry : fleet.zones().entrySet()) {
       links
@@ -71,7 +77,7 @@
     }
   }
 
-  /** Whether much of the fleet is unreachable, and not in one zone alone. */
+  /** Whether much of the fleet is unreachable, and in more than one zone. */
   private static boolean isFleetUnreachable(FleetReachability fleet) {
     int listed = 0;
     int unreachable = 0;
@@ -86,7 +92,10 @@
         && unreachable * DOWN_DIVISOR > listed;
   }
 
-  /** For how long much of the fleet, in several zones, has been unreachable; empty if it is not. */
+  /**
+   * Returns for how long much of the fleet, in several zones, has been unreachable; empty if it is
+   * not.
+   */
   Optional<Duration> fleetUnreachableFor(Duration now) {
     return Optional.ofNullable(fleetUnreachableSince).map(now::minus);
   }
@@ -104,13 +113,13 @@
     return LinkState.UP;
   }
 
-  /** The link to the workers of a zone; up for a zone without machines. */
+  /** Returns the state of the link to the workers of a zone; up for a zone without machines. */
   LinkState state(String zone) {
     ZoneLink link = links.get(zone);
     return link == null ? LinkState.UP : link.state;
   }
 
-  /** The zones that are unreachable, as far as this node can tell, in the order of names. */
+  /** Returns the zones that are unreachable, as far as this node can tell, sorted by name. */
   Set<String> unreachableZones() {
     Set<String> result = new TreeSet<>();
     for (Map.Entry<String, ZoneLink> entry : links.entrySet()) {
@@ -121,12 +130,12 @@
     return result;
   }
 
-  /** How often the present zones became unreachable in this term. */
+  /** Returns how often the present zones became unreachable in this term. */
   long flapCount() {
     return links.values().stream().mapToLong(link -> link.damper.flapCount()).sum();
   }
 
-  /** Drops all links, because a new term observes its machines anew. */
+  /** Removes all links, because a new term observes its machines from the start. */
   void clear() {
     links.clear();
     fleetUnreachableSince = null;
