--- a/src/test/java/io/cherryspool/controller/api/RequestForwarderTest.java
+++ b/src/test/java/io/cherryspool/controller/api/RequestForwarderTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** To which nodes users' requests are forwarded, and in what form. */
+/** Tests to which nodes users' requests are forwarded, and in what form. */
 class RequestForwarderTest {
   private final List<Mesh.PeerHeartbeat> heartbeats = new ArrayList<>();
   private final List<Request> sent = new ArrayList<>();
@@ -28,16 +28,16 @@
           },
           () -> heartbeats);
 
-  private void receiveHeartbeat(String address, boolean canRead, LinkState state) {
+  private void receiveHeartbeat(String address, boolean isStateStoreReachable, LinkState state) {
     LinkSummary links =
         new LinkSummary(false, address, state, LinkState.UP, false, 0, "", List.of(), List.of());
     heartbeats.add(
         new Mesh.PeerHeartbeat(
-            address, 1, canRead, 0, 0, 0, Mesh.RetainedRecordsSummary.NONE, links));
+            address, 1, isStateStoreReachable, 0, 0, 0, Mesh.RetainedRecordsSummary.NONE, links));
   }
 
   @Test
-  void nodesThatReadTheStateStoreTakeTurns() {
+  void requestsAreForwardedInTurnToNodesThatReachTheStateStore() {
     assertEquals(Optional.empty(), forwarder.nextTarget(), "no heartbeat was received");
     receiveHeartbeat("10.0.0.1:80", true, LinkState.UP);
     receiveHeartbeat("10.0.0.2:80", false, LinkState.UP);
--- a/src/test/java/io/cherryspool/controller/api/UserApiConflictTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiConflictTest.java
@@ -11,65 +11,71 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** What users are answered when the answer to a transaction is lost or a conflict is met. */
+/**
+ * Tests the answers to users when the answer to a transaction is lost or the transaction meets a
+ * conflict.
+ */
 class UserApiConflictTest extends UserApiFixture {
   @Test
-  void aSubmissionOfWhichOnlyTheAnswerIsLostIsAcceptedForAll() {
-    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.DROP_REPLY);
-    CompletableFuture<Reply> first = one.submit(description());
-    assertEquals("200 pending", promptAnswer(other.poll(JOB)));
-    assertEquals("200 pending", promptAnswer(other.submit(description())));
-    assertEquals("200 pending", promptAnswer(one.poll(JOB)));
-    assertEquals("200 withdrawn", promptAnswer(other.cancel(JOB)));
+  void aSubmissionWhoseCommitAnswerIsLostIsAcceptedOnAllNodes() {
+    firstNode.transport().interceptNext(ControlledTransport.COMMIT, Interception.DROP_REPLY);
+    CompletableFuture<Reply> first = firstNode.submit(description());
+    assertEquals("200 pending", promptAnswer(secondNode.poll(JOB)));
+    assertEquals("200 pending", promptAnswer(secondNode.submit(description())));
+    assertEquals("200 pending", promptAnswer(firstNode.poll(JOB)));
+    assertEquals("200 withdrawn", promptAnswer(secondNode.cancel(JOB)));
     assertFalse(first.isDone());
-    run(0.4);
-    assertEquals("200 withdrawn", answer(first), "its copy meets the record and reads the end");
+    runFor(0.4);
+    assertEquals(
+        "200 withdrawn",
+        answer(first),
+        "the repeated transaction meets the record, and the node reads the final state");
   }
 
   @Test
-  void aCancelOfWhichOnlyTheAnswerIsLostIsConfirmedByAll() {
-    promptAnswer(one.submit(description()));
-    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.DROP_REPLY);
-    CompletableFuture<Reply> first = one.cancel(JOB);
-    run(0.02);
-    assertEquals("200 withdrawn", promptAnswer(other.poll(JOB)));
+  void aCancelWhoseCommitAnswerIsLostIsConfirmedByAllNodes() {
+    promptAnswer(firstNode.submit(description()));
+    firstNode.transport().interceptNext(ControlledTransport.COMMIT, Interception.DROP_REPLY);
+    CompletableFuture<Reply> first = firstNode.cancel(JOB);
+    runFor(0.02);
+    assertEquals("200 withdrawn", promptAnswer(secondNode.poll(JOB)));
     assertFalse(first.isDone());
-    run(0.4);
+    runFor(0.4);
     assertEquals("200 withdrawn", answer(first));
   }
 
   @Test
-  void aCancelThatMeetsTheEndOfTheJobIsAnsweredWithTheEnd() {
-    promptAnswer(one.submit(description()));
-    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
-    CompletableFuture<Reply> cancel = one.cancel(JOB);
-    run(0.05);
+  void aCancelThatConflictsWithTheEndOfTheJobIsAnsweredWithThatEnd() {
+    promptAnswer(firstNode.submit(description()));
+    firstNode.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
+    CompletableFuture<Reply> cancel = firstNode.cancel(JOB);
+    runFor(0.05);
     endJob(Outcome.DONE);
-    one.transport().release(ControlledTransport.COMMIT);
+    firstNode.transport().release(ControlledTransport.COMMIT);
     assertEquals("200 done", promptAnswer(cancel));
   }
 
-  /** It was once answered as cancelled whatever the records said. */
+  /** The node once answered such a request with "cancelled", regardless of the records. */
   @Test
-  void aCancelThatMetAConflictIsNotConfirmedWithoutAnOutcome() {
-    promptAnswer(one.submit(description()));
+  void aCancelThatMeetsAConflictIsNotConfirmedWithoutARecordedOutcome() {
+    promptAnswer(firstNode.submit(description()));
     String failed = "{\"failed\":[\"" + Records.outcomeKey(JOB) + "\"],\"epoch\":1}";
-    one.transport().replyNext(ControlledTransport.COMMIT, 409, failed);
-    CompletableFuture<Reply> cancel = one.cancel(JOB);
-    run(0.05);
-    one.transport().release(ControlledTransport.COMMIT);
+    firstNode.transport().replyNext(ControlledTransport.COMMIT, 409, failed);
+    CompletableFuture<Reply> cancel = firstNode.cancel(JOB);
+    runFor(0.05);
+    firstNode.transport().release(ControlledTransport.COMMIT);
     assertEquals("503", promptAnswer(cancel));
-    assertEquals("200 pending", promptAnswer(other.poll(JOB)));
-    assertEquals("200 withdrawn", promptAnswer(one.cancel(JOB)));
+    assertEquals("200 pending", promptAnswer(secondNode.poll(JOB)));
+    assertEquals("200 withdrawn", promptAnswer(firstNode.cancel(JOB)));
   }
 
   @Test
-  void aSubmissionThatMetAConflictIsNotAnsweredAsUnknown() {
+  void aSubmissionThatMeetsAConflictIsNotAnsweredAsUnknown() {
     String failed = "{\"failed\":[\"" + Records.jobKey(JOB) + "\"],\"epoch\":1}";
-    one.transport().replyNext(ControlledTransport.COMMIT, 409, failed);
-    CompletableFuture<Reply> submission = one.submit(description());
-    run(0.05);
-    one.transport().release(ControlledTransport.COMMIT);
+    firstNode.transport().replyNext(ControlledTransport.COMMIT, 409, failed);
+    CompletableFuture<Reply> submission = firstNode.submit(description());
+    runFor(0.05);
+    firstNode.transport().release(ControlledTransport.COMMIT);
     assertEquals("503", promptAnswer(submission));
   }
 }
--- a/src/test/java/io/cherryspool/controller/api/UserApiConsistencyTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiConsistencyTest.java
@@ -13,70 +13,75 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** What the users of two nodes are answered right after one another's requests. */
+/** Tests the answers to users of two nodes right after requests to the other node. */
 class UserApiConsistencyTest extends UserApiFixture {
   @Test
   void bothNodesAgreeRightAfterEachAnswer() {
-    assertEquals("404", promptAnswer(other.poll(JOB)));
-    assertEquals("201 pending", promptAnswer(one.submit(description())));
-    assertEquals("200 pending", promptAnswer(other.poll(JOB)));
-    assertEquals("200 pending", promptAnswer(other.submit(description())));
-    assertEquals("200 withdrawn", promptAnswer(other.cancel(JOB)));
-    assertEquals("200 withdrawn", promptAnswer(one.poll(JOB)));
-    assertEquals("200 withdrawn", promptAnswer(one.submit(description())));
-    assertEquals("200 withdrawn", promptAnswer(one.cancel(JOB)));
+    assertEquals("404", promptAnswer(secondNode.poll(JOB)));
+    assertEquals("201 pending", promptAnswer(firstNode.submit(description())));
+    assertEquals("200 pending", promptAnswer(secondNode.poll(JOB)));
+    assertEquals("200 pending", promptAnswer(secondNode.submit(description())));
+    assertEquals("200 withdrawn", promptAnswer(secondNode.cancel(JOB)));
+    assertEquals("200 withdrawn", promptAnswer(firstNode.poll(JOB)));
+    assertEquals("200 withdrawn", promptAnswer(firstNode.submit(description())));
+    assertEquals("200 withdrawn", promptAnswer(firstNode.cancel(JOB)));
   }
 
-  /** The watch, which usually delivers the change before anybody asks, is of no help here. */
+  /**
+   * The answers to the watch, which usually deliver a change before a user asks, are lost in this
+   * test.
+   */
   @Test
-  void aNodeThatHasNotReadOfAnAnswerReadsBeforeItsOwn() {
-    other.transport().interceptNext(ControlledTransport.WATCH, Interception.DROP_REPLY);
-    run(10.5);
-    other.transport().interceptNext(ControlledTransport.WATCH, Interception.DROP_REPLY);
-    promptAnswer(one.submit(description()));
-    assertEquals("200 pending", promptAnswer(other.poll(JOB)));
-    assertEquals("200 withdrawn", promptAnswer(one.cancel(JOB)));
-    assertNull(other.records().job(JOB).outcome(), "not read of yet");
-    assertEquals("200 withdrawn", promptAnswer(other.submit(description())));
+  void aNodeReadsTheChangesOfOtherNodesBeforeItAnswers() {
+    secondNode.transport().interceptNext(ControlledTransport.WATCH, Interception.DROP_REPLY);
+    runFor(10.5);
+    secondNode.transport().interceptNext(ControlledTransport.WATCH, Interception.DROP_REPLY);
+    promptAnswer(firstNode.submit(description()));
+    assertEquals("200 pending", promptAnswer(secondNode.poll(JOB)));
+    assertEquals("200 withdrawn", promptAnswer(firstNode.cancel(JOB)));
+    assertNull(secondNode.records().job(JOB).outcome(), "the node has not read the outcome yet");
+    assertEquals("200 withdrawn", promptAnswer(secondNode.submit(description())));
   }
 
   @Test
-  void aJobThatIsDoneStaysDoneWhoeverCancelsIt() {
-    promptAnswer(one.submit(description()));
+  void aJobThatIsDoneStaysDoneWhenCancelledOnAnyNode() {
+    promptAnswer(firstNode.submit(description()));
     endJob(Outcome.DONE);
-    assertEquals("200 done", promptAnswer(other.cancel(JOB)));
-    assertEquals("200 done", promptAnswer(other.cancel(JOB)));
-    assertEquals("200 done", promptAnswer(one.poll(JOB)));
-    assertEquals("200 done", promptAnswer(one.submit(description())));
+    assertEquals("200 done", promptAnswer(secondNode.cancel(JOB)));
+    assertEquals("200 done", promptAnswer(secondNode.cancel(JOB)));
+    assertEquals("200 done", promptAnswer(firstNode.poll(JOB)));
+    assertEquals("200 done", promptAnswer(firstNode.submit(description())));
   }
 
   @Test
-  void nobodyCancelsWhatNobodySubmitted() {
-    assertEquals("404", promptAnswer(one.cancel(JOB)));
-    assertEquals("404", promptAnswer(one.cancel(JOB)));
+  void aJobThatWasNotSubmittedCannotBeCancelled() {
+    assertEquals("404", promptAnswer(firstNode.cancel(JOB)));
+    assertEquals("404", promptAnswer(firstNode.cancel(JOB)));
     assertNull(stateStore.value(Records.outcomeKey(JOB)));
-    assertEquals("201 pending", promptAnswer(other.submit(description())));
-    assertEquals("200 pending", promptAnswer(one.poll(JOB)));
+    assertEquals("201 pending", promptAnswer(secondNode.submit(description())));
+    assertEquals("200 pending", promptAnswer(firstNode.poll(JOB)));
   }
 
   @Test
-  void requestsRepeatedWithinOneGroupAreAllAnswered() {
-    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REPLY);
+  void repeatedRequestsInOneGroupCommitAreAllAnswered() {
+    firstNode.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REPLY);
     List<CompletableFuture<Reply>> submissions =
         List.of(
-            one.submit(description()),
-            one.submit(description()),
-            other.submit(description()),
-            one.submit(description()));
-    run(0.05);
-    one.transport().release(ControlledTransport.COMMIT);
-    run(0.1);
+            firstNode.submit(description()),
+            firstNode.submit(description()),
+            secondNode.submit(description()),
+            firstNode.submit(description()));
+    runFor(0.05);
+    firstNode.transport().release(ControlledTransport.COMMIT);
+    runFor(0.1);
     assertEquals(
-        1, submissions.stream().filter(each -> each.join().status() == 201).count(), "one made it");
+        1,
+        submissions.stream().filter(each -> each.join().status() == 201).count(),
+        "one submission created the job");
     submissions.forEach(each -> assertTrue(answer(each).endsWith(" pending")));
     List<CompletableFuture<Reply>> cancels =
-        List.of(one.cancel(JOB), one.cancel(JOB), other.cancel(JOB));
-    run(0.1);
+        List.of(firstNode.cancel(JOB), firstNode.cancel(JOB), secondNode.cancel(JOB));
+    runFor(0.1);
     cancels.forEach(each -> assertEquals("200 withdrawn", answer(each)));
   }
 }
--- a/src/test/java/io/cherryspool/controller/api/UserApiFixture.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiFixture.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.BeforeEach;
 
-/** Two nodes in virtual time, whose users ask both of them at any moment. */
+/** Two nodes in virtual time. Users may send requests to either of them at any time. */
 abstract class UserApiFixture {
   static final String JOB = "req-000001";
   static final List<MachineType> TYPES =
@@ -34,21 +34,21 @@
 
   final VirtualTime time = new VirtualTime();
   final FakeStateStore stateStore = new FakeStateStore(time, new SplittableRandom(1), 0);
-  final UserApiNode one = newNode();
-  final UserApiNode other = newNode();
+  final UserApiNode firstNode = newNode();
+  final UserApiNode secondNode = newNode();
 
   @BeforeEach
   void startNodes() {
-    one.start();
-    other.start();
-    run(0.05);
+    firstNode.start();
+    secondNode.start();
+    runFor(0.05);
   }
 
   final UserApiNode newNode() {
     return new UserApiNode(time, stateStore, TYPES);
   }
 
-  final void run(double seconds) {
+  final void runFor(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
     while (time.runNextEvent(end)) {
       // Each event may schedule more.
@@ -59,7 +59,7 @@
     return UserProtocol.encodeJob(JobFixture.job(JOB, Priority.NORMAL, 2, 1));
   }
 
-  /** A description of the job that is accepted. */
+  /** Returns a description of the job that is accepted. */
   static byte[] description() {
     return Json.toBytes(descriptionNode());
   }
@@ -74,17 +74,17 @@
     return Json.toBytes(descriptionNode().put("owner", team));
   }
 
-  /** A description of the job with tasks larger than any machine. */
+  /** Returns a description of the job with tasks that are larger than any machine. */
   static byte[] tooLargeDescription() {
     return Json.toBytes(descriptionNode().put("vcpus", 100));
   }
 
   /**
-   * The HTTP status of an answer that is there already, with the job's own status if it has one. A
-   * refusal must say when to come back.
+   * Returns the HTTP status of an answer that has already been given, followed by the job's status
+   * if the answer contains one. Checks that exactly the answers with status 503 say when to retry.
    */
   static String answer(CompletableFuture<Reply> future) {
-    assertTrue(future.isDone(), "held back");
+    assertTrue(future.isDone(), "the request has not been answered yet");
     Reply reply = future.join();
     assertEquals(reply.status() == 503, reply.retryAfterSeconds() > 0);
     try {
@@ -95,7 +95,10 @@
     }
   }
 
-  /** The answer within 50 ms, at the moment it is given, before the other node reads of it. */
+  /**
+   * Runs until the request is answered, for at most 50 ms, and returns the answer. Stops right
+   * after the answer, before the other node reads the change.
+   */
   final String promptAnswer(CompletableFuture<Reply> future) {
     Duration end = time.now().plusMillis(50);
     while (!future.isDone() && time.runNextEvent(end)) {
@@ -104,7 +107,7 @@
     return answer(future);
   }
 
-  /** The leader records the end of the job. */
+  /** Records the outcome of the job, as the leader does. */
   final void endJob(Outcome outcome) {
     stateStore.handle(
         StateStoreProtocol.transactionRequest(
--- a/src/test/java/io/cherryspool/controller/api/UserApiNode.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiNode.java
@@ -19,7 +19,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** One node as far as users are concerned, with its own line to the state store. */
+/** The part of a node that serves users, with its own connection to the state store. */
 final class UserApiNode {
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
   private static final int MAX_VALUE_BYTES = 8000;
@@ -68,7 +68,7 @@
     return users.cancel(id);
   }
 
-  /** The line to the state store, on which messages can be held back and lost. */
+  /** The connection to the state store, on which messages can be delayed and lost. */
   ControlledTransport transport() {
     return transport;
   }
@@ -78,7 +78,7 @@
     return records;
   }
 
-  /** What the node knows of the machine types; null for nothing. */
+  /** Sets the machine types that the node knows; null if it does not know them. */
   void setMachineTypes(List<MachineType> types) {
     machineTypes = types;
   }
@@ -87,7 +87,10 @@
     isBehindPeers = value;
   }
 
-  /** Reads all keys again; the answer is held back until the transport releases {@code /keys}. */
+  /**
+   * Makes the node read all keys again. Its request is held until the transport releases {@code
+   * /keys}.
+   */
   void reload() {
     transport.interceptNext("/keys", ControlledTransport.Interception.HOLD_REQUEST);
     transport.replyNext(ControlledTransport.READ, 410, "{}");
--- a/src/test/java/io/cherryspool/controller/api/UserApiRefusalTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiRefusalTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which submissions are refused, and that those of accepted jobs never are. */
+/** Tests which submissions are refused, and that those of accepted jobs never are. */
 class UserApiRefusalTest extends UserApiFixture {
   @Test
-  void anAcceptedJobIsNeverRefusedAgain() {
-    promptAnswer(one.submit(description()));
+  void aRepeatedSubmissionOfAnAcceptedJobIsNeverRefused() {
+    promptAnswer(firstNode.submit(description()));
     for (byte[] body :
         List.of(descriptionWithout("lane"), tooLargeDescription(), descriptionOfTeam("nobody"))) {
-      assertEquals("200 pending", promptAnswer(one.submit(body)));
+      assertEquals("200 pending", promptAnswer(firstNode.submit(body)));
     }
     stateStore.setDown(true);
     for (byte[] body :
@@ -29,22 +29,22 @@
             descriptionWithout("lane"),
             tooLargeDescription(),
             descriptionOfTeam("nobody"))) {
-      assertEquals("503", promptAnswer(one.submit(body)));
+      assertEquals("503", promptAnswer(firstNode.submit(body)));
     }
   }
 
-  /** The other node has not read of the job, and reads before it refuses. */
+  /** The second node has not read the job's record yet, and reads the records before it refuses. */
   @Test
-  void anAcceptedJobIsNotRefusedByANodeThatHasNotReadOfIt() {
+  void anAcceptedJobIsNotRefusedByANodeThatHasNotReadItsRecord() {
     for (byte[] body :
         List.of(descriptionWithout("lane"), tooLargeDescription(), descriptionOfTeam("nobody"))) {
-      UserApiNode late = newNode();
-      late.start();
-      run(0.05);
-      late.transport().interceptNext(ControlledTransport.READ, Interception.HOLD_REQUEST);
-      CompletableFuture<Reply> answer = late.submit(body);
-      promptAnswer(one.submit(description()));
-      late.transport().release(ControlledTransport.READ);
+      UserApiNode laterNode = newNode();
+      laterNode.start();
+      runFor(0.05);
+      laterNode.transport().interceptNext(ControlledTransport.READ, Interception.HOLD_REQUEST);
+      CompletableFuture<Reply> answer = laterNode.submit(body);
+      promptAnswer(firstNode.submit(description()));
+      laterNode.transport().release(ControlledTransport.READ);
       assertEquals("200 pending", promptAnswer(answer));
     }
   }
@@ -62,44 +62,51 @@
         "{\"ref\":\"req-000001\"}",
         "{\"ref\":\"req-000001\",\"shape\":\"array\",\"lane\":\"\\ud800\"}"
       })
-  void malformedBodiesAreRefusedAtOnceAlsoInAnOutage(String text) {
+  void malformedBodiesAreRefusedAtOnceEvenInAnOutage(String text) {
     byte[] body = text.getBytes(StandardCharsets.UTF_8);
-    assertEquals("400", promptAnswer(one.submit(body)));
+    assertEquals("400", promptAnswer(firstNode.submit(body)));
     stateStore.setDown(true);
-    assertEquals("400", promptAnswer(one.submit(body)));
-    run(30);
-    assertEquals("400", promptAnswer(one.submit(body)));
+    assertEquals("400", promptAnswer(firstNode.submit(body)));
+    runFor(30);
+    assertEquals("400", promptAnswer(firstNode.submit(body)));
   }
 
   @Test
-  void whatCanNeverRunIsRefusedAtOnceAlsoInAnOutage() {
-    one.setMachineTypes(null);
+  void infeasibleJobsAreRefusedAtOnceEvenInAnOutage() {
+    firstNode.setMachineTypes(null);
     assertEquals(
-        "422", promptAnswer(one.submit(descriptionOfTeam("nobody"))), "needs no machine types");
+        "422",
+        promptAnswer(firstNode.submit(descriptionOfTeam("nobody"))),
+        "the team is unknown, whatever the machine types are");
     assertEquals(
-        "503", promptAnswer(one.submit(tooLargeDescription())), "unless a type were that large");
-    one.setMachineTypes(TYPES);
-    assertEquals("422", promptAnswer(one.submit(tooLargeDescription())));
+        "503",
+        promptAnswer(firstNode.submit(tooLargeDescription())),
+        "a machine type may be large enough");
+    firstNode.setMachineTypes(TYPES);
+    assertEquals("422", promptAnswer(firstNode.submit(tooLargeDescription())));
     stateStore.setDown(true);
-    assertEquals("422", promptAnswer(one.submit(tooLargeDescription())));
-    assertEquals("422", promptAnswer(one.submit(descriptionOfTeam("nobody"))));
+    assertEquals("422", promptAnswer(firstNode.submit(tooLargeDescription())));
+    assertEquals("422", promptAnswer(firstNode.submit(descriptionOfTeam("nobody"))));
   }
 
   @Test
-  void aNodeThatIsBehindItsPeersAsksToComeBack() {
+  void aNodeThatIsBehindItsPeersAsksToRetryInsteadOfRefusing() {
     stateStore.setDown(true);
-    one.setBehindPeers(true);
-    assertEquals("503", promptAnswer(one.submit(descriptionWithout("lane"))));
-    assertEquals("503", promptAnswer(one.submit(tooLargeDescription())));
-    assertEquals("400", promptAnswer(one.submit("no JSON".getBytes(StandardCharsets.UTF_8))));
+    firstNode.setBehindPeers(true);
+    assertEquals("503", promptAnswer(firstNode.submit(descriptionWithout("lane"))));
+    assertEquals("503", promptAnswer(firstNode.submit(tooLargeDescription())));
+    assertEquals("400", promptAnswer(firstNode.submit("no JSON".getBytes(StandardCharsets.UTF_8))));
   }
 
-  /** Half a character can be read, but not be written into the job's record. */
+  /**
+   * A single surrogate, half of a character, can be decoded but can't be encoded into the job's
+   * record.
+   */
   @Test
-  void aTextThatCantBeKeptIsMalformed() {
+  void aTextThatCantBeEncodedIsMalformed() {
     String text =
         new String(description(), StandardCharsets.UTF_8).replace("\"img\"", "\"\\ud800\"");
     assertTrue(text.contains("ud800"));
-    assertEquals("400", promptAnswer(one.submit(text.getBytes(StandardCharsets.UTF_8))));
+    assertEquals("400", promptAnswer(firstNode.submit(text.getBytes(StandardCharsets.UTF_8))));
   }
 }
--- a/src/test/java/io/cherryspool/controller/api/UserApiReloadTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiReloadTest.java
@@ -12,79 +12,88 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** What users are answered while a node reads all records again, or can't read them. */
+/** Tests the answers to users while a node reads all records again, or can't read them. */
 class UserApiReloadTest extends UserApiFixture {
   @Test
-  void whileAllKeysAreReadAgainOnlyEndsAreAnswered() {
-    promptAnswer(one.submit(description()));
-    one.reload();
-    assertEquals("503", answer(one.poll(JOB)));
-    assertEquals("503", answer(one.submit(description())));
-    assertEquals("503", answer(one.cancel(JOB)));
-    assertEquals("503", answer(one.submit(descriptionWithout("lane"))));
-    assertEquals("503", answer(one.submit(tooLargeDescription())));
-    one.transport().release("/keys");
-    run(0.05);
-    promptAnswer(other.cancel(JOB));
-    run(0.2);
-    one.reload();
-    assertEquals("200 withdrawn", answer(one.poll(JOB)));
-    assertEquals("200 withdrawn", answer(one.submit(description())));
-    assertEquals("200 withdrawn", answer(one.cancel(JOB)));
-    one.transport().release("/keys");
-    assertEquals("200 withdrawn", promptAnswer(one.poll(JOB)));
+  void duringAReloadOnlyFinalStatesAreAnswered() {
+    promptAnswer(firstNode.submit(description()));
+    firstNode.reload();
+    assertEquals("503", answer(firstNode.poll(JOB)));
+    assertEquals("503", answer(firstNode.submit(description())));
+    assertEquals("503", answer(firstNode.cancel(JOB)));
+    assertEquals("503", answer(firstNode.submit(descriptionWithout("lane"))));
+    assertEquals("503", answer(firstNode.submit(tooLargeDescription())));
+    firstNode.transport().release("/keys");
+    runFor(0.05);
+    promptAnswer(secondNode.cancel(JOB));
+    runFor(0.2);
+    firstNode.reload();
+    assertEquals("200 withdrawn", answer(firstNode.poll(JOB)));
+    assertEquals("200 withdrawn", answer(firstNode.submit(description())));
+    assertEquals("200 withdrawn", answer(firstNode.cancel(JOB)));
+    firstNode.transport().release("/keys");
+    assertEquals("200 withdrawn", promptAnswer(firstNode.poll(JOB)));
   }
 
-  /** Its commit goes on, and the copy that it then reads is the one before or the one after. */
+  /**
+   * A pending commit continues during the reload. The records that the node reads afterwards may be
+   * those before or after the reload.
+   */
   @Test
-  void aSubmissionAndACancelUnderWayWhenAReloadBeginsAreNotAnsweredOlder() {
-    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REPLY);
-    CompletableFuture<Reply> submission = one.submit(description());
-    run(0.05);
-    one.reload();
-    one.transport().release(ControlledTransport.COMMIT);
+  void pendingRequestsAreNotAnsweredWithOlderStatesAfterAReloadBegins() {
+    firstNode.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REPLY);
+    CompletableFuture<Reply> submission = firstNode.submit(description());
+    runFor(0.05);
+    firstNode.reload();
+    firstNode.transport().release(ControlledTransport.COMMIT);
     assertEquals("201 pending", answer(submission));
-    assertEquals("503", answer(one.poll(JOB)));
-    one.transport().release("/keys");
-    run(0.05);
-    assertEquals("200 pending", promptAnswer(one.poll(JOB)));
-    one.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
-    CompletableFuture<Reply> cancel = one.cancel(JOB);
-    run(0.05);
-    one.reload();
+    assertEquals("503", answer(firstNode.poll(JOB)));
+    firstNode.transport().release("/keys");
+    runFor(0.05);
+    assertEquals("200 pending", promptAnswer(firstNode.poll(JOB)));
+    firstNode.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
+    CompletableFuture<Reply> cancel = firstNode.cancel(JOB);
+    runFor(0.05);
+    firstNode.reload();
     endJob(Outcome.DONE);
-    one.transport().release(ControlledTransport.COMMIT);
-    assertEquals("503", promptAnswer(cancel), "a conflict, and nothing can be read now");
-    one.transport().release("/keys");
-    run(0.05);
-    assertEquals("200 done", promptAnswer(one.cancel(JOB)));
+    firstNode.transport().release(ControlledTransport.COMMIT);
+    assertEquals(
+        "503",
+        promptAnswer(cancel),
+        "the commit met a conflict, and the records can't be read now");
+    firstNode.transport().release("/keys");
+    runFor(0.05);
+    assertEquals("200 done", promptAnswer(firstNode.cancel(JOB)));
   }
 
-  /** The copy lacks all that happened since the history that is gone. */
+  /**
+   * The state store no longer has the changes that followed the node's copy, so that the copy may
+   * lack the job.
+   */
   @Test
-  void aNodeWhoseCopyTurnsOutToBeOldAsksToComeBack() {
-    one.transport().interceptNext("/keys", Interception.HOLD_REQUEST);
-    one.transport().replyNext(ControlledTransport.READ, 410, "{}");
-    CompletableFuture<Reply> answer = one.submit(descriptionWithout("lane"));
-    run(0.01);
-    one.transport().release(ControlledTransport.READ);
+  void aNodeWhoseCopyIsOutdatedAsksToRetry() {
+    firstNode.transport().interceptNext("/keys", Interception.HOLD_REQUEST);
+    firstNode.transport().replyNext(ControlledTransport.READ, 410, "{}");
+    CompletableFuture<Reply> answer = firstNode.submit(descriptionWithout("lane"));
+    runFor(0.01);
+    firstNode.transport().release(ControlledTransport.READ);
     assertEquals("503", promptAnswer(answer));
   }
 
   @Test
   void duringAnOutageEveryRefusalIsImmediate() {
-    promptAnswer(one.submit(description()));
+    promptAnswer(firstNode.submit(description()));
     stateStore.setDown(true);
-    assertEquals("503", promptAnswer(one.poll(JOB)));
-    assertEquals("503", promptAnswer(one.cancel(JOB)));
-    assertEquals("503", promptAnswer(one.submit(description())));
-    assertEquals("503", promptAnswer(one.poll("req-000002")));
-    assertEquals("503", promptAnswer(one.cancel("req-000002")));
+    assertEquals("503", promptAnswer(firstNode.poll(JOB)));
+    assertEquals("503", promptAnswer(firstNode.cancel(JOB)));
+    assertEquals("503", promptAnswer(firstNode.submit(description())));
+    assertEquals("503", promptAnswer(firstNode.poll("req-000002")));
+    assertEquals("503", promptAnswer(firstNode.cancel("req-000002")));
     String fresh = new String(description(), StandardCharsets.UTF_8).replace(JOB, "req-000002");
-    assertEquals("503", promptAnswer(one.submit(fresh.getBytes(StandardCharsets.UTF_8))));
+    assertEquals("503", promptAnswer(firstNode.submit(fresh.getBytes(StandardCharsets.UTF_8))));
     stateStore.setDown(false);
-    assertEquals("200 pending", promptAnswer(one.poll(JOB)));
-    assertEquals("404", promptAnswer(one.poll("req-000002")));
+    assertEquals("200 pending", promptAnswer(firstNode.poll(JOB)));
+    assertEquals("404", promptAnswer(firstNode.poll("req-000002")));
     assertNotNull(stateStore.value(Records.jobKey(JOB)));
   }
 }
--- a/src/test/java/io/cherryspool/controller/election/ElectionFixture.java
+++ b/src/test/java/io/cherryspool/controller/election/ElectionFixture.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** One node's election in virtual time; its lease of the state store is 4 s long. */
+/** The election of one node in virtual time; its state store lease is 4 s long. */
 final class ElectionFixture {
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
 
@@ -58,23 +58,27 @@
     records.start();
     election.onLeadershipChange(() -> {});
     election.start();
-    run(3);
+    runFor(3);
     assertTrue(election.isLeader());
   }
 
-  void run(double seconds) {
+  void runFor(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
     while (time.runNextEvent(end)) {
       // Each event may schedule more.
     }
   }
 
-  /** Notes that a leader has lost its leadership, which makes the wanted lease longer. */
+  /**
+   * Records that a leader has lost leadership, which makes the target length of the lease longer.
+   */
   void recordLeadershipLoss() {
     reachability.recordLeadershipLoss(time.now());
   }
 
-  /** The number of the lease that the leader's record is attached to, by the record itself. */
+  /**
+   * Returns the id of the lease to which the leader's record is attached, as the record names it.
+   */
   long leaseOfLeaderRecord() {
     return stateStore.value(Records.LEADER).path("lease").longValue();
   }
--- a/src/test/java/io/cherryspool/controller/election/ElectionTest.java
+++ b/src/test/java/io/cherryspool/controller/election/ElectionTest.java
@@ -7,41 +7,44 @@
 import io.cherryspool.store.Records;
 import org.junit.jupiter.api.Test;
 
-/** Which term a candidate stands for, and when an expired lease shows a loss of data. */
+/**
+ * Tests the term for which a candidate runs, and when an expired lease indicates a loss of data.
+ */
 class ElectionTest {
-  private final ElectionFixture cluster = new ElectionFixture();
+  private final ElectionFixture fixture = new ElectionFixture();
 
   /**
-   * After records were lost a worker may show a term that no record holds. One election for each
-   * term in between would leave its tasks without a leader for longer than its lease.
+   * After a loss of records, a worker may have observed a term that no record contains. If the
+   * candidate ran for each term in between, the worker's tasks would be without a leader for longer
+   * than its lease.
    */
   @Test
-  void aCandidateStandsForATermAboveAllObservedOnes() {
-    cluster.startAndLead();
-    cluster.election().observeTerm(40);
-    assertFalse(cluster.election().isLeader(), "a later leader was shown");
-    cluster.election().stop();
-    cluster.run(1);
-    cluster.election().start();
-    cluster.run(3);
-    assertTrue(cluster.election().isLeader());
-    assertEquals(41, cluster.stateStore().value(Records.TERM).path("term").intValue());
+  void aCandidateRunsForATermAboveAllObservedTerms() {
+    fixture.startAndLead();
+    fixture.election().observeTerm(40);
+    assertFalse(fixture.election().isLeader(), "a later term was observed");
+    fixture.election().stop();
+    fixture.runFor(1);
+    fixture.election().start();
+    fixture.runFor(3);
+    assertTrue(fixture.election().isLeader());
+    assertEquals(41, fixture.stateStore().value(Records.TERM).path("term").intValue());
   }
 
-  /** A lease expires early only where the state store has lost its renewal. */
+  /** A lease expires early only if the state store has lost its renewal. */
   @Test
   void onlyALeaseThatTheStateStoreHasLostCountsAsExpiredPrematurely() {
     int[] prematureExpiries = {0};
-    cluster.election().onPrematureLeaseExpiry(() -> prematureExpiries[0]++);
-    cluster.startAndLead();
-    cluster.stateStore().loseAllData();
-    cluster.run(1.5);
+    fixture.election().onPrematureLeaseExpiry(() -> prematureExpiries[0]++);
+    fixture.startAndLead();
+    fixture.stateStore().loseAllData();
+    fixture.runFor(1.5);
     assertEquals(1, prematureExpiries[0]);
-    cluster.run(3);
-    cluster.stateStore().setDown(true);
-    cluster.run(20);
-    cluster.stateStore().setDown(false);
-    cluster.run(5);
+    fixture.runFor(3);
+    fixture.stateStore().setDown(true);
+    fixture.runFor(20);
+    fixture.stateStore().setDown(false);
+    fixture.runFor(5);
     assertEquals(1, prematureExpiries[0], "no lease expires early in an outage");
   }
 }
--- a/src/test/java/io/cherryspool/controller/election/LeaseRenewalTest.java
+++ b/src/test/java/io/cherryspool/controller/election/LeaseRenewalTest.java
@@ -6,32 +6,37 @@
 import io.cherryspool.store.Records;
 import org.junit.jupiter.api.Test;
 
-/** How a lease is renewed while the state store refuses requests. */
+/** Tests the renewal of a lease while the state store refuses requests. */
 class LeaseRenewalTest {
-  private final ElectionFixture cluster = new ElectionFixture();
+  private final ElectionFixture fixture = new ElectionFixture();
 
-  /** Refused for three seconds of the four, right after a renewal or just before the next. */
+  /**
+   * Requests are refused for 3 s of a lease of 4 s, beginning at different times after a renewal.
+   */
   @Test
-  void aLeaderThatIsRefusedForLessThanItsLeaseKeepsIt() {
-    cluster.startAndLead();
+  void aLeaderKeepsItsLeaseIfRequestsAreRefusedForLessThanItsLength() {
+    fixture.startAndLead();
     for (int i = 0; i < 10; i++) {
-      cluster.transport().setUnavailable(true);
-      cluster.run(3);
-      cluster.transport().setUnavailable(false);
-      cluster.run(1.5 + 0.05 * i);
-      assertTrue(cluster.election().mayChangeFleet(), "refusal " + i);
+      fixture.transport().setUnavailable(true);
+      fixture.runFor(3);
+      fixture.transport().setUnavailable(false);
+      fixture.runFor(1.5 + 0.05 * i);
+      assertTrue(fixture.election().mayChangeFleet(), "refusal " + i);
     }
-    assertEquals(1, cluster.stateStore().value(Records.TERM).path("term").intValue());
+    assertEquals(1, fixture.stateStore().value(Records.TERM).path("term").intValue());
   }
 
-  /** Four times in a second, the timeout of a call, instead of twice; and no more often. */
+  /**
+   * Renewals are sent four times per second, which is the timeout of a call, instead of twice, and
+   * no more often.
+   */
   @Test
-  void aRefusedRenewalIsRetriedSoonAtABoundedRate() {
-    cluster.startAndLead();
-    cluster.transport().setUnavailable(true);
-    long before = cluster.transport().sentCount("/extend");
-    cluster.run(3);
-    long renewals = cluster.transport().sentCount("/extend") - before;
+  void aRefusedRenewalIsRetriedEarlyAtABoundedRate() {
+    fixture.startAndLead();
+    fixture.transport().setUnavailable(true);
+    long before = fixture.transport().sentCount("/extend");
+    fixture.runFor(3);
+    long renewals = fixture.transport().sentCount("/extend") - before;
     assertTrue(renewals >= 10 && renewals <= 14, renewals + " renewals in 3 s");
   }
 }
--- a/src/test/java/io/cherryspool/controller/election/LeaseReplacementTest.java
+++ b/src/test/java/io/cherryspool/controller/election/LeaseReplacementTest.java
@@ -9,83 +9,87 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** How a leader changes the length of its lease. */
+/** Tests how a leader changes the length of its lease. */
 class LeaseReplacementTest {
-  private final ElectionFixture cluster = new ElectionFixture();
+  private final ElectionFixture fixture = new ElectionFixture();
 
-  /** After leaders were lost again and again the lease is longer, and later as long as before. */
+  /**
+   * After repeated losses of leadership the lease is longer; once the penalty has decayed it is as
+   * long as before.
+   */
   @Test
   void aLeaderTakesALongerLeaseAndLaterAShorterOneWithoutLosingItsTerm() {
-    cluster.startAndLead();
-    long lease = cluster.leaseOfLeaderRecord();
+    fixture.startAndLead();
+    long lease = fixture.leaseOfLeaderRecord();
     for (int i = 0; i < 3; i++) {
-      cluster.recordLeadershipLoss();
+      fixture.recordLeadershipLoss();
     }
-    cluster.run(2);
-    assertTrue(cluster.leaseOfLeaderRecord() != lease, "the record is attached to another lease");
-    assertTrue(cluster.election().mayChangeFleet());
-    cluster.transport().setUnavailable(true);
-    cluster.run(10);
-    assertTrue(cluster.election().mayChangeFleet(), "a lease of 12 s outlasts a refusal of 10 s");
-    cluster.transport().setUnavailable(false);
+    fixture.runFor(2);
+    assertTrue(fixture.leaseOfLeaderRecord() != lease, "the record is attached to another lease");
+    assertTrue(fixture.election().mayChangeFleet());
+    fixture.transport().setUnavailable(true);
+    fixture.runFor(10);
+    assertTrue(fixture.election().mayChangeFleet(), "a lease of 12 s outlasts a refusal of 10 s");
+    fixture.transport().setUnavailable(false);
     for (int i = 0; i < 400; i++) {
-      cluster.run(1);
-      assertTrue(cluster.election().mayChangeFleet(), "while the penalty decays");
+      fixture.runFor(1);
+      assertTrue(fixture.election().mayChangeFleet(), "while the penalty decays");
     }
-    cluster.transport().setUnavailable(true);
-    cluster.run(4.2);
-    assertFalse(cluster.election().mayChangeFleet(), "as short as at first");
-    assertEquals(1, cluster.stateStore().value(Records.TERM).path("term").intValue());
+    fixture.transport().setUnavailable(true);
+    fixture.runFor(4.2);
+    assertFalse(fixture.election().mayChangeFleet(), "the lease is as short as at the beginning");
+    assertEquals(1, fixture.stateStore().value(Records.TERM).path("term").intValue());
   }
 
-  /** The transaction that moves the record is carried out, and its answer is lost. */
+  /** The state store carries out the transaction that moves the record, but its answer is lost. */
   @Test
-  void aLostAnswerToTheMoveOfTheRecordCostsNoLeadership() {
-    cluster.startAndLead();
+  void aLeaderRemainsLeaderIfTheAnswerToTheMoveOfItsRecordIsLost() {
+    fixture.startAndLead();
     for (int i = 0; i < 3; i++) {
-      cluster.recordLeadershipLoss();
+      fixture.recordLeadershipLoss();
     }
-    cluster
+    fixture
         .transport()
         .interceptNext(ControlledTransport.COMMIT, ControlledTransport.Interception.DROP_REPLY);
-    cluster
+    fixture
         .transport()
         .interceptNext(ControlledTransport.COMMIT, ControlledTransport.Interception.HOLD_REQUEST);
     for (int i = 0; i < 80; i++) {
-      cluster.run(0.1);
-      assertTrue(cluster.election().isLeader() && cluster.election().mayChangeFleet());
+      fixture.runFor(0.1);
+      assertTrue(fixture.election().isLeader() && fixture.election().mayChangeFleet());
     }
-    cluster.transport().release(ControlledTransport.COMMIT);
-    cluster.run(5);
-    assertTrue(cluster.election().mayChangeFleet());
-    assertEquals(1, cluster.stateStore().value(Records.TERM).path("term").intValue());
+    fixture.transport().release(ControlledTransport.COMMIT);
+    fixture.runFor(5);
+    assertTrue(fixture.election().mayChangeFleet());
+    assertEquals(1, fixture.stateStore().value(Records.TERM).path("term").intValue());
   }
 
   /**
-   * The record is moved to a shorter lease, and this node doesn't read of it: the record may be
-   * gone with that lease, and another node lead, while the old lease is still valid.
+   * The record is moved to a shorter lease, but this node doesn't read the change. The shorter
+   * lease may expire, and the record with it, so that another node leads while the longer lease is
+   * still valid.
    */
   @Test
   void whileTheRecordMayBeAttachedToEitherLeaseBothMustBeValid() {
     for (int i = 0; i < 40; i++) {
-      cluster
+      fixture
           .transport()
           .interceptNext(ControlledTransport.WATCH, ControlledTransport.Interception.HOLD_REPLY);
     }
-    cluster.startAndLead();
+    fixture.startAndLead();
     for (int i = 0; i < 3; i++) {
-      cluster.recordLeadershipLoss();
+      fixture.recordLeadershipLoss();
     }
-    cluster.run(2);
-    long longest = cluster.leaseOfLeaderRecord();
-    Duration end = cluster.time().now().plusSeconds(120);
-    while (cluster.leaseOfLeaderRecord() == longest && cluster.time().runNextEvent(end)) {
-      // One message at a time, so that this node does not read of the move.
+    fixture.runFor(2);
+    long longerLease = fixture.leaseOfLeaderRecord();
+    Duration end = fixture.time().now().plusSeconds(120);
+    while (fixture.leaseOfLeaderRecord() == longerLease && fixture.time().runNextEvent(end)) {
+      // Runs one event at a time, so that this node does not read the move.
     }
-    assertTrue(cluster.leaseOfLeaderRecord() != longest, "the lease becomes shorter again");
-    cluster.transport().setUnavailable(true);
-    assertTrue(cluster.election().mayChangeFleet());
-    cluster.run(8.2);
-    assertFalse(cluster.election().mayChangeFleet());
+    assertTrue(fixture.leaseOfLeaderRecord() != longerLease, "the lease becomes shorter again");
+    fixture.transport().setUnavailable(true);
+    assertTrue(fixture.election().mayChangeFleet());
+    fixture.runFor(8.2);
+    assertFalse(fixture.election().mayChangeFleet());
   }
 }
--- a/src/test/java/io/cherryspool/controller/recovery/RetainedRecordsCodecTest.java
+++ b/src/test/java/io/cherryspool/controller/recovery/RetainedRecordsCodecTest.java
@@ -8,27 +8,28 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * That heartbeats carry a node's memory as version 0.1.0 did; HeartbeatFormatTest has the bytes.
+ * Tests that heartbeats describe a node's retained records as those of version 0.1.0 do.
+ * HeartbeatFormatTest compares the bytes.
  */
 class RetainedRecordsCodecTest {
-  private static final RetainedRecords MEMORY =
+  private static final RetainedRecords RETAINED_RECORDS =
       new RetainedRecords(
           RetainedRecords.Phase.REBUILDING,
           "9f3a",
           new Incarnation.HistoryPosition(3, 1L << 50),
           true,
           4);
-  private static final Mesh.RetainedRecordsSummary CARRIED =
+  private static final Mesh.RetainedRecordsSummary SUMMARY =
       new Mesh.RetainedRecordsSummary(3, 3, "9f3a", 1L << 50, true, 4);
 
   @Test
-  void eachFieldHasItsPlace() {
-    assertEquals(CARRIED, RetainedRecordsCodec.encode(MEMORY));
-    assertEquals(MEMORY, RetainedRecordsCodec.decode(CARRIED));
+  void encodesAndDecodesEachField() {
+    assertEquals(SUMMARY, RetainedRecordsCodec.encode(RETAINED_RECORDS));
+    assertEquals(RETAINED_RECORDS, RetainedRecordsCodec.decode(SUMMARY));
   }
 
   @Test
-  void aPhaseOfALaterVersionIsOneInWhichTheNodeHolds() {
+  void decodesAnUnknownPhaseAsHolding() {
     Mesh.RetainedRecordsSummary later = new Mesh.RetainedRecordsSummary(4, 3, "9f3a", 1, false, 0);
     assertEquals(RetainedRecords.Phase.HOLDING, RetainedRecordsCodec.decode(later).phase());
   }
--- a/src/test/java/io/cherryspool/mesh/HeartbeatFormatTest.java
+++ b/src/test/java/io/cherryspool/mesh/HeartbeatFormatTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** That controllers of version 0.1.0 and of this one read each other's heartbeats. */
+/** Tests that controllers of version 0.1.0 and of this version read each other's heartbeats. */
 class HeartbeatFormatTest {
   private static final LinkSummary LINKS =
       new LinkSummary(
@@ -42,7 +42,7 @@
           "node-2", 7, false, 99_000, 0, 0, Mesh.RetainedRecordsSummary.NONE, LinkSummary.NONE);
 
   @Test
-  void heartbeatsAreReadAndWrittenAgainUnchanged() throws IOException {
+  void recordedHeartbeatsAreDecodedAndEncodedUnchanged() throws IOException {
     check("heartbeat-full.msgpack", FULL);
     check("heartbeat-plain.msgpack", PLAIN);
   }
--- a/src/test/java/io/cherryspool/mesh/NettyMeshTest.java
+++ b/src/test/java/io/cherryspool/mesh/NettyMeshTest.java
@@ -15,21 +15,24 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The mesh over real sockets. */
+/** Tests the mesh over real sockets. */
 class NettyMeshTest {
   private static final long TIMEOUT_S = 10;
   private static final Mesh.PeerHeartbeat HEARTBEAT =
       new Mesh.PeerHeartbeat(
           "node", 1, true, 0, 0, 0, Mesh.RetainedRecordsSummary.NONE, LinkSummary.NONE);
 
-  /** Closing a connection removes it from those that are being closed. */
+  /**
+   * Closing a connection removes it from the map of connections, which {@link NettyMesh#stop} must
+   * not iterate over meanwhile.
+   */
   @Test
-  void stopClosesTheListenerAlsoWithConnectionsOpen() throws Exception {
+  void stopClosesTheListenerWhileConnectionsAreOpen() throws Exception {
     NettyEventLoop loop = new NettyEventLoop();
-    Endpoint own = freeEndpoint();
+    Endpoint endpoint = freeEndpoint();
     CountDownLatch received = new CountDownLatch(2);
-    NettyMesh mesh = new NettyMesh(loop, List.of(own), heartbeat -> received.countDown());
-    mesh.bind(own);
+    NettyMesh mesh = new NettyMesh(loop, List.of(endpoint), heartbeat -> received.countDown());
+    mesh.bind(endpoint);
     loop.execute(mesh::start);
     for (int i = 0; i < 200 && received.getCount() > 0; i++) {
       loop.execute(() -> mesh.broadcast(HEARTBEAT));
@@ -47,7 +50,7 @@
           }
         });
     stopped.get(TIMEOUT_S, TimeUnit.SECONDS);
-    assertTrue(refuses(own), "the listener is still open");
+    assertTrue(refusesConnections(endpoint), "the listener is still open");
     loop.shutdown();
     loop.awaitTermination();
   }
@@ -58,8 +61,11 @@
     }
   }
 
-  /** The listener closes on the loop, shortly after the call. */
-  private static boolean refuses(Endpoint endpoint) throws InterruptedException {
+  /**
+   * Whether the endpoint refuses connections. Tries repeatedly, because the listener closes on the
+   * event loop shortly after the call.
+   */
+  private static boolean refusesConnections(Endpoint endpoint) throws InterruptedException {
     for (int i = 0; i < 100; i++) {
       try (Socket socket = new Socket()) {
         socket.connect(new InetSocketAddress(endpoint.host(), endpoint.port()), 1000);
--- a/src/test/java/io/cherryspool/mesh/PeerHeartbeatCodecTest.java
+++ b/src/test/java/io/cherryspool/mesh/PeerHeartbeatCodecTest.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** That heartbeats survive their encoding, also between versions, and fit into a frame. */
+/**
+ * Tests that heartbeats are decoded as they were encoded, including those of earlier versions, and
+ * fit into a frame.
+ */
 class PeerHeartbeatCodecTest {
   private static final LinkSummary LINKS =
       new LinkSummary(
@@ -26,7 +29,7 @@
           List.of(new LinkSummary.ZoneLink("a", LinkState.DOWN, 900, 870, 12)));
 
   @Test
-  void readsWhatItWrites() throws IOException {
+  void decodesWhatItEncodes() throws IOException {
     Mesh.RetainedRecordsSummary retained =
         new Mesh.RetainedRecordsSummary(2, 3, "9f", 1L << 50, true, 4);
     Mesh.PeerHeartbeat heartbeat =
@@ -39,7 +42,7 @@
     assertThrows(IOException.class, () -> PeerHeartbeatCodec.decode(new byte[] {(byte) 0x91, 1}));
   }
 
-  /** Nodes are replaced one at a time, so that versions meet. */
+  /** Nodes are upgraded one at a time, so that nodes of different versions exchange heartbeats. */
   @Test
   void readsHeartbeatsWithoutRetainedRecords() throws IOException {
     Mesh.PeerHeartbeat expected =
@@ -75,9 +78,9 @@
     assertEquals(expected, PeerHeartbeatCodec.decode(old));
   }
 
-  /** A frame holds 4,096 bytes, however many machines there are. */
+  /** A frame holds at most 4,096 bytes, regardless of the number of machines. */
   @Test
-  void fitsIntoAFrameWithManyZones() throws IOException {
+  void aHeartbeatWithManyZonesFitsIntoAFrame() throws IOException {
     List<LinkSummary.ZoneLink> zones = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
       zones.add(
--- a/src/test/java/io/cherryspool/reachability/FlapDamperTest.java
+++ b/src/test/java/io/cherryspool/reachability/FlapDamperTest.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** How the penalty of a link grows and decays. */
+/** Tests how the penalty of a link grows and decays. */
 class FlapDamperTest {
   private final FlapDamper damper = new FlapDamper(Duration.ofSeconds(60));
 
@@ -16,7 +16,7 @@
   }
 
   @Test
-  void thePenaltyGrowsByOneAndHalves() {
+  void thePenaltyGrowsByOneWithEachFlapAndDecays() {
     damper.recordFlap(at(10));
     assertEquals(1, damper.penalty(at(10)), 1e-9);
     assertEquals(0.5, damper.penalty(at(70)), 1e-9);
@@ -25,17 +25,17 @@
     assertEquals(2, damper.flapCount());
   }
 
-  /** Between the two thresholds it stays what it was. */
+  /** Between the two thresholds the result stays the same. */
   @Test
   void flappingBeginsAndEndsAtDifferentPenalties() {
     damper.recordFlap(at(0));
-    assertFalse(damper.isFlapping(at(0)), "a first failure is judged as ever");
+    assertFalse(damper.isFlapping(at(0)), "a single flap is not flapping");
     damper.recordFlap(at(0.5));
     damper.recordFlap(at(1));
     assertTrue(damper.isFlapping(at(1)));
-    assertTrue(damper.isFlapping(at(60)), "1.5 is still too much");
-    assertFalse(damper.isFlapping(at(100)), "it heals");
+    assertTrue(damper.isFlapping(at(60)), "a penalty of 1.5 is still too high");
+    assertFalse(damper.isFlapping(at(100)), "the penalty has decayed");
     damper.recordFlap(at(100));
-    assertFalse(damper.isFlapping(at(100)), "1.9 is not enough to begin");
+    assertFalse(damper.isFlapping(at(100)), "a penalty of 1.9 is too low to begin");
   }
 }
--- a/src/test/java/io/cherryspool/reachability/FleetReachabilityTest.java
+++ b/src/test/java/io/cherryspool/reachability/FleetReachabilityTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which machines a leader counts as known and as missing. */
+/** Tests which machines a leader counts as known and as missing. */
 class FleetReachabilityTest {
   @Test
-  void machinesThatWereNeverSeenInTheTermCountAsMissing() {
+  void listedMachinesThatWereNeverSeenInTheTermCountAsMissing() {
     FleetReachability.Builder machines = new FleetReachability.Builder();
     for (int i = 0; i < 6; i++) {
       machines.addMachine("a", true, i < 4 ? ContactState.NEVER_SEEN : ContactState.REACHABLE);
@@ -15,7 +15,7 @@
       machines.addMachine("a", true, ContactState.NEW);
     }
     assertEquals(
-        6, machines.build().known(), "those that the list lacks were taken back, or are new");
+        6, machines.build().known(), "machines that are not listed were preempted or are new");
     assertEquals(4, machines.build().missing());
   }
 }
--- a/src/test/java/io/cherryspool/reachability/HandoverPermissionsTest.java
+++ b/src/test/java/io/cherryspool/reachability/HandoverPermissionsTest.java
@@ -11,15 +11,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a leader may do that has judged that workers do not reach it, until its term is over. It
- * once suspended nothing meanwhile, so that a machine whose patience ended just then was deleted,
- * with its tasks, for the leader's own silence. Found by reading; in these tests the verdict is
- * drawn and the permissions are read off.
+ * Tests what a leader that is handing leadership over may do until its term ends. It once suspended
+ * nothing during that time, so that a machine whose eviction timeout expired just then was deleted
+ * together with its tasks, although the leader's own link was the cause of the silence. The fault
+ * was found by reading the code. These tests set the verdict directly and check the permissions
+ * that follow from it.
  */
 class HandoverPermissionsTest {
   private static final Duration NOW = Duration.ofSeconds(100);
 
-  private static Reachability judged(Verdict verdict) {
+  private static Reachability withVerdict(Verdict verdict) {
     Reachability reachability =
         new Reachability(
             "leader", List.of("a", "b"), ReachabilityFixture.TIMINGS, true, view -> verdict);
@@ -28,19 +29,21 @@
   }
 
   @Test
-  void aLeaderThatHandsOverDeletesNoSilentMachine() {
+  void aLeaderThatHandsOverMayNotEvictScaleOrPlace() {
     Reachability leader =
-        judged(new Verdict.HandOverLeadership("a", Reason.WORKERS_REACH_OTHER_NODES));
+        withVerdict(new Verdict.HandOverLeadership("a", Reason.WORKERS_REACH_OTHER_NODES));
     assertTrue(leader.isZoneEvictionSuspended("any"));
     assertFalse(leader.mayChangeFleet());
-    assertFalse(leader.mayPlaceTasks(), "nothing that its successor would have to take back");
+    assertFalse(leader.mayPlaceTasks(), "the successor would have to undo its placements");
   }
 
-  /** The rule of single machines then waits as for a zone that is cut off. */
+  /**
+   * The eviction rule for single machines then waits as long as it does in a zone that is cut off.
+   */
   @Test
-  void aSilentMachineIsGivenUpByTheSuccessorAtTheEarliest() {
+  void aLeaderThatHandsOverDoesNotEvictASilentMachine() {
     Reachability leader =
-        judged(
+        withVerdict(
             new Verdict.HandOverLeadership(
                 Verdict.HandOverLeadership.ANY_NODE, Reason.NO_PEERS_AND_WORKERS_MISSING));
     MachineEvictionRule.Observation silent =
@@ -54,8 +57,8 @@
   }
 
   @Test
-  void aLeaderThatServesDeletesIt() {
-    Reachability leader = judged(new Verdict.Serve());
+  void aLeaderThatServesMayEvictAndPlace() {
+    Reachability leader = withVerdict(new Verdict.Serve());
     assertInstanceOf(Verdict.Serve.class, leader.verdict());
     assertFalse(leader.isZoneEvictionSuspended("any"));
     assertTrue(leader.mayPlaceTasks());
--- a/src/test/java/io/cherryspool/reachability/LeadershipTransferTest.java
+++ b/src/test/java/io/cherryspool/reachability/LeadershipTransferTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** When a leader hands leadership over, and when it must not. */
+/** Tests when a leader hands leadership over and when it must not. */
 class LeadershipTransferTest {
   private static final Duration HEARTBEAT_INTERVAL = ReachabilityFixture.HEARTBEAT_INTERVAL;
   private static final Duration START = Duration.ofSeconds(100);
@@ -20,7 +20,10 @@
   private Duration now = START;
   private boolean mayAnswerWorkers = true;
 
-  /** To whom the leader hands over after receiving the heartbeats for so long; null if to none. */
+  /**
+   * Returns the successor to which the leader hands over after it has received the heartbeats for
+   * this number of seconds; null if it does not hand over.
+   */
   private String successorAfter(
       double seconds, int known, int missing, Mesh.PeerHeartbeat... heartbeats) {
     Duration end = now.plusMillis((long) (seconds * 1000));
@@ -36,11 +39,11 @@
   }
 
   private static Mesh.PeerHeartbeat heartbeat(
-      String node, boolean isStoreReachable, int redirectedWorkers) {
+      String node, boolean isStateStoreReachable, int redirectedWorkers) {
     return new Mesh.PeerHeartbeat(
         node,
         7,
-        isStoreReachable,
+        isStateStoreReachable,
         0,
         redirectedWorkers,
         0,
@@ -57,53 +60,61 @@
     assertEquals(
         "b",
         successorAfter(1, 900, 850, heartbeat("a", true, 210), heartbeat("b", true, 230)),
-        "together");
+        "the redirected workers of all nodes are added up");
   }
 
   @Test
-  void deadMachinesAndPassingCallersAreNoReason() {
+  void noHandoverForDeadMachinesOrWorkersOnTheirWayToTheLeader() {
     assertNull(successorAfter(20, 900, 300, heartbeat("a", true, 4)), "a zone is cut off or dead");
     assertNull(
         successorAfter(1, 900, 12, heartbeat("a", true, 300)),
-        "workers on their way to the new leader");
+        "the workers are on their way to the new leader");
     assertNull(successorAfter(1, 900, 0, heartbeat("a", true, 0)));
   }
 
-  /** Nodes may refuse one another's connections while the leader loses its workers. */
+  /**
+   * The connections between the nodes may fail at the same time as those from the workers to the
+   * leader.
+   */
   @Test
-  void withoutHeartbeatsFromAnyNodeHalfOfTheMachinesDecide() {
-    assertNull(successorAfter(20, 900, 850), "it never received a heartbeat");
-    assertNull(successorAfter(1, 900, 850, heartbeat("a", true, 0)), "they come to no other node");
+  void withoutPeerHeartbeatsALeaderHandsOverIfHalfOfItsMachinesAreMissing() {
+    assertNull(successorAfter(20, 900, 850), "the leader has never received a heartbeat");
+    assertNull(
+        successorAfter(1, 900, 850, heartbeat("a", true, 0)), "the workers come to no other node");
     assertEquals(Verdict.HandOverLeadership.ANY_NODE, successorAfter(3, 900, 450));
     assertNull(successorAfter(1, 900, 449));
   }
 
-  /** What waited in the sockets of a node that stood still is not read yet. */
+  /** After a stall, heartbeats may still be waiting unread in the node's sockets. */
   @Test
-  void aNodeThatStoodStillOrHasJustBeenElectedWaitsForItsWorkers() {
+  void aLeaderWaitsForItsWorkersAfterAStallAnElectionOrAnOutage() {
     Mesh.PeerHeartbeat heartbeat = heartbeat("a", true, 800);
-    assertNull(successorAfter(3, 900, 850, heartbeat), "it has led for 3 s");
+    assertNull(successorAfter(3, 900, 850, heartbeat), "the leader has led for only 3 s");
     assertEquals("a", successorAfter(20, 900, 850, heartbeat));
     now = now.plusSeconds(9);
     assertNull(successorAfter(1, 900, 850, heartbeat));
     assertEquals("a", successorAfter(20, 900, 850, heartbeat));
     mayAnswerWorkers = false;
-    assertNull(successorAfter(20, 900, 900, heartbeat), "it could not answer");
+    assertNull(successorAfter(20, 900, 900, heartbeat), "the leader could not answer workers");
     mayAnswerWorkers = true;
     assertNull(
-        successorAfter(5, 900, 700, heartbeat), "after an outage they all come from the others");
+        successorAfter(5, 900, 700, heartbeat),
+        "after an outage all workers come back from the other nodes");
     assertEquals("a", successorAfter(20, 900, 850, heartbeat));
   }
 
-  /** It answers so late that its workers go round, and hands its work to one that is no larger. */
+  /**
+   * Workers try the other nodes because the leader answers too late. A successor would have no more
+   * capacity.
+   */
   @Test
-  void aNodeThatIsTooBusyToAnswerInTimeKeepsItsWork() {
+  void aLeaderThatIsTooBusyToAnswerInTimeDoesNotHandOver() {
     Mesh.PeerHeartbeat heartbeat = heartbeat("a", true, 400);
     assertEquals("a", successorAfter(20, 900, 450, heartbeat));
     for (int i = 0; i < 40; i++) {
       now = now.plusMillis(300);
       assertNull(successorAfter(3, 900, 450, heartbeat));
     }
-    assertEquals("a", successorAfter(20, 900, 450, heartbeat), "once it keeps up again");
+    assertEquals("a", successorAfter(20, 900, 450, heartbeat), "the leader runs on time again");
   }
 }
--- a/src/test/java/io/cherryspool/reachability/MachineEvictionRuleTest.java
+++ b/src/test/java/io/cherryspool/reachability/MachineEvictionRuleTest.java
@@ -6,14 +6,17 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Heartbeats come every 4 s, and the leases of tasks have surely expired after 22 s. */
+/**
+ * Tests when a machine is evicted. Heartbeats are sent every 4 s, and task leases are certain to
+ * have expired after 22 s.
+ */
 class MachineEvictionRuleTest {
-  private static final Duration STEADY_FOR = Duration.ofSeconds(100);
+  private static final Duration OBSERVER_HEALTHY_FOR = Duration.ofSeconds(100);
   private static final Optional<Duration> RECEIVING = Optional.empty();
 
   private final MachineEvictionRule rule = new MachineEvictionRule(ReachabilityFixture.TIMINGS);
 
-  private Optional<MachineEvictionRule.EvictionReason> judge(
+  private Optional<MachineEvictionRule.EvictionReason> evaluate(
       int silentSeconds,
       Optional<Duration> notReceivingFor,
       boolean ownsTasks,
@@ -26,52 +29,52 @@
             ownsTasks,
             isUnresponsive,
             isZoneEvictionSuspended),
-        STEADY_FOR);
+        OBSERVER_HEALTHY_FOR);
   }
 
   @Test
-  void aSilentMachineIsGivenUpAfterThreeHeartbeats() {
-    assertEquals(Optional.empty(), judge(14, RECEIVING, true, false, false));
+  void aSilentMachineIsEvictedAfterThreeMissedHeartbeats() {
+    assertEquals(Optional.empty(), evaluate(14, RECEIVING, true, false, false));
     assertEquals(
         Optional.of(MachineEvictionRule.EvictionReason.SILENT),
-        judge(15, RECEIVING, true, false, false));
+        evaluate(15, RECEIVING, true, false, false));
   }
 
   @Test
-  void oneThatOwnsTasksAndAnswersNoCallIsGivenUpAfterTwoHeartbeats() {
-    assertEquals(Optional.empty(), judge(8, RECEIVING, true, true, false));
+  void aSilentMachineThatOwnsTasksAndAnswersNoCallIsEvictedAfterTwoMissedHeartbeats() {
+    assertEquals(Optional.empty(), evaluate(8, RECEIVING, true, true, false));
     assertEquals(
         Optional.of(MachineEvictionRule.EvictionReason.SILENT),
-        judge(9, RECEIVING, true, true, false));
-    assertEquals(Optional.empty(), judge(9, RECEIVING, false, true, false));
+        evaluate(9, RECEIVING, true, true, false));
+    assertEquals(Optional.empty(), evaluate(9, RECEIVING, false, true, false));
   }
 
   @Test
-  void inAnUnreachableZoneAMachineIsGivenUpOnlyAfterTwoLeases() {
-    assertEquals(Optional.empty(), judge(44, RECEIVING, true, true, true));
+  void inAnUnreachableZoneAMachineIsEvictedOnlyAfterTwoLeases() {
+    assertEquals(Optional.empty(), evaluate(44, RECEIVING, true, true, true));
     assertEquals(
         Optional.of(MachineEvictionRule.EvictionReason.SILENT),
-        judge(45, RECEIVING, true, true, true));
+        evaluate(45, RECEIVING, true, true, true));
     assertEquals(
-        Optional.empty(), judge(1, Optional.of(Duration.ofSeconds(44)), true, false, true));
+        Optional.empty(), evaluate(1, Optional.of(Duration.ofSeconds(44)), true, false, true));
   }
 
   @Test
-  void aMachineThatReceivesNothingIsGivenUpOnceItsTasksHaveEnded() {
+  void aMachineThatReceivesNoAnswersIsEvictedOnceItsTasksHaveEnded() {
     Optional<Duration> notReceivingFor = Optional.of(Duration.ofSeconds(21));
-    assertEquals(Optional.empty(), judge(1, notReceivingFor, true, false, false));
+    assertEquals(Optional.empty(), evaluate(1, notReceivingFor, true, false, false));
     assertEquals(
         Optional.of(MachineEvictionRule.EvictionReason.NOT_RECEIVING),
-        judge(1, notReceivingFor, false, false, false));
+        evaluate(1, notReceivingFor, false, false, false));
     notReceivingFor = Optional.of(Duration.ofSeconds(23));
     assertEquals(
         Optional.of(MachineEvictionRule.EvictionReason.NOT_RECEIVING),
-        judge(1, notReceivingFor, true, false, false));
+        evaluate(1, notReceivingFor, true, false, false));
   }
 
-  /** What was sent while this node stood still waits in its sockets. */
+  /** Messages that were sent while this node was stalled may be waiting unread in its sockets. */
   @Test
-  void anObserverThatStoodStillGivesUpNoMachine() {
+  void aNodeThatWasStalledEvictsNoMachine() {
     MachineEvictionRule.Observation machine =
         new MachineEvictionRule.Observation(Duration.ofSeconds(30), RECEIVING, true, true, false);
     assertEquals(Optional.empty(), rule.evaluate(machine, Duration.ofSeconds(7)));
--- a/src/test/java/io/cherryspool/reachability/PartitionRuleTest.java
+++ b/src/test/java/io/cherryspool/reachability/PartitionRuleTest.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What a node does about its links; handovers are in LeadershipTransferTest. */
+/** Tests what a node does about the state of its links. LeadershipTransferTest covers handovers. */
 class PartitionRuleTest {
   private static final Duration HEARTBEAT_INTERVAL = ReachabilityFixture.HEARTBEAT_INTERVAL;
   private static final Duration LEASE = ReachabilityFixture.TIMINGS.leaderLease();
@@ -32,7 +32,7 @@
     return verdict;
   }
 
-  private void stateFails(double seconds) {
+  private void failStateStoreLink(double seconds) {
     reachability.stateStoreLink().onFailure(now, now);
     now = now.plusMillis(250);
     reachability.stateStoreLink().onFailure(now, now);
@@ -41,7 +41,7 @@
 
   @Test
   void aLeaderWithoutTheStateStoreSuspendsPlacementUntilItIsAnswered() {
-    stateFails(1);
+    failStateStoreLink(1);
     Verdict verdict = lead(0.5, fleet(0, 0, 0));
     assertEquals(new Verdict.SuspendPlacement(Reason.STATE_UNREACHABLE), verdict);
     assertTrue(!reachability.mayPlaceTasks() && !reachability.mayChangeFleet());
@@ -51,14 +51,15 @@
 
   @Test
   void aFollowerWithoutTheStateStoreForwardsUsersRequests() {
-    stateFails(1);
+    failStateStoreLink(1);
     assertEquals(
         "pass-on", reachability.evaluate(now, false, false, FleetReachability.EMPTY).name());
   }
 
   @Test
-  void evictionInAZoneIsSuspendedWhileASixthOfItIsUnreachable() {
-    assertEquals("serve", lead(1, fleet(0, 3, 0)).name(), "three may have died together");
+  void evictionInAZoneIsSuspendedFromAThirdUnreachableDownToASixth() {
+    assertEquals(
+        "serve", lead(1, fleet(0, 3, 0)).name(), "three machines may have died at the same time");
     assertEquals("hold-zones zone-1", lead(1, fleet(0, 4, 0)).describe());
     assertTrue(
         reachability.isZoneEvictionSuspended("zone-1")
@@ -69,21 +70,26 @@
     assertEquals("serve", lead(1, fleet(0, 2, 0)).name());
   }
 
-  /** Two zones at once are rather this node's fault; its tasks own nothing after their leases. */
+  /**
+   * If two zones become unreachable at the same time, the cause is probably this node's own link.
+   * Once the task leases have expired, the machines own no tasks any more.
+   */
   @Test
-  void changesOfTheFleetAreSuspendedUntilTaskLeasesExpireAtTheMost() {
+  void fleetChangesAreSuspendedAtMostUntilTaskLeasesExpire() {
     assertEquals("hold-fleet", lead(1, fleet(9, 2, 0)).name());
     assertTrue(reachability.isZoneEvictionSuspended("zone-2") && !reachability.mayChangeFleet());
     assertEquals("hold-fleet", lead(20, fleet(9, 2, 0)).name());
     assertEquals("hold-zones zone-0", lead(2, fleet(9, 2, 0)).describe());
-    assertTrue(reachability.mayChangeFleet(), "what they ran is free by then, and needs machines");
+    assertTrue(
+        reachability.mayChangeFleet(), "the tasks are free by then and may need new machines");
     assertEquals("serve", lead(1, fleet(0, 0, 0)).name());
-    assertEquals("hold-fleet", lead(1, fleet(9, 2, 0)).name(), "another cut, another time");
+    assertEquals(
+        "hold-fleet", lead(1, fleet(9, 2, 0)).name(), "the time limit starts again with a new cut");
   }
 
-  /** Each change lately doubles what a further one must be worth. */
+  /** Recent changes of the leader double the number of machines that must be missing. */
   @Test
-  void afterChangesOfTheLeaderAFurtherOneMustBeWorthMore() {
+  void afterRecentChangesOfTheLeaderAHandoverNeedsMoreMissingMachines() {
     FleetReachability fifth = new FleetReachability(100, 20, Map.of());
     FleetReachability half = new FleetReachability(100, 50, Map.of());
     for (int i = 0; i < 2; i++) {
@@ -104,7 +110,7 @@
   }
 
   @Test
-  void aNodeThatTheStateStoreDoesNotAnswerIsNoSuccessor() {
+  void aNodeThatDoesNotReachTheStateStoreIsNoSuccessor() {
     FleetReachability half = new FleetReachability(100, 50, Map.of());
     Verdict verdict = new Verdict.Serve();
     for (int i = 0; i < 40; i++) {
@@ -123,14 +129,16 @@
         name, 7, true, 0, redirected, 0, Mesh.RetainedRecordsSummary.NONE, links);
   }
 
-  private Duration delay(String successor, String by) {
+  private Duration delay(String successor, String formerLeader) {
     return reachability.candidacyDelay(
         now,
-        successor == null ? Optional.empty() : Optional.of(new NodeView.Handover(successor, by)));
+        successor == null
+            ? Optional.empty()
+            : Optional.of(new NodeView.Handover(successor, formerLeader)));
   }
 
   @Test
-  void theSuccessorStandsFirstAndTheFormerLeaderLast() {
+  void theSuccessorRunsFirstAndTheFormerLeaderLast() {
     assertEquals(Duration.ZERO, delay(null, null));
     assertEquals(Duration.ZERO, delay("a", "b"));
     assertEquals(LEASE.dividedBy(4), delay("c", "b"));
@@ -139,21 +147,23 @@
   }
 
   @Test
-  void aNodeWhoseLinkFlapsStandsAfterOthersUntilThePenaltyDecays() {
+  void aNodeWhoseLinkFlapsRunsAfterOthersUntilThePenaltyDecays() {
     for (int i = 0; i < 3; i++) {
-      stateFails(1);
+      failStateStoreLink(1);
       reachability.stateStoreLink().onAnswer(now);
       now = now.plusSeconds(2);
     }
     assertEquals(LEASE.dividedBy(2), delay(null, null));
-    assertEquals(Duration.ZERO, delay("a", "b"), "the successor is the better one all the same");
+    assertEquals(Duration.ZERO, delay("a", "b"), "the successor runs first even if its link flaps");
     now = now.plusSeconds(180);
     assertEquals(Duration.ZERO, delay(null, null));
   }
 
-  /** Losses of leadership in other nodes' heartbeats make this one's lease longer. */
+  /**
+   * Losses of leadership that other nodes report in their heartbeats make this node's lease longer.
+   */
   @Test
-  void leasesGrowWithTheLossesInTheWholeCluster() {
+  void leasesGrowWithLeadershipLossesInTheWholeCluster() {
     assertEquals(LEASE, reachability.leaseLength(now));
     LinkSummary links =
         new LinkSummary(false, "", LinkState.UP, LinkState.UP, false, 9, "", List.of(), List.of());
--- a/src/test/java/io/cherryspool/reachability/ReachabilityFixture.java
+++ b/src/test/java/io/cherryspool/reachability/ReachabilityFixture.java
@@ -3,7 +3,10 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A node's links with the times of a large deployment, and fleets that it may observe. */
+/**
+ * Creates the links of a node with the timings of a large deployment, and fleets that the node may
+ * observe.
+ */
 public final class ReachabilityFixture {
   static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(500);
 
@@ -20,12 +23,15 @@
 
   private ReachabilityFixture() {}
 
-  /** The links of a node that has observed nothing yet. */
+  /** Creates the links of a node that has observed nothing yet. */
   public static Reachability reachability(String node, List<String> peers) {
     return new Reachability(node, peers, TIMINGS, true, new PartitionRule(TIMINGS));
   }
 
-  /** Zones of ten listed machines each, of which so many are silent. */
+  /**
+   * Creates a fleet with one zone for each argument. Each zone has ten listed machines, of which
+   * the given number are silent.
+   */
   static FleetReachability fleet(int... silentOfTen) {
     FleetReachability.Builder machines = new FleetReachability.Builder();
     for (int zone = 0; zone < silentOfTen.length; zone++) {
--- a/src/test/java/io/cherryspool/reachability/ReachabilityTest.java
+++ b/src/test/java/io/cherryspool/reachability/ReachabilityTest.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a node sends to the others of its links. */
+/** Tests the summary of its links that a node sends to the other nodes. */
 class ReachabilityTest {
   private final Reachability reachability =
       ReachabilityFixture.reachability("a", List.of("b", "c"));
   private Duration now = Duration.ofSeconds(50);
 
-  /** Leads for so long while nine of the ten machines of zone-1 are silent. */
+  /** Leads for this length of time while nine of the ten machines in zone-1 are silent. */
   private void lead(Duration length) {
     FleetReachability fleet = ReachabilityFixture.fleet(0, 9, 0);
     Duration end = now.plus(length);
@@ -34,20 +34,20 @@
   }
 
   @Test
-  void theSummaryOfANodesLinksNamesPeersAndZones() {
+  void theLinkSummaryContainsPeersAndZones() {
     reachability.receivePeerHeartbeat(heartbeat("b"), now);
     reachability.redirectedWorkers().recordRedirect("host-1", "zone-9", now);
     lead(Duration.ofSeconds(2));
-    LinkSummary report = reachability.linkSummary(now, true, "10.0.0.1:8080");
+    LinkSummary summary = reachability.linkSummary(now, true, "10.0.0.1:8080");
     assertEquals(
         List.of(
             new LinkSummary.PeerLink("b", LinkState.SUSPECT, 2000),
             new LinkSummary.PeerLink("c", LinkState.DOWN, -1)),
-        report.peers());
+        summary.peers());
     assertEquals(
-        new LinkSummary.ZoneLink("zone-1", LinkState.DOWN, 10, 9, 0), report.zones().get(1));
-    assertEquals(new LinkSummary.ZoneLink("zone-9", LinkState.UP, 0, 0, 1), report.zones().get(3));
-    assertTrue(report.wasStalled(), "it has run for 2 s only");
+        new LinkSummary.ZoneLink("zone-1", LinkState.DOWN, 10, 9, 0), summary.zones().get(1));
+    assertEquals(new LinkSummary.ZoneLink("zone-9", LinkState.UP, 0, 0, 1), summary.zones().get(3));
+    assertTrue(summary.wasStalled(), "the node has run for only 2 s");
     assertInstanceOf(Verdict.SuspendZoneEviction.class, reachability.verdict());
   }
 }
--- a/src/test/java/io/cherryspool/reachability/RedirectedWorkersTest.java
+++ b/src/test/java/io/cherryspool/reachability/RedirectedWorkersTest.java
@@ -5,12 +5,12 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** Which of the workers that were redirected still count. */
+/** Tests for how long redirected workers count. */
 class RedirectedWorkersTest {
   private static final Duration START = Duration.ofSeconds(100);
 
   @Test
-  void aWorkerCountsWhileItKeepsComing() {
+  void aRedirectedWorkerCountsWhileItKeepsComingBack() {
     RedirectedWorkers redirectedWorkers = new RedirectedWorkers();
     redirectedWorkers.recordRedirect("host-1", "z", START);
     redirectedWorkers.recordRedirect("host-2", "z", START.plusSeconds(5));
--- a/src/test/java/io/cherryspool/reachability/RequestLinkTest.java
+++ b/src/test/java/io/cherryspool/reachability/RequestLinkTest.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What answers and failures of requests say of a link. */
+/** Tests how the state of a link follows from the answers and failures of requests. */
 class RequestLinkTest {
   private final RequestLink link = new RequestLink(Duration.ofSeconds(1), Duration.ofSeconds(60));
 
@@ -16,30 +16,31 @@
   }
 
   @Test
-  void oneLostAnswerIsChance() {
+  void aSingleFailureDoesNotTakeTheLinkDown() {
     link.onAnswer(at(1));
     link.onFailure(at(2), at(3));
-    assertEquals(LinkState.SUSPECT, link.state(at(9)), "one failure is never more than doubt");
+    assertEquals(
+        LinkState.SUSPECT, link.state(at(9)), "a single failure makes the link suspect at most");
     assertEquals(0, link.damper().flapCount());
     link.onAnswer(at(2.5));
     assertEquals(LinkState.UP, link.state(at(9)));
   }
 
   @Test
-  void failuresThatLastTakeTheLinkDown() {
+  void lastingFailuresTakeTheLinkDown() {
     link.onAnswer(at(1));
     link.onFailure(at(2), at(2.1));
     link.onFailure(at(2.3), at(2.4));
     assertEquals(LinkState.SUSPECT, link.state(at(2.9)));
     assertEquals(LinkState.DOWN, link.state(at(3)));
-    assertEquals(1, link.damper().flapCount(), "one for each run of failures");
+    assertEquals(1, link.damper().flapCount(), "a run of failures counts as one flap");
     link.onFailure(at(3), at(3.1));
     assertEquals(1, link.damper().flapCount());
     link.onAnswer(at(3.4));
-    assertEquals(LinkState.UP, link.state(at(3.5)), "the first answer ends it");
+    assertEquals(LinkState.UP, link.state(at(3.5)), "the first answer takes the link up");
   }
 
-  /** A cut may hold answers for seconds, and lets them go in the middle of the next one. */
+  /** A network cut may delay answers for seconds, so that they arrive during the next cut. */
   @Test
   void anAnswerToARequestSentBeforeTheFailureChangesNothing() {
     link.onFailure(at(2), at(2.1));
@@ -49,7 +50,7 @@
     assertEquals(Optional.of(at(1)), link.lastAnsweredRequestSentAt());
   }
 
-  /** Deadlines run out in another order than answers come. */
+  /** Requests may time out in a different order than answers arrive. */
   @Test
   void aLateFailureOfAnOldRequestChangesNothingAfterANewerAnswer() {
     link.onAnswer(at(5));
