--- a/src/main/java/io/cherryspool/reachability/ContactState.java
+++ b/src/main/java/io/cherryspool/reachability/ContactState.java
@@ -13,8 +13,8 @@
   /** No message has arrived from the machine for longer than a heartbeat may be late. */
   SILENT,
   /**
-   * The cloud has listed the machine as running for longer than that, but no message from it has
-   * arrived in this term.
+   * No message has arrived from the machine in this term, although the cloud has listed it as
+   * running for longer than a heartbeat may be late.
    */
   NEVER_SEEN,
   /** No message has arrived from the machine yet, and none is overdue. */
--- a/src/main/java/io/cherryspool/reachability/PartitionRule.java
+++ b/src/main/java/io/cherryspool/reachability/PartitionRule.java
@@ -16,7 +16,8 @@
  * workers that they redirect and send the counts in their heartbeats. The leader hands leadership
  * over only if both observations agree: many machines have stopped sending it heartbeats, and about
  * as many workers come to the other nodes. Machines that have died, hang or are cut off together
- * with their zone come to no node.
+ * with their zone come to no node. A leader that receives no heartbeats from other nodes decides by
+ * the first observation alone.
  */
 public final class PartitionRule implements VerdictRule {
   /** The smallest number of missing machines for which a leader hands leadership over. */
--- a/src/main/java/io/cherryspool/reachability/RequestLink.java
+++ b/src/main/java/io/cherryspool/reachability/RequestLink.java
@@ -74,7 +74,7 @@
     return Optional.ofNullable(lastAnsweredRequestSentAt);
   }
 
-  /** The damper that records each failure of the link. */
+  /** The damper that counts the link's flaps, one for each run of failures. */
   public FlapDamper damper() {
     return damper;
   }
--- a/src/test/java/io/cherryspool/controller/election/LeaseRenewalTest.java
+++ b/src/test/java/io/cherryspool/controller/election/LeaseRenewalTest.java
@@ -27,8 +27,8 @@
   }
 
   /**
-   * Renewals are sent four times per second, which is the timeout of a call, instead of twice, and
-   * no more often.
+   * Renewals are sent four times within the call timeout of 1 s, instead of twice, and no more
+   * often.
    */
   @Test
   void aRefusedRenewalIsRetriedEarlyAtABoundedRate() {
--- a/src/test/java/io/cherryspool/mesh/NettyMeshTest.java
+++ b/src/test/java/io/cherryspool/mesh/NettyMeshTest.java
@@ -23,8 +23,8 @@
           "node", 1, true, 0, 0, 0, Mesh.RetainedRecordsSummary.NONE, LinkSummary.NONE);
 
   /**
-   * Closing a connection removes it from the map of connections, which {@link NettyMesh#stop} must
-   * not iterate over meanwhile.
+   * Closing a connection changes the map of connections, so {@link NettyMesh#stop} must not iterate
+   * over that map while it closes them.
    */
   @Test
   void stopClosesTheListenerWhileConnectionsAreOpen() throws Exception {
