--- a/src/main/java/io/cherryspool/controller/PeerHeartbeats.java
+++ b/src/main/java/io/cherryspool/controller/PeerHeartbeatFactory.java
@@ -10,8 +10,8 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Makes the heartbeats by which this node describes itself to the other nodes. */
-final class PeerHeartbeats {
+/** Creates the heartbeats that this node sends to the other nodes. */
+final class PeerHeartbeatFactory {
   private final String nodeName;
   private final String clientAddress;
   private final StateStoreAccess stateStore;
@@ -21,11 +21,11 @@
   private final Optional<RecoveryModule> recovery;
 
   /**
-   * Creates the peer heartbeats.
+   * Creates the factory.
    *
-   * @param clientAddress where this node answers users' requests
+   * @param clientAddress the address at which this node serves users' requests
    */
-  PeerHeartbeats(
+  PeerHeartbeatFactory(
       String nodeName,
       Endpoint clientAddress,
       StateStoreAccess stateStore,
@@ -42,8 +42,8 @@
     this.recovery = recovery;
   }
 
-  /** The heartbeat of this moment. */
-  Mesh.PeerHeartbeat at(Duration now) {
+  /** Creates the heartbeat for this time. */
+  Mesh.PeerHeartbeat create(Duration now) {
     int writeRateTenths = (int) Math.ceil(10 * stateStore.rateLimiter().recentWritesPerSecond());
     return new Mesh.PeerHeartbeat(
         nodeName,
@@ -55,11 +55,11 @@
         recovery
             .map(RecoveryModule::retainedRecordsSummary)
             .orElse(Mesh.RetainedRecordsSummary.NONE),
-        linkSummaryAt(now));
+        linkSummary(now));
   }
 
-  /** What this node has observed of its links. */
-  LinkSummary linkSummaryAt(Duration now) {
+  /** Returns the summary of this node's links at this time. */
+  LinkSummary linkSummary(Duration now) {
     return reachability.linkSummary(now, terms.isLeading(), clientAddress);
   }
 }
--- a/src/main/java/io/cherryspool/controller/ServiceClients.java
+++ b/src/main/java/io/cherryspool/controller/ServiceClients.java
@@ -25,8 +25,8 @@
 import java.util.function.Predicate;
 
 /**
- * Makes the node's clients of the state store, the cloud and the workers, with the outcomes of
- * their requests reported to {@link Reachability}.
+ * Creates the node's clients for the state store, the cloud and the workers. The outcomes of
+ * requests to the state store and the cloud are reported to {@link Reachability}.
  */
 final class ServiceClients {
   private static final int HTTP_UNAVAILABLE = 503;
@@ -49,7 +49,7 @@
     stateStore = newStateStoreAccess(settings, timings);
     cloud =
         new CloudClient(
-            observed(request -> true, CloudClient::isOutage, reachability.cloudLink()),
+            newObservedTransport(request -> true, CloudClient::isOutage, reachability.cloudLink()),
             settings.cloudAddress(),
             timings.cloudTimeout());
     workers = new WorkerClient(transport, timings.workerTimeout());
@@ -60,7 +60,7 @@
       PartitionSettings partitions,
       Timings timings,
       Optional<VerdictRule> rule) {
-    ReachabilityTimings times =
+    ReachabilityTimings reachabilityTimings =
         new ReachabilityTimings(
             Durations.divide(timings.stateStoreLease(), ControllerModule.HEARTBEATS_PER_LEASE),
             timings.heartbeatLateAfter(),
@@ -73,9 +73,9 @@
     return new Reachability(
         settings.name(),
         settings.peerNames(),
-        times,
+        reachabilityTimings,
         partitions.dampsFlapping(),
-        rule.orElse(new PartitionRule(times)));
+        rule.orElse(new PartitionRule(reachabilityTimings)));
   }
 
   private StateStoreAccess newStateStoreAccess(Settings settings, Timings timings) {
@@ -87,7 +87,7 @@
         new StateStoreClient(
             loop,
             rateLimiter,
-            observed(
+            newObservedTransport(
                 request -> !StateStoreProtocol.isWatch(request),
                 reply -> reply.status() == HTTP_UNAVAILABLE,
                 reachability.stateStoreLink()),
@@ -100,8 +100,8 @@
     return new StateStoreAccess(client, rateLimiter, records);
   }
 
-  /** The transport, with its outcomes reported to the observer of a link. */
-  private Transport observed(
+  /** Creates a transport that reports the outcomes of its requests to the observer of a link. */
+  private Transport newObservedTransport(
       Predicate<Request> isSignificant,
       Predicate<Reply> isRefusal,
       ObservedTransport.Observer observer) {
--- a/src/main/java/io/cherryspool/controller/api/LinksApi.java
+++ b/src/main/java/io/cherryspool/controller/api/LinksApi.java
@@ -13,7 +13,10 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Answers operators with the state of all links, as this node knows it from heartbeats. */
+/**
+ * Answers operators' requests for the state of all nodes' links, as far as this node knows it from
+ * heartbeats.
+ */
 public final class LinksApi {
   /** The path of the request. */
   public static final String PATH = "/links";
@@ -22,30 +25,30 @@
   private final List<String> peers;
 
   /**
-   * What nodes have observed of their links.
+   * The observations that the nodes have made of their links.
    *
    * @param now the time of the answer, on the event loop's clock
    * @param own the observations of this node
-   * @param matrix those of the other nodes, by their last heartbeats
+   * @param matrix the observations of the other nodes, from their latest heartbeats
    */
   public record Observations(Duration now, LinkSummary own, ReachabilityMatrix matrix) {}
 
   /**
-   * Creates the links API.
+   * Creates the API.
    *
    * @param node the name of this node
-   * @param peers the names of the other nodes, in the order of the answer
+   * @param peers the names of the other nodes, in the order in which answers list them
    */
   public LinksApi(String node, List<String> peers) {
     this.node = node;
     this.peers = peers;
   }
 
-  /** The JSON document that describes all links. */
+  /** Returns a JSON document that describes all links. */
   Reply answer(Observations observations) {
     ObjectNode root = Json.object().put("node", node);
     ArrayNode nodes = root.putArray("nodes");
-    boolean areAllUp = describe(nodes.addObject(), node, 0, observations.own());
+    boolean areAllUp = writeLinks(nodes.addObject(), node, 0, observations.own());
     for (String peer : peers) {
       Optional<ReachabilityMatrix.Row> row = observations.matrix().row(peer);
       if (row.isEmpty()) {
@@ -54,21 +57,22 @@
         continue;
       }
       Mesh.PeerHeartbeat heartbeat = row.get().heartbeat();
-      long age = observations.now().minus(row.get().receivedAt()).toMillis();
-      areAllUp &= describe(nodes.addObject(), peer, age, heartbeat.links());
+      long ageMillis = observations.now().minus(row.get().receivedAt()).toMillis();
+      areAllUp &= writeLinks(nodes.addObject(), peer, ageMillis, heartbeat.links());
     }
     root.put("all_up", areAllUp);
     return Reply.json(Replies.OK, Json.toBytes(root));
   }
 
-  /** Writes one node's links; true if all of them are up. */
-  private static boolean describe(ObjectNode target, String name, long age, LinkSummary links) {
-    target.put("node", name).put("heard_ms", age).put("address", links.address());
+  /** Writes the links of one node; returns true if all of them are up. */
+  private static boolean writeLinks(
+      ObjectNode target, String name, long ageMillis, LinkSummary links) {
+    target.put("node", name).put("heard_ms", ageMillis).put("address", links.address());
     target.put("leading", links.isLeading()).put("doubtful", links.wasStalled());
     target.put("verdict", links.verdict());
     target.put("leadership_penalty", links.leadershipPenalty() / 10.0);
     target.put("state", name(links.stateStore())).put("cloud", name(links.cloud()));
-    boolean up = links.stateStore() == LinkState.UP && links.cloud() == LinkState.UP;
+    boolean areAllUp = links.stateStore() == LinkState.UP && links.cloud() == LinkState.UP;
     ArrayNode peers = target.putArray("peers");
     for (LinkSummary.PeerLink peer : links.peers()) {
       peers
@@ -76,7 +80,7 @@
           .put("node", peer.node())
           .put("link", name(peer.state()))
           .put("heard_ms", peer.heartbeatAgeMillis());
-      up &= peer.state() == LinkState.UP;
+      areAllUp &= peer.state() == LinkState.UP;
     }
     ArrayNode zones = target.putArray("zones");
     for (LinkSummary.ZoneLink zone : links.zones()) {
@@ -87,9 +91,9 @@
           .put("machines", zone.knownMachines())
           .put("missing", zone.missingMachines())
           .put("redirected", zone.redirectedWorkers());
-      up &= zone.state() == LinkState.UP;
+      areAllUp &= zone.state() == LinkState.UP;
     }
-    return up;
+    return areAllUp;
   }
 
   private static String name(LinkState state) {
