--- a/src/main/java/io/cherryspool/recovery/ClusterNode.java
+++ b/src/main/java/io/cherryspool/recovery/ClusterNode.java
@@ -2,29 +2,35 @@
 
 import java.util.List;
 
-/** What a recovery asks of the controller that it is part of. Called on the event loop. */
+/**
+ * The controller's interface for the recovery: the state of this node and what it knows of the
+ * other nodes. All methods are called on the event loop.
+ */
 public interface ClusterNode {
   /** This node's name. */
   String name();
 
-  /** The other nodes whose heartbeats are fresh. */
+  /** The other nodes that have sent a heartbeat recently. */
   List<Peer> peers();
 
-  /** How many other nodes there are, reachable or not. */
+  /** The number of other nodes, reachable or not. */
   int peerCount();
 
-  /** The highest term known, from the records, other nodes or workers; 0 before any. */
+  /** The highest term that this node knows from the records, other nodes or workers; 0 if none. */
   long highestKnownTerm();
 
-  /** Whether this node leads by a lease that surely holds, so that no other node does. */
+  /**
+   * Whether this node is the leader and its lease is certainly still valid, so that no other node
+   * can be the leader.
+   */
   boolean isSoleLeader();
 
   /**
-   * Whether a worker has shown a fencing token, which only an installation that served has given
-   * out.
+   * Whether a worker has reported a fencing token. Workers get tokens only from a leader, so this
+   * shows that the cluster has served before.
    */
   boolean hasWorkerReportedToken();
 
-  /** Called when the records are not to be relied on any more, or may be again. */
+  /** Called when the records can no longer be relied on, and when they can be relied on again. */
   void onServingChanged();
 }
--- a/src/main/java/io/cherryspool/recovery/Contributions.java
+++ b/src/main/java/io/cherryspool/recovery/Contributions.java
@@ -19,9 +19,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What this node has acknowledged to users and others may not know: its last writes. It adds them
- * to a rebuild of another node, or to the rebuilt records if it could not take part. Confined to
- * the event loop.
+ * Preserves the writes that this node has acknowledged to users and that other nodes may not know.
+ * It adds them to a rebuild of another node, or to the rebuilt records if this node could not take
+ * part in the rebuild. Confined to the event loop.
  */
 final class Contributions {
   private static final Logger LOG = LoggerFactory.getLogger(Contributions.class);
@@ -43,34 +43,42 @@
     this.timings = timings;
   }
 
-  /** Keeps a transaction of this node that was applied, so that its users are answered. */
+  /**
+   * Keeps the jobs and outcomes of a transaction that this node has committed and will acknowledge
+   * to users.
+   */
   void recordApplied(List<StateStoreProtocol.Change> changes, long revision) {
     recentWrites.removeUpTo(replica.revision());
     recentWrites.add(changes, revision);
   }
 
-  /** The jobs and outcomes that the replica does not hold yet. */
+  /**
+   * The jobs and outcomes that this node has committed and that the replica does not contain yet.
+   */
   List<StateStoreProtocol.Change> recentWrites() {
     return recentWrites.all();
   }
 
-  /** The incarnation number of the last rebuild that this node has added to; 0 before the first. */
+  /**
+   * The incarnation number of the last rebuild that this node has contributed to, 0 before the
+   * first.
+   */
   long contributedRebuild() {
     return contributedRebuild;
   }
 
   /**
-   * Writes what this node has acknowledged to users and the rebuilt records lack, which happens
-   * where it could not take part in the rebuild.
+   * Writes the jobs and outcomes that this node has acknowledged to users and that the rebuilt
+   * records lack. They are missing if this node could not take part in the rebuild.
    *
-   * @param retained what this node retained while it did not serve
-   * @param isServing whether the records may still be relied on; if not, writing ends
-   * @return how many records it adds
+   * @param retained the records that this node retained while it did not serve
+   * @param isServing whether the records can still be relied on; if not, writing stops
+   * @return the number of records that are missing and will be written
    */
   int addMissingRecords(RecordsSnapshot retained, BooleanSupplier isServing) {
     RecordsSnapshot known = retained;
     for (StateStoreProtocol.Change change : recentWrites.all()) {
-      known = OrphanedRecords.withCommitted(known, change);
+      known = OrphanedRecords.withChange(known, change);
     }
     recentWrites.clear();
     List<StateStoreProtocol.Change> changes = new ArrayList<>();
@@ -118,8 +126,8 @@
   }
 
   /**
-   * Adds what this node acknowledged last to the rebuild that another node has begun, once for each
-   * rebuild. After a failure nothing happens until the next call.
+   * Adds the last writes of this node to a rebuild that another node has begun, once for each
+   * rebuild. A failed write is not retried before the next call.
    */
   void contribute(Incarnation rebuild, long rebuildVersion) {
     if (contributedRebuild == rebuild.number() || isContributing) {
@@ -136,13 +144,13 @@
     List<StateStoreProtocol.Change> changes = new ArrayList<>();
     for (StateStoreProtocol.Change change : known) {
       changes.add(
-          new StateStoreProtocol.Change(rebuild.toPhysical(change.key()), change.value(), 0));
+          new StateStoreProtocol.Change(rebuild.toPhysicalKey(change.key()), change.value(), 0));
     }
     isContributing = true;
     writeContributions(rebuild, rebuildVersion, changes);
   }
 
-  /** Whether the replica holds records of the incarnation that the rebuild started from. */
+  /** Whether the replica contains records of the incarnation that the rebuild started from. */
   private boolean holdsOriginOf(Incarnation rebuild) {
     long origin = rebuild.origin().incarnationNumber();
     return store.loadedIncarnation().filter(loaded -> loaded.number() == origin).isPresent();
--- a/src/main/java/io/cherryspool/recovery/DirectorySnapshotStore.java
+++ b/src/main/java/io/cherryspool/recovery/DirectorySnapshotStore.java
@@ -13,20 +13,22 @@
 import java.util.List;
 
 /**
- * Snapshots as files of one directory. A file is written under another name, forced to the disk and
- * renamed, so that a snapshot's name never stands for half a file; the directory is forced to the
- * disk as well. Blocks; used from one thread at a time.
+ * Stores snapshots as files in one directory. A file is written under a temporary name, synced to
+ * the disk and renamed, so that a file with a snapshot's name is never incomplete. The directory is
+ * synced as well. The methods block and must be called by one thread at a time.
  */
 public final class DirectorySnapshotStore implements SnapshotStore {
-  /** What the names of snapshots end with. */
+  /** The suffix of the names of snapshots. */
   public static final String SUFFIX = ".snapshot";
 
-  /** What the names of files end with that are being written. */
+  /** The suffix of the names of files that are being written. */
   private static final String UNFINISHED_SUFFIX = ".part";
 
   private final Path directory;
 
-  /** A store in this directory, which the first write creates if it is not there. */
+  /**
+   * Creates a store in this directory. The first write creates the directory if it does not exist.
+   */
   public DirectorySnapshotStore(Path directory) {
     this.directory = directory;
   }
--- a/src/main/java/io/cherryspool/recovery/FirstInstallation.java
+++ b/src/main/java/io/cherryspool/recovery/FirstInstallation.java
@@ -7,9 +7,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the first incarnation's record where no node retains any records. Records without an
- * identity are those of an installation that did not detect losses; without any, a worker that has
- * served tells a loss from a first installation. Confined to the event loop.
+ * Writes the identity record of the first incarnation if no node retains any records. Records
+ * without an identity record belong to an installation that did not detect losses, and are kept. If
+ * there are no records at all, a worker that has reported a fencing token shows that this is a data
+ * loss and not a first installation. Confined to the event loop.
  */
 final class FirstInstallation {
   private static final Logger LOG = LoggerFactory.getLogger(FirstInstallation.class);
@@ -20,9 +21,9 @@
   private boolean isPending;
 
   /**
-   * An installation that has not begun.
+   * Creates an installation that begins with {@link #begin}.
    *
-   * @param random draws the name of the cluster
+   * @param random generates the id of the cluster
    */
   FirstInstallation(RecoveryStore store, RandomGenerator random, ClusterNode node) {
     this.store = store;
@@ -30,16 +31,17 @@
     this.node = node;
   }
 
-  /** Whether a request of an installation is under way. */
+  /** Whether a request of the installation is outstanding. */
   boolean isPending() {
     return isPending;
   }
 
   /**
-   * Installs, unless the store is empty although workers have served. After a failed request
-   * nothing happens; the caller tries again.
+   * Writes the identity record, unless the store is empty although a worker has reported a fencing
+   * token. A failed request is not retried; the caller calls again.
    *
-   * @param onAllRecordsLost called instead of installing
+   * @param onAllRecordsLost called instead if the store is empty although a worker has reported a
+   *     fencing token
    */
   void begin(Runnable onAllRecordsLost) {
     isPending = true;
@@ -56,7 +58,8 @@
 
   private void decide(StateStoreProtocol.KeyPage page, Runnable onAllRecordsLost) {
     if (page.entries().isEmpty() && node.hasWorkerReportedToken()) {
-      LOG.warn("the state store is empty, and workers have served: all records are lost");
+      LOG.warn(
+          "the state store is empty, but a worker has reported a fencing token: all records are lost");
       onAllRecordsLost.run();
     } else {
       install();
--- a/src/main/java/io/cherryspool/recovery/IncarnationMonitor.java
+++ b/src/main/java/io/cherryspool/recovery/IncarnationMonitor.java
@@ -10,8 +10,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the incarnation's record while this node serves none, and decides what follows: load its
- * records, add to the rebuild of another node, rebuild, or install. Confined to the event loop.
+ * Polls the identity record while this node waits for records that it can serve, and decides what
+ * to do: load the records of the incarnation, contribute to another node's rebuild, start a
+ * rebuild, or install a new cluster. Confined to the event loop.
  */
 final class IncarnationMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(IncarnationMonitor.class);
@@ -43,12 +44,12 @@
     this.installation = installation;
   }
 
-  /** When the last read that succeeded was sent; empty if none did. */
+  /** The time at which the last successful read was sent, empty if there was none. */
   Optional<Duration> lastAnsweredRequestSentAt() {
     return lastAnsweredRequestSentAt;
   }
 
-  /** Reads the record if this node waits for records and no request is under way. */
+  /** Reads the identity record if this node waits for records and no request is outstanding. */
   void poll() {
     boolean isBusy = isReading || installation.isPending() || state.isLoading();
     if (state.isWaiting() && !isBusy) {
@@ -81,7 +82,7 @@
     } else if (isOfOtherCluster(record)) {
       reportOtherCluster(record);
     } else if (isServable(record)) {
-      if (peers.mayLoadRecords() && !peers.isHeldByAnother(record)) {
+      if (peers.mayLoadRecords() && !peers.isHeldByPeer(record)) {
         state.load(reading);
       }
     } else {
@@ -94,10 +95,10 @@
   }
 
   private void decideWithoutRecord() {
-    if (state.hasRetainedRecords() || peers.isAnyRetaining()) {
+    if (state.hasRetainedRecords() || peers.hasPeerWithRecords()) {
       state.holdIfStarting();
       coordinator.considerRebuild(Optional.empty(), 0, this::read);
-    } else if (peers.isKnownThatNoneRetains()) {
+    } else if (peers.mayAssumeNoneRetains()) {
       installation.begin(this::rebuildFromNothing);
     }
   }
@@ -123,7 +124,10 @@
     state.statistics().recordOtherCluster();
   }
 
-  /** Whether the records of this incarnation are whole, and not those that were lost. */
+  /**
+   * Whether the records of this incarnation are complete, are not known to be lost, and are not
+   * older than those that this node retains.
+   */
   private boolean isServable(Incarnation record) {
     boolean isOlder = record.number() < state.retained().position().incarnationNumber();
     return record.phase() == Incarnation.Phase.SERVING && !isOlder && !state.isLost(record);
--- a/src/main/java/io/cherryspool/recovery/IncarnationRecordWriter.java
+++ b/src/main/java/io/cherryspool/recovery/IncarnationRecordWriter.java
@@ -7,8 +7,8 @@
 import java.util.function.LongConsumer;
 
 /**
- * Replaces the incarnation's record on condition of its version. It tries until the record is
- * surely there, or another node has replaced it. Confined to the event loop.
+ * Replaces the identity record on condition of its version. It retries until a read confirms that
+ * the record is written, or shows that another node has replaced it. Confined to the event loop.
  */
 final class IncarnationRecordWriter {
   private static final Duration RETRY_DELAY = Duration.ofMillis(300);
@@ -19,9 +19,10 @@
   private boolean isStopped;
 
   /**
-   * A writer for one rebuild.
+   * Creates a writer for one rebuild.
    *
-   * @param onSuperseded called instead of going on when another node has replaced the record
+   * @param onSuperseded called when another node has replaced the record; nothing is written
+   *     afterwards
    */
   IncarnationRecordWriter(EventLoop loop, RecoveryStore store, Runnable onSuperseded) {
     this.loop = loop;
@@ -29,7 +30,7 @@
     this.onSuperseded = onSuperseded;
   }
 
-  /** After this nothing is written any more and nothing is called. */
+  /** Stops writing. No callback is called afterwards. */
   void stop() {
     isStopped = true;
   }
@@ -37,7 +38,7 @@
   /**
    * Writes the record.
    *
-   * @param replacedVersion the version of the record that it replaces, 0 if there must be none
+   * @param replacedVersion the version of the record that is replaced, 0 if there must be no record
    * @param onWritten called with the version of the written record
    */
   void replace(Incarnation record, long replacedVersion, LongConsumer onWritten) {
@@ -54,7 +55,8 @@
               if (failure == null && result.applied()) {
                 onWritten.accept(result.revision());
               } else {
-                // An answer may be lost, and a copy of the transaction be refused after the first.
+                // The transaction may have been applied nevertheless: its answer may be lost, or
+                // its second copy may be rejected because the first one was applied.
                 loop.schedule(RETRY_DELAY, () -> verify(record, replacedVersion, onWritten));
               }
             });
--- a/src/main/java/io/cherryspool/recovery/LossDetector.java
+++ b/src/main/java/io/cherryspool/recovery/LossDetector.java
@@ -10,9 +10,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Compares what the state store answers with what this node and the others know of its history.
- * Once history is lost, the node holds; once records are loaded that lack nothing, it serves.
- * Confined to the event loop.
+ * Compares the answers of the state store with the history that this node and the other nodes know.
+ * When it detects that history was lost, it makes the node stop serving. When records were loaded
+ * that are complete, it makes the node serve them. Confined to the event loop.
  */
 final class LossDetector implements RollbackDetector {
   private static final Logger LOG = LoggerFactory.getLogger(LossDetector.class);
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Checks a term that a worker or another node has shown. Terms are recorded before anybody learns
-   * of them, so that one which a later read does not show was lost.
+   * Checks a term that a worker or another node has reported. A term is recorded before it is sent
+   * to anyone, so if a later read does not return it, its record was lost.
    */
   void observeTerm(long term) {
     if (!state.isServing() || term <= replica.term() || !replica.isReconciled()) {
@@ -48,12 +48,17 @@
     replica
         .refresh()
         .whenComplete(
-            (nothing, failure) -> {
+            (ignored, failure) -> {
               if (failure == null
                   && state.isServing()
                   && replica.term() < term
                   && replica.isReconciled()) {
-                reportLoss(Loss.TERM_MISSING, "term " + term + " after term " + replica.term());
+                reportLoss(
+                    Loss.TERM_MISSING,
+                    "term "
+                        + term
+                        + " was reported, but the highest recorded term is "
+                        + replica.term());
               }
             });
   }
@@ -66,7 +71,13 @@
   @Override
   public boolean verifyRevision(long minimumAtSending, long revision) {
     if (revision < minimumAtSending) {
-      reportLoss(Loss.REVISION_WENT_BACK, "revision " + revision + " after " + minimumAtSending);
+      reportLoss(
+          Loss.REVISION_WENT_BACK,
+          "an answer has revision "
+              + revision
+              + ", but at least revision "
+              + minimumAtSending
+              + " was expected");
       return false;
     }
     if (state.isServing()) {
@@ -75,7 +86,10 @@
     return true;
   }
 
-  /** What another node has seen of the same history, this one must see too. */
+  /**
+   * Raises the minimum revision to the highest one that another node has seen in the same
+   * incarnation.
+   */
   void raiseMinimumRevision() {
     if (!state.isServing()) {
       return;
@@ -91,7 +105,8 @@
   @Override
   public void onIncarnationChanged() {
     if (state.isServing()) {
-      LOG.info("the records belong to another incarnation now");
+      LOG.info(
+          "the identity record has changed, the records of the loaded incarnation are no longer served");
       state.retainReplica();
       state.hold();
     } else {
@@ -107,10 +122,11 @@
       return;
     }
     LOG.warn("the state store has lost data: sign={}: {}; holding until rebuilt", loss, detail);
-    // A leader of records rebuilt from a part of them does not know of every start either.
+    // The leader does not know every start if its records come from a partial rebuild that is not
+    // fully reconciled.
     boolean wasSoleLeader =
         node.isSoleLeader() && !loss.showsAnotherLeader() && replica.isFullyReconciled();
-    state.loseIncarnation(loss, present, wasSoleLeader);
+    state.recordLoss(loss, present, wasSoleLeader);
   }
 
   @Override
@@ -125,7 +141,8 @@
     }
     state.serve();
     minimumRevision = replica.revision();
-    // Before anything is answered: the others may know that these records are too old.
+    // This comes before any request is answered, because other nodes may know that these records
+    // are too old.
     raiseMinimumRevision();
     LOG.info(
         "serving incarnation={} from revision={}",
@@ -137,20 +154,29 @@
     node.onServingChanged();
   }
 
-  /** Reports a loss if the loaded records lack what this node retains of the same incarnation. */
+  /**
+   * Reports a loss if the loaded records lack records that this node retains of the same
+   * incarnation.
+   */
   private boolean reportIfIncomplete() {
     Incarnation present = store.loadedIncarnation().orElseThrow();
-    if (!state.isRetainedFrom(present)) {
+    if (!state.hasRetainedRecordsOf(present)) {
       return false;
     }
     long retainedRevision = state.retained().position().revision();
     if (replica.revision() < retainedRevision) {
-      reportLoss(Loss.REVISION_WENT_BACK, replica.revision() + " after " + retainedRevision);
+      reportLoss(
+          Loss.REVISION_WENT_BACK,
+          "the store has revision "
+              + replica.revision()
+              + ", but this node retains revision "
+              + retainedRevision);
       return true;
     }
     for (String id : state.retained().jobs().keySet()) {
       if (replica.job(id) == null) {
-        reportLoss(Loss.RECORDS_GONE, "job " + id + " of incarnation " + present.number());
+        reportLoss(
+            Loss.RECORDS_GONE, "job " + id + " of incarnation " + present.number() + " is missing");
         return true;
       }
     }
--- a/src/main/java/io/cherryspool/recovery/PeerSurvey.java
+++ b/src/main/java/io/cherryspool/recovery/PeerSurvey.java
@@ -3,8 +3,8 @@
 import io.cherryspool.store.Incarnation;
 
 /**
- * What the other nodes' heartbeats say of the records. It orders what this node does about a loss
- * and proves nothing. Confined to the event loop.
+ * Evaluates what the other nodes' heartbeats say about the records. The results only decide when
+ * this node acts after a loss; they are no evidence of a loss. Confined to the event loop.
  */
 final class PeerSurvey {
   private final ClusterNode node;
@@ -17,23 +17,26 @@
     this.state = state;
   }
 
-  /** Whether every other node has sent a heartbeat lately. */
-  boolean isComplete() {
+  /** Whether every other node has sent a heartbeat recently. */
+  boolean hasHeartbeatsOfAllPeers() {
     return node.peers().size() == node.peerCount();
   }
 
   /**
-   * Whether this node may load records. A starting node waits for the others' heartbeats first,
-   * which may tell that the records are too old.
+   * Whether this node may load records. A starting node first waits for the other nodes'
+   * heartbeats, because they may show that the records in the store are too old.
    */
   boolean mayLoadRecords() {
     return state.isHolding()
-        || state.waited().compareTo(timings.gatheringTime()) > 0
-        || isComplete();
+        || state.waitingTime().compareTo(timings.gatheringTime()) > 0
+        || hasHeartbeatsOfAllPeers();
   }
 
-  /** Whether another node knows that the records of this incarnation are not to be relied on. */
-  boolean isHeldByAnother(Incarnation record) {
+  /**
+   * Whether another node has stopped serving this incarnation because its records can't be relied
+   * on.
+   */
+  boolean isHeldByPeer(Incarnation record) {
     for (Peer peer : node.peers()) {
       RetainedRecords retained = peer.retainedRecords();
       if (retained.belongsTo(record) && isHolding(retained.phase())) {
@@ -48,7 +51,7 @@
   }
 
   /** Whether another node retains records of any incarnation. */
-  boolean isAnyRetaining() {
+  boolean hasPeerWithRecords() {
     for (Peer peer : node.peers()) {
       if (peer.retainedRecords().hasRecords()) {
         return true;
@@ -58,13 +61,14 @@
   }
 
   /**
-   * Whether it is known that no node retains anything. Workers that have served lose their tasks
-   * unless a leader is elected soon, so that no more time is spent once all nodes are reachable.
+   * Whether this node may assume that no node retains any records. It waits for the maximum time,
+   * but only for the gathering time if all nodes are reachable and a worker has reported a fencing
+   * token: workers lose their tasks unless a leader is elected soon.
    */
-  boolean isKnownThatNoneRetains() {
-    return state.waited().compareTo(timings.maxWait()) > 0
-        || (state.waited().compareTo(timings.gatheringTime()) > 0
-            && isComplete()
+  boolean mayAssumeNoneRetains() {
+    return state.waitingTime().compareTo(timings.maxWait()) > 0
+        || (state.waitingTime().compareTo(timings.gatheringTime()) > 0
+            && hasHeartbeatsOfAllPeers()
             && node.hasWorkerReportedToken());
   }
 }
--- a/src/main/java/io/cherryspool/recovery/RebuildCoordinator.java
+++ b/src/main/java/io/cherryspool/recovery/RebuildCoordinator.java
@@ -6,8 +6,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Starts this node's rebuilds, one at a time, from what the node retains. Confined to the event
- * loop.
+ * Starts the rebuilds of this node, one at a time, from the records that the node retains. Confined
+ * to the event loop.
  */
 final class RebuildCoordinator {
   private final EventLoop loop;
@@ -38,17 +38,17 @@
     this.election = new RebuildElection(loop, timings, node, state);
   }
 
-  /** Stops a rebuild that is under way. */
+  /** Stops a rebuild that is in progress. */
   void stop() {
     rebuilder.ifPresent(Rebuilder::stop);
   }
 
   /**
-   * Rebuilds if it is this node's turn.
+   * Starts a rebuild if the election decides that this node should rebuild now.
    *
-   * @param record the incarnation's record in the store, empty if there is none
-   * @param version the version of that record, 0 if there is none
-   * @param onEnded called once when the rebuild has ended, finished or not
+   * @param record the identity record in the store, empty if there is none
+   * @param version the version of the identity record, 0 if there is none
+   * @param onEnded called once when the rebuild has finished or was superseded
    */
   void considerRebuild(Optional<Incarnation> record, long version, Runnable onEnded) {
     if (election.shouldRebuild(record)) {
@@ -56,7 +56,10 @@
     }
   }
 
-  /** Rebuilds, whoever else may; parameters as for {@link #considerRebuild}. */
+  /**
+   * Starts a rebuild without asking the election. The parameters are those of {@link
+   * #considerRebuild}.
+   */
   void rebuild(Optional<Incarnation> record, long version, Runnable onEnded) {
     Incarnation next = nextIncarnation(record);
     state.beginRebuild();
@@ -97,7 +100,8 @@
         nonce(),
         node.name(),
         state.retained().position(),
-        // Of two that led, one did so after the loss, and knows of no start before it.
+        // If two nodes claim to have been the sole leader, one of them led after the loss and does
+        // not know the starts before it.
         state.wasSoleLeader() && !hasOtherLeader);
   }
 
@@ -105,7 +109,10 @@
     return Long.toHexString(random.nextLong());
   }
 
-  /** Whether every node that reaches the store has added its last writes to this rebuild. */
+  /**
+   * Whether every other node that reaches the store has contributed its last writes to this
+   * rebuild.
+   */
   private boolean haveAllContributed(long incarnationNumber) {
     for (Peer peer : node.peers()) {
       if (peer.isStateStoreReachable()
--- a/src/main/java/io/cherryspool/recovery/RebuildElection.java
+++ b/src/main/java/io/cherryspool/recovery/RebuildElection.java
@@ -6,10 +6,10 @@
 import java.util.Optional;
 
 /**
- * Decides whether it is this node's turn to rebuild: the node that knows of every start first, then
- * the one that retains the latest records. The decision only orders the nodes; where two begin at
- * once, the condition on the incarnation's record lets one of them pass. Confined to the event
- * loop.
+ * Decides whether this node should rebuild. The former leader, which knows every start, is
+ * preferred, then the node that retains the latest records. The decision only orders the nodes: if
+ * two nodes begin at the same time, the condition on the version of the identity record lets only
+ * one of them continue. Confined to the event loop.
  */
 final class RebuildElection {
   private final EventLoop loop;
@@ -17,9 +17,10 @@
   private final ClusterNode node;
   private final RecoveryState state;
 
-  /** The rebuild of another node that was last seen, and since when. */
+  /** The nonce of the rebuild of another node that was seen last. */
   private String observedNonce = "";
 
+  /** The time at which the rebuild with {@link #observedNonce} was first seen. */
   private Duration observedSince = Duration.ZERO;
 
   RebuildElection(EventLoop loop, RecoveryTimings timings, ClusterNode node, RecoveryState state) {
@@ -30,48 +31,53 @@
   }
 
   /**
-   * Whether this node is to rebuild now. A node that retains more and can't reach the store is
-   * waited for, but not for good.
+   * Whether this node should rebuild now. It waits for a preferred node that can't reach the store,
+   * but only for a limited time.
    *
-   * @param record the incarnation's record in the store, empty if there is none
+   * @param record the identity record in the store, empty if there is none
    */
   boolean shouldRebuild(Optional<Incarnation> record) {
-    Duration waited = state.waited();
-    if (waited.compareTo(timings.gatheringTime()) < 0) {
+    Duration waitingTime = state.waitingTime();
+    if (waitingTime.compareTo(timings.gatheringTime()) < 0) {
       return false;
     }
-    if (record.isPresent() && !isBetterThanRebuild(record.get()) && isUnderWay(record.get())) {
+    if (record.isPresent() && !shouldReplace(record.get()) && mayBeInProgress(record.get())) {
       return false;
     }
-    boolean isPatient = waited.compareTo(timings.maxWait()) < 0;
+    boolean isWithinMaxWait = waitingTime.compareTo(timings.maxWait()) < 0;
     for (Peer peer : node.peers()) {
-      if (isBetter(peer) && isWaitedFor(peer, isPatient)) {
+      if (isPreferred(peer) && shouldWaitFor(peer, isWithinMaxWait)) {
         return false;
       }
     }
-    return state.hasRetainedRecords() || !isPatient;
+    return state.hasRetainedRecords() || !isWithinMaxWait;
   }
 
-  /** Whether this node retains more than a rebuild that is under way started from. */
-  private boolean isBetterThanRebuild(Incarnation record) {
+  /**
+   * Whether this node should replace an unfinished rebuild: the rebuild started from older records
+   * than this node retains, and its rebuilder does not know every start unless this node does too.
+   */
+  private boolean shouldReplace(Incarnation record) {
     return record.phase() == Incarnation.Phase.REBUILDING
         && (state.wasSoleLeader() || !record.isComplete())
         && state.retained().position().compareTo(record.origin()) > 0;
   }
 
-  private boolean isWaitedFor(Peer peer, boolean isPatient) {
-    // A node that still serves detects the loss by this node's revision, unless only workers show
-    // it; then all that it has answered is in what the store holds, which the rebuild reads.
+  private boolean shouldWaitFor(Peer peer, boolean isWithinMaxWait) {
+    // A node that still serves normally detects the loss by this node's revision. If it does not,
+    // only workers have shown the loss. Then everything that the node has acknowledged is still in
+    // the store, and the rebuild reads it from there, so it need not be waited for.
     boolean isServing = peer.retainedRecords().phase() == RetainedRecords.Phase.SERVING;
-    return (peer.isStateStoreReachable() || isPatient)
-        && !(isServing && state.waited().compareTo(timings.twiceGatheringTime()) > 0);
+    return (peer.isStateStoreReachable() || isWithinMaxWait)
+        && !(isServing && state.waitingTime().compareTo(timings.twiceGatheringTime()) > 0);
   }
 
   /**
-   * Whether another node may still be at this rebuild. One that sends no heartbeats gets some time,
-   * because nodes that can't reach one another may all reach the store.
+   * Whether another node may still be working on this rebuild. A rebuilder that sends no heartbeats
+   * gets twice the gathering time, because nodes that can't reach one another may all reach the
+   * store.
    */
-  private boolean isUnderWay(Incarnation record) {
+  private boolean mayBeInProgress(Incarnation record) {
     if (record.phase() != Incarnation.Phase.REBUILDING) {
       return false;
     }
@@ -89,11 +95,12 @@
   }
 
   /**
-   * Whether the other node is the better rebuilder. The former leader knows of every start, and the
-   * others add what they answered beyond its records. Of the rest, the one that retains the latest
-   * records; ties are broken by name.
+   * Whether the other node should rebuild rather than this one. The former leader is preferred
+   * because it knows every start; the other nodes contribute the writes that it lacks. Among the
+   * other nodes, the one that retains the latest records is preferred, and among those with equal
+   * records the one with the lowest name.
    */
-  private boolean isBetter(Peer peer) {
+  private boolean isPreferred(Peer peer) {
     RetainedRecords theirs = peer.retainedRecords();
     if (theirs.wasSoleLeader() != state.wasSoleLeader()) {
       return theirs.wasSoleLeader();
--- a/src/main/java/io/cherryspool/recovery/Rebuilder.java
+++ b/src/main/java/io/cherryspool/recovery/Rebuilder.java
@@ -17,10 +17,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One attempt to rebuild the records: fence, read what is left, write, wait for the other nodes'
- * last writes, finish. Each transaction names the version of the incarnation's record that this
- * attempt has written, so that it ends as soon as another one has begun. Confined to the event
- * loop.
+ * One attempt to rebuild the records. It replaces the identity record to fence all transactions of
+ * the lost incarnation, reads the records that the store still contains, writes the rebuilt
+ * records, waits for the other nodes' last writes, and marks the incarnation as serving. Each
+ * transaction has the version of the identity record that this attempt has written as a condition,
+ * so that the attempt ends as soon as another one has begun. Confined to the event loop.
  */
 final class Rebuilder {
   private static final Logger LOG = LoggerFactory.getLogger(Rebuilder.class);
@@ -40,15 +41,17 @@
   private boolean isStopped;
 
   /**
-   * What an attempt starts from.
+   * The input of an attempt.
    *
-   * @param incarnation the incarnation's record as it is to be written first
-   * @param replacedVersion the version of the record that it replaces, 0 if there is none
-   * @param lost the incarnation whose records were lost, empty if not known
-   * @param interrupted a rebuild that was interrupted, empty if none was
-   * @param retained what this node retains
-   * @param recentWrites what it has acknowledged to users beyond that
-   * @param highestTerm the highest term known
+   * @param incarnation the identity record that fences the lost incarnation
+   * @param replacedVersion the version of the identity record that it replaces, 0 if there is none
+   * @param lost the incarnation whose records were lost, empty if unknown
+   * @param interrupted the incarnation found in the store, if it is not the lost one: usually a
+   *     rebuild that was interrupted
+   * @param retained the records that this node retains
+   * @param recentWrites the jobs and outcomes that this node has acknowledged and that {@code
+   *     retained} may lack
+   * @param highestTerm the highest known term
    */
   record Plan(
       Incarnation incarnation,
@@ -60,18 +63,20 @@
       long highestTerm) {}
 
   /**
-   * What is written.
+   * The records that an attempt writes.
    *
    * @param bundles the encoded jobs of the records
-   * @param isComplete whether the records hold every start that was ever commanded
+   * @param isComplete whether the records contain every start of a task
    */
   private record Result(RecordsSnapshot records, List<byte[]> bundles, boolean isComplete) {}
 
   /**
-   * An attempt that begins with {@link #start}.
+   * Creates an attempt that begins with {@link #start}.
    *
-   * @param haveAllContributed whether all other nodes have added what they know
-   * @param onEnded called once with whether the rebuild was finished
+   * @param haveAllContributed whether all other nodes that reach the store have contributed their
+   *     last writes
+   * @param onEnded called once at the end, with true if the rebuild was finished and false if it
+   *     was superseded
    */
   Rebuilder(
       EventLoop loop,
@@ -91,7 +96,7 @@
     this.incarnationWriter = new IncarnationRecordWriter(loop, store, this::endSuperseded);
   }
 
-  /** Ends the attempt where it is; nothing is called any more. */
+  /** Stops the attempt. No callback is called afterwards. */
   void stop() {
     isStopped = true;
     incarnationWriter.stop();
@@ -99,7 +104,7 @@
     recordsWriter.ifPresent(RebuiltRecordsWriter::stop);
   }
 
-  /** Begins the attempt with the fence. */
+  /** Starts the attempt by replacing the identity record. */
   void start() {
     LOG.info(
         "rebuild started: incarnation={}, jobs={}, retained from incarnation={} revision={}",
@@ -118,7 +123,7 @@
   }
 
   private void writeRecords(long incarnationVersion, List<StateStoreProtocol.Event> orphaned) {
-    result = join(orphaned);
+    result = mergeSources(orphaned);
     RebuiltRecordsWriter writer =
         new RebuiltRecordsWriter(
             loop, store, timings, plan.incarnation(), incarnationVersion, this::endSuperseded);
@@ -129,14 +134,17 @@
         () -> awaitContributions(incarnationVersion, loop.now().plus(timings.maxWait())));
   }
 
-  /** Joins what this node retains with what is left in the store, and with its last writes. */
-  private Result join(List<StateStoreProtocol.Event> orphaned) {
+  /**
+   * Merges the records that this node retains with those left in the store and with its last
+   * writes.
+   */
+  private Result mergeSources(List<StateStoreProtocol.Event> orphaned) {
     RecordsSnapshot known = withOrphaned(plan.retained(), orphaned, plan.lost());
     known = withOrphaned(known, orphaned, plan.interrupted());
-    boolean isExtended =
+    boolean addsToRetained =
         known.jobs() != plan.retained().jobs() || known.term() != plan.retained().term();
     for (StateStoreProtocol.Change change : plan.recentWrites()) {
-      known = OrphanedRecords.withCommitted(known, change);
+      known = OrphanedRecords.withChange(known, change);
     }
     RecordsSnapshot records = known.withTermAtLeast(plan.highestTerm());
     int bundleBytes = Records.maxChunkBytes(timings.maxValueBytes());
@@ -146,17 +154,17 @@
         plan.incarnation().number(),
         records.jobs().size(),
         bundles.size(),
-        isExtended ? "adds to what is retained" : "adds nothing");
-    return new Result(records, bundles, plan.incarnation().isComplete() && !isExtended);
+        addsToRetained ? "adds to what is retained" : "adds nothing");
+    return new Result(records, bundles, plan.incarnation().isComplete() && !addsToRetained);
   }
 
   private static RecordsSnapshot withOrphaned(
       RecordsSnapshot known,
       List<StateStoreProtocol.Event> orphaned,
-      Optional<Incarnation> earlier) {
-    return earlier.isEmpty()
+      Optional<Incarnation> incarnation) {
+    return incarnation.isEmpty()
         ? known
-        : SnapshotMerge.merge(known, OrphanedRecords.read(orphaned, earlier.get()));
+        : SnapshotMerge.merge(known, OrphanedRecords.read(orphaned, incarnation.get()));
   }
 
   private void awaitContributions(long incarnationVersion, Duration deadline) {
--- a/src/main/java/io/cherryspool/recovery/RebuiltRecordsWriter.java
+++ b/src/main/java/io/cherryspool/recovery/RebuiltRecordsWriter.java
@@ -14,9 +14,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the records of a rebuild under the prefix of its incarnation, within the store's limits on
- * transactions and on changes per second: the bundles of jobs, then the term and the machine types.
- * Confined to the event loop.
+ * Writes the records of a rebuild under the key prefix of its incarnation: first the bundles of
+ * jobs, then the term and the machine types. It respects the store's limits on the size of
+ * transactions and on changes per second. Confined to the event loop.
  */
 final class RebuiltRecordsWriter {
   private static final Logger LOG = LoggerFactory.getLogger(RebuiltRecordsWriter.class);
@@ -32,11 +32,12 @@
   private boolean isStopped;
 
   /**
-   * A writer for one rebuild.
+   * Creates a writer for one rebuild.
    *
    * @param incarnation the incarnation that is being rebuilt
-   * @param incarnationVersion the version of its record, on which each transaction depends
-   * @param onSuperseded called instead of going on when another node has replaced that record
+   * @param incarnationVersion the version of its identity record, a condition of each transaction
+   * @param onSuperseded called when another node has replaced the identity record; nothing is
+   *     written afterwards
    */
   RebuiltRecordsWriter(
       EventLoop loop,
@@ -53,16 +54,16 @@
     this.onSuperseded = onSuperseded;
   }
 
-  /** After this nothing is written any more and nothing is called. */
+  /** Stops writing. No callback is called afterwards. */
   void stop() {
     isStopped = true;
   }
 
   /**
-   * Writes everything, retrying until it is there.
+   * Writes all records and retries failed transactions.
    *
    * @param bundles the encoded jobs of the records
-   * @param onWritten called once when all is written
+   * @param onWritten called once when everything is written
    */
   void write(RecordsSnapshot records, List<byte[]> bundles, Runnable onWritten) {
     writeBundles(bundles, 0, () -> writeTermAndMachineTypes(records, onWritten));
@@ -77,7 +78,10 @@
     }
   }
 
-  /** As many of the bundles as fit in one transaction, at least one if any are left. */
+  /**
+   * Returns changes for the next bundles, as many as fit into one transaction; at least one if any
+   * bundles are left.
+   */
   private List<StateStoreProtocol.Change> nextTransaction(List<byte[]> bundles, int from) {
     List<StateStoreProtocol.Change> changes = new ArrayList<>();
     int bytes = 0;
@@ -94,7 +98,7 @@
     return changes;
   }
 
-  /** The size of a bundle in a transaction, where it is encoded in base 64. */
+  /** Returns the size of a bundle in a transaction, where it is encoded as Base64. */
   private static int encodedBytes(byte[] bundle) {
     return bundle.length * 4 / 3 + StateStoreProtocol.CHANGE_OVERHEAD_BYTES;
   }
@@ -109,7 +113,7 @@
   }
 
   private StateStoreProtocol.Change change(String key, JsonNode value) {
-    return new StateStoreProtocol.Change(incarnation.toPhysical(key), value, 0);
+    return new StateStoreProtocol.Change(incarnation.toPhysicalKey(key), value, 0);
   }
 
   private void commit(List<StateStoreProtocol.Change> changes, Runnable onCommitted) {
@@ -134,17 +138,20 @@
             });
   }
 
-  /** What was applied already may be written once more, with the same values. */
+  /** Retries a transaction. If it was applied already, it writes the same values again. */
   private void retry(
       List<StateStoreProtocol.Change> changes, Runnable onCommitted, Throwable failure) {
-    LOG.debug("writing the rebuilt records failed: {}", failure.toString());
+    LOG.debug("failed to write rebuilt records, retrying: {}", failure.toString());
     boolean isRateLimited =
         StateStoreException.kindOf(failure) == StateStoreException.Kind.RATE_LIMITED;
     loop.schedule(
         isRateLimited ? RATE_LIMITED_RETRY_DELAY : RETRY_DELAY, () -> commit(changes, onCommitted));
   }
 
-  /** The next transaction is sent when the store's limit on changes allows for this one. */
+  /**
+   * Delays the next step until the limit on changes per second allows for the transaction that was
+   * sent last.
+   */
   private void waitForQuota(Duration sentAt, int changeCount, Runnable next) {
     Duration due = sentAt.plusNanos((long) (changeCount * 1e9 / timings.changesPerSecond()));
     Duration wait = due.minus(loop.now());
--- a/src/main/java/io/cherryspool/recovery/RecentWrites.java
+++ b/src/main/java/io/cherryspool/recovery/RecentWrites.java
@@ -8,16 +8,16 @@
 import java.util.List;
 
 /**
- * The jobs and outcomes that this node has committed and whose events the replica has not received
- * yet. Users are answered at once, so that these must outlive a loss like all that the replica
- * holds. Confined to the event loop.
+ * The jobs and outcomes that this node has committed and that the replica has not received yet.
+ * Their users are answered as soon as they are committed, so they must survive a data loss like the
+ * records in the replica. Confined to the event loop.
  */
 final class RecentWrites {
   private final Deque<Write> writes = new ArrayDeque<>();
 
   private record Write(StateStoreProtocol.Change change, long revision) {}
 
-  /** Adds those of the changes, committed at a revision, that are never changed again. */
+  /** Adds the immutable records among changes that were committed at a revision. */
   void add(List<StateStoreProtocol.Change> changes, long revision) {
     for (StateStoreProtocol.Change change : changes) {
       if (change.value() != null && Records.isImmutable(change.key())) {
@@ -26,17 +26,17 @@
     }
   }
 
-  /** Drops what the replica holds, which has reached this revision. */
+  /** Removes the changes up to a revision, which the replica has reached. */
   void removeUpTo(long revision) {
     writes.removeIf(write -> write.revision <= revision);
   }
 
-  /** Drops all. */
+  /** Removes all changes. */
   void clear() {
     writes.clear();
   }
 
-  /** A copy of the changes, in the order of their commits. */
+  /** Returns a copy of the changes in the order of their commits. */
   List<StateStoreProtocol.Change> all() {
     List<StateStoreProtocol.Change> result = new ArrayList<>();
     writes.forEach(write -> result.add(write.change));
--- a/src/main/java/io/cherryspool/recovery/Reconciliation.java
+++ b/src/main/java/io/cherryspool/recovery/Reconciliation.java
@@ -6,30 +6,32 @@
 import io.cherryspool.store.JobRecord;
 
 /**
- * Decides what a task in a worker's heartbeat means for records that may lack the newest starts and
- * ends. Pure functions of the record and the heartbeat; the job's record may be null, because an
- * {@code Optional} for each task of each heartbeat would cost too much.
+ * Decides how a task that a worker reports is reconciled with records that may lack the newest
+ * starts and ends of tasks. All methods are pure functions of the record and the heartbeat. The
+ * job's record may be null, because an {@code Optional} for each task of each heartbeat would cost
+ * too much.
  */
 public final class Reconciliation {
   private Reconciliation() {}
 
   /** What to do about a reported task. */
   public enum Decision {
-    /** The records give the task to this very attempt. */
+    /** According to the records, the reported attempt owns the task. */
     KEEP,
-    /** It runs, and is to be recorded as owned where it runs. */
+    /** The task runs and must be recorded as owned by the machine that runs it. */
     ADOPT,
-    /** It has completed, and is to be recorded as done. */
+    /** The task has completed and must be recorded as done. */
     RECORD_DONE,
-    /** The records lack its job; it is neither stopped nor acknowledged. */
+    /** The records lack the job. The task is neither stopped nor acknowledged for now. */
     DEFER,
-    /** The records are newer: it is stopped or acknowledged as usual. */
+    /** The records are newer than the report. The task is stopped or acknowledged as usual. */
     DISCARD
   }
 
   /**
-   * Whether the records hold the reported attempt or something later. Starts are recorded before
-   * they are commanded, so that one which the records lack proves that records were lost.
+   * Whether the records contain the start of the reported attempt or something later. A start is
+   * recorded before the worker is told to start the task, so a missing start proves that records
+   * were lost.
    *
    * @param job the task's job, null if the records lack it
    */
@@ -46,12 +48,13 @@
   }
 
   /**
-   * What to do about a reported task.
+   * Decides what to do about a reported task.
    *
    * @param job the task's job, null if the records lack it
    * @param machine the name of the machine that reports the task
    * @param agentEpoch the epoch of the machine's agent
-   * @param isReportedByOwner whether the machine that owns the task by the records reports it too
+   * @param isReportedByOwner whether the machine that owns the task according to the records
+   *     reports it too
    */
   public static Decision decide(
       JobRecord job,
@@ -86,7 +89,7 @@
     return status.attempt() > attempts || isUnownedLatest ? Decision.ADOPT : Decision.DISCARD;
   }
 
-  /** Whether the job has ended, or never had such a task. */
+  /** Whether the job has ended or has no task with this index. */
   private static boolean isOver(JobRecord job, int task) {
     return job.outcome() != null || task >= job.job().taskCount();
   }
--- a/src/main/java/io/cherryspool/recovery/Recovery.java
+++ b/src/main/java/io/cherryspool/recovery/Recovery.java
@@ -11,10 +11,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * This node's part in detecting that the state store has lost data, and in rebuilding the records.
- * While the node serves, each answer of the store is checked against what is known; once history is
- * lost, the replica is suspended, and the node either rebuilds or waits for the one that retains
- * the most. Confined to the event loop.
+ * Detects that the state store has lost data, and takes part in rebuilding the records. While the
+ * node serves, each answer of the store is checked against the known history. When history was
+ * lost, the replica is suspended, and the node either rebuilds the records or waits for the rebuild
+ * of another node. Confined to the event loop.
  */
 public final class Recovery implements Lifecycle {
   private static final Duration POLL_INTERVAL = Duration.ofMillis(250);
@@ -30,13 +30,13 @@
   private Optional<EventLoop.Timer> timer = Optional.empty();
 
   /**
-   * A recovery that begins with {@link #start}.
+   * Creates a recovery that begins with {@link #start}.
    *
-   * @param replica suspended while history is lost, and resumed with the records of the next
-   *     incarnation
-   * @param random draws the nonces of incarnations
-   * @param snapshot the records of a snapshot file of an earlier process of this node, or {@link
-   *     RecordsSnapshot#EMPTY}
+   * @param replica the replica, which is suspended after a loss and then loads the records of the
+   *     next incarnation
+   * @param random generates the nonces of incarnations and the id of a new cluster
+   * @param snapshot the records from a snapshot file that an earlier process of this node has
+   *     written, or {@link RecordsSnapshot#EMPTY}
    */
   public Recovery(
       EventLoop loop,
@@ -84,7 +84,7 @@
     monitor.poll();
   }
 
-  /** What this node sends to the others with its heartbeats. */
+  /** Returns the description of this node's records that its heartbeats carry. */
   public RetainedRecords retainedRecords() {
     long contributedRebuild = contributions.contributedRebuild();
     if (state.isServing()) {
@@ -103,30 +103,33 @@
         contributedRebuild);
   }
 
-  /** Whether the records may be relied on. */
+  /** Whether the records can be relied on. */
   public boolean isServing() {
     return state.isServing();
   }
 
-  /** When the last request that succeeded while not serving was sent; empty if none was. */
+  /**
+   * The time at which the last successful read of the identity record was sent, empty if there was
+   * none. Such reads are sent only while the node does not serve.
+   */
   public Optional<Duration> lastAnsweredRequestSentAt() {
     return monitor.lastAnsweredRequestSentAt();
   }
 
-  /** What has happened since the node started. */
+  /** The counts of what the recovery has detected and done since the node started. */
   public RecoveryStatistics statistics() {
     return state.statistics();
   }
 
   /**
-   * Checks a term that a worker or another node has shown. One that the records lack even after
-   * another read proves that history was lost.
+   * Checks a term that a worker or another node has reported. If the records lack it even after
+   * another read, history was lost.
    */
   public void observeTerm(long term) {
     detector.observeTerm(term);
   }
 
-  /** Takes in a proof of lost history that the controller has found. */
+  /** Reports a loss that the controller has detected. */
   public void reportLoss(RollbackDetector.Loss loss, String detail) {
     detector.reportLoss(loss, detail);
   }
--- a/src/main/java/io/cherryspool/recovery/RecoveryState.java
+++ b/src/main/java/io/cherryspool/recovery/RecoveryState.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 
 /**
- * The phase of this node's recovery, and what it retains of records that it no longer serves.
+ * The phase of this node's recovery, and the records that the node retains while it does not serve.
  * Confined to the event loop.
  */
 final class RecoveryState {
@@ -25,10 +25,10 @@
   private boolean wasSoleLeader;
 
   /**
-   * The state of a node that starts.
+   * Creates the state of a node that starts.
    *
-   * @param retained the records of a snapshot file of an earlier process of this node, or {@link
-   *     RecordsSnapshot#EMPTY}
+   * @param retained the records from a snapshot file that an earlier process of this node has
+   *     written, or {@link RecordsSnapshot#EMPTY}
    */
   RecoveryState(EventLoop loop, Replica replica, ClusterNode node, RecordsSnapshot retained) {
     this.loop = loop;
@@ -42,22 +42,22 @@
     return phase;
   }
 
-  /** What has happened since the node started. */
+  /** The counts of what the recovery has detected and done since the node started. */
   RecoveryStatistics statistics() {
     return statistics;
   }
 
-  /** Whether the records may be relied on. */
+  /** Whether the records can be relied on. */
   boolean isServing() {
     return phase == RetainedRecords.Phase.SERVING;
   }
 
-  /** Whether this node rebuilds the records now. */
+  /** Whether this node is rebuilding the records. */
   boolean isRebuilding() {
     return phase == RetainedRecords.Phase.REBUILDING;
   }
 
-  /** Whether this node knows that history was lost, and waits for the rebuild. */
+  /** Whether this node knows that history was lost and waits for a rebuild. */
   boolean isHolding() {
     return phase == RetainedRecords.Phase.HOLDING;
   }
@@ -67,17 +67,17 @@
     return !isServing() && !isRebuilding();
   }
 
-  /** For how long this node has been in the present phase, counted from the last restart. */
-  Duration waited() {
+  /** The time since the last call of {@link #restartWait}. */
+  Duration waitingTime() {
     return loop.now().minus(waitingSince);
   }
 
-  /** Counts the waiting time from now on. */
+  /** Restarts the waiting time at zero. */
   void restartWait() {
     waitingSince = loop.now();
   }
 
-  /** What this node retains of records that it does not serve; empty while it serves. */
+  /** The records that this node retains while it does not serve; empty while it serves. */
   RecordsSnapshot retained() {
     return retained;
   }
@@ -87,38 +87,38 @@
     return retained.position().incarnationNumber() >= 0;
   }
 
-  /** Whether what this node retains is of this incarnation. */
-  boolean isRetainedFrom(Incarnation incarnation) {
+  /** Whether the records that this node retains belong to this incarnation. */
+  boolean hasRetainedRecordsOf(Incarnation incarnation) {
     return retained.position().incarnationNumber() == incarnation.number()
         && retained.nonce().equals(incarnation.nonce());
   }
 
-  /** The incarnation whose loss this node has detected; empty if it has detected none. */
+  /** The incarnation whose loss this node has detected, empty if there is none. */
   Optional<Incarnation> lostIncarnation() {
     return lostIncarnation;
   }
 
-  /** Whether the record is of the incarnation whose loss this node has detected. */
+  /** Whether an identity record is of the incarnation whose loss this node has detected. */
   boolean isLost(Incarnation record) {
     return lostIncarnation.isPresent() && isSameRebuild(lostIncarnation.get(), record);
   }
 
   /**
-   * Whether this node led by a lease that surely held when it detected the loss, so that it knows
-   * of every start that was ever commanded.
+   * Whether this node was the leader with a certainly valid lease when it detected the loss. It
+   * then knows every start of a task.
    */
   boolean wasSoleLeader() {
     return wasSoleLeader;
   }
 
   /**
-   * Records the loss of an incarnation, and stops serving.
+   * Records the loss of an incarnation and stops serving.
    *
-   * @param loss the sign by which it was detected
+   * @param loss the evidence of the loss
    * @param incarnation the incarnation that was lost, empty if none was loaded yet
-   * @param soleLeader whether this node knows of every start in it
+   * @param soleLeader whether this node was the sole leader and knows every start of a task
    */
-  void loseIncarnation(
+  void recordLoss(
       RollbackDetector.Loss loss, Optional<Incarnation> incarnation, boolean soleLeader) {
     statistics.recordLoss(loss);
     lostIncarnation = incarnation;
@@ -127,9 +127,10 @@
     hold();
   }
 
-  /** Retains what the replica holds, before it is suspended. */
+  /** Retains the records in the replica. Must be called before the replica is suspended. */
   void retainReplica() {
-    // A snapshot file may hold what the records lack although they reach further: both are true.
+    // A snapshot file may contain records that the replica lacks, even if the replica has the later
+    // position. Both are valid, so they are merged.
     retained = SnapshotMerge.merge(retained, replica.snapshot());
   }
 
@@ -141,14 +142,17 @@
     node.onServingChanged();
   }
 
-  /** Stops waiting for the first load, since the records were lost or are being rebuilt. */
+  /** Stops waiting for the first load because the records were lost or are being rebuilt. */
   void holdIfStarting() {
     if (phase == RetainedRecords.Phase.STARTING) {
       hold();
     }
   }
 
-  /** Loads the records of an incarnation into the replica, which then reports them as loaded. */
+  /**
+   * Makes the replica load the records of an incarnation. The replica then calls {@link
+   * RollbackDetector#onRecordsLoaded}.
+   */
   void load(StateStoreClient.IncarnationReading reading) {
     replica.enter(reading.incarnation(), reading.version(), reading.revision());
   }
@@ -158,28 +162,29 @@
     return replica.isLoading();
   }
 
-  /** Serves the records that the replica has loaded. */
+  /** Starts serving the records that the replica has loaded. */
   void serve() {
-    statistics.recordServing(waited());
+    statistics.recordServing(waitingTime());
     phase = RetainedRecords.Phase.SERVING;
     lostIncarnation = Optional.empty();
     wasSoleLeader = false;
   }
 
-  /** Drops what is retained, once the served records hold it. */
+  /** Drops the retained records. Called once the served records contain them. */
   void clearRetained() {
     retained = RecordsSnapshot.EMPTY;
   }
 
-  /** This node begins to rebuild the records. */
+  /** Enters the rebuilding phase. */
   void beginRebuild() {
     statistics.countRebuild();
     phase = RetainedRecords.Phase.REBUILDING;
   }
 
   /**
-   * This node's rebuild has ended. After one that was superseded this node waits anew, because
-   * another one may retain more records; otherwise its next attempt need not wait again.
+   * Leaves the rebuilding phase. After a rebuild that was superseded, the waiting time restarts,
+   * because another node may retain more records. After a finished rebuild, this node need not wait
+   * again.
    */
   void endRebuild(boolean isFinished) {
     phase = RetainedRecords.Phase.HOLDING;
@@ -188,7 +193,7 @@
     }
   }
 
-  /** Whether two records tell of one rebuild, whatever its progress. */
+  /** Whether two identity records are of the same rebuild, whatever its progress. */
   private static boolean isSameRebuild(Incarnation one, Incarnation other) {
     return one.number() == other.number() && one.nonce().equals(other.nonce());
   }
--- a/src/main/java/io/cherryspool/recovery/RecoveryStatistics.java
+++ b/src/main/java/io/cherryspool/recovery/RecoveryStatistics.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * Counts of what a node's recovery has detected and done, for metrics and the status. Confined to
- * the event loop.
+ * Counts what a node's recovery has detected and done, for metrics and the status command. Confined
+ * to the event loop.
  */
 public final class RecoveryStatistics {
   private int losses;
@@ -34,41 +34,43 @@
   }
 
   /**
-   * Records that the node serves again.
+   * Records that the node has started to serve.
    *
-   * @param held for how long the node did not serve before
+   * @param held how long the node did not serve before
    */
   void recordServing(Duration held) {
     lastHold = held;
     hasFoundOtherCluster = false;
   }
 
-  /** How many losses this node has detected since it started. */
+  /** The number of losses that this node has detected since it started. */
   public int losses() {
     return losses;
   }
 
-  /** How many rebuilds it has begun. */
+  /** The number of rebuilds that this node has started. */
   public int rebuilds() {
     return rebuilds;
   }
 
-  /** How many records it has added after rebuilds that lacked them. */
+  /** The number of records that this node has added after rebuilds that lacked them. */
   public int addedRecords() {
     return addedRecords;
   }
 
-  /** The sign by which the last loss was detected; empty if there was none. */
+  /** The evidence of the last loss, empty if there was none. */
   public Optional<RollbackDetector.Loss> lastLoss() {
     return lastLoss;
   }
 
-  /** How long this node did not serve when it last did not; zero before it first served. */
+  /**
+   * How long this node did not serve before it last started to serve; zero before it first served.
+   */
   public Duration lastHold() {
     return lastHold;
   }
 
-  /** Whether the state store holds the records of another cluster. */
+  /** Whether the state store contains the records of another cluster. */
   public boolean hasFoundOtherCluster() {
     return hasFoundOtherCluster;
   }
--- a/src/main/java/io/cherryspool/recovery/RecoveryStore.java
+++ b/src/main/java/io/cherryspool/recovery/RecoveryStore.java
@@ -14,48 +14,47 @@
 import java.util.function.Consumer;
 
 /**
- * The state store as the recovery uses it: by the keys as the store has them, whatever the
- * incarnation. The rate limiter counts these requests and never delays them, because nothing else
- * goes on while records are lost. Confined to the event loop; futures fail as those of {@link
- * StateStoreClient} do.
+ * The recovery's access to the state store, with the physical keys of any incarnation. The rate
+ * limiter counts these requests but never delays them, because other work stops while records are
+ * lost. Confined to the event loop. Futures fail like those of {@link StateStoreClient}.
  */
 public final class RecoveryStore {
   private final EventLoop loop;
   private final StateStoreClient client;
   private final RateLimiter rateLimiter;
 
-  /** A view of the store that {@code client} talks to, on the node's event loop. */
+  /** Creates an access to the store by {@code client}. */
   public RecoveryStore(EventLoop loop, StateStoreClient client, RateLimiter rateLimiter) {
     this.loop = loop;
     this.client = client;
     this.rateLimiter = rateLimiter;
   }
 
-  /** The client, for requests on the records of the present incarnation. */
+  /** The client, for requests on the records of the current incarnation. */
   StateStoreClient client() {
     return client;
   }
 
-  /** The rate limiter, for requests that may wait. */
+  /** The rate limiter, for requests that may be delayed. */
   RateLimiter rateLimiter() {
     return rateLimiter;
   }
 
-  /** The incarnation whose records this node loaded last; empty before the first. */
+  /** The incarnation that the replica entered last, empty before the first one. */
   Optional<Incarnation> loadedIncarnation() {
     return Optional.ofNullable(client.keySpace().incarnation());
   }
 
-  /** Reads the incarnation's record. */
+  /** Reads the identity record. */
   CompletableFuture<StateStoreClient.IncarnationReading> readIncarnation() {
     rateLimiter.forceAcquire(0);
     return client.readIncarnation();
   }
 
   /**
-   * Writes the incarnation's record.
+   * Replaces the identity record.
    *
-   * @param replacedVersion the version of the record that it replaces, 0 if there must be none
+   * @param replacedVersion the version of the record that is replaced, 0 if there must be no record
    */
   CompletableFuture<StateStoreClient.CommitResult> replaceIncarnation(
       Incarnation record, long replacedVersion) {
@@ -67,21 +66,21 @@
   /**
    * Commits changes of physical keys.
    *
-   * @param incarnationVersion the version that the incarnation's record must have
+   * @param incarnationVersion the version that the identity record must have
    */
   CompletableFuture<StateStoreClient.CommitResult> commit(
       long incarnationVersion, List<StateStoreProtocol.Change> changes) {
     rateLimiter.forceAcquire(changes.size());
-    return client.commitPhysical(Map.of(Incarnation.KEY, incarnationVersion), changes);
+    return client.commitUnfenced(Map.of(Incarnation.KEY, incarnationVersion), changes);
   }
 
   /** Reads the first page of all keys of the cluster. */
   CompletableFuture<StateStoreProtocol.KeyPage> readFirstPage() {
     rateLimiter.forceAcquire(0);
-    return client.list(Records.PREFIX, null);
+    return client.listKeys(Records.PREFIX, null);
   }
 
-  /** A scan, not yet started, of all keys of the cluster in every incarnation. */
+  /** Creates a scan of all keys of the cluster, of every incarnation. The scan is not started. */
   KeyScan scanAllKeys(Consumer<KeyScan.ScanResult> onDone) {
     return new KeyScan(loop, client, rateLimiter, Records.PREFIX, onDone);
   }
--- a/src/main/java/io/cherryspool/recovery/RecoveryTimings.java
+++ b/src/main/java/io/cherryspool/recovery/RecoveryTimings.java
@@ -3,13 +3,15 @@
 import java.time.Duration;
 
 /**
- * How long the steps of a recovery wait, and the limits of the state store.
+ * How long the steps of a recovery wait, and the limits of the state store that it must respect.
  *
- * @param gatheringTime how long nodes receive one another's heartbeats before one of them rebuilds
- * @param maxWait how long a node that retains more is waited for, and how long an empty store is
- *     watched before it counts as a first installation
- * @param maxValueBytes the store's limit on the bytes of a value
- * @param maxTransactionChanges its limit on the changes of a transaction
+ * @param gatheringTime how long a node collects the other nodes' heartbeats before it decides
+ *     whether to rebuild
+ * @param maxWait how long a node waits for a preferred rebuilder that can't reach the store, for
+ *     the other nodes' contributions to a rebuild, and before it treats an empty store as a first
+ *     installation
+ * @param maxValueBytes the maximum size of a value in the store
+ * @param maxTransactionChanges the maximum number of changes in a transaction of the store
  * @param changesPerSecond the rate at which a rebuild may make changes
  */
 public record RecoveryTimings(
@@ -19,7 +21,9 @@
     int maxTransactionChanges,
     double changesPerSecond) {
 
-  /** After this time a node that should have detected the loss has had its chance. */
+  /**
+   * The time after which this node no longer waits for a node that should have reacted to the loss.
+   */
   Duration twiceGatheringTime() {
     return gatheringTime.multipliedBy(2);
   }
--- a/src/main/java/io/cherryspool/recovery/RetainedRecords.java
+++ b/src/main/java/io/cherryspool/recovery/RetainedRecords.java
@@ -3,15 +3,18 @@
 import io.cherryspool.store.Incarnation;
 
 /**
- * What a node retains of the records, and what it does about their loss. Nodes send it to one
- * another with each heartbeat; it proves nothing but the revision that the node has seen.
+ * Describes the records that a node retains, and the phase of its recovery. Nodes send it to one
+ * another with each heartbeat. Apart from the revision that the node has seen, it is no evidence of
+ * a loss.
  *
- * @param nonce of the incarnation that it retains, empty for the first and for none
- * @param position how far what it retains reaches
- * @param wasSoleLeader whether it led by a lease that surely held when it detected the loss, so
- *     that it knows of every start that was ever commanded
- * @param contributedRebuild the incarnation number of the last rebuild to which it has added its
- *     own last writes, 0 before the first
+ * @param phase the phase of the node's recovery
+ * @param nonce the nonce of the incarnation that the records belong to; empty for the first
+ *     incarnation and if there are no records
+ * @param position the position of the records in the history
+ * @param wasSoleLeader whether the node was the leader with a certainly valid lease when it
+ *     detected the loss, so that it knows every start of a task
+ * @param contributedRebuild the incarnation number of the last rebuild to which the node has
+ *     contributed its last writes, 0 before the first
  */
 public record RetainedRecords(
     Phase phase,
@@ -21,17 +24,17 @@
     long contributedRebuild) {
 
   /**
-   * What a node does. Heartbeats carry the ordinal numbers, and operators are shown the names, so
-   * that neither may change.
+   * The phase of a node's recovery. Neither the order nor the names of the constants may change,
+   * because heartbeats carry the ordinals and operators see the names.
    */
   public enum Phase {
-    /** It has not read the records yet. */
+    /** The node has not loaded the records yet. */
     STARTING,
-    /** It reads and changes the records. */
+    /** The node reads and changes the records. */
     SERVING,
-    /** It knows that history was lost, and waits for the rebuild. */
+    /** The node knows that history was lost and waits for a rebuild. */
     HOLDING,
-    /** It rebuilds. */
+    /** The node is rebuilding the records. */
     REBUILDING
   }
 
@@ -40,7 +43,7 @@
     return position.incarnationNumber() >= 0;
   }
 
-  /** Whether what the node retains is of this incarnation. */
+  /** Whether the records that the node retains belong to this incarnation. */
   boolean belongsTo(Incarnation incarnation) {
     return position.incarnationNumber() == incarnation.number()
         && nonce.equals(incarnation.nonce());
--- a/src/main/java/io/cherryspool/recovery/SnapshotFile.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotFile.java
@@ -16,18 +16,18 @@
 import java.util.List;
 
 /**
- * The stored form of a records snapshot: one line of JSON that describes it, then the chunks. The
- * line carries a format version, the cluster and how far the records reach, and a digest of the
- * chunks, so that a copy that is truncated, changed or of a later program is distinguished from a
- * valid one.
+ * The file format of a records snapshot: a header of one line of JSON, followed by the chunks. The
+ * header contains the format version, the cluster, the position of the records in the history, and
+ * a digest of the chunks, so that a file that is truncated, damaged or written by a newer version
+ * of the program can be distinguished from a valid one.
  *
- * @param takenAt the time of day at which the records were as they are here
+ * @param takenAt the wall-clock time at which the snapshot was taken
  */
 public record SnapshotFile(RecordsSnapshot records, Instant takenAt) {
-  /** The format of the files that this program writes, and the newest that it reads. */
+  /** The format version that this program writes, and the newest one that it reads. */
   public static final int FORMAT = 1;
 
-  /** Chunks are small, so that reading one needs little memory at a time. */
+  /** The maximum size of a chunk. Chunks are small, so that decoding one needs little memory. */
   private static final int MAX_CHUNK_BYTES = 256 * 1024;
 
   private static final byte[] MAGIC =
@@ -35,19 +35,21 @@
 
   private static final byte NEWLINE = '\n';
 
-  /** What is wrong with the bytes of a snapshot. Operators are shown the names. */
+  /**
+   * What is wrong with the content of a snapshot file. Operators see the names of these constants.
+   */
   public enum Fault {
-    /** It does not begin like a snapshot. */
+    /** The file does not begin like a snapshot. */
     NOT_A_SNAPSHOT,
-    /** A later program wrote it. */
+    /** A newer version of the program has written the file. */
     NEWER_FORMAT,
-    /** Bytes are missing at its end. */
+    /** Bytes are missing at the end of the file. */
     TORN,
-    /** Its bytes are not those that were written. */
+    /** The content of the file has changed since it was written. */
     DAMAGED
   }
 
-  /** Thrown for a snapshot that can't be used. */
+  /** Thrown if a snapshot file can't be used. */
   public static final class InvalidSnapshotException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -63,13 +65,13 @@
       this.fault = fault;
     }
 
-    /** What is wrong with the snapshot. */
+    /** What is wrong with the snapshot file. */
     public Fault fault() {
       return fault;
     }
   }
 
-  /** The bytes of the file. */
+  /** Encodes the content of the file. */
   public byte[] encode() {
     List<byte[]> chunks = RecordsSnapshotCodec.encode(records.jobs(), MAX_CHUNK_BYTES);
     ObjectNode header = Json.object().put("cherryspool", "snapshot").put("format", FORMAT);
@@ -94,32 +96,32 @@
   }
 
   /**
-   * Reads what {@link #encode} wrote.
+   * Decodes the content of a file that {@link #encode} returned.
    *
-   * @throws InvalidSnapshotException naming what is wrong with the bytes
+   * @throws InvalidSnapshotException if the content is not valid; it says what is wrong
    */
   public static SnapshotFile decode(byte[] bytes) throws InvalidSnapshotException {
-    int headerBytes = headerBytes(bytes);
-    JsonNode header = header(Arrays.copyOf(bytes, headerBytes));
+    int headerLength = findHeaderEnd(bytes);
+    JsonNode header = parseHeader(Arrays.copyOf(bytes, headerLength));
     int format = header.path("format").intValue();
     if (format > FORMAT) {
       throw new InvalidSnapshotException(
           Fault.NEWER_FORMAT, "format " + format + ", and this program reads up to " + FORMAT);
     }
-    List<byte[]> chunks = chunks(bytes, headerBytes + 1, header);
+    List<byte[]> chunks = splitChunks(bytes, headerLength + 1, header);
     if (!RecordsSnapshotCodec.digest(chunks).equals(header.path("digest").asText())) {
       throw new InvalidSnapshotException(Fault.DAMAGED, "the digest does not match");
     }
     try {
       return new SnapshotFile(
-          records(header, chunks), Instant.ofEpochMilli(header.path("taken").longValue()));
+          parseRecords(header, chunks), Instant.ofEpochMilli(header.path("taken").longValue()));
     } catch (MalformedMessageException e) {
       throw new InvalidSnapshotException(Fault.DAMAGED, e.getMessage(), e);
     }
   }
 
-  /** The length of the first line, without its end. */
-  private static int headerBytes(byte[] bytes) throws InvalidSnapshotException {
+  /** Returns the length of the header without its newline. */
+  private static int findHeaderEnd(byte[] bytes) throws InvalidSnapshotException {
     boolean hasMagic =
         bytes.length >= MAGIC.length
             && Arrays.equals(bytes, 0, MAGIC.length, MAGIC, 0, MAGIC.length);
@@ -136,7 +138,7 @@
     return end;
   }
 
-  private static JsonNode header(byte[] line) throws InvalidSnapshotException {
+  private static JsonNode parseHeader(byte[] line) throws InvalidSnapshotException {
     try {
       return Json.parseObject(line);
     } catch (MalformedMessageException e) {
@@ -144,7 +146,7 @@
     }
   }
 
-  private static RecordsSnapshot records(JsonNode header, List<byte[]> chunks)
+  private static RecordsSnapshot parseRecords(JsonNode header, List<byte[]> chunks)
       throws MalformedMessageException {
     return new RecordsSnapshot(
         header.path("cluster").asText(),
@@ -156,22 +158,22 @@
         RecordsSnapshotCodec.decode(chunks));
   }
 
-  private static List<byte[]> chunks(byte[] bytes, int start, JsonNode header)
+  private static List<byte[]> splitChunks(byte[] bytes, int start, JsonNode header)
       throws InvalidSnapshotException {
     List<byte[]> chunks = new ArrayList<>();
-    int at = start;
+    int offset = start;
     for (JsonNode length : header.path("chunks")) {
       int size = length.intValue();
-      if (size < 0 || size > bytes.length - at) {
+      if (size < 0 || size > bytes.length - offset) {
         throw new InvalidSnapshotException(
             Fault.TORN,
             "chunk " + chunks.size() + " of " + header.path("chunks").size() + " is cut");
       }
-      chunks.add(Arrays.copyOfRange(bytes, at, at + size));
-      at += size;
+      chunks.add(Arrays.copyOfRange(bytes, offset, offset + size));
+      offset += size;
     }
-    if (at != bytes.length) {
-      throw new InvalidSnapshotException(Fault.DAMAGED, bytes.length - at + " bytes too many");
+    if (offset != bytes.length) {
+      throw new InvalidSnapshotException(Fault.DAMAGED, bytes.length - offset + " bytes too many");
     }
     return chunks;
   }
--- a/src/main/java/io/cherryspool/recovery/SnapshotMerge.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotMerge.java
@@ -14,32 +14,35 @@
 import org.pcollections.TreePMap;
 
 /**
- * Joins what several sources know into one snapshot. For each task the latest state wins: by the
- * number of its last attempt, an attempt that has ended over the same one still owned, and done
- * over everything; for each job an outcome over none, and done over cancelled. The join is
- * commutative, associative and idempotent, so that neither the order of sources nor reading one
- * twice matters. Pure functions, for any thread.
+ * Merges snapshots from several sources into one. For each task, the latest state wins: the higher
+ * attempt number, an attempt that has ended over the same attempt that is still owned, and done
+ * over everything else. For each job, an outcome wins over none, and done over cancelled. Merging
+ * is commutative, associative and idempotent, so neither the order of the sources nor a repeated
+ * source changes the result. All methods are pure functions and may be called from any thread.
  */
 public final class SnapshotMerge {
   /**
-   * Two attempts of one number come only from a leader that had lost its records; the later fencing
-   * token wins.
+   * Orders attempts with the same number, which occur only after a leader has lost its records. The
+   * higher fencing token wins.
    */
-  private static final Comparator<Attempt> BY_TOKEN =
+  private static final Comparator<Attempt> BY_FENCING_TOKEN =
       Comparator.comparingLong(Attempt::fencingToken)
           .thenComparing(Attempt::machine)
           .thenComparingLong(Attempt::agentEpoch);
 
-  /** Jobs described twice differ only by a user's mistake; any fixed order will do. */
-  private static final Comparator<Job> BY_DESCRIPTION =
+  /**
+   * Orders two descriptions of the same job. They differ only if a user made a mistake, so any
+   * fixed order is sufficient.
+   */
+  private static final Comparator<Job> BY_SUBMISSION =
       Comparator.comparing(Job::submittedAt).thenComparing(Job::toString);
 
   private SnapshotMerge() {}
 
   /**
-   * Both together, at the later position of the two. The map of jobs is that of the snapshot at the
-   * later position itself where the other one adds nothing to it; between equal positions, that of
-   * the first one.
+   * Merges two snapshots. The result has the later of the two positions. If the snapshot with the
+   * later position (or the first one if the positions are equal) already contains everything, the
+   * result has the same instance of its map of jobs.
    */
   public static RecordsSnapshot merge(RecordsSnapshot one, RecordsSnapshot other) {
     boolean isOtherLater = other.position().compareTo(one.position()) > 0;
@@ -62,14 +65,14 @@
         jobs);
   }
 
-  /** Both together; the first job itself where the second adds nothing to it. */
+  /** Merges two snapshots of a job. Returns the first instance if the second one adds nothing. */
   static JobSnapshot merge(JobSnapshot one, JobSnapshot other) {
-    JobSnapshot base = BY_DESCRIPTION.compare(one.job(), other.job()) <= 0 ? one : other;
+    JobSnapshot base = BY_SUBMISSION.compare(one.job(), other.job()) <= 0 ? one : other;
     if (base.tasksPerShard() != one.tasksPerShard()
         || base.tasksPerShard() != other.tasksPerShard()) {
-      return merge(resharded(one, base), resharded(other, base));
+      return merge(reshard(one, base), reshard(other, base));
     }
-    Outcome outcome = latest(one.outcome(), other.outcome());
+    Outcome outcome = latestOutcome(one.outcome(), other.outcome());
     PSortedMap<Integer, Shard> shards = mergeShards(one.shards(), other.shards());
     boolean isUnchanged = base == one && outcome == one.outcome() && shards == one.shards();
     return isUnchanged ? one : new JobSnapshot(base.job(), base.tasksPerShard(), outcome, shards);
@@ -88,31 +91,35 @@
     return shards;
   }
 
-  private static Outcome latest(Outcome one, Outcome other) {
+  private static Outcome latestOutcome(Outcome one, Outcome other) {
     if (one == Outcome.DONE || other == Outcome.DONE) {
       return Outcome.DONE;
     }
     return one == null ? other : one;
   }
 
-  /** The job with as many tasks in each shard as the base has. */
-  private static JobSnapshot resharded(JobSnapshot from, JobSnapshot base) {
+  /**
+   * Returns the job with its progress divided into shards of the same size as those of {@code
+   * base}.
+   */
+  private static JobSnapshot reshard(JobSnapshot from, JobSnapshot base) {
     int tasksPerShard = base.tasksPerShard();
     Map<Integer, Shard.Editor> editors = new TreeMap<>();
     for (Shard shard : from.shards().values()) {
       for (int task = shard.nextDone(0); task >= 0; task = shard.nextDone(task + 1)) {
-        editor(editors, task / tasksPerShard).markDone(task, task);
+        editorOf(editors, task / tasksPerShard).markDone(task, task);
       }
       shard
           .ownedAttempts()
           .values()
-          .forEach(item -> editor(editors, item.taskIndex() / tasksPerShard).putOwnedAttempt(item));
+          .forEach(
+              item -> editorOf(editors, item.taskIndex() / tasksPerShard).putOwnedAttempt(item));
       shard
           .histories()
           .int2ObjectEntrySet()
           .forEach(
               item ->
-                  editor(editors, item.getIntKey() / tasksPerShard)
+                  editorOf(editors, item.getIntKey() / tasksPerShard)
                       .putHistory(item.getIntKey(), item.getValue()));
     }
     PSortedMap<Integer, Shard> shards = TreePMap.empty();
@@ -122,11 +129,11 @@
     return new JobSnapshot(base.job(), tasksPerShard, from.outcome(), shards);
   }
 
-  private static Shard.Editor editor(Map<Integer, Shard.Editor> editors, int index) {
+  private static Shard.Editor editorOf(Map<Integer, Shard.Editor> editors, int index) {
     return editors.computeIfAbsent(index, key -> Shard.EMPTY.edit());
   }
 
-  /** Both together; the first shard itself where the second adds nothing to it. */
+  /** Merges two shards. Returns the first instance if the second one adds nothing. */
   static Shard merge(Shard one, Shard other) {
     Shard.Editor editor = one.edit();
     boolean isChanged = false;
@@ -144,7 +151,10 @@
     return isChanged ? editor.build() : one;
   }
 
-  /** Whether the second shard adds to what the first one tells of the task. */
+  /**
+   * Merges the state of a task into the editor. Returns whether the second shard adds anything to
+   * the first one.
+   */
   private static boolean mergeTask(int task, Shard one, Shard other, Shard.Editor editor) {
     Shard.History known = one.history(task);
     Attempt owner = one.ownedAttempt(task);
@@ -164,7 +174,10 @@
     return true;
   }
 
-  /** The attempt that owns the task by the latest of the two, null if none does. */
+  /**
+   * Returns the attempt that owns the task according to the later of the two states, null if there
+   * is none.
+   */
   private static Attempt latestOwner(int task, Shard one, Shard other) {
     Attempt owner = one.ownedAttempt(task);
     Attempt otherOwner = other.ownedAttempt(task);
@@ -174,9 +187,10 @@
       return attempts > otherAttempts ? owner : otherOwner;
     }
     if (owner == null || otherOwner == null) {
-      // The attempt has ended in one of the two, which is later than its being owned.
+      // In one of the two states the attempt has ended. That state is later than the one in which
+      // it is still owned.
       return null;
     }
-    return BY_TOKEN.compare(owner, otherOwner) >= 0 ? owner : otherOwner;
+    return BY_FENCING_TOKEN.compare(owner, otherOwner) >= 0 ? owner : otherOwner;
   }
 }
--- a/src/main/java/io/cherryspool/recovery/SnapshotRepository.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotRepository.java
@@ -10,36 +10,36 @@
 
 /**
  * Writes snapshot files into a store and finds the newest valid one. Records snapshots are
- * immutable, so that writing one may be done on another thread while the event loop goes on. Used
- * from one thread at a time.
+ * immutable, so they can be written by another thread than the event loop. Must be used by one
+ * thread at a time.
  */
 public final class SnapshotRepository {
   private static final Logger LOG = LoggerFactory.getLogger(SnapshotRepository.class);
 
-  /** The newest may turn out to be damaged when it is needed. */
+  /** The number of files that are kept, in case the newest one is damaged when it is needed. */
   private static final int MAX_KEPT_FILES = 3;
 
   private final SnapshotStore store;
 
-  /** A repository of the files in the store. */
+  /** Creates a repository of the files in a store. */
   public SnapshotRepository(SnapshotStore store) {
     this.store = store;
   }
 
   /**
-   * How a write ended.
+   * The result of a write.
    *
    * @param name the name of the file
-   * @param bytes its size, 0 if it was not written
-   * @param durationNanos how long encoding and writing took
-   * @param failure why it was not written, empty if it was
+   * @param bytes the size of the file, 0 if it was not written
+   * @param durationNanos the duration of encoding and writing
+   * @param failure why the write failed, empty if it succeeded
    */
   public record WriteResult(String name, int bytes, long durationNanos, Optional<String> failure) {}
 
   /**
-   * Writes a snapshot file and deletes the oldest ones; a failure leaves those that are there.
+   * Writes a snapshot file and deletes the oldest files. If the write fails, no file is deleted.
    *
-   * @param takenAt the time of day at which the records were as they are here
+   * @param takenAt the wall-clock time at which the records were copied
    */
   public WriteResult write(RecordsSnapshot records, Instant takenAt) {
     long startedAtNanos = System.nanoTime();
@@ -51,7 +51,7 @@
       return new WriteResult(
           name, bytes.length, System.nanoTime() - startedAtNanos, Optional.empty());
     } catch (IOException | RuntimeException e) {
-      LOG.error("writing a snapshot failed: name={}, store={}: {}", name, store, e.toString());
+      LOG.error("failed to write snapshot: name={}, store={}: {}", name, store, e.toString());
       return new WriteResult(
           name, 0, System.nanoTime() - startedAtNanos, Optional.of(e.toString()));
     }
@@ -64,7 +64,10 @@
     }
   }
 
-  /** Sorts by incarnation and revision, which only grow; the time of day may be set back. */
+  /**
+   * Returns a file name that sorts by incarnation and revision. Both only increase, whereas the
+   * wall clock may be set back.
+   */
   private static String fileName(RecordsSnapshot records, Instant takenAt) {
     return String.format(
         "%010d-%016d-%d%s",
@@ -74,13 +77,15 @@
         DirectorySnapshotStore.SUFFIX);
   }
 
-  /** The newest valid snapshot, empty if there is none; each invalid one is named in the log. */
+  /**
+   * Reads the newest valid snapshot. Returns empty if there is none, and logs each invalid file.
+   */
   public Optional<SnapshotFile> readNewest() {
     List<String> names;
     try {
       names = store.names();
     } catch (IOException e) {
-      LOG.error("listing the snapshots failed: store={}: {}", store, e.toString());
+      LOG.error("failed to list the snapshots: store={}: {}", store, e.toString());
       return Optional.empty();
     }
     for (String name : names) {
@@ -103,9 +108,10 @@
           found.records().position().revision());
       return Optional.of(found);
     } catch (SnapshotFile.InvalidSnapshotException e) {
-      LOG.error("snapshot not used: name={}, fault={}: {}", name, e.fault(), e.getMessage());
+      LOG.error(
+          "ignoring invalid snapshot: name={}, fault={}: {}", name, e.fault(), e.getMessage());
     } catch (IOException e) {
-      LOG.error("reading a snapshot failed: name={}: {}", name, e.toString());
+      LOG.error("failed to read snapshot: name={}, store={}: {}", name, store, e.toString());
     }
     return Optional.empty();
   }
--- a/src/main/java/io/cherryspool/recovery/SnapshotStore.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotStore.java
@@ -4,35 +4,35 @@
 import java.util.List;
 
 /**
- * Where a node keeps its snapshot files, so that they outlive its process. Names sort by age. Used
- * from one thread at a time.
+ * Persistent storage for the snapshot files of a node. The names of the files sort by age. Must be
+ * used by one thread at a time.
  */
 public interface SnapshotStore {
   /**
-   * Keeps the bytes under the name as a whole, or not at all.
+   * Stores a file atomically: either completely or not at all.
    *
-   * @throws IOException if they can't be kept
+   * @throws IOException if the file can't be stored
    */
   void write(String name, byte[] bytes) throws IOException;
 
   /**
-   * The names of the snapshots kept, the newest first; empty if there are none.
+   * Returns the names of the stored files, the newest first; empty if there are none.
    *
    * @throws IOException if the names can't be read
    */
   List<String> names() throws IOException;
 
   /**
-   * The bytes of a snapshot.
+   * Returns the content of a file.
    *
-   * @throws IOException if there is none of this name, or it can't be read
+   * @throws IOException if there is no file with this name or it can't be read
    */
   byte[] read(String name) throws IOException;
 
   /**
-   * Deletes a snapshot, if it is there.
+   * Deletes a file if it exists.
    *
-   * @throws IOException if it can't be deleted
+   * @throws IOException if the file can't be deleted
    */
   void delete(String name) throws IOException;
 }
--- a/src/main/java/io/cherryspool/recovery/SnapshotWriter.java
+++ b/src/main/java/io/cherryspool/recovery/SnapshotWriter.java
@@ -13,9 +13,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Takes a snapshot of the records at an interval, while they can be relied on and have changed. The
- * snapshot is taken on the event loop, at the cost of what changed since the last one; it is
- * written by {@code background}, one at a time.
+ * Writes a snapshot of the records at a fixed interval if they can be relied on and have changed.
+ * The snapshot is taken on the event loop, at a cost proportional to the changes since the previous
+ * one. An executor writes the snapshots, one at a time.
  */
 public final class SnapshotWriter implements Lifecycle {
   private final EventLoop loop;
@@ -26,19 +26,19 @@
   private final Executor background;
   private final Duration interval;
 
-  /** Written by {@code background}, like {@link #isWriting}. */
+  /** The result of the last write. Like {@link #isWriting}, it is set by {@code background}. */
   private volatile Optional<SnapshotRepository.WriteResult> lastResult = Optional.empty();
 
   private volatile boolean isWriting;
   private Incarnation.HistoryPosition writtenPosition = Incarnation.HistoryPosition.NONE;
-  private Optional<Duration> writtenAt = Optional.empty();
+  private Optional<Duration> checkedAt = Optional.empty();
   private Optional<EventLoop.Timer> timer = Optional.empty();
 
   /**
-   * A writer that begins with {@link #start}.
+   * Creates a writer that begins with {@link #start}.
    *
    * @param isServing whether the records of the replica can be relied on
-   * @param background runs the writing, which may block
+   * @param background runs the writes, which may block
    */
   public SnapshotWriter(
       EventLoop loop,
@@ -71,7 +71,7 @@
   }
 
   private void writeIfChanged(RecordsSnapshot records) {
-    writtenAt = Optional.of(loop.now());
+    checkedAt = Optional.of(loop.now());
     if (records.position().equals(writtenPosition)) {
       return;
     }
@@ -85,13 +85,16 @@
         });
   }
 
-  /** How the last write ended; empty before the first. May be called from any thread. */
+  /** The result of the last write, empty before the first one. May be called from any thread. */
   public Optional<SnapshotRepository.WriteResult> lastResult() {
     return lastResult;
   }
 
-  /** How old what is kept is, in seconds; -1 before the first. Called on the event loop. */
+  /**
+   * The time in seconds since the records were last written or found to be unchanged; a write that
+   * fails counts too. It is -1 before the first write. Must be called on the event loop.
+   */
   public double ageSeconds() {
-    return writtenAt.map(at -> loop.now().minus(at).toMillis() / 1e3).orElse(-1.0);
+    return checkedAt.map(at -> loop.now().minus(at).toMillis() / 1e3).orElse(-1.0);
   }
 }
--- a/src/main/java/io/cherryspool/recovery/package-info.java
+++ b/src/main/java/io/cherryspool/recovery/package-info.java
@@ -1,14 +1,17 @@
 /**
- * Detects that the state store has lost its data, and rebuilds the records from what the nodes
- * retain, what is left in the store, and snapshot files; docs/recovery.md has the reasons.
+ * Detects that the state store has lost data, and rebuilds the records from the nodes' replicas,
+ * from snapshot files and from the records that the store still contains. docs/recovery.md explains
+ * the reasons for the design.
  *
- * <p>{@link io.cherryspool.recovery.Recovery} is the whole interface to the controller. It wires
- * the phase of the node ({@code RecoveryState}), the detection of a loss ({@code LossDetector}),
- * the decision on what follows ({@code IncarnationMonitor}, {@code RebuildElection}), the rebuild
- * ({@code Rebuilder}) and the last writes of the other nodes ({@code Contributions}). {@link
+ * <p>{@link io.cherryspool.recovery.Recovery} is the controller's entry point to the detection and
+ * the rebuild. It connects the phase of the node ({@code RecoveryState}), the detection of a loss
+ * ({@code LossDetector}), the decision what to do ({@code IncarnationMonitor}, {@code
+ * RebuildElection}), the rebuild ({@code Rebuilder}) and the contribution of this node's last
+ * writes to other nodes' rebuilds ({@code Contributions}). {@link
  * io.cherryspool.recovery.SnapshotWriter} and {@link io.cherryspool.recovery.SnapshotRepository}
- * keep snapshot files.
+ * write and read snapshot files.
  *
- * <p>Threading: confined to the event loop, but for the reading and writing of snapshot files.
+ * <p>Threading: all code of this package runs on the event loop, except for reading and writing
+ * snapshot files.
  */
 package io.cherryspool.recovery;
--- a/src/main/java/io/cherryspool/store/ClusterRecords.java
+++ b/src/main/java/io/cherryspool/store/ClusterRecords.java
@@ -10,144 +10,170 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Read-only view of this node's copy of the cluster's records. The copy is always some prefix of
- * the history that the state store holds, and may lag behind its end. {@link #refresh} waits until
- * it includes everything committed before the call.
+ * Read-only view of this node's replica of the cluster's records. The replica always corresponds to
+ * one revision of the state store and may lag behind the newest one. {@link #refresh} completes
+ * once the replica includes everything that was committed before the call.
  *
- * <p>All methods are called on the event loop; futures complete and listeners run there.
- * Collections are unmodifiable views that change with the copy.
+ * <p>All methods must be called on the event loop; futures complete and listeners run there.
+ * Returned collections are unmodifiable views that change with the replica.
  */
 public interface ClusterRecords {
 
-  /** Receives each change of the jobs' records, so that an index of them costs what changed. */
+  /**
+   * Receives each change of the jobs' records, so that an index of the jobs can be updated
+   * incrementally.
+   */
   interface RecordsListener {
     /**
-     * A progress record changed.
+     * Called when a progress record has changed.
      *
-     * @param before its former content, {@link Shard#EMPTY} if there was no record
-     * @param after its present content, {@link Shard#EMPTY} if the record was removed
+     * @param before its previous content, {@link Shard#EMPTY} if there was no record
+     * @param after its new content, {@link Shard#EMPTY} if the record was removed
      */
     void onProgress(JobRecord job, Shard before, Shard after);
 
-    /** A job was accepted, has ended, or was marked as held, unknown or abandoned. */
+    /**
+     * Called when a job was accepted, has ended, or was marked or unmarked as held, unknown or
+     * abandoned.
+     */
     void onJobChanged(JobRecord job);
 
-    /** All records were read anew: every {@link JobRecord} is another object. */
+    /** Called after all records were reloaded. Every {@link JobRecord} is then a new object. */
     void onReloaded();
   }
 
-  /** Adds a listener for changes of single jobs. It is not called for what is already there. */
+  /**
+   * Adds a listener for changes of single jobs. It is not called for records that the replica
+   * already holds.
+   */
   void addListener(RecordsListener listener);
 
-  /** Removes a listener; does nothing if it was not added. */
+  /** Removes a listener. Does nothing if the listener was not added. */
   void removeListener(RecordsListener listener);
 
-  /** Adds a listener that runs once after each batch of changes, and after each load. */
+  /** Adds a listener that runs once after each batch of changes and after each load. */
   void onChange(Runnable listener);
 
-  /** Whether all records of the present incarnation were read and nothing contradicts them. */
+  /**
+   * Whether all records of the current incarnation were read and no data loss has been detected
+   * since.
+   */
   boolean isLoaded();
 
-  /** The revision of the state store that the copy has reached. */
+  /** The revision of the state store that the replica has reached. */
   long revision();
 
   /**
-   * Brings the copy up to date with everything committed before this call. Calls that wait at the
-   * same time share one request.
+   * Brings the replica up to date with everything that was committed before this call. Concurrent
+   * calls share one request.
    *
-   * @return completes once the copy includes it; fails with a {@link StateStoreException} if that
-   *     can't be established, at once if the records are not loaded or a read is overdue
+   * @return a future that completes once the replica is up to date, and fails with a {@link
+   *     StateStoreException} if this can't be confirmed. It fails immediately if the records are
+   *     not loaded or a read is overdue.
    */
   CompletableFuture<Void> refresh();
 
   /**
-   * When the last successful read was sent, on the event loop's clock; null before the first. The
-   * copy includes everything committed before that moment.
+   * The time on the event loop's clock at which the last successful read was sent, null before the
+   * first one. The replica includes everything that was committed before that time.
    */
   Duration lastConfirmedAt();
 
-  /** Whether a read has been unanswered for so long that no other is begun. */
+  /** Whether a read has been unanswered for so long that {@link #refresh} fails immediately. */
   boolean isReadOverdue();
 
-  /** The job, or null if none with this id was accepted. */
+  /** The job with this id, or null if no such job was accepted. */
   JobRecord job(String id);
 
-  /** All jobs ever accepted. */
+  /** All jobs that were ever accepted. */
   Collection<JobRecord> jobs();
 
-  /** How many jobs were ever accepted. */
+  /** The number of jobs that were ever accepted. */
   int jobCount();
 
-  /** The jobs with anything left to do: not ended, or with progress records still kept. */
+  /**
+   * The jobs that have not ended, and the ended jobs whose progress records are not deleted yet.
+   */
   Collection<JobRecord> activeJobs();
 
-  /** The highest term that was begun; 0 before the first. */
+  /** The highest term that has begun, 0 before the first one. */
   long term();
 
-  /** The version of the term's record, 0 if there is none. */
+  /** The version of the term record, 0 if there is none. */
   long termVersion();
 
-  /** The present leader, or null if there is none. */
+  /** The current leader, or null if there is none. */
   Records.Leader leader();
 
-  /** The version of the leader's record, 0 if there is none. */
+  /** The version of the leader record, 0 if there is none. */
   long leaderVersion();
 
-  /** To whom the leader of the present term handed leadership over, or null if it did not. */
+  /** The handover of leadership by the leader of the current term, or null if there was none. */
   Records.Successor successor();
 
-  /** The machine types as some leader recorded them, or null if none did. */
+  /** The machine types that a leader recorded last, or null if none were recorded. */
   List<MachineType> catalog();
 
-  /** The version of the catalog's record, 0 if there is none. */
+  /** The version of the catalog record, 0 if there is none. */
   long catalogVersion();
 
   /**
-   * Whether a leader has reconciled the tasks that ran when the state store lost its data with the
-   * records. True if no start can be missing from them.
+   * Whether the records contain every task start. After a rebuild that may lack starts, this
+   * becomes true once a leader has reconciled the records with the tasks that were running when the
+   * state store lost its data.
    */
   boolean isReconciled();
 
   /**
-   * Whether the records are reconciled and nothing waits for users or operators since an earlier
-   * loss. What waits is not part of a snapshot; after another loss it is found again by heartbeats.
+   * Whether the records are reconciled and no job is unknown, abandoned or held. These marks are
+   * not part of a snapshot; after another data loss the jobs are found again from the workers'
+   * heartbeats.
    */
   boolean isFullyReconciled();
 
-  /** Whether the records were rebuilt, and starts of tasks may be missing from them. */
+  /** Whether the records were rebuilt after a data loss and may lack starts of tasks. */
   boolean isPartialRebuild();
 
   /**
-   * The prefix of the names of instance requests. A name must never be used twice, and after a loss
-   * the terms that were given out need not all be known, so that it differs with each rebuild.
+   * The prefix of the names of instance requests. A name must never be used twice. Names contain
+   * the term, and after a data loss some terms may be unknown, so each rebuild uses a different
+   * prefix.
    */
   String instanceRequestPrefix();
 
-  /** The ids of jobs that workers run and that nobody has submitted again since a loss. */
+  /**
+   * The ids of jobs that workers run, that the records lack since a data loss, and that no user has
+   * submitted again.
+   */
   Set<String> unknownJobs();
 
   /** Whether the job is one of {@link #unknownJobs}. */
   boolean isUnknownJob(String id);
 
-  /** Whether an operator has given up this unknown job. */
+  /** Whether an operator has abandoned this unknown job. */
   boolean isAbandonedJob(String id);
 
-  /** The ids of jobs that wait for an operator, since their tasks may have ended unobserved. */
+  /**
+   * The ids of jobs that wait for an operator because their tasks may have ended without being
+   * recorded.
+   */
   Set<String> heldJobs();
 
-  /** Whether the job comes from a rebuild, and was not submitted since. */
+  /** Whether the job was restored by a rebuild. */
   boolean isRebuiltJob(String id);
 
   /**
-   * The records that have to outlive a loss, as the copy holds them. Taking one costs what changed
-   * since the last one. {@link RecordsSnapshot#EMPTY} before the first load of the present
-   * incarnation, and on a node without rollback detection.
+   * Returns the replica's content that must survive a data loss. The cost is proportional to the
+   * number of jobs that changed since the last snapshot.
+   *
+   * @return {@link RecordsSnapshot#EMPTY} before the first load of the current incarnation and on a
+   *     node without rollback detection
    */
   RecordsSnapshot snapshot();
 
   /**
-   * The jobs and outcomes that were written after a revision, as changes that would write them
-   * again. Empty on a node without rollback detection.
+   * Returns changes that write the jobs and outcomes again that were written after a revision.
+   * Empty on a node without rollback detection.
    */
   List<StateStoreProtocol.Change> immutableRecordsSince(long afterRevision);
 }
--- a/src/main/java/io/cherryspool/store/GroupCommit.java
+++ b/src/main/java/io/cherryspool/store/GroupCommit.java
@@ -15,20 +15,20 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Commits the single changes of users' requests in shared transactions, one at a time and within
- * the write rate limit. A change that can't be committed soon is refused, so that its user can be
- * asked to retry later.
+ * Commits the changes that users request, each a single change, in batches. One transaction is
+ * outstanding at a time, and batches stay within the write rate limit. A change that can't be
+ * committed soon is rejected, so that its user can be asked to retry later.
  *
- * <p>Used on the event loop.
+ * <p>Must be used on the event loop.
  */
 public final class GroupCommit {
-  /** The most bytes that the changes of one transaction may take, by their estimated sizes. */
+  /** The maximum estimated size of the changes of one transaction. */
   private static final int MAX_TRANSACTION_BYTES = 60_000;
 
-  /** What a change takes in a request besides its value and three times its key. */
+  /** The size of a change in a request in addition to its value and three times its key. */
   private static final int CHANGE_OVERHEAD_BYTES = 100;
 
-  /** How long to wait before the rate limiter is asked again. */
+  /** Delay before the next attempt to commit after the rate limit was reached. */
   private static final Duration RATE_LIMIT_RETRY = Duration.ofMillis(20);
 
   private final EventLoop loop;
@@ -42,7 +42,7 @@
   private boolean isCommitting;
   private EventLoop.Timer rateLimitTimer;
 
-  /** One user's change, and who waits for it. */
+  /** A queued change of one user, with the future to complete. */
   private record PendingChange(
       Map<String, Long> conditions,
       StateStoreProtocol.Change change,
@@ -53,9 +53,9 @@
   /**
    * Creates an empty queue.
    *
-   * @param maxChanges the most changes in one transaction
-   * @param maxQueueLength the most changes that may wait, for cancels and submissions each
-   * @param maxWait how long a change may wait before it is refused
+   * @param maxChanges the maximum number of changes in one transaction
+   * @param maxQueueLength the maximum length of each of the two queues, for cancels and submissions
+   * @param maxWait how long a change may wait before it is rejected
    */
   public GroupCommit(
       EventLoop loop,
@@ -75,11 +75,12 @@
   /**
    * Queues a change.
    *
-   * @param writeClass cancels are committed before all others
-   * @param conditions as in {@link StateStoreClient#commit}; they include the version of the key
-   *     that is changed, so that of two changes of it only one is applied
-   * @return completes with whether the change was applied, false if a condition failed; fails with
-   *     a {@link StateStoreException} if it was refused or its outcome is unknown
+   * @param writeClass changes of class {@code CANCEL} are committed before all others
+   * @param conditions as in {@link StateStoreClient#commit}. They must include the version of the
+   *     changed key, so that only one of two concurrent changes of the key is applied.
+   * @return a future that completes with true if the change was applied and with false if a
+   *     condition failed, and fails with a {@link StateStoreException} if the change was rejected
+   *     or its outcome is unknown
    */
   public CompletableFuture<Boolean> submit(
       RateLimiter.WriteClass writeClass,
@@ -88,7 +89,8 @@
     Deque<PendingChange> queue =
         writeClass == RateLimiter.WriteClass.CANCEL ? cancels : submissions;
     if (queue.size() >= maxQueueLength) {
-      return CompletableFuture.failedFuture(refused("too many changes wait"));
+      return CompletableFuture.failedFuture(
+          refusal("the queue is full: " + maxQueueLength + " changes are waiting"));
     }
     CompletableFuture<Boolean> result = new CompletableFuture<>();
     int bytes =
@@ -98,12 +100,12 @@
     return result;
   }
 
-  /** How many users' changes wait. */
+  /** The number of changes that are waiting to be committed. */
   public int queuedChanges() {
     return cancels.size() + submissions.size();
   }
 
-  /** Commits the next group, unless a transaction is outstanding or the rate limit is reached. */
+  /** Commits the next batch, unless a transaction is outstanding or the rate limit is reached. */
   private void commitNext() {
     if (isCommitting || rateLimitTimer != null) {
       return;
@@ -127,7 +129,10 @@
     commitNext();
   }
 
-  /** The first changes of the queue that fit one transaction, as many as the rate limit allows. */
+  /**
+   * Returns the first changes of the queue that fit into one transaction, as many as the rate limit
+   * allows.
+   */
   private List<PendingChange> acquireGroup(Deque<PendingChange> queue) {
     RateLimiter.WriteClass writeClass =
         queue == cancels ? RateLimiter.WriteClass.CANCEL : RateLimiter.WriteClass.SUBMIT;
@@ -154,9 +159,10 @@
   }
 
   /**
-   * Removes a group from its queue, and with it all later changes of the same keys. Such duplicates
-   * share the result of the first one: a transaction for each of them would fail, and with it the
-   * changes of all others in it.
+   * Removes a batch from its queue together with all later changes of the same keys. The conditions
+   * of such a duplicate would fail after the first change of its key, and would fail all other
+   * changes of its transaction. Duplicates are therefore not sent; their results depend on the
+   * result of the batch.
    *
    * @return the duplicates
    */
@@ -205,7 +211,7 @@
     all.addAll(duplicates);
     if (failure != null
         && StateStoreException.kindOf(failure) == StateStoreException.Kind.RATE_LIMITED) {
-      // The nodes' shares overlap, so that now and then they reach the limit together.
+      // The nodes' shares of the limit overlap, so the nodes together may exceed it.
       rateLimiter.drain();
       requeue(queue, all);
     } else if (failure != null) {
@@ -218,28 +224,35 @@
     }
   }
 
-  /** One failed condition fails the whole transaction: the others are queued again without it. */
+  /**
+   * Queues again all changes whose conditions did not fail. One failed condition fails the whole
+   * transaction.
+   */
   private static void retryOthers(
       Deque<PendingChange> queue, List<PendingChange> all, StateStoreClient.CommitResult answer) {
     List<PendingChange> others = new ArrayList<>();
     List<PendingChange> failed = new ArrayList<>();
     for (PendingChange pending : all) {
-      boolean isNamed = pending.conditions.keySet().stream().anyMatch(answer.failed()::contains);
-      (isNamed ? failed : others).add(pending);
+      boolean hasFailedCondition =
+          pending.conditions.keySet().stream().anyMatch(answer.failed()::contains);
+      (hasFailedCondition ? failed : others).add(pending);
     }
     if (failed.isEmpty()) {
-      // The same transaction would fail again and again, at the cost of all nodes' rate limit.
+      // Retrying the same transaction could fail forever and would use up the rate limit of all
+      // nodes.
       failAll(
           all,
           new StateStoreException(
-              StateStoreException.Kind.OUTCOME_UNKNOWN, "a conflict that names no condition"));
+              StateStoreException.Kind.OUTCOME_UNKNOWN,
+              "the state store reported a conflict, but none of its failed keys is a condition of the transaction: "
+                  + answer.failed()));
       return;
     }
     requeue(queue, others);
     failed.forEach(pending -> pending.result.complete(false));
   }
 
-  /** Puts changes back in front of the queue, in their order. */
+  /** Puts changes back at the head of the queue in their original order. */
   private static void requeue(Deque<PendingChange> queue, List<PendingChange> changes) {
     for (int i = changes.size() - 1; i >= 0; i--) {
       queue.addFirst(changes.get(i));
@@ -247,9 +260,16 @@
   }
 
   private void refuseExpired(Deque<PendingChange> queue) {
-    Duration oldest = loop.now().minus(maxWait);
-    while (!queue.isEmpty() && queue.peekFirst().queuedAt.compareTo(oldest) < 0) {
-      queue.removeFirst().result.completeExceptionally(refused("the write rate limit is reached"));
+    Duration cutoff = loop.now().minus(maxWait);
+    while (!queue.isEmpty() && queue.peekFirst().queuedAt.compareTo(cutoff) < 0) {
+      queue
+          .removeFirst()
+          .result
+          .completeExceptionally(
+              refusal(
+                  "the change has waited longer than "
+                      + maxWait.toMillis()
+                      + " ms for the write rate limit"));
     }
   }
 
@@ -257,7 +277,7 @@
     changes.forEach(pending -> pending.result.completeExceptionally(failure));
   }
 
-  private static StateStoreException refused(String reason) {
+  private static StateStoreException refusal(String reason) {
     return new StateStoreException(StateStoreException.Kind.NOT_EXECUTED, reason);
   }
 }
--- a/src/main/java/io/cherryspool/store/HedgedTransaction.java
+++ b/src/main/java/io/cherryspool/store/HedgedTransaction.java
@@ -6,9 +6,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A transaction that is sent a second time if it has no answer for a while: its answer may be lost,
- * or one transaction be delayed by seconds while others pass. At most one copy is applied, since
- * its conditions name the versions that it replaces. The first copy that is answered decides.
+ * A transaction that is sent a second time if it is not answered within a given time, because the
+ * answer may be lost, and because the state store may delay a single transaction by seconds. At
+ * most one copy is applied, since the conditions contain the versions of the keys that the
+ * transaction changes. The copy that is answered first determines the result.
  */
 final class HedgedTransaction {
   private final StateStoreClient client;
@@ -23,7 +24,7 @@
   /**
    * Creates a transaction that is not sent yet.
    *
-   * @param changeCount how many changes the request holds, for the rate limit
+   * @param changeCount the number of changes in the request, for the rate limit
    */
   HedgedTransaction(
       StateStoreClient client, RateLimiter rateLimiter, Request request, int changeCount) {
@@ -34,10 +35,11 @@
   }
 
   /**
-   * Sends the first copy, and after a while the second one if the rate limit allows it.
+   * Sends the first copy, and the second one if there is no answer after {@code hedgeAfter} and the
+   * rate limit allows it.
    *
-   * @return completes with the first answer; fails once all copies have failed, as not executed
-   *     only if no copy may have been executed
+   * @return a future that completes with the first answer, and fails once all copies have failed.
+   *     The failure says {@code OUTCOME_UNKNOWN} if any copy may have been executed.
    */
   CompletableFuture<StateStoreClient.CommitResult> send(EventLoop loop, Duration hedgeAfter) {
     sendCopy();
@@ -63,7 +65,8 @@
       result.complete(answer);
     } else if (lastFailure == null
         || StateStoreException.kindOf(failure) == StateStoreException.Kind.OUTCOME_UNKNOWN) {
-      // That one copy was not executed says nothing of the other one.
+      // An unknown outcome takes precedence: one copy that was not executed does not show that the
+      // other one was not executed either.
       lastFailure = failure;
     }
     if (outstandingCopies == 0 && lastFailure != null) {
--- a/src/main/java/io/cherryspool/store/Incarnation.java
+++ b/src/main/java/io/cherryspool/store/Incarnation.java
@@ -5,23 +5,24 @@
 import io.cherryspool.wire.StateStoreProtocol;
 
 /**
- * The identity of the records: which cluster they belong to, and how often its state was rebuilt.
- * Every transaction has the version of its record as a condition, so that none of an earlier
+ * The identity of the records: the cluster that they belong to, and the number of times that they
+ * were rebuilt after the state store lost data. It is stored in an identity record. Every
+ * transaction has the version of that record as a condition, so that no transaction of an earlier
  * incarnation is applied after the next one has begun.
  *
- * <p>Its eight components are the fields of one stored record, which is read and written as a
+ * <p>The eight components are the fields of the identity record, which is read and written as a
  * whole.
  *
- * @param cluster chosen at the first installation, never changed
- * @param number 0 for the first installation, one more with each rebuild that was begun
- * @param nonce makes the key prefix of a rebuild unique; empty for number 0
- * @param phase whether the records under the prefix are complete
- * @param rebuilder the node that began the rebuild; empty for number 0
- * @param origin how far the history reached that the rebuild started from
- * @param isComplete whether the rebuilt records hold every start of a task; if not, the next
- *     leaders reconcile what workers run before they place anything. During the rebuild: whether
- *     the rebuilder retains every start
- * @param manifest the bundles of a finished rebuild, {@link Manifest#NONE} otherwise
+ * @param cluster the cluster's id, chosen at the first installation and never changed
+ * @param number 0 for the first installation, incremented with each rebuild that begins
+ * @param nonce a random text that makes the key prefix of a rebuild unique; empty for number 0
+ * @param phase whether the records under the key prefix are complete
+ * @param rebuilder the node that started the rebuild; empty for number 0
+ * @param origin the position in the history of the records that the rebuild started from
+ * @param isComplete whether the records contain every start of a task. If not, the next leader
+ *     reconciles the records with the tasks that workers run before it places any tasks. During the
+ *     rebuild, whether the rebuilder's own records contain every start.
+ * @param manifest describes the bundles of a finished rebuild; {@link Manifest#NONE} otherwise
  */
 public record Incarnation(
     String cluster,
@@ -35,21 +36,22 @@
 
   /** Whether the records may be read and changed. */
   public enum Phase {
-    /** They are complete. */
+    /** The records are complete. */
     SERVING,
-    /** A node is writing them. */
+    /** A node is writing the records. */
     REBUILDING
   }
 
   /**
-   * How far the records that a node retains reach.
+   * A position in the history of the records: the last revision that a copy of the records
+   * includes.
    *
-   * @param incarnationNumber the incarnation that they are of, -1 for none
-   * @param revision the revision of the state store within it
+   * @param incarnationNumber the number of the incarnation, -1 if there are no records
+   * @param revision the revision of the state store in this incarnation
    */
   public record HistoryPosition(long incarnationNumber, long revision)
       implements Comparable<HistoryPosition> {
-    /** Of a node that retains no records; before all others. */
+    /** The position of a node that retains no records. It orders before all others. */
     public static final HistoryPosition NONE = new HistoryPosition(-1, 0);
 
     @Override
@@ -60,28 +62,29 @@
   }
 
   /**
-   * The bundles that a rebuild has written.
+   * Describes the bundles that a rebuild has written, so that missing or damaged ones are detected.
    *
-   * @param digest {@link RecordsSnapshotCodec#digest} of the chunks in them, in order
+   * @param digest the {@link RecordsSnapshotCodec#digest} of the bundles' chunks in order
    */
   public record Manifest(int bundleCount, String digest) {
-    /** Of a rebuild that is not finished, and of a first installation. */
+    /** The manifest of a rebuild that is not finished, and of a first installation. */
     public static final Manifest NONE = new Manifest(0, "");
   }
 
-  /** The key of the identity record, in every incarnation. */
+  /** The key of the identity record, the same in every incarnation. */
   public static final String KEY = "c/incarnation";
 
-  /** The incarnation that a cluster begins with. */
+  /** Returns the first incarnation of a cluster. */
   public static Incarnation firstInstallation(String cluster) {
     return new Incarnation(
         cluster, 0, "", Phase.SERVING, "", HistoryPosition.NONE, true, Manifest.NONE);
   }
 
   /**
-   * A rebuild that begins.
+   * Returns the incarnation of a rebuild that begins.
    *
-   * @param retainsEveryStart whether the rebuilder was the sole leader when the state was lost
+   * @param retainsEveryStart whether the rebuilder knows of every start of a task, because it was
+   *     the sole leader when the data was lost
    */
   public static Incarnation newRebuild(
       String cluster,
@@ -102,9 +105,9 @@
   }
 
   /**
-   * The same rebuild once all is written.
+   * Returns this incarnation as it is after the rebuild has written all records.
    *
-   * @param holdsEveryStart whether the written records hold every start of a task
+   * @param holdsEveryStart whether the written records contain every start of a task
    */
   public Incarnation completed(boolean holdsEveryStart, Manifest written) {
     return new Incarnation(
@@ -116,8 +119,11 @@
     return number == 0 ? Records.PREFIX : Records.PREFIX + "@" + number + "-" + nonce + "/";
   }
 
-  /** The key that the state store has for a key of {@link Records}. */
-  public String toPhysical(String key) {
+  /**
+   * Maps a logical key, as {@link Records} defines it, to this incarnation's key in the state
+   * store.
+   */
+  public String toPhysicalKey(String key) {
     return prefix() + key.substring(Records.PREFIX.length());
   }
 
@@ -136,12 +142,12 @@
         .put("digest", manifest.digest);
   }
 
-  /** Whether an event is an identity record of a rebuild. */
+  /** Whether an event is a change of the identity record to an incarnation of a rebuild. */
   static boolean isOfRebuild(StateStoreProtocol.Event event) {
     return event.key().equals(KEY) && event.value() != null && decode(event.value()).number > 0;
   }
 
-  /** Reads the value of the identity record; fields that are missing are empty or 0. */
+  /** Reads the value of the identity record. Missing fields are read as empty or 0. */
   public static Incarnation decode(JsonNode node) {
     return new Incarnation(
         node.path("cluster").asText(),
--- a/src/main/java/io/cherryspool/store/IncarnationHistory.java
+++ b/src/main/java/io/cherryspool/store/IncarnationHistory.java
@@ -11,27 +11,28 @@
 import java.util.Optional;
 
 /**
- * What a copy retains of the present incarnation's history besides the records' values: the last
- * change, and the versions of the records that are never removed. Answers that lack them show that
- * the state store lost data, which is reported to the {@link RollbackDetector}.
+ * The part of the current incarnation's history by which a {@link Replica} verifies answers of the
+ * state store: the last change, and the versions of the records that are never removed. An answer
+ * that lacks them shows that the state store lost data, which is reported to the {@link
+ * RollbackDetector}.
  *
- * <p>Until {@link #enable} it verifies and retains nothing.
+ * <p>It verifies and keeps nothing before {@link #enable}.
  */
 final class IncarnationHistory {
   private final KeySpace keySpace;
   private final RecordIndex index;
   private RollbackDetector detector = RollbackDetector.DISABLED;
 
-  /** Null until enabled. */
+  /** Null before {@link #enable}. */
   private SnapshotTracker snapshots;
 
-  /** Versions of the immutable records by key. */
+  /** The versions of the immutable records by key. */
   private final Map<String, Long> immutableVersions = new HashMap<>();
 
-  /** Null if it is unknown, or older than what the state store keeps of its history. */
+  /** Null if the last change is unknown or if the state store has compacted it. */
   private LastChange lastChange;
 
-  /** Whether the index holds records of the incarnation that was entered last. */
+  /** Whether the index contains the records of the incarnation that was entered last. */
   private boolean isIndexCurrent;
 
   IncarnationHistory(KeySpace keySpace, RecordIndex index) {
@@ -49,33 +50,39 @@
     return snapshots != null;
   }
 
-  /** Starts over with another incarnation. */
+  /** Drops everything, before another incarnation is loaded. */
   void clear() {
     immutableVersions.clear();
     lastChange = null;
     isIndexCurrent = false;
   }
 
-  /** The change that a read has to show, null for none. */
+  /** The change that the answer to a read must contain, null if there is none. */
   LastChange lastChange() {
     return lastChange;
   }
 
-  /** Expects the last change no longer: the state store's history does not reach back to it. */
+  /**
+   * Drops the last change after the state store has compacted it, so that answers need not contain
+   * it.
+   */
   void dropLastChange() {
     lastChange = null;
   }
 
-  /** Whether the answer to a read shows a change that it has to; otherwise reports the loss. */
-  boolean verifyShows(LastChange expected, StateStoreProtocol.WatchResult changes) {
-    if (expected == null || expected.isIn(changes)) {
+  /** Whether the answer to a read contains the expected change. Reports a loss if not. */
+  boolean verifyContains(LastChange expected, StateStoreProtocol.WatchResult changes) {
+    if (expected == null || expected.isIncludedIn(changes)) {
       return true;
     }
     detector.reportLoss(RollbackDetector.Loss.CHANGE_MISSING, expected.toString());
     return false;
   }
 
-  /** Applies a change of a record of this incarnation, and reports one of its identity. */
+  /**
+   * Applies a change if it is of a record of this incarnation. Reports a change of the identity
+   * record.
+   */
   void apply(StateStoreProtocol.Event event) {
     lastChange = new LastChange(event);
     if (event.key().equals(Incarnation.KEY)) {
@@ -84,7 +91,7 @@
       }
       return;
     }
-    String key = keySpace.toLogical(event.key());
+    String key = keySpace.toLogicalKey(event.key());
     if (key != null) {
       if (Records.isImmutable(key)) {
         immutableVersions.put(key, event.version());
@@ -94,11 +101,12 @@
   }
 
   /**
-   * Checks all records of the incarnation as they were read anew. If they are whole, their versions
-   * replace those retained so far; otherwise what is wrong is reported.
+   * Checks all records of the incarnation after they were reloaded. If they are complete, their
+   * versions replace those kept so far; otherwise the loss or the change of incarnation is
+   * reported.
    *
-   * @return the jobs of the rebuild that the incarnation began with, or empty if the records must
-   *     not be used
+   * @return the jobs in the bundles of the rebuild that began the incarnation, or empty if the
+   *     records must not be used
    */
   Optional<Collection<RecordsSnapshot.JobSnapshot>> verifyLoad(IncarnationRecords read) {
     if (read.isSuperseded()) {
@@ -130,17 +138,17 @@
     return Optional.empty();
   }
 
-  /** The index holds the records that were verified last. */
+  /** Notes that the index now contains the records that were verified last. */
   void markIndexCurrent() {
     isIndexCurrent = isEnabled();
   }
 
-  /** Reports that the records are loaded and may be used. */
+  /** Reports to the detector that the records are loaded. */
   void reportLoaded() {
     detector.onRecordsLoaded();
   }
 
-  /** See {@link ClusterRecords#snapshot}. */
+  /** Implements {@link ClusterRecords#snapshot}. */
   RecordsSnapshot snapshot(long revision) {
     if (!isIndexCurrent) {
       return RecordsSnapshot.EMPTY;
@@ -155,7 +163,7 @@
         snapshots.jobs());
   }
 
-  /** See {@link ClusterRecords#immutableRecordsSince}. */
+  /** Implements {@link ClusterRecords#immutableRecordsSince}. */
   List<StateStoreProtocol.Change> immutableRecordsSince(long afterRevision) {
     List<StateStoreProtocol.Change> result = new ArrayList<>();
     immutableVersions.forEach(
--- a/src/main/java/io/cherryspool/store/IncarnationRecords.java
+++ b/src/main/java/io/cherryspool/store/IncarnationRecords.java
@@ -10,7 +10,10 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The records of one incarnation among all keys that were read, before any of them is used. */
+/**
+ * The records of one incarnation, selected from all keys that were read, so that they can be
+ * verified before they are used.
+ */
 final class IncarnationRecords {
   private final KeySpace keySpace;
   private final List<StateStoreProtocol.Event> records = new ArrayList<>();
@@ -24,7 +27,7 @@
     this.keySpace = keySpace;
   }
 
-  /** Sorts keys, under the names that the state store has for them, by what they are. */
+  /** Selects the records of the incarnation of {@code keySpace} from entries with physical keys. */
   static IncarnationRecords parse(Collection<StateStoreProtocol.Event> entries, KeySpace keySpace) {
     IncarnationRecords result = new IncarnationRecords(keySpace);
     entries.forEach(result::add);
@@ -41,7 +44,7 @@
       hasOtherIdentity = event.version() != keySpace.incarnationVersion();
       return;
     }
-    String key = keySpace.toLogical(event.key());
+    String key = keySpace.toLogicalKey(event.key());
     if (key == null) {
       return;
     }
@@ -57,29 +60,32 @@
     }
   }
 
-  /** Whether the incarnation's identity record is no longer the one that was entered. */
+  /** Whether the identity record is no longer that of the incarnation that was entered. */
   boolean isSuperseded() {
-    // Only the first incarnation's prefix covers the identity record; after a rebuild it is among
-    // the keys only if it has changed meanwhile.
+    // Only the prefix of the first incarnation matches the identity record. In later incarnations
+    // the identity record is among the entries only if it changed during the load.
     return hasOtherIdentity || (!hasIdentity && keySpace.incarnation().number() == 0);
   }
 
-  /** The records by their keys as {@link Records} names them, without the bundles. */
+  /** The records with their logical keys, without the bundles. */
   List<StateStoreProtocol.Event> records() {
     return records;
   }
 
-  /** The versions of the records that are never removed, by key. */
+  /** The versions of the immutable records by logical key. */
   Map<String, Long> immutableVersions() {
     return immutableVersions;
   }
 
-  /** The newest change among all keys, null if there is none. */
+  /** The newest change of any key, null if there is none. */
   LastChange lastChange() {
     return lastChange;
   }
 
-  /** The key of a record that is missing here or has another version; empty if there is none. */
+  /**
+   * Returns the key of a record that is missing or does not have the expected version, or empty if
+   * there is none.
+   */
   Optional<String> firstMissing(Map<String, Long> expectedVersions) {
     for (Map.Entry<String, Long> expected : expectedVersions.entrySet()) {
       if (!expected.getValue().equals(immutableVersions.get(expected.getKey()))) {
@@ -89,7 +95,7 @@
     return Optional.empty();
   }
 
-  /** Whether the bundles are those that the incarnation's manifest describes. */
+  /** Whether the bundles match the incarnation's manifest. */
   boolean hasMatchingBundles() {
     Incarnation.Manifest manifest = keySpace.incarnation().manifest();
     if (bundles.size() != manifest.bundleCount()) {
@@ -102,12 +108,12 @@
     }
   }
 
-  /** The jobs that the bundles hold. */
+  /** Decodes the jobs in the bundles. */
   Collection<RecordsSnapshot.JobSnapshot> rebuiltJobs() throws MalformedMessageException {
     return bundles.isEmpty() ? List.of() : RecordsSnapshotCodec.decode(chunks()).values();
   }
 
-  /** The chunks of the bundles up to the first that is missing or can't be read. */
+  /** Returns the chunks of the bundles up to the first bundle that is missing or unreadable. */
   List<byte[]> leadingChunks() {
     List<byte[]> chunks = new ArrayList<>();
     for (int i = 0; bundles.containsKey(Records.bundleKey(i)); i++) {
--- a/src/main/java/io/cherryspool/store/IndexedRecords.java
+++ b/src/main/java/io/cherryspool/store/IndexedRecords.java
@@ -5,7 +5,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** The part of {@link ClusterRecords} that is answered from the index and the incarnation alone. */
+/**
+ * Implements the methods of {@link ClusterRecords} that need only the index and the incarnation.
+ */
 abstract class IndexedRecords implements ClusterRecords {
   private final KeySpace keySpace;
   private final RecordIndex index;
@@ -91,7 +93,7 @@
 
   @Override
   public final boolean isFullyReconciled() {
-    return isReconciled() && !index.jobs().hasOpenQuestions();
+    return isReconciled() && !index.jobs().hasUnresolvedJobs();
   }
 
   @Override
--- a/src/main/java/io/cherryspool/store/JobIndex.java
+++ b/src/main/java/io/cherryspool/store/JobIndex.java
@@ -15,7 +15,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The records of jobs as objects, and what is noted of jobs since a loss. */
+/**
+ * The jobs as {@link JobRecord} objects, and the marks that jobs have after a data loss: rebuilt,
+ * unknown, abandoned or held.
+ */
 final class JobIndex {
   private static final Logger LOG = LoggerFactory.getLogger(JobIndex.class);
 
@@ -24,7 +27,10 @@
   private final Map<String, JobRecord> jobs = new HashMap<>();
   private final Map<String, JobRecord> active = new HashMap<>();
 
-  /** Jobs of a rebuild. A node that had answered for one may have written its record again. */
+  /**
+   * The ids of jobs that a rebuild restored. A node that had acknowledged such a job to its user
+   * may have written the job's record again; that record is ignored.
+   */
   private final Set<String> rebuilt = new HashSet<>();
 
   private final Set<String> unknown = new HashSet<>();
@@ -43,12 +49,12 @@
     listeners.remove(listener);
   }
 
-  /** See {@link ClusterRecords#job}. */
+  /** Implements {@link ClusterRecords#job}. */
   JobRecord job(String id) {
     return jobs.get(id);
   }
 
-  /** See {@link ClusterRecords#jobs}. */
+  /** Implements {@link ClusterRecords#jobs}. */
   Collection<JobRecord> all() {
     return Collections.unmodifiableCollection(jobs.values());
   }
@@ -57,37 +63,40 @@
     return jobs.size();
   }
 
-  /** See {@link ClusterRecords#activeJobs}. */
+  /** Implements {@link ClusterRecords#activeJobs}. */
   Collection<JobRecord> active() {
     return Collections.unmodifiableCollection(active.values());
   }
 
-  /** See {@link ClusterRecords#unknownJobs}. */
+  /** Implements {@link ClusterRecords#unknownJobs}. */
   Set<String> unknown() {
     return Collections.unmodifiableSet(unknown);
   }
 
-  /** See {@link ClusterRecords#isAbandonedJob}. */
+  /** Implements {@link ClusterRecords#isAbandonedJob}. */
   boolean isAbandoned(String id) {
     return abandoned.contains(id);
   }
 
-  /** See {@link ClusterRecords#heldJobs}. */
+  /** Implements {@link ClusterRecords#heldJobs}. */
   Set<String> held() {
     return Collections.unmodifiableSet(held);
   }
 
-  /** See {@link ClusterRecords#isRebuiltJob}. */
+  /** Implements {@link ClusterRecords#isRebuiltJob}. */
   boolean isRebuilt(String id) {
     return rebuilt.contains(id);
   }
 
-  /** Whether a job is unknown, abandoned or held. */
-  boolean hasOpenQuestions() {
+  /** Whether any job is unknown, abandoned or held. */
+  boolean hasUnresolvedJobs() {
     return !unknown.isEmpty() || !abandoned.isEmpty() || !held.isEmpty();
   }
 
-  /** The value of a job's or an outcome's record as it was written; null if there is none. */
+  /**
+   * Encodes the record of a job or of an outcome again. Returns null if there is no record with
+   * this key.
+   */
   JsonNode immutableRecord(String key) {
     if (key.startsWith(Records.JOBS)) {
       JobRecord job = jobs.get(key.substring(Records.JOBS.length()));
@@ -100,7 +109,7 @@
     return null;
   }
 
-  /** Drops everything but the listeners, and begins with the jobs of a rebuild. */
+  /** Drops everything except the listeners, and adds the jobs of a rebuild. */
   void replaceAll(Collection<RecordsSnapshot.JobSnapshot> rebuiltJobs) {
     jobs.clear();
     active.clear();
@@ -128,9 +137,9 @@
   }
 
   /**
-   * Applies a record's new value, or with a null value its removal.
+   * Applies the new value of a record. A null value removes the record.
    *
-   * @return whether the key is one of a job's record
+   * @return whether the key is that of a record about a job
    */
   boolean set(String key, JsonNode value, long version) {
     if (key.startsWith(Records.PROGRESS)) {
@@ -150,9 +159,9 @@
   }
 
   private void setUnknown(String id, JsonNode value) {
-    boolean isGivenUp = value != null && Records.isAbandoned(value);
-    setMember(abandoned, id, isGivenUp);
-    setMember(unknown, id, value != null && !isGivenUp);
+    boolean isMarkedAbandoned = value != null && Records.isAbandoned(value);
+    setMember(abandoned, id, isMarkedAbandoned);
+    setMember(unknown, id, value != null && !isMarkedAbandoned);
   }
 
   private void setMember(Set<String> ids, String id, boolean isMember) {
@@ -177,7 +186,7 @@
       active.put(id, job);
       notifyChanged(job);
     } catch (MalformedMessageException e) {
-      LOG.error("unreadable record, job={}: {}", id, e.getMessage());
+      LOG.error("ignoring unreadable job record, job={}: {}", id, e.getMessage());
     }
   }
 
@@ -191,9 +200,9 @@
   }
 
   /**
-   * Applies a progress record.
+   * Applies the new value of a progress record. A null value removes the record.
    *
-   * @param idAndShard the key without its prefix
+   * @param idAndShard the key without its prefix: the job's id, a slash and the index of the shard
    */
   private void setProgress(String idAndShard, JsonNode value, long version) {
     int slash = idAndShard.lastIndexOf('/');
@@ -202,7 +211,7 @@
       return;
     }
     int shard = Integer.parseInt(idAndShard.substring(slash + 1));
-    // The removal of a record that a bundle holds as well is written as an empty record.
+    // A record that is also in a bundle is removed by writing an empty value.
     boolean isRemoved = value == null || value.isEmpty();
     JobRecord.VersionedShard record =
         isRemoved ? null : new JobRecord.VersionedShard(Records.decodeShard(value), version);
--- a/src/main/java/io/cherryspool/store/JobRecord.java
+++ b/src/main/java/io/cherryspool/store/JobRecord.java
@@ -8,19 +8,19 @@
 import it.unimi.dsi.fastutil.ints.Int2ObjectSortedMaps;
 
 /**
- * A job with its committed progress, as one object that follows the records: only the index of the
- * copy that it belongs to changes it.
+ * A job with its committed progress. The object is updated as the records change, only by the index
+ * that it belongs to.
  */
 public final class JobRecord {
 
   /**
-   * A progress record.
+   * A progress record with its version.
    *
-   * @param version the version that the next change of it has as its condition, 0 if the record has
-   *     no key
+   * @param version the version that the next change of the record must have as its condition. It is
+   *     0 if the record has no key of its own in the state store.
    */
   public record VersionedShard(Shard shard, long version) {
-    /** A record that is not there. */
+    /** Stands for a record that does not exist. */
     static final VersionedShard ABSENT = new VersionedShard(Shard.EMPTY, 0);
   }
 
@@ -31,7 +31,7 @@
   private int doneCount;
   private int ownedCount;
 
-  /** Null until counted for the present records. */
+  /** The cached counts; null if they must be counted again. */
   private FailureCounts failureCounts;
 
   JobRecord(Job job, int tasksPerShard) {
@@ -39,7 +39,10 @@
     this.tasksPerShard = tasksPerShard;
   }
 
-  /** A job of a rebuild. Its progress records have no keys of their own yet. */
+  /**
+   * Creates the record of a job that a rebuild restored. Its progress records are in bundles and
+   * have no keys of their own yet.
+   */
   static JobRecord fromSnapshot(RecordsSnapshot.JobSnapshot source) {
     JobRecord result = new JobRecord(source.job(), source.tasksPerShard());
     source.shards().forEach((index, shard) -> result.setShard(index, new VersionedShard(shard, 0)));
@@ -52,17 +55,17 @@
     return job;
   }
 
-  /** How the job ended, or null while it has not. */
+  /** The outcome of the job, or null if it has not ended. */
   public Outcome outcome() {
     return outcome;
   }
 
-  /** How many tasks one progress record covers. */
+  /** The number of tasks that one progress record covers. */
   public int tasksPerShard() {
     return tasksPerShard;
   }
 
-  /** How many progress records the job can have. */
+  /** The maximum number of progress records of the job. */
   public int shardCount() {
     return (job.taskCount() + tasksPerShard - 1) / tasksPerShard;
   }
@@ -77,41 +80,52 @@
     return shardIndex * tasksPerShard;
   }
 
-  /** The index after that of the last task of a shard. */
+  /** The index of the last task of a shard plus one. */
   public int endTask(int shardIndex) {
     return Math.min(job.taskCount(), (shardIndex + 1) * tasksPerShard);
   }
 
-  /** The progress record, an empty one of version 0 if there is none. */
+  /** The progress record with this index, or an empty one with version 0 if there is none. */
   public VersionedShard shard(int index) {
     return shards.getOrDefault(index, VersionedShard.ABSENT);
   }
 
-  /** The progress records that exist, by their indexes; an unmodifiable view. */
+  /** The existing progress records by their indexes, as an unmodifiable view. */
   public Int2ObjectSortedMap<VersionedShard> shards() {
     return Int2ObjectSortedMaps.unmodifiable(shards);
   }
 
-  /** How many tasks are done. Costs nothing: every round and every poll asks. */
+  /**
+   * The number of tasks that are done. It is precomputed, because it is read in every scheduling
+   * round and by every poll of a user.
+   */
   public int doneCount() {
     return outcome == Outcome.DONE ? job.taskCount() : doneCount;
   }
 
-  /** How many tasks a machine owns; none of a completed job, whatever its records still hold. */
+  /**
+   * The number of tasks that are owned by machines. It is 0 for a completed job, even if its
+   * progress records still contain owners.
+   */
   public int ownedCount() {
     return outcome == Outcome.DONE ? 0 : ownedCount;
   }
 
   /**
-   * Counts over the tasks that were attempted and are not done.
+   * Failure counts of the tasks that were attempted and are not done.
    *
-   * @param failedTasks those of them that have failed at least once
-   * @param totalFailures all failures of all of them
+   * @param attemptedTasks the number of these tasks
+   * @param failedTasks the number of these tasks that have failed at least once
+   * @param totalFailures the number of failures of all these tasks
+   * @param maxFailuresOfOneTask the highest number of failures of any one task
    */
   public record FailureCounts(
       int attemptedTasks, int failedTasks, int totalFailures, int maxFailuresOfOneTask) {}
 
-  /** The failures so far. Counted once for each change, since polls may be far more frequent. */
+  /**
+   * Returns the failure counts. They are counted once after each change and cached, because polls
+   * may be far more frequent than changes.
+   */
   public FailureCounts failureCounts() {
     if (failureCounts == null) {
       int attempted = 0;
@@ -132,8 +146,10 @@
   }
 
   /**
-   * How many tasks are reported to the job's user as failing: those with at least so many failures.
-   * If no task is done and all together have failed that often, all that failed.
+   * Returns the number of tasks that are reported to the job's user as failing: the tasks with at
+   * least {@code minFailures} failures. If no task is done and all tasks together have at least
+   * {@code minFailures} failures, every failed task counts, provided that the failed tasks are at
+   * least as many as the attempted tasks without an owner. Returns 0 for a job that has ended.
    */
   public int failingTaskCount(int minFailures) {
     FailureCounts counts = failureCounts();
@@ -159,9 +175,9 @@
   }
 
   /**
-   * Replaces a progress record, or with null removes it.
+   * Replaces a progress record. Null removes the record.
    *
-   * @return the former progress, {@link Shard#EMPTY} if there was no record
+   * @return the previous progress, {@link Shard#EMPTY} if there was no record
    */
   Shard setShard(int index, VersionedShard record) {
     VersionedShard former = record == null ? shards.remove(index) : shards.put(index, record);
--- a/src/main/java/io/cherryspool/store/KeyScan.java
+++ b/src/main/java/io/cherryspool/store/KeyScan.java
@@ -8,10 +8,10 @@
 import java.util.function.Consumer;
 
 /**
- * Reads all keys with a prefix, page by page, under the names that the state store has for them.
- * Pages are of different revisions. Failures are retried until it succeeds or is cancelled.
+ * Reads all physical keys with a prefix, page by page. The pages may be of different revisions.
+ * Failed requests are retried until the scan succeeds or is cancelled.
  *
- * <p>An instance scans once. It is used on the event loop.
+ * <p>Each instance scans once. It must be used on the event loop.
  */
 public final class KeyScan {
   private static final Duration RETRY_DELAY = Duration.ofMillis(300);
@@ -28,16 +28,17 @@
   /**
    * All keys that were found.
    *
-   * @param entries in the order of their keys
-   * @param firstRevision the revision of the first page; changes since then may be missing
+   * @param entries all entries in the order of their keys
+   * @param firstRevision the revision of the first page; later changes may be missing from the
+   *     entries
    */
   public record ScanResult(List<StateStoreProtocol.Event> entries, long firstRevision) {}
 
   /**
    * Creates a scan that is not started yet.
    *
-   * @param rateLimiter counts each page, but never delays one
-   * @param onScanned receives the result, unless the scan is cancelled before
+   * @param rateLimiter counts each request, but never delays one
+   * @param onScanned receives the result, unless the scan is cancelled first
    */
   public KeyScan(
       EventLoop loop,
@@ -57,7 +58,7 @@
     readPage(null);
   }
 
-  /** Ends the scan; no result is delivered after this. */
+  /** Cancels the scan. No result is delivered afterwards. */
   public void cancel() {
     isCancelled = true;
   }
@@ -65,14 +66,14 @@
   /**
    * Requests the page after a key.
    *
-   * @param after the last key of the page before, null for the first page
+   * @param after the last key of the previous page, null for the first page
    */
   private void readPage(String after) {
     if (isCancelled) {
       return;
     }
     rateLimiter.forceAcquire(0);
-    client.list(prefix, after).whenComplete((page, failure) -> receive(after, page, failure));
+    client.listKeys(prefix, after).whenComplete((page, failure) -> receive(after, page, failure));
   }
 
   private void receive(String after, StateStoreProtocol.KeyPage page, Throwable failure) {
--- a/src/main/java/io/cherryspool/store/KeySpace.java
+++ b/src/main/java/io/cherryspool/store/KeySpace.java
@@ -11,22 +11,25 @@
 import java.util.Set;
 
 /**
- * Maps keys as {@link Records} names them (logical keys) to the keys of the present incarnation in
- * the state store (physical keys), and fences transactions: each one gets the condition that the
- * incarnation's identity record is unchanged.
+ * Maps the keys that {@link Records} defines (logical keys) to the keys of the current incarnation
+ * in the state store (physical keys). It also fences transactions: each one gets the condition that
+ * the incarnation's identity record is unchanged.
  *
- * <p>Used on the event loop.
+ * <p>Must be used on the event loop.
  */
 public final class KeySpace {
   private Incarnation incarnation;
   private long incarnationVersion;
   private String prefix = Records.PREFIX;
 
-  /** Keys of progress records that a bundle holds, where removing the key would not remove them. */
+  /**
+   * The logical keys of progress records that are in a bundle. Deleting such a key would not delete
+   * the record in the bundle.
+   */
   private final Set<String> bundled = new HashSet<>();
 
   /**
-   * Enters an incarnation.
+   * Switches to an incarnation.
    *
    * @param version the version of its identity record
    */
@@ -38,19 +41,22 @@
   }
 
   /**
-   * The incarnation whose records are used; null before one was entered, and always on a node
-   * without rollback detection.
+   * The incarnation whose records are used. It is null before the first call of {@link #enter}, and
+   * always on a node without rollback detection.
    */
   public Incarnation incarnation() {
     return incarnation;
   }
 
-  /** The version of the identity record of {@link #incarnation}; 0 before one was entered. */
+  /**
+   * The version of the identity record of {@link #incarnation}, 0 before the first call of {@link
+   * #enter}.
+   */
   public long incarnationVersion() {
     return incarnationVersion;
   }
 
-  /** Whether transactions have the incarnation as a condition. */
+  /** Whether transactions get the incarnation as a condition. */
   boolean isFenced() {
     return incarnation != null;
   }
@@ -60,18 +66,20 @@
     return prefix;
   }
 
-  /** Notes that a bundle holds the progress record with this logical key. */
+  /** Notes that the progress record with this logical key is in a bundle. */
   void addBundled(String progressKey) {
     bundled.add(progressKey);
   }
 
-  /** The physical key of a logical one. The identity record's key is both. */
-  String toPhysical(String key) {
+  /** Maps a logical key to its physical key. The key of the identity record is the same in both. */
+  String toPhysicalKey(String key) {
     return key.equals(Incarnation.KEY) ? key : prefix + key.substring(Records.PREFIX.length());
   }
 
-  /** The logical key; null if the physical one is of another incarnation. */
-  String toLogical(String physical) {
+  /**
+   * Maps a physical key to its logical key. Returns null if the key belongs to another incarnation.
+   */
+  String toLogicalKey(String physical) {
     if (physical.equals(Incarnation.KEY)) {
       return physical;
     }
@@ -82,18 +90,19 @@
     return rest.startsWith("@") ? null : Records.PREFIX + rest;
   }
 
-  /** A transaction with logical keys, fenced by the incarnation. */
+  /** Builds the request for a transaction given with logical keys, fenced by the incarnation. */
   Request fencedTransaction(Map<String, Long> conditions, List<StateStoreProtocol.Change> changes) {
     Map<String, Long> physicalConditions = new LinkedHashMap<>();
     physicalConditions.put(Incarnation.KEY, incarnationVersion);
-    conditions.forEach((key, value) -> physicalConditions.put(toPhysical(key), value));
+    conditions.forEach((key, value) -> physicalConditions.put(toPhysicalKey(key), value));
     List<StateStoreProtocol.Change> physicalChanges = new ArrayList<>();
     for (StateStoreProtocol.Change change : changes) {
-      // A bundle is never rewritten, and the record in it would be valid again.
+      // Bundles are never rewritten. If the key were deleted, the record in the bundle would become
+      // valid again, so an empty value is written instead.
       boolean needsTombstone = change.value() == null && bundled.contains(change.key());
       physicalChanges.add(
           new StateStoreProtocol.Change(
-              toPhysical(change.key()),
+              toPhysicalKey(change.key()),
               needsTombstone ? Json.object() : change.value(),
               change.leaseId()));
     }
--- a/src/main/java/io/cherryspool/store/LastChange.java
+++ b/src/main/java/io/cherryspool/store/LastChange.java
@@ -5,9 +5,10 @@
 import java.util.Objects;
 
 /**
- * The last change that a copy has applied. A read of changes that covers it has to show it, or a
- * later one of the same key. Revisions alone don't prove that: after the state store was set back a
- * little, a node that retains no records may write until they have passed those that others know.
+ * The last change that a replica has applied. A read of changes that starts before it must contain
+ * it or a later change of the same key; otherwise the state store has lost data. Comparing
+ * revisions does not suffice: after the state store was rolled back by a few revisions, a node that
+ * retains no records may write until the revision is higher than the ones that other nodes know.
  */
 record LastChange(String key, long version, JsonNode value) {
 
@@ -15,13 +16,16 @@
     this(event.key(), event.version(), event.value());
   }
 
-  /** The revision after which to read, to see this change and everything after {@code revision}. */
-  long readFrom(long revision) {
+  /**
+   * Returns the revision after which to read, so that the answer contains this change and all
+   * changes after {@code revision}.
+   */
+  long readAfter(long revision) {
     return Math.min(revision, version - 1);
   }
 
-  /** Whether the changes show this one, or a later one of the same key. */
-  boolean isIn(StateStoreProtocol.WatchResult changes) {
+  /** Whether the changes include this one or a later change of the same key. */
+  boolean isIncludedIn(StateStoreProtocol.WatchResult changes) {
     for (StateStoreProtocol.Event event : changes.events()) {
       if (event.key().equals(key)) {
         if (event.version() > version) {
--- a/src/main/java/io/cherryspool/store/LinearizableReads.java
+++ b/src/main/java/io/cherryspool/store/LinearizableReads.java
@@ -9,11 +9,12 @@
 
 /**
  * Linearizable reads: brings a {@link Replica} up to date with everything that was committed before
- * a caller asked. Callers that wait at the same time share one request, which is sent after the
- * last of them asked; one read is outstanding at a time.
+ * a call. Waiting callers share one request, which is sent after all of their calls. One read is
+ * outstanding at a time.
  */
 final class LinearizableReads {
-  private static final String SUSPENDED = "the records are not to be relied on";
+  private static final String SUSPENDED =
+      "the replica was suspended because its records can't be relied on";
 
   private final EventLoop loop;
   private final StateStoreClient client;
@@ -27,18 +28,18 @@
   private EventLoop.Timer nextRead;
   private Duration lastSentAt;
 
-  /** When the outstanding read was sent, null while there is none. */
+  /** The time at which the outstanding read was sent, null if there is none. */
   private Duration outstandingSince;
 
-  /** When the last successful read was sent, null before the first. */
+  /** The time at which the last successful read was sent, null before the first one. */
   private Duration lastConfirmedAt;
 
   /**
    * A read that was sent.
    *
-   * @param afterRevision the replica's revision at that moment
-   * @param generation the replica's generation at that moment
-   * @param expected the change that the answer must show, null for none
+   * @param afterRevision the replica's revision when the read was sent
+   * @param generation the replica's generation when the read was sent
+   * @param expected the change that the answer must contain, null if there is none
    */
   private record Read(
       List<CompletableFuture<Void>> callers,
@@ -48,10 +49,10 @@
       LastChange expected) {}
 
   /**
-   * Creates reads that apply their answers to a replica.
+   * Creates an instance whose reads update {@code replica}.
    *
-   * @param minInterval the least time between the sending of two reads
-   * @param overdueAfter how long a read may be unanswered before callers are refused at once
+   * @param minInterval the minimum time between the sending of two reads
+   * @param overdueAfter how long a read may be unanswered before new calls fail immediately
    */
   LinearizableReads(
       EventLoop loop,
@@ -71,10 +72,11 @@
     this.lastSentAt = loop.now().minus(minInterval);
   }
 
-  /** See {@link ClusterRecords#refresh}. */
+  /** Implements {@link ClusterRecords#refresh}. */
   CompletableFuture<Void> refresh() {
     if (!replica.isLoaded() || isOverdue()) {
-      return CompletableFuture.failedFuture(notExecuted("the state store does not answer"));
+      return CompletableFuture.failedFuture(
+          notExecuted("the records are not loaded, or a read of the state store is overdue"));
     }
     CompletableFuture<Void> result = new CompletableFuture<>();
     waiting.add(result);
@@ -82,20 +84,20 @@
     return result;
   }
 
-  /** See {@link ClusterRecords#isReadOverdue}. */
+  /** Implements {@link ClusterRecords#isReadOverdue}. */
   boolean isOverdue() {
     return outstandingSince != null
         && loop.now().minus(outstandingSince).compareTo(overdueAfter) > 0;
   }
 
-  /** See {@link ClusterRecords#lastConfirmedAt}. */
+  /** Implements {@link ClusterRecords#lastConfirmedAt}. */
   Duration lastConfirmedAt() {
     return lastConfirmedAt;
   }
 
   /**
-   * A read succeeded that was sent at this moment. It may return after a reload that was begun
-   * later, which does not make the copy newer.
+   * Records that a read which was sent at this time has succeeded. The answer may arrive after a
+   * reload that was started later than the read; it is then ignored.
    */
   void confirm(Duration sentAt) {
     if (lastConfirmedAt == null || sentAt.compareTo(lastConfirmedAt) > 0) {
@@ -103,14 +105,14 @@
     }
   }
 
-  /** Fails the callers whose read has not been sent. */
+  /** Fails the callers whose read has not been sent yet. */
   void failWaiting(String reason) {
     List<CompletableFuture<Void>> callers = waiting;
     waiting = new ArrayList<>();
     failAll(callers, notExecuted(reason));
   }
 
-  /** Fails the waiting callers, and begins no read for them. */
+  /** Fails the waiting callers and cancels their read. */
   void stop(String reason) {
     if (nextRead != null) {
       nextRead.cancel();
@@ -118,7 +120,7 @@
     failWaiting(reason);
   }
 
-  /** Fails the waiting callers, and is ready for the next incarnation of the records. */
+  /** Fails the waiting callers and resets the state, so that the next incarnation can be read. */
   void suspend() {
     outstandingSince = null;
     stop(SUSPENDED);
@@ -151,32 +153,33 @@
     lastSentAt = read.sentAt;
     client
         .readChanges(
-            Records.PREFIX, expected == null ? after : expected.readFrom(after), Duration.ZERO)
+            Records.PREFIX, expected == null ? after : expected.readAfter(after), Duration.ZERO)
         .whenComplete((changes, failure) -> receive(read, changes, failure));
   }
 
   private void receive(Read read, StateStoreProtocol.WatchResult changes, Throwable failure) {
     if (read.generation != replica.generation()) {
-      failAll(read.callers, overtakenBySuspension());
+      failAll(read.callers, suspensionFailure());
       return;
     }
     outstandingSince = null;
     if (failure == null) {
       receive(read, changes);
     } else {
-      // First, so that callers that fail now see a copy that is too old as not loaded.
+      // This comes first, so that the failing callers see that the replica is not loaded if its
+      // revision was compacted.
       replica.handleReadFailure(failure, read.afterRevision);
       failAll(read.callers, failure);
-      failWaiting("the state store does not answer");
+      failWaiting("the previous read of the state store failed");
     }
   }
 
   private void receive(Read read, StateStoreProtocol.WatchResult changes) {
-    if (history.verifyShows(read.expected, changes)) {
+    if (history.verifyContains(read.expected, changes)) {
       replica.apply(changes);
     }
     if (read.generation != replica.generation()) {
-      failAll(read.callers, overtakenBySuspension());
+      failAll(read.callers, suspensionFailure());
       return;
     }
     confirm(read.sentAt);
@@ -188,7 +191,7 @@
     callers.forEach(caller -> caller.completeExceptionally(failure));
   }
 
-  private static StateStoreException overtakenBySuspension() {
+  private static StateStoreException suspensionFailure() {
     return notExecuted(SUSPENDED);
   }
 
--- a/src/main/java/io/cherryspool/store/OrphanedRecords.java
+++ b/src/main/java/io/cherryspool/store/OrphanedRecords.java
@@ -9,28 +9,28 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads the records that the state store still holds of an incarnation no longer served. */
+/** Reads the records of an earlier incarnation that the state store still contains. */
 public final class OrphanedRecords {
   private static final Logger LOG = LoggerFactory.getLogger(OrphanedRecords.class);
 
   private OrphanedRecords() {}
 
   /**
-   * The jobs, the term and the catalog of an incarnation. Bundles of an interrupted rebuild are
-   * used up to the first that is missing: they are parts of a snapshot that was true.
+   * Reads the jobs, the term and the catalog of an incarnation. Bundles of an interrupted rebuild
+   * are used up to the first missing one, because they are parts of a valid snapshot.
    *
-   * @param entries all keys, under the names that the state store has for them
+   * @param entries all entries of the state store, with their physical keys
    * @return a snapshot without a position in the history, since it may lack records
    */
   public static RecordsSnapshot read(
       Collection<StateStoreProtocol.Event> entries, Incarnation incarnation) {
     KeySpace keySpace = new KeySpace();
     keySpace.enter(incarnation, 0);
-    IncarnationRecords left = IncarnationRecords.parse(entries, keySpace);
+    IncarnationRecords orphaned = IncarnationRecords.parse(entries, keySpace);
     RecordIndex index = new RecordIndex(keySpace);
     SnapshotTracker tracker = new SnapshotTracker(index.jobs());
     index.jobs().addListener(tracker);
-    index.replaceAll(decode(left.leadingChunks()).values(), left.records());
+    index.replaceAll(decodeBundles(orphaned.leadingChunks()).values(), orphaned.records());
     return new RecordsSnapshot(
         incarnation.cluster(),
         incarnation.nonce(),
@@ -41,10 +41,11 @@
   }
 
   /**
-   * The snapshot with the job or outcome that a single change wrote. The same snapshot if it holds
-   * that already, if the outcome is of a job that it lacks, or if the record is unreadable.
+   * Returns the snapshot with the job or outcome that a change wrote. Returns the same snapshot if
+   * it already contains the job or an outcome of the job, if it lacks the job of an outcome, or if
+   * the record is unreadable.
    */
-  public static RecordsSnapshot withCommitted(
+  public static RecordsSnapshot withChange(
       RecordsSnapshot snapshot, StateStoreProtocol.Change change) {
     String key = change.key();
     if (key.startsWith(Records.OUTCOMES)) {
@@ -77,17 +78,17 @@
               Records.decodeJob(change.value()), Records.decodeTasksPerShard(change.value()));
       return snapshot.withJobs(snapshot.jobs().plus(id, job));
     } catch (MalformedMessageException e) {
-      LOG.error("unreadable record, job={}: {}", id, e.getMessage());
+      LOG.error("ignoring unreadable job record, job={}: {}", id, e.getMessage());
       return snapshot;
     }
   }
 
-  private static PMap<String, RecordsSnapshot.JobSnapshot> decode(List<byte[]> chunks) {
+  private static PMap<String, RecordsSnapshot.JobSnapshot> decodeBundles(List<byte[]> chunks) {
     try {
       return RecordsSnapshotCodec.decode(chunks);
     } catch (MalformedMessageException e) {
       LOG.warn(
-          "unreadable bundles of an interrupted rebuild, bundles={}: {}",
+          "ignoring unreadable bundles of an interrupted rebuild, bundles={}: {}",
           chunks.size(),
           e.getMessage());
       return HashTreePMap.empty();
--- a/src/main/java/io/cherryspool/store/RateLimiter.java
+++ b/src/main/java/io/cherryspool/store/RateLimiter.java
@@ -4,50 +4,54 @@
 import java.time.Duration;
 
 /**
- * Token buckets that keep this node to its share of the state store's rate limits. The limits apply
- * to all nodes together and are divided by no one, so that each node assumes a share; the leader's
- * share of writes is the larger one. Bursts of the other nodes rarely coincide, so that each may
- * use their common share for a moment, and the leader leaves them the rate that they report.
+ * Token buckets that keep this node within its share of the state store's rate limits. The limits
+ * apply to all nodes together, and no node assigns the shares, so each node assumes its own. The
+ * leader has the larger share of the writes. The followers have the rest as one common share: each
+ * of them may use all of it, since their bursts rarely coincide. The leader subtracts the rates
+ * that the other nodes report from its own rate.
  *
- * <p>Leases and elections are never delayed ({@link #forceAcquire}). All other writes are ranked by
- * their {@link WriteClass}: the less urgent ones leave a part of the bucket to the more urgent
+ * <p>Requests for leases and elections are never delayed ({@link #forceAcquire}). All other writes
+ * have a {@link WriteClass}: the less urgent classes leave a part of the bucket to the more urgent
  * ones.
  *
- * <p>Used on the event loop, by whose clock the buckets are refilled.
+ * <p>Must be used on the event loop; the buckets are refilled by its clock.
  */
 public final class RateLimiter {
-  /** The fraction of the limits that is used. */
+  /** The fraction of the limits that all nodes together use. */
   private static final double USED_FRACTION = 0.95;
 
-  /** The fraction of the writes of a second that the leader may use at once. */
+  /** The fraction of the cluster's writes per second that the leader may use in one burst. */
   private static final double LEADER_WRITE_FRACTION = 0.8;
 
-  /** The fraction of the write rate that the leader keeps, whatever the others report. */
+  /**
+   * The minimum fraction of the write rate that the leader keeps, however much the other nodes
+   * report.
+   */
   private static final double MIN_LEADER_WRITE_FRACTION = 0.4;
 
-  /** A bucket that is filled to this fraction counts as full. */
+  /** A bucket counts as full when it is filled to this fraction. */
   private static final double FULL_FRACTION = 0.98;
 
   /** The time constant of the average of this node's own writes, in seconds. */
   private static final double AVERAGING_SECONDS = 2;
 
-  /** Allows for rounding when a bucket is compared with what is to remain in it. */
+  /** Tolerance for rounding errors in the comparison of a bucket with its reserved part. */
   private static final double ROUNDING_ERROR = 1e-9;
 
-  /** What writes are for, the most urgent first. */
+  /** The purposes of writes, the most urgent first. */
   public enum WriteClass {
-    /** Users cancel jobs. */
+    /** Cancellations of jobs by users. */
     CANCEL(0),
-    /** Users submit jobs. */
+    /** Submissions of jobs by users. */
     SUBMIT(0.1),
-    /** A scheduling round commits its decisions. */
+    /** Decisions of scheduling rounds. */
     ROUND(0.25),
-    /** Work that only matters while there is nothing else to do. */
+    /** Work of low priority, which is done only if there is little else to write. */
     IDLE(0.45),
-    /** Work that may be delayed for long. */
+    /** Work that may be delayed for a long time. */
     DEFERRABLE(0.6);
 
-    /** The fraction of the bucket that is left to more urgent writes. */
+    /** The fraction of the bucket that is reserved for more urgent classes. */
     private final double reservedFraction;
 
     WriteClass(double reservedFraction) {
@@ -56,7 +60,7 @@
   }
 
   private final EventLoop loop;
-  private final int nodes;
+  private final int nodeCount;
   private final double clusterWriteRate;
   private final double requestRate;
   private double writeRate;
@@ -64,7 +68,7 @@
   private double availableRequests;
   private double availableWrites;
 
-  /** This node's writes, decaying with the averaging time. */
+  /** The number of this node's writes, exponentially decaying with {@link #AVERAGING_SECONDS}. */
   private double recentWrites;
 
   private boolean isLeader;
@@ -72,17 +76,18 @@
   private Duration refilledAt;
 
   /**
-   * Creates a limiter with full buckets and a follower's share.
+   * Creates a limiter with full buckets and the share of a follower.
    *
-   * @param nodes how many nodes share the limits
-   * @param requestsPerSecond the limit on requests of all nodes together
-   * @param changesPerSecond the limit on changes of all nodes together
+   * @param nodeCount the number of nodes that share the limits
+   * @param requestsPerSecond the limit on the requests of all nodes together
+   * @param changesPerSecond the limit on the changes of all nodes together
    */
-  public RateLimiter(EventLoop loop, int nodes, double requestsPerSecond, double changesPerSecond) {
+  public RateLimiter(
+      EventLoop loop, int nodeCount, double requestsPerSecond, double changesPerSecond) {
     this.loop = loop;
-    this.nodes = nodes;
+    this.nodeCount = nodeCount;
     this.clusterWriteRate = changesPerSecond * USED_FRACTION;
-    this.requestRate = requestsPerSecond * USED_FRACTION / nodes;
+    this.requestRate = requestsPerSecond * USED_FRACTION / nodeCount;
     this.refilledAt = loop.now();
     setOtherNodesWriteRates(new int[0]);
     setLeader(false);
@@ -90,105 +95,115 @@
     availableWrites = writeBucketSize;
   }
 
-  /** Sets whether this node uses the leader's share from now on. */
+  /** Sets whether this node uses the share of the leader. */
   public void setLeader(boolean value) {
     isLeader = value;
     double fraction = isLeader ? LEADER_WRITE_FRACTION : 1 - LEADER_WRITE_FRACTION;
-    writeBucketSize = nodes == 1 ? clusterWriteRate : clusterWriteRate * fraction;
+    writeBucketSize = nodeCount == 1 ? clusterWriteRate : clusterWriteRate * fraction;
     updateWriteRate();
   }
 
   /**
    * Sets the write rates that the other nodes report, in tenths of a change per second. The leader
-   * leaves them these: users' changes arrive at all nodes alike, and with five nodes a fixed share
-   * delayed them while the leader used a third of its own. A node without a report is assumed to
-   * use an equal part of the others' share.
+   * subtracts them from its own rate. A fixed share for the other nodes would be too small, because
+   * users' changes arrive at all nodes alike: with five nodes, it delayed those changes while the
+   * leader used only a third of its own share. A node that reports no rate is assumed to use an
+   * equal part of the followers' share.
    */
   public void setOtherNodesWriteRates(int... tenths) {
     double reported = 0;
     for (int rate : tenths) {
       reported += rate / 10.0;
     }
-    int unreported = Math.max(0, nodes - 1 - tenths.length);
+    int unreported = Math.max(0, nodeCount - 1 - tenths.length);
     otherNodesWriteRate =
         reported
-            + unreported * clusterWriteRate * (1 - LEADER_WRITE_FRACTION) / Math.max(1, nodes - 1);
+            + unreported
+                * clusterWriteRate
+                * (1 - LEADER_WRITE_FRACTION)
+                / Math.max(1, nodeCount - 1);
     updateWriteRate();
   }
 
   private void updateWriteRate() {
     refill();
     writeRate =
-        isLeader || nodes == 1
+        isLeader || nodeCount == 1
             ? Math.max(
                 clusterWriteRate * MIN_LEADER_WRITE_FRACTION,
                 clusterWriteRate - otherNodesWriteRate)
             : clusterWriteRate * (1 - LEADER_WRITE_FRACTION);
   }
 
-  /** How many changes this node may make at once now; negative after forced ones. */
+  /**
+   * The number of changes that this node may make now. It may be negative after {@link
+   * #forceAcquire}.
+   */
   public double availableWrites() {
     refill();
     return availableWrites;
   }
 
-  /** How many changes per second this node has made recently. */
+  /** The recent average of this node's changes per second. */
   public double recentWritesPerSecond() {
     refill();
     return recentWrites / AVERAGING_SECONDS;
   }
 
-  /** How many changes of this class one transaction may hold so that it is ever allowed. */
+  /**
+   * The maximum number of changes of this class in one transaction that the bucket can ever allow.
+   */
   public int maxTransactionChanges(WriteClass writeClass) {
     return Math.max(1, (int) (writeBucketSize * (1 - writeClass.reservedFraction)));
   }
 
-  /** Acquires one request with so many changes if this class may make them now. */
+  /** Acquires one request with the given number of changes if this class may make them now. */
   public boolean tryAcquireWrites(WriteClass writeClass, int changes) {
     if (!mayWrite(writeClass, 0, changes)) {
       return false;
     }
     availableRequests--;
-    spend(changes);
+    consumeWrites(changes);
     return true;
   }
 
   /**
-   * Whether this class may make so many changes now, without acquiring them.
+   * Whether this class may make the given number of changes now. Acquires nothing.
    *
-   * @param before how many changes are already planned for the same request
+   * @param plannedChanges the number of changes that are already planned for the same request
    */
-  public boolean mayWrite(WriteClass writeClass, int before, int changes) {
+  public boolean mayWrite(WriteClass writeClass, int plannedChanges, int changes) {
     refill();
     if (availableRequests < 1) {
       return false;
     }
     double reserved = writeClass.reservedFraction * writeBucketSize;
-    if (availableWrites - before - changes >= reserved - ROUNDING_ERROR) {
+    if (availableWrites - plannedChanges - changes >= reserved - ROUNDING_ERROR) {
       return true;
     }
-    // Two kinds of requests would otherwise wait forever: a single change where the share is a few
-    // writes per second, and an indivisible one of more changes than the class is ever left. Both
-    // pass once the bucket is full.
-    return before == 0
+    // Two kinds of requests would otherwise wait forever: a single change if the node's share is
+    // only a few writes per second, and an indivisible request with more changes than the class can
+    // ever get. The first is allowed once the reserved part and at least one change are available,
+    // the second once the bucket is full.
+    return plannedChanges == 0
         && ((changes == 1 && availableWrites >= Math.max(1, reserved))
             || (changes > maxTransactionChanges(writeClass)
                 && availableWrites >= FULL_FRACTION * writeBucketSize));
   }
 
-  /** Acquires a request that must not be delayed, even beyond this node's share. */
+  /** Acquires a request that must not be delayed, even if it exceeds this node's share. */
   public void forceAcquire(int changes) {
     refill();
     availableRequests--;
-    spend(changes);
+    consumeWrites(changes);
   }
 
-  private void spend(int changes) {
+  private void consumeWrites(int changes) {
     availableWrites -= changes;
     recentWrites += changes;
   }
 
-  /** Acquires one request without changes, if there is one left. */
+  /** Acquires one request without changes if one is available. */
   public boolean tryAcquireRead() {
     refill();
     if (availableRequests < 1) {
@@ -199,8 +214,8 @@
   }
 
   /**
-   * Empties the buckets after the state store refused a request as beyond its limits: another node,
-   * or an earlier process of this one, has used the share.
+   * Empties the buckets. Called after the state store has rejected a request as beyond its limits,
+   * because another node or an earlier process of this node has used up the share.
    */
   public void drain() {
     refill();
--- a/src/main/java/io/cherryspool/store/RecordIndex.java
+++ b/src/main/java/io/cherryspool/store/RecordIndex.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The records as objects, built from the values of single keys: the term, the leader, the catalog,
- * and in a {@link JobIndex} the jobs with their progress.
+ * The decoded records: the term, the leader, the catalog, and the jobs with their progress in a
+ * {@link JobIndex}.
  */
 final class RecordIndex {
   private static final Logger LOG = LoggerFactory.getLogger(RecordIndex.class);
@@ -34,7 +34,7 @@
   /**
    * Creates an empty index.
    *
-   * @param keySpace where the progress records are noted that bundles hold
+   * @param keySpace keeps the keys of the progress records that are in bundles
    */
   RecordIndex(KeySpace keySpace) {
     jobs = new JobIndex(keySpace);
@@ -44,56 +44,59 @@
     return jobs;
   }
 
-  /** See {@link ClusterRecords#term}. */
+  /** Implements {@link ClusterRecords#term}. */
   long term() {
     return term;
   }
 
-  /** See {@link ClusterRecords#termVersion}. */
+  /** Implements {@link ClusterRecords#termVersion}. */
   long termVersion() {
     return termVersion;
   }
 
-  /** See {@link ClusterRecords#leader}. */
+  /** Implements {@link ClusterRecords#leader}. */
   Records.Leader leader() {
     return leader;
   }
 
-  /** See {@link ClusterRecords#leaderVersion}. */
+  /** Implements {@link ClusterRecords#leaderVersion}. */
   long leaderVersion() {
     return leaderVersion;
   }
 
-  /** See {@link ClusterRecords#successor}. */
+  /** Implements {@link ClusterRecords#successor}. */
   Records.Successor successor() {
     return successor != null && successor.term() == term ? successor : null;
   }
 
-  /** See {@link ClusterRecords#catalog}. */
+  /** Implements {@link ClusterRecords#catalog}. */
   List<MachineType> catalog() {
     return catalog;
   }
 
-  /** See {@link ClusterRecords#catalogVersion}. */
+  /** Implements {@link ClusterRecords#catalogVersion}. */
   long catalogVersion() {
     return catalogVersion;
   }
 
-  /** The catalog's record as it was read, or null if there is none. */
+  /** The undecoded value of the catalog record, or null if there is none. */
   JsonNode catalogRecord() {
     return catalogRecord;
   }
 
-  /** Whether a leader has recorded that it reconciled what ran when the state was lost. */
+  /**
+   * Whether a leader has recorded that it reconciled the records with the tasks that were running
+   * when the state store lost its data.
+   */
   boolean isReconciled() {
     return isReconciled;
   }
 
   /**
-   * Replaces everything.
+   * Replaces all records.
    *
-   * @param rebuilt the jobs of the rebuild that the incarnation began with
-   * @param events the present values of all keys; read on top of the rebuilt jobs
+   * @param rebuilt the jobs in the bundles of the rebuild that began the incarnation
+   * @param events the current values of all keys, which are applied after the rebuilt jobs
    */
   void replaceAll(
       Collection<RecordsSnapshot.JobSnapshot> rebuilt,
@@ -108,7 +111,7 @@
     catalogRecord = null;
     isReconciled = false;
     jobs.replaceAll(rebuilt);
-    // Outcomes and progress refer to jobs, which have to be there first.
+    // Outcomes and progress records refer to jobs, so the jobs must be added first.
     Set<StateStoreProtocol.Event> dependent = new HashSet<>();
     for (StateStoreProtocol.Event event : events) {
       String key = event.key();
@@ -122,7 +125,7 @@
     jobs.notifyReloaded();
   }
 
-  /** Applies a key's new value, or with a null value its removal. */
+  /** Applies the new value of a key. A null value removes the record. */
   void set(StateStoreProtocol.Event event) {
     String key = event.key();
     JsonNode value = event.value();
@@ -143,12 +146,15 @@
       case Records.CATALOG -> setCatalog(value, version);
       case Records.RECONCILED -> isReconciled = value != null;
       default -> {
-        // Bundles and the identity are read elsewhere.
+        // Bundles and the identity record are decoded elsewhere.
       }
     }
   }
 
-  /** A catalog's removal is not applied: the last known one is better than none. */
+  /**
+   * Applies the new value of the catalog. A removal is ignored, because the last known catalog is
+   * better than none.
+   */
   private void setCatalog(JsonNode value, long version) {
     if (value == null) {
       return;
@@ -158,7 +164,8 @@
       catalogRecord = value;
       catalogVersion = version;
     } catch (MalformedMessageException e) {
-      LOG.error("unreadable record of the catalog: {} {}", e.getMessage(), Json.toBytes(value));
+      LOG.error(
+          "ignoring unreadable catalog record: {}, record={}", e.getMessage(), Json.toBytes(value));
     }
   }
 }
--- a/src/main/java/io/cherryspool/store/Records.java
+++ b/src/main/java/io/cherryspool/store/Records.java
@@ -14,47 +14,53 @@
 import java.util.Base64;
 
 /**
- * The keys and values of all records in the state store. Keys are logical, see {@link KeySpace}.
- * Nodes of other versions read the same records: neither may change.
+ * The logical keys (see {@link KeySpace}) and the values of all records in the state store. Their
+ * formats must not change, because nodes of other versions read the same records.
  */
 public final class Records {
-  /** The prefix of all keys. */
+  /** Prefix of all keys. */
   public static final String PREFIX = "c/";
 
-  /** The term that was begun last. */
+  /** Key of the term that began last. */
   public static final String TERM = "c/term";
 
-  /** The present {@link Leader}; attached to its lease. */
+  /** Key of the current {@link Leader}, attached to the leader's lease. */
   public static final String LEADER = "c/leader";
 
-  /** The {@link Successor} to whom a leader handed leadership over. */
+  /** Key of the {@link Successor} to which a leader handed leadership over. */
   public static final String SUCCESSOR = "c/successor";
 
-  /** The machine types. */
+  /** Key of the machine types. */
   public static final String CATALOG = "c/catalog";
 
-  /** Prefix of the chunks of the snapshot that a rebuild wrote; never changed. */
+  /** Prefix of the bundles: the chunks of the snapshot that a rebuild wrote. They never change. */
   public static final String BUNDLES = "c/bundles/";
 
-  /** Present once a leader has reconciled the tasks that ran when the state was lost. */
+  /**
+   * Key of a marker that exists once a leader has reconciled the records with the tasks that were
+   * running when the state store lost its data.
+   */
   public static final String RECONCILED = "c/settled";
 
-  /** Prefix of markers: workers run the job, and nobody has submitted it again since a loss. */
+  /**
+   * Prefix of markers of jobs that workers run, that the records lack since a data loss, and that
+   * no user has submitted again.
+   */
   static final String UNKNOWN = "c/unknown/";
 
-  /** Prefix of markers: the job waits for an operator, its tasks may have ended unobserved. */
+  /** Prefix of markers of jobs that wait for an operator: tasks may have ended unrecorded. */
   static final String HELD = "c/held/";
 
   static final String JOBS = "c/jobs/";
   static final String OUTCOMES = "c/outcomes/";
   static final String PROGRESS = "c/progress/";
 
-  /** What an owned task with its history takes, with the longest machine names seen. */
+  /** The size of an owned task with its history, with the longest machine names that occur. */
   private static final int BYTES_PER_TASK = 80;
 
   private static final String ABANDONED = "abandoned";
 
-  /** What the value of a bundle takes besides its Base64 text. */
+  /** The size of a bundle's value in addition to its Base64 text. */
   private static final int BUNDLE_OVERHEAD_BYTES = 32;
 
   private Records() {}
@@ -62,7 +68,8 @@
   /**
    * The leader of a term.
    *
-   * @param processId the process, since a restarted node is no longer the leader
+   * @param processId identifies the node's process, because a restarted node is no longer the
+   *     leader
    * @param leaseId the lease that the record is attached to
    */
   public record Leader(long term, String node, String processId, long leaseId) {}
@@ -76,47 +83,49 @@
    */
   public record Successor(long term, String node, String predecessor) {}
 
-  /** The key of a job's description. */
+  /** Returns the key of a job's description. */
   public static String jobKey(String id) {
     return JOBS + id;
   }
 
-  /** The key of a job's outcome. */
+  /** Returns the key of a job's outcome. */
   public static String outcomeKey(String id) {
     return OUTCOMES + id;
   }
 
-  /** The key of one of a job's progress records. */
+  /** Returns the key of one of a job's progress records. */
   public static String progressKey(String id, int shard) {
     return PROGRESS + id + "/" + shard;
   }
 
-  /** The key of a chunk of a rebuild; the order of the keys is that of the chunks. */
+  /** Returns the key of a bundle. The keys sort in the order of the bundles. */
   public static String bundleKey(int number) {
     return String.format("%s%08d", BUNDLES, number);
   }
 
-  /** The key of the marker of an unknown job. */
+  /** Returns the key of the marker of an unknown job. */
   public static String unknownJobKey(String id) {
     return UNKNOWN + id;
   }
 
-  /** The key of the marker of a held job. */
+  /** Returns the key of the marker of a held job. */
   public static String heldJobKey(String id) {
     return HELD + id;
   }
 
-  /** Whether a record with this key is never removed nor changed. */
+  /** Whether a record with this key is never changed or removed. */
   public static boolean isImmutable(String key) {
     return key.startsWith(JOBS) || key.startsWith(OUTCOMES) || key.startsWith(BUNDLES);
   }
 
-  /** How many tasks one progress record may cover so that a value stays within this limit. */
+  /**
+   * Returns how many tasks a progress record may cover so that its value stays within this size.
+   */
   public static int tasksPerShard(int valueBytes) {
     return Math.max(1, valueBytes / BYTES_PER_TASK);
   }
 
-  /** The value of a bundle with this chunk. */
+  /** Encodes the value of a bundle that contains a chunk. */
   public static JsonNode encodeBundle(byte[] chunk) {
     return Json.object().put("z", Base64.getEncoder().encodeToString(chunk));
   }
@@ -125,21 +134,21 @@
     try {
       return Base64.getDecoder().decode(node.path("z").asText());
     } catch (IllegalArgumentException e) {
-      throw new MalformedMessageException("a bundle that is not Base64");
+      throw new MalformedMessageException("the bundle is not valid Base64: " + e.getMessage());
     }
   }
 
-  /** The size of the largest chunk whose bundle fits a value of at most so many bytes. */
+  /** Returns the size of the largest chunk whose bundle fits into a value of this size. */
   public static int maxChunkBytes(int valueBytes) {
     return (valueBytes - BUNDLE_OVERHEAD_BYTES) / 4 * 3;
   }
 
-  /** The value of a record that only has to exist. */
+  /** Encodes the value of a record that marks something by its existence. */
   public static JsonNode presenceMarker() {
     return Json.object();
   }
 
-  /** The value of an unknown job's marker once an operator has given the job up. */
+  /** Encodes the marker of an unknown job that an operator has abandoned. */
   public static JsonNode abandonedMarker() {
     return Json.object().put(ABANDONED, true);
   }
@@ -148,7 +157,7 @@
     return node.path(ABANDONED).asBoolean(false);
   }
 
-  /** The value of {@link #TERM}. */
+  /** Encodes the value of {@link #TERM}. */
   public static JsonNode encodeTerm(long term) {
     return Json.object().put("term", term);
   }
@@ -157,7 +166,7 @@
     return node.path("term").longValue();
   }
 
-  /** The value of {@link #LEADER}. */
+  /** Encodes the value of {@link #LEADER}. */
   public static JsonNode encodeLeader(Leader leader) {
     return Json.object()
         .put("term", leader.term())
@@ -174,7 +183,7 @@
         node.path("lease").longValue());
   }
 
-  /** The value of {@link #SUCCESSOR}. */
+  /** Encodes the value of {@link #SUCCESSOR}. */
   public static JsonNode encodeSuccessor(Successor successor) {
     return Json.object()
         .put("term", successor.term())
@@ -187,7 +196,7 @@
         node.path("term").longValue(), node.path("node").asText(), node.path("by").asText());
   }
 
-  /** The value of a job's description. */
+  /** Encodes a job's description. */
   public static JsonNode encodeJob(Job job, int tasksPerShard) {
     ObjectNode node = Json.object();
     node.set("job", UserProtocol.encodeJob(job));
@@ -205,7 +214,7 @@
     return Math.max(1, node.path("per").intValue());
   }
 
-  /** The value of a job's outcome. */
+  /** Encodes a job's outcome. */
   public static JsonNode encodeOutcome(Outcome outcome) {
     return Json.object().put("end", outcome == Outcome.DONE ? "done" : "cancelled");
   }
@@ -214,7 +223,7 @@
     return "done".equals(node.path("end").asText()) ? Outcome.DONE : Outcome.CANCELLED;
   }
 
-  /** The value of a progress record. */
+  /** Encodes a progress record. */
   public static JsonNode encodeShard(Shard shard) {
     ObjectNode node = Json.object();
     ArrayNode done = node.putArray("done");
@@ -247,7 +256,7 @@
     return node;
   }
 
-  /** An upper bound of the size of {@link #encodeShard}'s JSON, without writing it. */
+  /** Returns an upper bound of the size that {@link #encodeShard} gives, without encoding. */
   public static int maxEncodedBytes(Shard shard) {
     int bytes = 40 + shard.histories().size() * 24;
     for (Attempt attempt : shard.ownedAttempts().values()) {
--- a/src/main/java/io/cherryspool/store/RecordsSnapshotCodec.java
+++ b/src/main/java/io/cherryspool/store/RecordsSnapshotCodec.java
@@ -22,9 +22,10 @@
 import org.pcollections.PMap;
 
 /**
- * Writes the jobs of a {@link RecordsSnapshot} as compressed chunks of bounded size, and reads them
- * again. A chunk holds whole units: a job's description with its outcome, or one of its progress
- * records. Units of one job may be in different chunks, which are read in order.
+ * Encodes the jobs of a {@link RecordsSnapshot} as compressed chunks of limited size, and decodes
+ * them. A chunk contains complete units; a unit is a job's description with its outcome, or one of
+ * the job's progress records. The units of a job may be in different chunks, so the chunks must be
+ * read in order.
  */
 public final class RecordsSnapshotCodec {
   private static final String UNITS = "units";
@@ -35,12 +36,12 @@
   private static final String PROGRESS = "progress";
 
   /**
-   * How many times smaller compression makes the text of records, as an estimate. A chunk that
-   * turns out too large is divided.
+   * The estimated compression ratio of the records' text. A chunk that turns out to be too large is
+   * split.
    */
   private static final int EXPECTED_COMPRESSION = 8;
 
-  /** The most bytes of text that are read from one chunk; those written hold far less. */
+  /** The maximum size of the text that is read from one chunk. Valid chunks contain far less. */
   private static final int MAX_TEXT_BYTES = 64 << 20;
 
   private static final int BUFFER_BYTES = 16 * 1024;
@@ -48,9 +49,9 @@
   private RecordsSnapshotCodec() {}
 
   /**
-   * Writes jobs as chunks of at most so many bytes each. Equal jobs give equal chunks.
+   * Encodes jobs as chunks of at most {@code maxBytes} each. Equal jobs give equal chunks.
    *
-   * @throws IllegalArgumentException if a single record does not fit
+   * @throws IllegalArgumentException if a single record does not fit into a chunk
    */
   public static List<byte[]> encode(PMap<String, RecordsSnapshot.JobSnapshot> jobs, int maxBytes) {
     List<JsonNode> units = new ArrayList<>();
@@ -111,9 +112,9 @@
   }
 
   /**
-   * Reads the chunks that {@link #encode} wrote, in their order.
+   * Decodes the chunks that {@link #encode} returned, in the same order.
    *
-   * @throws MalformedMessageException if one is damaged, or the description of a job is missing
+   * @throws MalformedMessageException if a chunk is damaged or the description of a job is missing
    */
   public static PMap<String, RecordsSnapshot.JobSnapshot> decode(List<byte[]> chunks)
       throws MalformedMessageException {
@@ -147,7 +148,7 @@
     jobs.put(id, job.withShard(unit.path(SHARD).intValue(), shard));
   }
 
-  /** A digest of all chunks in their order, as hexadecimal text. */
+  /** Returns a digest of all chunks in order, as hexadecimal text. */
   public static String digest(List<byte[]> chunks) {
     long[] sum = new long[2];
     for (byte[] chunk : chunks) {
