--- a/src/main/java/io/cherryspool/store/Replica.java
+++ b/src/main/java/io/cherryspool/store/Replica.java
@@ -12,18 +12,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This node's copy of the records, and its lifecycle: loading the records of an incarnation,
- * following their history by a {@link WatchStream} and {@link LinearizableReads}, and suspension
- * once they are not to be relied on.
+ * This node's replica of the records. It loads the records of an incarnation and applies the
+ * changes that {@link WatchStream} and {@link LinearizableReads} read, until it is suspended.
  *
- * <p>Without rollback detection the copy loads at {@link #start} what it finds. With it, nothing is
- * read before {@link #enter} names the incarnation.
+ * <p>It loads at {@link #start}, or with rollback detection at {@link #enter}.
  */
 public final class Replica extends IndexedRecords implements Lifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(Replica.class);
 
-  /** How long to wait before reading records again that this node may not serve. */
-  private static final Duration REFUSED_RECORDS_RETRY = Duration.ofSeconds(10);
+  /** Delay before rebuilt records, which this node must not serve, are read again. */
+  private static final Duration REBUILT_RECORDS_RETRY_DELAY = Duration.ofSeconds(10);
 
   private enum LoadState {
     NOT_LOADED,
@@ -43,20 +41,20 @@
   private boolean isRunning;
   private LoadState loadState = LoadState.NOT_LOADED;
 
-  /** The load that was begun last, null before the first. */
+  /** The load that was started last, null before the first one. */
   private ReplicaLoader loader;
 
   private EventLoop.Timer reloadTimer;
   private long revision;
 
-  /** Counts suspensions, so that answers to requests from before one are not applied. */
+  /** Counts suspensions; answers to requests from before a suspension are not applied. */
   private int generation;
 
   /**
-   * Creates a copy that reads nothing before {@link #start}.
+   * Creates a replica that reads nothing before {@link #start}.
    *
-   * @param minReadInterval the least time between two reads for {@link #refresh}
-   * @param readOverdueAfter how long such a read may be unanswered before callers are refused
+   * @param minReadInterval the minimum time between two reads for {@link #refresh}
+   * @param readOverdueAfter how long such a read may be unanswered before new calls fail at once
    */
   public Replica(
       EventLoop loop,
@@ -75,15 +73,12 @@
             loop, client, rateLimiter, this, history, minReadInterval, readOverdueAfter);
   }
 
-  /** Sets what runs once, after all records were first read. */
+  /** Sets a listener that runs once, after the first load of all records. */
   public void onFirstLoaded(Runnable listener) {
     firstLoadListener = listener;
   }
 
-  /**
-   * Checks every answer against the history that is known. To be called before {@link #start}; the
-   * copy then reads nothing before {@link #enter}.
-   */
+  /** Makes the replica check all answers against the known history. Call before {@link #start}. */
   public void enableRollbackDetection(RollbackDetector detector) {
     client.setRollbackDetector(detector);
     history.enable(detector);
@@ -98,10 +93,10 @@
   }
 
   /**
-   * Loads the records of an incarnation, and follows them from then on.
+   * Loads the records of an incarnation and then follows their changes.
    *
-   * @param version the version of the incarnation's record
-   * @param since the revision at which that record was read
+   * @param version the version of the identity record
+   * @param since the revision at which the identity record was read
    */
   public void enter(Incarnation incarnation, long version, long since) {
     suspend();
@@ -112,8 +107,8 @@
   }
 
   /**
-   * Stops following the history, and fails all waiting callers. The records stay as they are, but
-   * count as not loaded.
+   * Stops following changes and fails waiting callers. The records are kept but count as not
+   * loaded.
    */
   public void suspend() {
     cancelLoad();
@@ -126,7 +121,7 @@
   public void stop() {
     isRunning = false;
     cancelLoad();
-    reads.stop("stopped");
+    reads.stop("the replica was stopped");
   }
 
   private void cancelLoad() {
@@ -151,7 +146,7 @@
     return loadState == LoadState.LOADED;
   }
 
-  /** Whether all records are being read at the moment. */
+  /** Whether a load of all records is in progress. */
   public boolean isLoading() {
     return loadState == LoadState.LOADING;
   }
@@ -186,24 +181,24 @@
     return history.immutableRecordsSince(afterRevision);
   }
 
-  /** How often the copy was suspended. */
+  /** The number of suspensions so far. */
   int generation() {
     return generation;
   }
 
-  /** Whether an answer to the watch still counts that was asked for in this generation. */
-  boolean isFollowing(int since) {
-    return isRunning && !isLoading() && since == generation;
+  /** Whether the answer to a poll that was sent in this generation may still be applied. */
+  boolean isFollowing(int requestGeneration) {
+    return isRunning && !isLoading() && requestGeneration == generation;
   }
 
-  /** Applies what is new of a batch. Batches of the watch and of reads may overlap. */
+  /** Applies the changes that are new. Batches of the watch and of reads may overlap. */
   void apply(StateStoreProtocol.WatchResult changes) {
-    int before = generation;
+    int generationBefore = generation;
     boolean hasChanged = false;
     for (StateStoreProtocol.Event event : changes.events()) {
       if (event.version() > revision) {
         apply(event);
-        if (before != generation) {
+        if (generationBefore != generation) {
           return;
         }
         hasChanged = true;
@@ -219,7 +214,7 @@
     if (history.isEnabled()) {
       history.apply(event);
     } else if (Incarnation.isOfRebuild(event)) {
-      refuseRebuiltRecords();
+      rejectRebuiltRecords();
     } else {
       index().set(event);
     }
@@ -239,9 +234,9 @@
       if (expected != null && expected.version() < revision) {
         history.dropLastChange();
       } else if (after == revision) {
-        // An answer from before a reload shows a gap that was closed since. Another reload would
-        // refuse all users for as long as it takes.
-        LOG.info("history compacted, reading all keys again, revision={}", revision);
+        // If the revisions differ, a reload has closed the gap since. Another reload would refuse
+        // the requests of all users while it runs.
+        LOG.info("history compacted, reloading all keys, revision={}", revision);
         load(ReplicaLoader.SINCE_FIRST_PAGE);
       }
     }
@@ -252,45 +247,48 @@
       return;
     }
     loadState = LoadState.LOADING;
-    reads.failWaiting("reading all keys");
+    reads.failWaiting("all records are being reloaded");
     loader = new ReplicaLoader(loop, client, rateLimiter, () -> revision, since, this::receiveLoad);
     loader.start();
   }
 
-  private void receiveLoad(ReplicaLoader.Loaded all) {
+  private void receiveLoad(ReplicaLoader.Loaded loaded) {
     loadState = LoadState.NOT_LOADED;
-    Collection<StateStoreProtocol.Event> entries = all.entries().values();
+    Collection<StateStoreProtocol.Event> entries = loaded.entries().values();
     if (history.isEnabled()) {
-      IncarnationRecords read = IncarnationRecords.parse(entries, client.keySpace());
-      history.verifyLoad(read).ifPresent(rebuilt -> replaceAll(all, rebuilt, read.records()));
-    } else if (all.entries().containsKey(Incarnation.KEY)
-        && Incarnation.isOfRebuild(all.entries().get(Incarnation.KEY))) {
-      refuseRebuiltRecords();
+      IncarnationRecords parsed = IncarnationRecords.parse(entries, client.keySpace());
+      history
+          .verifyLoad(parsed)
+          .ifPresent(rebuilt -> replaceAll(loaded, rebuilt, parsed.records()));
+    } else if (loaded.entries().containsKey(Incarnation.KEY)
+        && Incarnation.isOfRebuild(loaded.entries().get(Incarnation.KEY))) {
+      rejectRebuiltRecords();
     } else {
-      replaceAll(all, List.of(), entries);
+      replaceAll(loaded, List.of(), entries);
     }
   }
 
   /**
-   * A node without rollback detection must not serve records after a rebuild: it would read and
-   * change those of an incarnation that is over.
+   * Suspends the replica. After a rebuild, a node without rollback detection must not serve: it
+   * would read and change the records of an earlier incarnation.
    */
-  private void refuseRebuiltRecords() {
+  private void rejectRebuiltRecords() {
     LOG.error("the records were rebuilt after a loss; this node needs recovery switched on");
     suspend();
-    reloadTimer = loop.schedule(REFUSED_RECORDS_RETRY, () -> load(ReplicaLoader.SINCE_FIRST_PAGE));
+    reloadTimer =
+        loop.schedule(REBUILT_RECORDS_RETRY_DELAY, () -> load(ReplicaLoader.SINCE_FIRST_PAGE));
   }
 
   private void replaceAll(
-      ReplicaLoader.Loaded all,
+      ReplicaLoader.Loaded loaded,
       Collection<RecordsSnapshot.JobSnapshot> rebuilt,
       Collection<StateStoreProtocol.Event> records) {
     index().replaceAll(rebuilt, records);
-    revision = all.revision();
-    reads.confirm(all.sentAt());
+    revision = loaded.revision();
+    reads.confirm(loaded.sentAt());
     loadState = LoadState.LOADED;
     history.markIndexCurrent();
-    LOG.info("records loaded, keys={} revision={}", all.entries().size(), revision);
+    LOG.info("records loaded, keys={} revision={}", loaded.entries().size(), revision);
     firstLoadListener.run();
     firstLoadListener = () -> {};
     history.reportLoaded();
--- a/src/main/java/io/cherryspool/store/ReplicaLoader.java
+++ b/src/main/java/io/cherryspool/store/ReplicaLoader.java
@@ -9,12 +9,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * Reads all keys of the present incarnation by a {@link KeyScan}, then the changes since its first
- * page: pages are of different revisions, so that only both together are the state at one revision.
- * Failures are retried until it succeeds or is cancelled.
+ * Loads all records of the current incarnation at one revision. It reads all keys with a {@link
+ * KeyScan}, whose pages may be of different revisions, and then applies the changes since the first
+ * page. Failed requests are retried until the load succeeds or is cancelled.
  */
 final class ReplicaLoader {
-  /** In place of a revision: the changes since the first page are read. */
+  /** Stands for the revision of the first page of the scan. */
   static final long SINCE_FIRST_PAGE = -1;
 
   private static final Duration RETRY_DELAY = Duration.ofMillis(300);
@@ -30,19 +30,21 @@
   private boolean isCancelled;
 
   /**
-   * All keys with their values at a revision.
+   * The result of a load: all keys with their values at one revision.
    *
-   * @param entries the last event of each key; a removed key has one without a value
-   * @param sentAt when the last read was sent; all that was committed before is included
+   * @param entries the last event of each key; the event of a removed key has no value
+   * @param sentAt the time at which the last read was sent; everything that was committed before is
+   *     included
    */
   record Loaded(Map<String, StateStoreProtocol.Event> entries, long revision, Duration sentAt) {}
 
   /**
    * Creates a load that is not started yet.
    *
-   * @param minRevision the revision that the copy in use has reached; nothing older replaces it
-   * @param since the revision since which changes are read, or {@link #SINCE_FIRST_PAGE}
-   * @param onLoaded receives the result, unless the load is cancelled before
+   * @param minRevision the revision that the replica has reached; the result of the load is not
+   *     older
+   * @param since the revision after which changes are read, or {@link #SINCE_FIRST_PAGE}
+   * @param onLoaded receives the result, unless the load is cancelled first
    */
   ReplicaLoader(
       EventLoop loop,
@@ -73,9 +75,9 @@
     scan.cancel();
   }
 
-  private void receiveKeys(KeyScan.ScanResult all) {
-    all.entries().forEach(entry -> entries.put(entry.key(), entry));
-    readChanges(since == SINCE_FIRST_PAGE ? all.firstRevision() : since);
+  private void receiveKeys(KeyScan.ScanResult scanned) {
+    scanned.entries().forEach(entry -> entries.put(entry.key(), entry));
+    readChanges(since == SINCE_FIRST_PAGE ? scanned.firstRevision() : since);
   }
 
   private void readChanges(long from) {
@@ -109,8 +111,8 @@
       }
     }
     if (changes.revision() < minRevision.getAsLong()) {
-      // A read that was sent before this one was carried out after it, and callers were answered
-      // from the copy that includes it. Those answers must stay true.
+      // An earlier read of the replica was executed after this one, and callers may have been
+      // answered from the newer state. The load must not set the replica back behind that state.
       readChanges(changes.revision());
       return;
     }
--- a/src/main/java/io/cherryspool/store/SnapshotTracker.java
+++ b/src/main/java/io/cherryspool/store/SnapshotTracker.java
@@ -8,7 +8,8 @@
 
 /**
  * Keeps the jobs of a {@link RecordsSnapshot} up to date with a {@link JobIndex}. A change only
- * marks its job; the next snapshot copies the marked jobs, and shares all others with the last one.
+ * marks its job; the next snapshot copies the marked jobs and shares all others with the previous
+ * snapshot.
  */
 final class SnapshotTracker implements ClusterRecords.RecordsListener {
   private final JobIndex index;
@@ -19,7 +20,7 @@
     this.index = index;
   }
 
-  /** The jobs as the index holds them now. */
+  /** Returns a snapshot of the jobs in the index. */
   PMap<String, RecordsSnapshot.JobSnapshot> jobs() {
     for (JobRecord job : changed) {
       jobs = jobs.plus(job.job().id(), RecordsSnapshot.JobSnapshot.copyOf(job));
--- a/src/main/java/io/cherryspool/store/StateStoreClient.java
+++ b/src/main/java/io/cherryspool/store/StateStoreClient.java
@@ -17,18 +17,19 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The calls to the state store. Each future fails with a {@link StateStoreException}, or with one
- * that has it as its cause; {@link StateStoreException#kindOf} reads both.
+ * Client of the state store. Each future fails with a {@link StateStoreException} or with an
+ * exception that wraps one; {@link StateStoreException#kindOf} handles both.
  *
- * <p>An answer that does not continue the history known to the {@link RollbackDetector}, or that
- * arrives after another incarnation was entered, fails as {@code OUTCOME_UNKNOWN}. Requests are not
- * held back by the {@link RateLimiter}: callers acquire what they send.
+ * <p>A request fails with {@code OUTCOME_UNKNOWN} if its answer does not continue the history that
+ * the {@link RollbackDetector} knows, or if it arrives after another incarnation was entered. The
+ * client does not delay requests to respect the rate limits; callers must acquire them from the
+ * {@link RateLimiter} first.
  */
 public final class StateStoreClient {
-  /** A transaction is sent again after this fraction of its deadline. */
+  /** A transaction without an answer is sent again after its deadline divided by this number. */
   private static final int HEDGE_DIVISOR = 4;
 
-  /** The most keys that one page may hold. */
+  /** The maximum number of keys in one page. */
   private static final int MAX_PAGE_KEYS = 1000;
 
   private static final int OK = 200;
@@ -45,8 +46,8 @@
   /**
    * Creates a client without rollback detection.
    *
-   * @param rateLimiter counts the second copies of transactions
-   * @param deadline how long a request may take before it fails
+   * @param rateLimiter limits and counts the second copies of transactions
+   * @param deadline the time after which a request without an answer fails
    */
   public StateStoreClient(
       EventLoop loop,
@@ -61,68 +62,70 @@
     this.deadline = deadline;
   }
 
-  /** Checks answers against the known history from now on. */
+  /** Sets the detector that checks the answers from now on. */
   public void setRollbackDetector(RollbackDetector rollbackDetector) {
     detector = rollbackDetector;
   }
 
-  /** The mapping of keys that the transactions of this client use. */
+  /** The key space that maps the keys of this client's transactions. */
   public KeySpace keySpace() {
     return keySpace;
   }
 
   /**
-   * The answer to a transaction.
+   * The result of a transaction.
    *
-   * @param applied whether it was applied; if not, a condition failed
-   * @param failed the keys whose conditions failed, empty if it was applied
-   * @param revision the revision at which it was applied or refused
+   * @param applied whether the transaction was applied; if not, a condition failed
+   * @param failed the keys whose conditions failed, empty if the transaction was applied
+   * @param revision the revision at which the transaction was applied or rejected
    */
   public record CommitResult(boolean applied, Set<String> failed, long revision) {}
 
   /**
-   * Sends a compare-and-swap transaction with logical keys, fenced by the present incarnation if
-   * there is one. It may be sent twice, see {@link HedgedTransaction}: if the second copy is
-   * answered, the conditions fail although the first one was applied, and only the records show it.
+   * Sends a compare-and-swap transaction with logical keys, fenced by the current incarnation if
+   * there is one. The transaction may be sent twice, see {@link HedgedTransaction}. If only the
+   * answer to the second copy arrives, the result says that conditions failed even if the first
+   * copy was applied; callers must then read the records to find out.
    *
-   * @param conditions the versions that keys must have, 0 for a key that must be absent
+   * @param conditions the version that each key must have, 0 for a key that must not exist
    */
   public CompletableFuture<CommitResult> commit(
       Map<String, Long> conditions, List<StateStoreProtocol.Change> changes) {
     if (!keySpace.isFenced()) {
-      return commitPhysical(conditions, changes);
+      return commitUnfenced(conditions, changes);
     }
     long minimum = detector.minimumRevision();
-    Incarnation sentIn = keySpace.incarnation();
-    return hedged(keySpace.fencedTransaction(conditions, changes), changes.size())
-        .thenApply(result -> verify(result, minimum, sentIn, changes));
+    Incarnation incarnationAtSending = keySpace.incarnation();
+    return sendHedged(keySpace.fencedTransaction(conditions, changes), changes.size())
+        .thenApply(result -> verify(result, minimum, incarnationAtSending, changes));
   }
 
   /**
-   * Sends a transaction with physical keys and without a fence, for writing the records of the next
-   * incarnation.
+   * Sends a transaction with physical keys and without a fence. A rebuild uses it to write the
+   * records of the next incarnation.
    */
-  public CompletableFuture<CommitResult> commitPhysical(
+  public CompletableFuture<CommitResult> commitUnfenced(
       Map<String, Long> conditions, List<StateStoreProtocol.Change> changes) {
-    return hedged(StateStoreProtocol.transactionRequest(conditions, changes), changes.size());
+    return sendHedged(StateStoreProtocol.transactionRequest(conditions, changes), changes.size());
   }
 
-  private CompletableFuture<CommitResult> hedged(Request request, int changeCount) {
+  private CompletableFuture<CommitResult> sendHedged(Request request, int changeCount) {
     return new HedgedTransaction(this, rateLimiter, request, changeCount)
         .send(loop, deadline.dividedBy(HEDGE_DIVISOR));
   }
 
   /**
-   * An answer from another history, or to a transaction of an earlier incarnation, must not reach a
-   * user: what was applied may have been lost since.
+   * Checks the answer to a transaction. An answer from another history, or to a transaction of an
+   * earlier incarnation, must not reach a user, because the applied changes may have been lost
+   * since.
    */
   private CommitResult verify(
       CommitResult result,
       long minimum,
-      Incarnation sentIn,
+      Incarnation incarnationAtSending,
       List<StateStoreProtocol.Change> changes) {
-    if (keySpace.incarnation() != sentIn) {
-      throw ofAnotherHistory();
+    if (keySpace.incarnation() != incarnationAtSending) {
+      throw differentHistory();
     }
     boolean isOfKnownHistory =
         detector.verifyRevision(result.applied() ? minimum + 1 : minimum, result.revision());
@@ -131,14 +134,14 @@
       isOfKnownHistory = false;
     }
     if (!isOfKnownHistory) {
-      throw ofAnotherHistory();
+      throw differentHistory();
     }
     if (result.applied()) {
       detector.onCommitApplied(changes, result.revision());
       return result;
     }
     Set<String> failed = new HashSet<>();
-    result.failed().forEach(key -> failed.add(keySpace.toLogical(key)));
+    result.failed().forEach(key -> failed.add(keySpace.toLogicalKey(key)));
     return new CommitResult(false, failed, result.revision());
   }
 
@@ -161,32 +164,32 @@
   }
 
   /**
-   * Reads one page of physical keys, of any incarnation.
+   * Reads one page of physical keys, which may belong to any incarnation.
    *
-   * @param after the last key of the page before, null for the first page
+   * @param after the last key of the previous page, null for the first page
    */
-  public CompletableFuture<StateStoreProtocol.KeyPage> list(String prefix, String after) {
+  public CompletableFuture<StateStoreProtocol.KeyPage> listKeys(String prefix, String after) {
     long minimum = detector.minimumRevision();
-    Incarnation sentIn = keySpace.incarnation();
+    Incarnation incarnationAtSending = keySpace.incarnation();
     return call(
             StateStoreProtocol.listRequest(prefix, after, MAX_PAGE_KEYS),
             deadline,
             StateStoreProtocol::parsePage)
-        .thenApply(page -> verify(page, sentIn, minimum, page.revision()));
+        .thenApply(page -> verify(page, incarnationAtSending, minimum, page.revision()));
   }
 
   /**
-   * The identity record as it was read.
+   * The result of a read of the identity record.
    *
-   * @param incarnation null if there is no such record
+   * @param incarnation the decoded record, null if there is none
    * @param version the record's version, 0 if there is none
-   * @param revision the revision of the state store at that moment
+   * @param revision the revision of the state store at which the record was read
    */
   public record IncarnationReading(Incarnation incarnation, long version, long revision) {}
 
   /** Reads the identity record. */
   public CompletableFuture<IncarnationReading> readIncarnation() {
-    return list(Incarnation.KEY, null)
+    return listKeys(Incarnation.KEY, null)
         .thenApply(
             page -> {
               if (page.entries().isEmpty()) {
@@ -198,31 +201,32 @@
             });
   }
 
-  private <T> T verify(T answer, Incarnation sentIn, long minimum, long revision) {
-    if (keySpace.incarnation() != sentIn || !detector.verifyRevision(minimum, revision)) {
-      throw ofAnotherHistory();
+  private <T> T verify(T answer, Incarnation incarnationAtSending, long minimum, long revision) {
+    if (keySpace.incarnation() != incarnationAtSending
+        || !detector.verifyRevision(minimum, revision)) {
+      throw differentHistory();
     }
     return answer;
   }
 
   /**
-   * Reads the changes of physical keys after a revision. Fails as {@code GONE} if the state store
-   * keeps no history that old.
+   * Reads the changes of physical keys after a revision. Fails with {@code GONE} if the state store
+   * has compacted that part of its history.
    *
-   * @param maxWait how long the state store waits for the first change before it answers without
+   * @param maxWait how long the state store waits for a change before it answers without changes
    */
   public CompletableFuture<StateStoreProtocol.WatchResult> readChanges(
       String prefix, long afterRevision, Duration maxWait) {
     long minimum = detector.minimumRevision();
-    Incarnation sentIn = keySpace.incarnation();
+    Incarnation incarnationAtSending = keySpace.incarnation();
     return call(
             StateStoreProtocol.watchRequest(prefix, afterRevision, maxWait),
             deadline.plus(maxWait),
             StateStoreProtocol::parseChanges)
-        .thenApply(changes -> verify(changes, sentIn, minimum, changes.revision()));
+        .thenApply(changes -> verify(changes, incarnationAtSending, minimum, changes.revision()));
   }
 
-  /** Requests a lease; completes with its id. */
+  /** Requests a lease. The future completes with the id of the lease. */
   public CompletableFuture<Long> grantLease(Duration timeToLive) {
     return call(
         StateStoreProtocol.grantLeaseRequest(timeToLive),
@@ -230,12 +234,12 @@
         StateStoreProtocol::parseLeaseId);
   }
 
-  /** Renews a lease by its time to live. Fails as {@code GONE} if it has expired. */
+  /** Renews a lease for its time to live. Fails with {@code GONE} if the lease has expired. */
   public CompletableFuture<Void> renewLease(long leaseId) {
     return call(StateStoreProtocol.renewLeaseRequest(leaseId), deadline, body -> null);
   }
 
-  /** Ends a lease, and with it the keys attached to it. */
+  /** Ends a lease. The state store then deletes the keys that are attached to it. */
   public CompletableFuture<Void> revokeLease(long leaseId) {
     return call(StateStoreProtocol.revokeLeaseRequest(leaseId), deadline, body -> null);
   }
@@ -255,9 +259,10 @@
   }
 
   /**
-   * Reads the body of an answer, or throws what is known of the effect of a failed request.
+   * Reads the body of an answer, or throws an exception that says what is known about the effect of
+   * a failed request.
    *
-   * @param acceptedStatus a status besides 200 whose body is an answer
+   * @param acceptedStatus a status in addition to 200 whose body is an answer
    */
   private static JsonNode readBody(Reply reply, Throwable failure, int acceptedStatus) {
     if (failure != null) {
@@ -272,15 +277,17 @@
       }
     }
     throw new StateStoreException(
-        StateStoreException.Kind.ofStatus(status), "the state store answered " + status);
+        StateStoreException.Kind.ofStatus(status),
+        "the state store answered with HTTP status " + status);
   }
 
   private static StateStoreException outcomeUnknown(String message) {
     return new StateStoreException(StateStoreException.Kind.OUTCOME_UNKNOWN, message);
   }
 
-  private static StateStoreException ofAnotherHistory() {
-    return outcomeUnknown("the answer is of another history");
+  private static StateStoreException differentHistory() {
+    return outcomeUnknown(
+        "the answer does not continue the known history of the state store, or is of an earlier incarnation");
   }
 
   @FunctionalInterface
--- a/src/main/java/io/cherryspool/store/StateStoreException.java
+++ b/src/main/java/io/cherryspool/store/StateStoreException.java
@@ -2,24 +2,29 @@
 
 import java.util.concurrent.CompletionException;
 
-/** A request to the state store failed, or its answer must not be used. */
+/** Thrown if a request to the state store failed or its answer must not be used. */
 public final class StateStoreException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** What is known of the request's effect. */
+  /** What is known about the effect of the request. */
   public enum Kind {
-    /** It was not executed, and may be tried again. */
+    /** The request was not executed and may be retried. */
     NOT_EXECUTED,
-    /** It was not executed, since all nodes together exceed the state store's limits. */
+    /**
+     * The request was not executed, because all nodes together exceed the state store's rate
+     * limits.
+     */
     RATE_LIMITED,
-    /** It may have been executed, or may still be. */
+    /** The request may have been executed, or may still be executed later. */
     OUTCOME_UNKNOWN,
-    /** What it names no longer exists: an expired lease, or history that was compacted. */
+    /**
+     * The request refers to something that no longer exists: an expired lease or compacted history.
+     */
     GONE,
-    /** It can't succeed as it is. */
+    /** The request is invalid and can't succeed. */
     INVALID_REQUEST;
 
-    /** The meaning of an HTTP status that is not a success. */
+    /** Returns the kind of failure that an HTTP error status stands for. */
     static Kind ofStatus(int status) {
       return switch (status) {
         case 429 -> RATE_LIMITED;
@@ -33,20 +38,20 @@
 
   private final Kind kind;
 
-  /** A failure of this kind; the message says what failed. */
+  /** Creates an exception of this kind. */
   public StateStoreException(Kind kind, String message) {
     super(message);
     this.kind = kind;
   }
 
-  /** What is known of the request's effect. */
+  /** What is known about the effect of the request. */
   public Kind kind() {
     return kind;
   }
 
   /**
-   * The kind of a failure, also if it is wrapped in {@link CompletionException}s; {@link
-   * Kind#OUTCOME_UNKNOWN} for any other exception.
+   * Returns the kind of a failure, which may be wrapped in {@link CompletionException}s. Returns
+   * {@link Kind#OUTCOME_UNKNOWN} for any other exception.
    */
   public static Kind kindOf(Throwable failure) {
     Throwable cause = failure;
--- a/src/main/java/io/cherryspool/store/WatchStream.java
+++ b/src/main/java/io/cherryspool/store/WatchStream.java
@@ -5,17 +5,20 @@
 import java.time.Duration;
 
 /**
- * The long poll that keeps a {@link Replica} close to the end of the history. It ends itself when
- * the replica reloads, is suspended or stops, and has to be opened again afterwards.
+ * Long polls for changes, which keep a {@link Replica} close to the newest revision. Polling ends
+ * when the replica reloads, is suspended or stops; {@link #open} must then be called again.
  */
 final class WatchStream {
-  /** How long the state store holds a poll without changes. */
+  /** How long the state store waits for a change before it answers a poll. */
   static final Duration POLL_WAIT = Duration.ofSeconds(10);
 
-  /** Pause before the next poll after an answer, so that a busy time costs few requests. */
+  /**
+   * Delay between an answer and the next poll, which limits the number of requests while there are
+   * many changes.
+   */
   private static final Duration POLL_PAUSE = Duration.ofMillis(100);
 
-  /** Pause before the next poll after a failure. */
+  /** Delay between a failure and the next poll. */
   private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
   private final EventLoop loop;
@@ -23,7 +26,7 @@
   private final RateLimiter rateLimiter;
   private final Replica replica;
 
-  /** The next poll; null while one is outstanding or none is planned. */
+  /** The timer of the next poll, null while a poll is outstanding or none is scheduled. */
   private EventLoop.Timer nextPoll;
 
   WatchStream(EventLoop loop, StateStoreClient client, RateLimiter rateLimiter, Replica replica) {
@@ -33,7 +36,7 @@
     this.replica = replica;
   }
 
-  /** Polls for changes after the replica's revision, again and again. */
+  /** Starts polling repeatedly for changes after the replica's revision. */
   void open() {
     nextPoll = null;
     int generation = replica.generation();
@@ -57,13 +60,17 @@
     } else {
       replica.handleReadFailure(failure, after);
     }
-    // A poll from before a reload may return beside the one that was opened after it.
+    // A poll that was sent before a reload may be answered while the one that was opened after the
+    // reload is outstanding.
     if (replica.isFollowing(generation) && nextPoll == null) {
       nextPoll = loop.schedule(failure == null ? POLL_PAUSE : RETRY_DELAY, this::open);
     }
   }
 
-  /** Cancels the next poll. The answer of an outstanding one is left to the replica's state. */
+  /**
+   * Cancels the next poll. The answer to an outstanding poll is still applied if the replica is
+   * following changes when it arrives.
+   */
   void close() {
     if (nextPoll != null) {
       nextPoll.cancel();
--- a/src/test/java/io/cherryspool/recovery/RebuildElectionTest.java
+++ b/src/test/java/io/cherryspool/recovery/RebuildElectionTest.java
@@ -87,7 +87,7 @@
   @Test
   void theFormerLeaderGoesBeforeNodesThatRetainLaterRecords() {
     RecoveryState state = holding(RETAINED);
-    state.loseIncarnation(Loss.REVISION_WENT_BACK, Optional.empty(), true);
+    state.recordLoss(Loss.REVISION_WENT_BACK, Optional.empty(), true);
     RebuildElection election = election(state);
     node.addPeer(peer("node-1", true, RetainedRecords.Phase.HOLDING, REVISION + 1));
     fixture.run(AFTER_GATHERING_S);
--- a/src/test/java/io/cherryspool/store/StoredFormatsTest.java
+++ b/src/test/java/io/cherryspool/store/StoredFormatsTest.java
@@ -189,11 +189,11 @@
     expected.put("c/unknown/req-000412", Records.unknownJobKey("req-000412"));
     expected.put("c/held/req-000412", Records.heldJobKey("req-000412"));
     expected.forEach((key, written) -> assertEquals(key, written));
-    assertEquals("c/jobs/x", Incarnation.firstInstallation("cluster-1").toPhysical("c/jobs/x"));
-    assertEquals("c/@3-9f3a/jobs/x", REBUILT.toPhysical("c/jobs/x"));
+    assertEquals("c/jobs/x", Incarnation.firstInstallation("cluster-1").toPhysicalKey("c/jobs/x"));
+    assertEquals("c/@3-9f3a/jobs/x", REBUILT.toPhysicalKey("c/jobs/x"));
     KeySpace space = new KeySpace();
     space.enter(REBUILT, 88);
-    assertEquals("c/jobs/x", space.toLogical("c/@3-9f3a/jobs/x"));
+    assertEquals("c/jobs/x", space.toLogicalKey("c/@3-9f3a/jobs/x"));
   }
 
   /** Each names the version of the incarnation's record, and deletes and leases as they are. */
