--- a/src/main/java/io/cherryspool/cli/CheckConfigCommand.java
+++ b/src/main/java/io/cherryspool/cli/CheckConfigCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Checks the settings without starting a node. */
+/** Validates both settings files without starting a node. */
 @Command(
     name = "check-config",
     mixinStandardHelpOptions = true,
@@ -17,7 +17,7 @@
   public Integer call() {
     Optional<LoadedSettings> settings = files.load();
     if (settings.isEmpty()) {
-      return NodeLauncher.BAD_SETTINGS;
+      return NodeLauncher.INVALID_SETTINGS;
     }
     System.out.println("settings of " + settings.get().platform().name() + " are fine");
     return 0;
--- a/src/main/java/io/cherryspool/cli/ClassDataTraining.java
+++ b/src/main/java/io/cherryspool/cli/ClassDataTraining.java
@@ -29,22 +29,26 @@
 import java.util.jar.JarFile;
 
 /**
- * The training run for the class-data archive: a whole node among {@link TrainingServices}, from
- * reading its settings to its shutdown. The archive that the JDK writes at exit then holds the
- * classes and lambdas of a node that starts, becomes leader and serves; only what was in use is
- * archived. Without it a start on a fraction of a core takes seconds.
+ * The training run for the class-data sharing archive: runs a complete node with {@link
+ * TrainingServices}, from reading its settings to its shutdown. The JDK archives only what was in
+ * use, so the archive that it writes at exit contains the classes and lambdas of a node that
+ * starts, becomes leader and serves requests. Without the archive, a start on a fraction of a core
+ * takes seconds.
  */
 final class ClassDataTraining {
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
   private static final int MAX_SOCKETS = 16;
 
-  /** Bounds each wait; the node leads and knows the machine after a second and a half. */
+  /**
+   * The maximum number of polls of each wait. The node leads and has registered the machine after a
+   * second and a half.
+   */
   private static final int MAX_POLLS = 100;
 
   private static final int POLL_INTERVAL_MS = 50;
   private static final String HOST = "127.0.0.1";
 
-  /** The status of a request that was not answered. */
+  /** Stands for the status of a request that got no response. */
   private static final int NO_ANSWER = 0;
 
   private final NettyEventLoop loop = new NettyEventLoop();
@@ -63,8 +67,8 @@
   }
 
   /**
-   * Runs the node and uses it. The node still runs afterwards: the caller ends the process, so that
-   * the shutdown is part of the training too.
+   * Runs the node and sends requests to it. The node is still running when this method returns; the
+   * caller ends the process, so that the shutdown is part of the training too.
    */
   static void run() throws Exception {
     ClassDataTraining training = new ClassDataTraining();
@@ -81,7 +85,7 @@
 
   private static void serve(Path settings) {
     try {
-      NodeLauncher.serve(settings, Path.of(LoadedSettings.OPERATORS_FILE));
+      NodeLauncher.serve(settings, Path.of(LoadedSettings.DEFAULT_OPERATORS_FILE));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -106,7 +110,7 @@
     return answer.get(2 * REQUEST_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /** A job is submitted, placed, completed and polled; another is cancelled. */
+  /** Submits a job, completes it and queries it; submits and cancels another. */
   private void useNode() throws Exception {
     Job completed = job("req-000001");
     Job cancelled = job("req-000002");
@@ -125,7 +129,9 @@
     Thread.sleep(POLL_INTERVAL_MS);
   }
 
-  /** Sends the worker's heartbeats until the node has placed the job and recorded its end. */
+  /**
+   * Sends the worker's heartbeats until the node has placed the job and recorded its completion.
+   */
   private void runToCompletion(Job job) throws Exception {
     boolean isSubmitted = false;
     for (int i = 0; i < MAX_POLLS; i++) {
@@ -181,7 +187,10 @@
         Instant.EPOCH);
   }
 
-  /** Settings as the platform writes them. The node is its own peer: nothing else listens. */
+  /**
+   * Returns settings in the platform's format. The node is its own peer, since no other process
+   * listens.
+   */
   private ObjectNode settings() throws IOException {
     String mesh = new Endpoint(HOST, freePort()).toString();
     ObjectNode root = Json.object().put("host_name", "training");
@@ -216,7 +225,7 @@
     return root;
   }
 
-  /** Loads the program's classes that the run did not use, where it runs from its jar. */
+  /** Loads the program's classes that the run did not use, if the program runs from its jar. */
   private static void loadOwnClasses()
       throws IOException, URISyntaxException, ClassNotFoundException {
     Path home =
--- a/src/main/java/io/cherryspool/cli/ClassDataTrainingCommand.java
+++ b/src/main/java/io/cherryspool/cli/ClassDataTrainingCommand.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** Runs {@link ClassDataTraining}; a step of the build, not for operators. */
+/** Runs {@link ClassDataTraining}. This is a build step and not meant for operators. */
 @Command(
     name = "rehearse",
     hidden = true,
@@ -12,7 +12,7 @@
   @Override
   public Integer call() throws Exception {
     ClassDataTraining.run();
-    // The node's threads still run: ending the process is what shuts the node down.
+    // The node's threads are still running; exiting triggers the node's shutdown hook.
     System.exit(0);
     return 0;
   }
--- a/src/main/java/io/cherryspool/cli/JsonText.java
+++ b/src/main/java/io/cherryspool/cli/JsonText.java
@@ -5,14 +5,14 @@
 import com.fasterxml.jackson.databind.SerializationFeature;
 import java.io.IOException;
 
-/** Reads and lays out the JSON of nodes' answers for printing. */
+/** Parses and formats the JSON of nodes' responses for printing. */
 final class JsonText {
   private static final ObjectMapper MAPPER =
       new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
   private JsonText() {}
 
-  /** The same JSON over several lines; the text as it is if it is not JSON. */
+  /** Returns the JSON indented over several lines, or the unchanged text if it is not JSON. */
   static String indented(String text) {
     try {
       return MAPPER.writeValueAsString(MAPPER.readTree(text));
@@ -21,7 +21,7 @@
     }
   }
 
-  /** The text as JSON; an empty object if it is not JSON. */
+  /** Parses the text as JSON; returns an empty object if it is not JSON. */
   static JsonNode parse(String text) {
     try {
       return MAPPER.readTree(text);
@@ -30,7 +30,7 @@
     }
   }
 
-  /** The value of a text field of an object; the whole text if there is no such field. */
+  /** Returns the text of a field of a JSON object, or the whole text if there is no such field. */
   static String field(String text, String name) {
     JsonNode found = parse(text).path(name);
     return found.isTextual() ? found.textValue() : text;
--- a/src/main/java/io/cherryspool/cli/LinksCommand.java
+++ b/src/main/java/io/cherryspool/cli/LinksCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Shows the links between the controllers, and from them to the services and the workers. */
+/** Shows the state of the controllers' links to one another, to the services and to workers. */
 @Command(
     name = "links",
     mixinStandardHelpOptions = true,
@@ -24,7 +24,7 @@
       "2:wrong use"
     })
 final class LinksCommand implements Callable<Integer> {
-  /** The exit status when the node answers and a link is not up. */
+  /** The exit status if the node responds and some link is not up. */
   private static final int NOT_ALL_UP = 1;
 
   private static final double MILLIS_PER_SECOND = 1000;
@@ -33,22 +33,22 @@
   @Mixin private NodeAddress node;
 
   @Option(names = "--json", description = "Prints what the node answers, for programs.")
-  private boolean isJsonWanted;
+  private boolean printsJson;
 
   @Override
   public Integer call() throws InterruptedException {
     Optional<NodeClient.Answer> received =
         NodeClient.send(spec.commandLine(), node, HttpRequest.newBuilder().GET(), "/links");
     if (received.isEmpty()) {
-      return NodeClient.REFUSED;
+      return NodeClient.REQUEST_FAILED;
     }
     NodeClient.Answer answer = received.get();
     if (answer.status() != NodeClient.OK) {
       System.err.println("cherryspool: " + answer.address() + " does not tell of its links");
-      return NodeClient.REFUSED;
+      return NodeClient.REQUEST_FAILED;
     }
     JsonNode root = JsonText.parse(answer.body());
-    if (isJsonWanted) {
+    if (printsJson) {
       System.out.println(JsonText.indented(answer.body()));
     } else {
       describe(root).forEach(System.out::println);
@@ -56,7 +56,7 @@
     return root.path("all_up").asBoolean() ? 0 : NOT_ALL_UP;
   }
 
-  /** The lines that are printed for people, from a node's answer. */
+  /** Returns a human-readable description of a node's response, line by line. */
   private static List<String> describe(JsonNode root) {
     List<String> lines = new ArrayList<>();
     lines.add("as " + root.path("node").asText() + " knows it:");
--- a/src/main/java/io/cherryspool/cli/LoadedSettings.java
+++ b/src/main/java/io/cherryspool/cli/LoadedSettings.java
@@ -7,19 +7,20 @@
 import java.util.Optional;
 
 /**
- * Both settings of a node, read and checked.
+ * The validated settings of a node from both files.
  *
- * @param platform the settings that the platform hands over
+ * @param platform the settings that the platform provides
  * @param operators the settings that operators may add
  */
 record LoadedSettings(Settings platform, OperatorSettings operators) {
-  /** Where the operators' settings are unless an option says otherwise. */
-  static final String OPERATORS_FILE = "deploy/cherryspool.xml";
+  /** The operators' settings file that is read if no option names another. */
+  static final String DEFAULT_OPERATORS_FILE = "deploy/cherryspool.xml";
 
   /**
-   * Reads both files. A mistake is printed to standard error, as one line that names the file.
+   * Reads and validates both files. Prints an error in them to standard error, as one line that
+   * names the file.
    *
-   * @return the settings; empty if they hold a mistake
+   * @return the settings; empty if they contain an error
    */
   static Optional<LoadedSettings> load(Path config, Path operators) {
     try {
--- a/src/main/java/io/cherryspool/cli/Logging.java
+++ b/src/main/java/io/cherryspool/cli/Logging.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Sets up SLF4J's simple logger. */
+/** Configures SLF4J's simple logger. */
 final class Logging {
   private static final Set<String> LEVELS = Set.of("error", "warn", "info", "debug", "trace");
 
@@ -12,12 +12,14 @@
   private Logging() {}
 
   /**
-   * Sets the level and the form of log lines. Must be called before the first logger is made.
+   * Sets the log level and the format of log lines. Must be called before the first logger is
+   * created.
    *
-   * @param wanted the level's name in any case; null or an unknown one stands for the default
+   * @param levelName the name of the level in upper or lower case; null or an unknown name selects
+   *     the default
    */
-  static void configure(String wanted) {
-    String level = wanted == null ? DEFAULT_LEVEL : wanted.trim().toLowerCase(Locale.ROOT);
+  static void configure(String levelName) {
+    String level = levelName == null ? DEFAULT_LEVEL : levelName.trim().toLowerCase(Locale.ROOT);
     if (!LEVELS.contains(level)) {
       level = DEFAULT_LEVEL;
     }
--- a/src/main/java/io/cherryspool/cli/MetricsExport.java
+++ b/src/main/java/io/cherryspool/cli/MetricsExport.java
@@ -7,19 +7,20 @@
 import java.util.List;
 
 /**
- * Writes a node's meters as Prometheus text. The registry is made at the first scrape, to keep its
- * classes out of a node's start-up; meters keep their own values until then.
+ * Exports a node's meters in the Prometheus text format. The registry is created at the first
+ * scrape, so that its classes are not loaded during a node's start-up; until then the meters keep
+ * their values themselves.
  */
 final class MetricsExport {
   private final List<MeterBinder> meters = new ArrayList<>();
   private PrometheusMeterRegistry registry;
 
-  /** Adds meters. Has no effect after the first scrape. */
+  /** Adds meters to the export. Has no effect after the first scrape. */
   void add(MeterBinder binder) {
     meters.add(binder);
   }
 
-  /** The current values in the Prometheus text format. Called on the event loop only. */
+  /** Returns the current values in the Prometheus text format. Must be called on the event loop. */
   String scrape() {
     if (registry == null) {
       registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
--- a/src/main/java/io/cherryspool/cli/NodeAddress.java
+++ b/src/main/java/io/cherryspool/cli/NodeAddress.java
@@ -6,12 +6,12 @@
 import picocli.CommandLine.ArgGroup;
 import picocli.CommandLine.Option;
 
-/** The options that name a running node: by its address, or by its settings file. */
+/** The options that select a running node, either by its address or by its settings file. */
 final class NodeAddress {
   @ArgGroup(exclusive = true, multiplicity = "1")
   private Choice choice;
 
-  /** The two options, of which exactly one is given. */
+  /** The two options, of which exactly one must be given. */
   static final class Choice {
     @Option(
         names = "--node",
@@ -31,9 +31,9 @@
   }
 
   /**
-   * The node's address as HOST:PORT, as it was given; it may be malformed.
+   * Returns the node's address as HOST:PORT. An address given as an option is not validated.
    *
-   * @throws ConfigException if the settings file that should hold it has a mistake
+   * @throws ConfigException if the settings file that contains the address has an error
    */
   String resolve() throws ConfigException {
     return choice.resolve();
--- a/src/main/java/io/cherryspool/cli/NodeClient.java
+++ b/src/main/java/io/cherryspool/cli/NodeClient.java
@@ -11,15 +11,15 @@
 import picocli.CommandLine;
 import picocli.CommandLine.ParameterException;
 
-/** Sends an operator's request to a running node and waits for the answer. */
+/** Sends an operator's request to a running node and waits for the response. */
 final class NodeClient {
-  /** The exit status when the node refuses, or can't be reached. */
-  static final int REFUSED = 1;
+  /** The exit status if the node refuses the request or cannot be reached. */
+  static final int REQUEST_FAILED = 1;
 
-  /** The HTTP status of a request that was carried out. */
+  /** The HTTP status of a request that was executed. */
   static final int OK = 200;
 
-  /** The HTTP status of a resource that the node does not serve with its settings. */
+  /** The HTTP status of a resource that the node's settings disable. */
   static final int NOT_FOUND = 404;
 
   private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -27,19 +27,20 @@
   private NodeClient() {}
 
   /**
-   * What a node answered.
+   * A node's response.
    *
-   * @param address the node's address, as HOST:PORT
+   * @param address the address of the node, as HOST:PORT
    * @param status the HTTP status
    */
   record Answer(String address, int status, String body) {}
 
   /**
-   * Sends the request. If there is no answer, the reason is printed to standard error.
+   * Sends the request and waits for the response. If there is none, prints the reason to standard
+   * error.
    *
-   * @param command the command whose usage is shown if the address is wrong
-   * @return the answer, whatever its status; empty if there is none
-   * @throws ParameterException if the address, or the settings that hold it, can't be read
+   * @param command the command whose usage is shown if the address is invalid
+   * @return the response with any status; empty if there is none
+   * @throws ParameterException if the address, or the settings file that contains it, is invalid
    */
   static Optional<Answer> send(
       CommandLine command, NodeAddress node, HttpRequest.Builder request, String path)
--- a/src/main/java/io/cherryspool/cli/NodeLauncher.java
+++ b/src/main/java/io/cherryspool/cli/NodeLauncher.java
@@ -27,31 +27,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Wires the modules of a node on real sockets and clocks, and runs it. A launcher runs one node,
- * from the main thread; the node itself lives on its event loop.
+ * Creates the components of a node with real sockets and clocks, and runs the node. A launcher runs
+ * a single node and is used on the main thread; the node itself runs on its event loop.
  */
 final class NodeLauncher {
-  /** The exit status when the settings hold a mistake. */
-  static final int BAD_SETTINGS = 2;
+  /** The exit status if the settings contain an error. */
+  static final int INVALID_SETTINGS = 2;
 
   private static final Logger LOG = LoggerFactory.getLogger(NodeLauncher.class);
 
-  /** The exit status when a port can't be bound. */
-  private static final int CANNOT_LISTEN = 1;
+  /** The exit status if a port cannot be bound. */
+  private static final int BIND_FAILED = 1;
 
   /**
-   * The fraction of all sockets that is kept for the node's own calls: to the state store, the
+   * The fraction of all sockets that is reserved for the node's own calls to the state store, the
    * cloud, the workers and the other nodes.
    */
   private static final double OWN_SOCKETS_FRACTION = 0.25;
 
   /**
-   * The fraction of those that HTTP calls may use; the mesh, files and connections that are being
-   * closed have the rest.
+   * The fraction of the reserved sockets that HTTP calls may use. The rest is for the mesh, files
+   * and connections that are being closed.
    */
   private static final double HTTP_CALLS_FRACTION = 0.8;
 
-  /** How long a starting node waits for the records before it listens without them. */
+  /** How long a starting node waits for its records to load before it listens without them. */
   private static final Duration MAX_LOAD_WAIT = Duration.ofSeconds(6);
 
   private final Settings platform;
@@ -78,7 +78,7 @@
   }
 
   /**
-   * Runs a node until it is ended.
+   * Runs a node until the process is terminated.
    *
    * @param config the platform's settings file
    * @param operators the operators' settings file, which may be absent
@@ -86,10 +86,10 @@
    */
   static int serve(Path config, Path operators) throws InterruptedException {
     Optional<LoadedSettings> settings = LoadedSettings.load(config, operators);
-    return settings.isPresent() ? run(settings.get()) : BAD_SETTINGS;
+    return settings.isPresent() ? run(settings.get()) : INVALID_SETTINGS;
   }
 
-  /** Runs a node until it is ended; returns the exit status. */
+  /** Runs a node until the process is terminated; returns the exit status. */
   static int run(LoadedSettings settings) throws InterruptedException {
     NodeLauncher node = new NodeLauncher(settings);
     node.stopOnShutdown();
@@ -100,7 +100,7 @@
     } catch (Exception e) {
       // Netty throws the checked BindException without declaring it.
       System.err.println("cherryspool: " + e.getMessage());
-      return CANNOT_LISTEN;
+      return BIND_FAILED;
     }
     node.loop.awaitTermination();
     return 0;
@@ -110,22 +110,26 @@
     controller.receivePeerHeartbeat(heartbeat);
   }
 
-  /** The hook only enqueues the stops: they run on the event loop, in this order. */
+  /**
+   * Adds a shutdown hook that stops the components of the node. The hook only enqueues these calls,
+   * which then run on the event loop in the given order.
+   */
   private void stopOnShutdown() {
     List<Runnable> stops = List.of(controller::stop, mesh::stop, loop::shutdown);
     Runtime.getRuntime()
         .addShutdownHook(new Thread(() -> stops.forEach(loop::execute), "shutdown"));
   }
 
-  /** Starts the node, and returns once it listens for requests. */
+  /** Starts the node and returns once it listens for requests. */
   private void start() throws InterruptedException {
     CountDownLatch loaded = new CountDownLatch(1);
     mesh.bind(platform.meshAddress());
     loop.execute(mesh::start);
     loop.execute(() -> controller.onRecordsLoaded(loaded::countDown));
     loop.execute(controller::start);
-    // Without the records every request would be refused. After a restart of all nodes a thousand
-    // workers connect at once, and a connection refused by the system costs next to nothing.
+    // Until the records are loaded, the node would refuse every request. After a restart of all
+    // nodes, a thousand workers connect at once, and a connection that the operating system refuses
+    // costs almost nothing.
     boolean isLoaded = loaded.await(MAX_LOAD_WAIT.toMillis(), TimeUnit.MILLISECONDS);
     server.bind(platform.clientAddress());
     LOG.info(
@@ -136,7 +140,7 @@
         isLoaded ? "" : ", with no records read yet");
   }
 
-  /** A controller on the loop's sockets and the machine's clock. */
+  /** Creates a controller that uses the loop's sockets and the system clock. */
   private static Controller controller(
       Settings platform,
       OperatorSettings operators,
@@ -163,15 +167,15 @@
             Optional.empty()));
   }
 
-  /** Snapshots are written by a daemon thread of their own, since files block. */
+  /** Returns a target that writes snapshots on a daemon thread, since file operations block. */
   private static SnapshotTarget snapshots(Path directory) {
-    ExecutorService writer =
+    ExecutorService snapshotExecutor =
         Executors.newSingleThreadExecutor(
             task -> {
               Thread thread = new Thread(task, "snapshots");
               thread.setDaemon(true);
               return thread;
             });
-    return new SnapshotTarget(new DirectorySnapshotStore(directory), writer);
+    return new SnapshotTarget(new DirectorySnapshotStore(directory), snapshotExecutor);
   }
 }
--- a/src/main/java/io/cherryspool/cli/RecoveryCommand.java
+++ b/src/main/java/io/cherryspool/cli/RecoveryCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The group of commands that ask a running node about lost state. */
+/** The group of commands that deal with a loss of state, through a running node. */
 @Command(
     name = "recovery",
     mixinStandardHelpOptions = true,
@@ -20,14 +20,15 @@
 final class RecoveryCommand implements Runnable {
   @Spec private CommandSpec spec;
 
-  /** Called when no subcommand is named, which is wrong use. */
+  /** Called if no subcommand is given, which is a usage error. */
   @Override
   public void run() {
     throw new ParameterException(spec.commandLine(), "Say what to do: status, held or resolve.");
   }
 
   /**
-   * Sends a request to the node and prints its answer, or on standard error why there is none.
+   * Sends a request to the node and prints its response. If the request fails, prints the reason to
+   * standard error.
    *
    * @param resource the last part of the path, below {@code /recovery/}
    * @return the exit status
@@ -37,7 +38,7 @@
     Optional<NodeClient.Answer> received =
         NodeClient.send(spec.commandLine(), node, request, "/recovery/" + resource);
     if (received.isEmpty()) {
-      return NodeClient.REFUSED;
+      return NodeClient.REQUEST_FAILED;
     }
     NodeClient.Answer answer = received.get();
     if (answer.status() == NodeClient.OK) {
@@ -49,6 +50,6 @@
             ? answer.address() + " does not look for losses (recovery is off)"
             : JsonText.field(answer.body(), "error");
     System.err.println("cherryspool: " + reason);
-    return NodeClient.REFUSED;
+    return NodeClient.REQUEST_FAILED;
   }
 }
--- a/src/main/java/io/cherryspool/cli/RecoveryHeldCommand.java
+++ b/src/main/java/io/cherryspool/cli/RecoveryHeldCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.ParentCommand;
 
-/** Lists the jobs on which an operator has to decide. */
+/** Lists the jobs that require an operator's decision. */
 @Command(
     name = "held",
     mixinStandardHelpOptions = true,
--- a/src/main/java/io/cherryspool/cli/RecoveryResolveCommand.java
+++ b/src/main/java/io/cherryspool/cli/RecoveryResolveCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.ParentCommand;
 
-/** Hands an operator's decision on one job to a node. */
+/** Sends an operator's decision on a held or unknown job to a node. */
 @Command(
     name = "resolve",
     mixinStandardHelpOptions = true,
@@ -24,7 +24,7 @@
   @ArgGroup(exclusive = true, multiplicity = "1")
   private Decision decision;
 
-  /** What becomes of the job; exactly one option is given. */
+  /** The decision on the job; exactly one of the options must be given. */
   static final class Decision {
     @Option(names = "--repeat", description = "Run again what did not report.")
     boolean shouldRepeat;
@@ -34,8 +34,8 @@
         description = "End the job; its user is told that it is cancelled.")
     boolean shouldAbandon;
 
-    /** The word for it in the request's body. */
-    String word() {
+    /** Returns the name of the decision in the request body. */
+    String protocolName() {
       return shouldRepeat ? "repeat" : "abandon";
     }
   }
@@ -45,7 +45,7 @@
     String body =
         String.format(
             "{\"job\":\"%s\",\"decision\":\"%s\"}",
-            job.replaceAll("[^A-Za-z0-9-]", "?"), decision.word());
+            job.replaceAll("[^A-Za-z0-9-]", "?"), decision.protocolName());
     HttpRequest.BodyPublisher publisher = HttpRequest.BodyPublishers.ofString(body);
     return recovery.send(node, HttpRequest.newBuilder().POST(publisher), "resolve");
   }
--- a/src/main/java/io/cherryspool/cli/RecoveryStatusCommand.java
+++ b/src/main/java/io/cherryspool/cli/RecoveryStatusCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.ParentCommand;
 
-/** Prints a node's standing in a recovery. */
+/** Prints the recovery status of a node. */
 @Command(
     name = "status",
     mixinStandardHelpOptions = true,
--- a/src/main/java/io/cherryspool/cli/RootCommand.java
+++ b/src/main/java/io/cherryspool/cli/RootCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command line as a whole; each subcommand is a class of its own. */
+/** The root of the command line. Each subcommand is a separate class. */
 @Command(
     name = "cherryspool",
     mixinStandardHelpOptions = true,
@@ -27,20 +27,21 @@
   /**
    * Runs the subcommand that the arguments name.
    *
-   * @return the exit status: 0 for success, 1 for a failure, 2 for wrong use or wrong settings
+   * @return the exit status: 0 for success, 1 for a failure, 2 for a usage error or invalid
+   *     settings
    */
   static int execute(String[] args) {
     return new CommandLine(new RootCommand()).execute(args);
   }
 
-  /** Called when no subcommand is named, which is wrong use. */
+  /** Called if no subcommand is given, which is a usage error. */
   @Override
   public void run() {
     throw new ParameterException(
         spec.commandLine(), "Say what to do: serve, check-config, links, recovery or snapshot.");
   }
 
-  /** Reads the version from the jar's manifest. */
+  /** Provides the program's version from the manifest of the jar. */
   static final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() {
--- a/src/main/java/io/cherryspool/cli/ServeCommand.java
+++ b/src/main/java/io/cherryspool/cli/ServeCommand.java
@@ -16,6 +16,6 @@
   @Override
   public Integer call() throws InterruptedException {
     Optional<LoadedSettings> settings = files.load();
-    return settings.isPresent() ? NodeLauncher.run(settings.get()) : NodeLauncher.BAD_SETTINGS;
+    return settings.isPresent() ? NodeLauncher.run(settings.get()) : NodeLauncher.INVALID_SETTINGS;
   }
 }
--- a/src/main/java/io/cherryspool/cli/SettingsFiles.java
+++ b/src/main/java/io/cherryspool/cli/SettingsFiles.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import picocli.CommandLine.Option;
 
-/** The options that name the two settings files. */
+/** The options that select the two settings files. */
 final class SettingsFiles {
   @Option(
       names = "--config",
@@ -16,11 +16,11 @@
   @Option(
       names = "--operators",
       paramLabel = "FILE",
-      defaultValue = LoadedSettings.OPERATORS_FILE,
+      defaultValue = LoadedSettings.DEFAULT_OPERATORS_FILE,
       description = "The operators' settings, XML (default: ${DEFAULT-VALUE}).")
   private Path operators;
 
-  /** Reads and checks both files; see {@link LoadedSettings#load}. */
+  /** Reads and validates both files; see {@link LoadedSettings#load}. */
   Optional<LoadedSettings> load() {
     return LoadedSettings.load(config, operators);
   }
--- a/src/main/java/io/cherryspool/cli/SnapshotCommand.java
+++ b/src/main/java/io/cherryspool/cli/SnapshotCommand.java
@@ -6,25 +6,25 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The group of commands on snapshots as files; no node has to run. */
+/** The group of commands that work on snapshot files; they need no running node. */
 @Command(
     name = "snapshot",
     mixinStandardHelpOptions = true,
     subcommands = {SnapshotListCommand.class, SnapshotVerifyCommand.class},
     description = "Lists and checks the snapshots that nodes keep.")
 final class SnapshotCommand implements Runnable {
-  /** The exit status when a snapshot can't be used, or there is none. */
+  /** The exit status if a snapshot is unusable, or there is none. */
   static final int UNUSABLE = 1;
 
   @Spec private CommandSpec spec;
 
-  /** Called when no subcommand is named, which is wrong use. */
+  /** Called if no subcommand is given, which is a usage error. */
   @Override
   public void run() {
     throw new ParameterException(spec.commandLine(), "Say what to do: list or verify.");
   }
 
-  /** What a usable snapshot holds, in one line. */
+  /** Returns a description of a snapshot's contents in one line. */
   static String describe(SnapshotFile snapshot) {
     return String.format(
         "taken %s, cluster %s, incarnation %d, revision %d, term %d, %d jobs",
--- a/src/main/java/io/cherryspool/cli/SnapshotListCommand.java
+++ b/src/main/java/io/cherryspool/cli/SnapshotListCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Lists the snapshots of a directory; those that can't be used are listed with the reason. */
+/** Lists the snapshots in a directory. Unusable snapshots are listed with the reason. */
 @Command(
     name = "list",
     mixinStandardHelpOptions = true,
--- a/src/main/java/io/cherryspool/cli/SnapshotVerifyCommand.java
+++ b/src/main/java/io/cherryspool/cli/SnapshotVerifyCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Reads one snapshot as a recovery would. */
+/** Checks whether a recovery could read a snapshot. */
 @Command(
     name = "verify",
     mixinStandardHelpOptions = true,
--- a/src/main/java/io/cherryspool/cli/SystemEntropy.java
+++ b/src/main/java/io/cherryspool/cli/SystemEntropy.java
@@ -7,17 +7,18 @@
 import java.security.SecureRandom;
 
 /**
- * Random numbers from the operating system, for a process's id and the seed of its jitter.
+ * Reads random numbers from the operating system, for the id of the process and the seed of its
+ * jitter.
  *
- * <p>The kernel's device is read directly where there is one: it is what {@link SecureRandom} reads
- * too, but that first loads the security providers, which a node needs for nothing else.
+ * <p>If the kernel's random device exists, it is read directly. {@link SecureRandom} reads the same
+ * device, but loads the security providers first, which a node does not need otherwise.
  */
 final class SystemEntropy {
   private static final Path DEVICE = Path.of("/dev/urandom");
 
   private SystemEntropy() {}
 
-  /** Reads {@code count} random numbers, each of all 64 bits. */
+  /** Returns {@code count} random 64-bit numbers. */
   static long[] read(int count) {
     long[] numbers = new long[count];
     try (DataInputStream device = new DataInputStream(Files.newInputStream(DEVICE))) {
--- a/src/main/java/io/cherryspool/cli/TrainingServices.java
+++ b/src/main/java/io/cherryspool/cli/TrainingServices.java
@@ -18,12 +18,13 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Fakes of the services that a node needs in its training run: a state store that grants every
- * transaction, a cloud with one instance, and the worker on it. They speak the wire's words. Used
- * on one event loop and, between its requests, by the thread that drives the run.
+ * Fakes of the services that a node needs in its training run: a state store that commits every
+ * transaction, a cloud with one instance, and the worker on this instance. Field names are those of
+ * the protocols; see the package {@code wire}. Used on a single event loop and, between requests,
+ * by the thread that performs the training run.
  */
 final class TrainingServices implements RequestHandler {
-  /** The zone of the one instance. */
+  /** The zone of the instance. */
   static final String ZONE = "none";
 
   private static final List<MachineType> TYPES =
@@ -34,17 +35,17 @@
   private final Endpoint self;
   private final ArrayNode events = Json.array();
   private final List<CompletableFuture<Reply>> watches = new ArrayList<>();
-  private final ArrayNode pieces = Json.array();
+  private final ArrayNode tasks = Json.array();
   private long revision = 1;
   private long sequence;
   private long token;
 
-  /** Makes services that all listen at {@code self}. */
+  /** Creates services that all listen at {@code self}. */
   TrainingServices(Endpoint self) {
     this.self = self;
   }
 
-  /** Where all of the services listen. */
+  /** Returns the address at which all services listen. */
   Endpoint endpoint() {
     return self;
   }
@@ -54,54 +55,55 @@
     String path = request.path();
     try {
       return switch (path) {
-        case "/keys" -> done(page("entries").put("epoch", revision));
-        case "/follow" -> follow(request.target());
-        case "/commit" -> commit(Json.parseObject(request.body()));
-        case "/catalog" -> done(CloudProtocol.encodeCatalog(TYPES));
-        case "/machines" -> done(request.method().equals("GET") ? instances() : noInstances());
-        case "/commands" -> commands(Json.parseObject(request.body()));
-        case "/inspect" -> done(workerHeartbeat());
-        default -> done(Json.object().put("tenancy", 1));
+        case "/keys" -> ok(emptyPage("entries").put("epoch", revision));
+        case "/follow" -> watch(request.target());
+        case "/commit" -> commitTransaction(Json.parseObject(request.body()));
+        case "/catalog" -> ok(CloudProtocol.encodeCatalog(TYPES));
+        case "/machines" ->
+            ok(request.method().equals("GET") ? instancePage() : emptyInstancePage());
+        case "/commands" -> executeCommands(Json.parseObject(request.body()));
+        case "/inspect" -> ok(workerHeartbeat());
+        default -> ok(Json.object().put("tenancy", 1));
       };
     } catch (MalformedMessageException e) {
       return CompletableFuture.completedFuture(Reply.json(400, new byte[0]));
     }
   }
 
-  /** The worker's next heartbeat. */
+  /** Returns the worker's next heartbeat. */
   ObjectNode workerHeartbeat() {
     ObjectNode node = Json.object().put("spindle", "host-000001").put("endpoint", self.toString());
     node.put("build", "box").put("yard", ZONE).put("loaners", false);
     node.put("shift", 1).put("tick", ++sequence).put("baton", token);
-    node.set("pieces", pieces.deepCopy());
+    node.set("pieces", tasks.deepCopy());
     return node;
   }
 
-  /** Keeps the fencing token of a reply to the worker, unless it knows a later one. */
+  /** Stores the fencing token of a message to the worker, unless the worker has a later one. */
   void receiveToken(JsonNode answer) {
     token = Math.max(token, answer.path("baton").longValue());
   }
 
-  /** Marks all tasks of the worker as completed; false if it has none yet. */
+  /** Marks all tasks of the worker as completed; returns false if the worker has none yet. */
   boolean completeTasks() {
-    for (JsonNode piece : pieces) {
-      ((ObjectNode) piece).put("status", "ended").put("cause", "done");
+    for (JsonNode task : tasks) {
+      ((ObjectNode) task).put("status", "ended").put("cause", "done");
     }
-    return !pieces.isEmpty();
+    return !tasks.isEmpty();
   }
 
-  private static ObjectNode page(String items) {
+  private static ObjectNode emptyPage(String items) {
     ObjectNode page = Json.object().put("has_next", false);
     page.putArray(items);
     return page;
   }
 
-  private static ObjectNode noInstances() {
-    return page("spindles");
+  private static ObjectNode emptyInstancePage() {
+    return emptyPage("spindles");
   }
 
-  private ObjectNode instances() {
-    ObjectNode page = page("spindles");
+  private ObjectNode instancePage() {
+    ObjectNode page = emptyPage("spindles");
     ((ArrayNode) page.path("spindles"))
         .addObject()
         .put("ref", "host-000001")
@@ -114,23 +116,23 @@
     return page;
   }
 
-  private CompletableFuture<Reply> follow(String target) {
+  private CompletableFuture<Reply> watch(String target) {
     if (target.endsWith("block_ms=0")) {
-      return done(changes());
+      return ok(changes());
     }
     CompletableFuture<Reply> watch = new CompletableFuture<>();
     watches.add(watch);
     return watch;
   }
 
-  /** All changes since the start; a node skips those that it has applied. */
+  /** Returns all changes since the start; a node skips those that it has already applied. */
   private ObjectNode changes() {
     ObjectNode changes = Json.object().put("epoch", revision);
     changes.set("events", events.deepCopy());
     return changes;
   }
 
-  private CompletableFuture<Reply> commit(JsonNode body) {
+  private CompletableFuture<Reply> commitTransaction(JsonNode body) {
     revision++;
     for (JsonNode change : body.path("apply")) {
       events.add(((ObjectNode) change).put("stamp", revision));
@@ -138,24 +140,24 @@
     List<CompletableFuture<Reply>> due = List.copyOf(watches);
     watches.clear();
     due.forEach(watch -> watch.complete(Reply.json(200, Json.toBytes(changes()))));
-    return done(Json.object().put("epoch", revision));
+    return ok(Json.object().put("epoch", revision));
   }
 
-  private CompletableFuture<Reply> commands(JsonNode body) {
+  private CompletableFuture<Reply> executeCommands(JsonNode body) {
     receiveToken(body);
-    for (JsonNode order : body.path("orders")) {
-      if (order.path("verb").asText().equals("launch")) {
-        pieces
+    for (JsonNode command : body.path("orders")) {
+      if (command.path("verb").asText().equals("launch")) {
+        tasks
             .addObject()
-            .put("piece", order.path("piece").asText())
-            .put("try", order.path("try").intValue())
+            .put("piece", command.path("piece").asText())
+            .put("try", command.path("try").intValue())
             .put("status", "running");
       }
     }
-    return done(workerHeartbeat());
+    return ok(workerHeartbeat());
   }
 
-  private static CompletableFuture<Reply> done(JsonNode body) {
+  private static CompletableFuture<Reply> ok(JsonNode body) {
     return CompletableFuture.completedFuture(Reply.json(200, Json.toBytes(body)));
   }
 }
--- a/src/main/java/io/cherryspool/cloud/CloudClient.java
+++ b/src/main/java/io/cherryspool/cloud/CloudClient.java
@@ -17,14 +17,15 @@
 
 /**
  * Client of the cloud that provides instances. Used on the event loop, where its futures complete.
- * They fail with {@link RefusedException} if the cloud refused the request, and with another
- * exception if there was no usable answer: then it may have been carried out, or may yet be.
+ * A future fails with {@link RefusedException} if the cloud refused the request, and with another
+ * exception if there was no usable response; in that case the request may have been executed or may
+ * still be executed later.
  */
 public final class CloudClient {
   private static final int MAX_INSTANCES_PER_PAGE = 500;
   private static final int OK = 200;
 
-  /** The status of an outage and of a type that is sold out; the body tells them apart. */
+  /** The status both of an outage and of a type without capacity; the body distinguishes them. */
   private static final int UNAVAILABLE = 503;
 
   private final Transport transport;
@@ -32,10 +33,10 @@
   private final Duration deadline;
 
   /**
-   * Makes a client.
+   * Creates a client.
    *
-   * @param cloud where the cloud takes requests
-   * @param deadline after what time a call fails for want of an answer
+   * @param cloud the address of the cloud
+   * @param deadline the time after which a call without a response fails
    */
   public CloudClient(Transport transport, Endpoint cloud, Duration deadline) {
     this.transport = transport;
@@ -43,38 +44,47 @@
     this.deadline = deadline;
   }
 
-  /** The cloud refused a request, which it has not carried out. */
+  /** Thrown when the cloud has refused a request and has not executed it. */
   public static final class RefusedException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final boolean isOutOfCapacity;
 
     RefusedException(int status, boolean isOutOfCapacity) {
-      super("the cloud answered " + status + (isOutOfCapacity ? ", no capacity" : ""));
+      super(
+          "the cloud refused the request: status "
+              + status
+              + (isOutOfCapacity ? ", no capacity" : ""));
       this.isOutOfCapacity = isOutOfCapacity;
     }
 
-    /** Whether the instance type is sold out in its zone, as opposed to trouble of the cloud. */
+    /**
+     * Whether the cloud has no capacity for the machine type in its zone, as opposed to another
+     * problem of the cloud.
+     */
     public boolean isOutOfCapacity() {
       return isOutOfCapacity;
     }
   }
 
-  /** Whether the cloud says that it can't serve anybody now, as opposed to a type sold out. */
+  /**
+   * Whether the reply means that the cloud cannot serve any request now, as opposed to having no
+   * capacity for one machine type.
+   */
   public static boolean isOutage(Reply reply) {
     return reply.status() == UNAVAILABLE && !CloudProtocol.isNoCapacity(reply.body());
   }
 
-  /** Fetches the catalog; it holds at least one machine type. */
+  /** Fetches the catalog, which contains at least one machine type. */
   public CompletableFuture<List<MachineType>> fetchMachineTypes() {
     return call(CloudProtocol.catalogRequest(), CloudProtocol::parseCatalog);
   }
 
   /**
-   * Lists instances, ordered by name. The list lags: new instances may be missing from it, and some
-   * that are gone may be on it.
+   * Lists instances, ordered by name. The list may be out of date: new instances may be missing
+   * from it, and deleted ones may still be in it.
    *
-   * @param after the name after which the page begins; null for the first page
+   * @param after the last name of the previous page; null for the first page
    */
   public CompletableFuture<CloudProtocol.InstancePage> listInstances(String after) {
     return call(CloudProtocol.listRequest(after, MAX_INSTANCES_PER_PAGE), CloudProtocol::parsePage);
@@ -83,10 +93,10 @@
   /**
    * Requests instances.
    *
-   * @param name the request's name, which no other request may have; repeating a request that was
-   *     carried out returns the same answer and starts nothing
-   * @param count how many instances, at most 50
-   * @return the names of the instances that the cloud starts, which may be fewer
+   * @param name the request's name, which must be unique; repeating a request that was executed
+   *     returns the same response and starts no instances
+   * @param count the number of instances, at most 50
+   * @return the names of the instances that the cloud starts, which may be fewer than requested
    */
   public CompletableFuture<List<String>> requestInstances(
       String name, String type, String zone, boolean isSpot, int count) {
@@ -95,7 +105,10 @@
         CloudProtocol::parseInstanceNames);
   }
 
-  /** Deletes instances, at most 100; they are gone once it completes. Ignores unknown names. */
+  /**
+   * Deletes at most 100 instances, which no longer exist once the future has completed normally.
+   * The cloud ignores unknown names.
+   */
   public CompletableFuture<Void> deleteInstances(List<String> names) {
     return call(CloudProtocol.deleteRequest(names), body -> null);
   }
@@ -114,11 +127,12 @@
       return parser.parse(
           reply.body().length == 0 ? Json.object() : Json.parseObject(reply.body()));
     } catch (MalformedMessageException e) {
-      throw new CompletionException(new IOException("the cloud's answer: " + e.getMessage()));
+      throw new CompletionException(
+          new IOException("malformed response from the cloud: " + e.getMessage()));
     }
   }
 
-  /** Reads the body of an answer. */
+  /** Decodes the body of a response. */
   @FunctionalInterface
   private interface Parser<T> {
     T parse(JsonNode body) throws MalformedMessageException;
--- a/src/main/java/io/cherryspool/cloud/package-info.java
+++ b/src/main/java/io/cherryspool/cloud/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The client of the cloud that provides instances: the catalog of machine types, the list of
- * instances, requests for new ones and deletions.
+ * The client of the cloud that provides instances. It fetches the catalog of machine types and the
+ * list of instances, requests new instances and deletes them.
  *
  * <p>May depend on {@code http}, {@code wire} and {@code model}.
  *
- * <p>Threading: called on the event loop, where its futures complete. One that fails leaves open
- * whether the cloud carried the request out.
+ * <p>Threading: must be called on the event loop, where its futures complete. If a future fails
+ * with anything but a {@code RefusedException}, the cloud may or may not have executed the request.
  */
 package io.cherryspool.cloud;
--- a/src/main/java/io/cherryspool/config/ConfigException.java
+++ b/src/main/java/io/cherryspool/config/ConfigException.java
@@ -3,13 +3,13 @@
 import java.util.Optional;
 
 /**
- * A mistake in the settings. The message is one line that names the file, the setting where one is
- * at fault, and what is wrong with it.
+ * Thrown when the settings contain an error. The message is a single line that names the file, the
+ * problem and, unless the problem concerns the file as a whole, the setting.
  */
 public final class ConfigException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** The setting's name; null where the file as a whole is at fault. */
+  /** The name of the invalid setting; null if the problem concerns the file as a whole. */
   private final String setting;
 
   private ConfigException(String origin, String setting, String problem) {
@@ -17,24 +17,26 @@
     this.setting = setting;
   }
 
-  /** A file that can't be read, or is not in the form of settings. */
+  /** Returns the exception for a file that cannot be read, or does not have the right format. */
   static ConfigException ofFile(Object file, String problem) {
     return new ConfigException(file.toString(), null, problem);
   }
 
   /**
-   * A setting that is missing, or has a value that a node can't run with.
+   * Returns the exception for a setting that is missing, or has a value that a node cannot run
+   * with.
    *
    * @param setting the dotted path of a JSON field, or the name of an XML element
-   * @param problem the sentence that names the setting
+   * @param problem a description of the problem that includes the name of the setting
    */
   static ConfigException ofSetting(Object file, String setting, String problem) {
     return new ConfigException(file.toString(), setting, problem);
   }
 
   /**
-   * The setting at fault: the dotted path of a JSON field ({@code facts.workers.lease_s}), or the
-   * name of an XML element ({@code round-max}); empty where the file as a whole is.
+   * Returns the name of the invalid setting: the dotted path of a JSON field ({@code
+   * facts.workers.lease_s}), or the name of an XML element ({@code round-max}). Empty if the
+   * problem concerns the file as a whole.
    */
   public Optional<String> setting() {
     return Optional.ofNullable(setting);
--- a/src/main/java/io/cherryspool/config/JsonSettingsReader.java
+++ b/src/main/java/io/cherryspool/config/JsonSettingsReader.java
@@ -7,12 +7,12 @@
 import java.util.List;
 
 /**
- * Reads the fields of one JSON object of the settings. A field that is missing or has a wrong value
- * is a {@link ConfigException} with the field's dotted path from the root.
+ * Reads the fields of one JSON object of the settings. If a field is missing or invalid, the
+ * methods throw a {@link ConfigException} with the field's dotted path from the root.
  *
- * @param origin names the settings in errors
- * @param path the object's dotted path; empty for the root
- * @param node the object; for the root, whatever the file holds
+ * @param origin the name of the settings file in error messages
+ * @param path the dotted path of the object; empty for the root
+ * @param node the object; for the root, any value that the file contains
  */
 record JsonSettingsReader(String origin, String path, JsonNode node) {
   private static final double NANOS_PER_SECOND = 1e9;
@@ -26,12 +26,12 @@
     return ConfigException.ofSetting(origin, setting, setting + problem);
   }
 
-  /** The error of a field whose value is well-formed, and too small to run with. */
+  /** Returns the exception for a field whose value is well-formed but too small to run with. */
   ConfigException unusable(String field, String problem) {
     return invalid(field, " " + problem);
   }
 
-  /** A reader of an object in a field. */
+  /** Returns a reader of the object in a field. */
   JsonSettingsReader object(String field) throws ConfigException {
     JsonNode found = node.path(field);
     if (!found.isObject()) {
@@ -40,12 +40,12 @@
     return new JsonSettingsReader(origin, pathOf(field), found);
   }
 
-  /** Readers of the objects of a list; none if there is no list. */
+  /** Returns readers of the objects in a list; none if the field is missing or null. */
   List<JsonSettingsReader> optionalList(String field) throws ConfigException {
     return isAbsent(node.path(field)) ? List.of() : list(field);
   }
 
-  /** Readers of the objects of a list. */
+  /** Returns readers of the objects in a list. */
   List<JsonSettingsReader> list(String field) throws ConfigException {
     JsonNode found = node.path(field);
     if (!found.isArray()) {
@@ -62,7 +62,7 @@
     return items;
   }
 
-  /** A text that is not empty. */
+  /** Returns the field's text, which must not be empty. */
   String text(String field) throws ConfigException {
     JsonNode found = node.path(field);
     if (!found.isTextual() || found.textValue().isEmpty()) {
@@ -71,7 +71,7 @@
     return found.textValue();
   }
 
-  /** An address in the form {@code host:port}. */
+  /** Returns the field's address, which has the form {@code host:port}. */
   Endpoint endpoint(String field) throws ConfigException {
     try {
       return Endpoint.parse(text(field));
@@ -80,7 +80,7 @@
     }
   }
 
-  /** A number of at least 0; {@code defaultValue} if there is none. */
+  /** Returns the field's number of at least 0, or {@code defaultValue} if it is missing or null. */
   double number(String field, double defaultValue) throws ConfigException {
     JsonNode found = node.path(field);
     if (isAbsent(found)) {
@@ -92,8 +92,8 @@
     return found.doubleValue();
   }
 
-  /** A number above 0. */
-  double positive(String field) throws ConfigException {
+  /** Returns the field's number, which must be greater than 0. */
+  double positiveNumber(String field) throws ConfigException {
     double value = number(field, Double.NaN);
     if (!(value > 0)) {
       throw invalid(field, " must be a number above 0");
@@ -101,9 +101,9 @@
     return value;
   }
 
-  /** A duration above 0, given in seconds. */
+  /** Returns the field's duration, which is given in seconds and must be greater than 0. */
   Duration seconds(String field) throws ConfigException {
-    return Duration.ofNanos((long) (positive(field) * NANOS_PER_SECOND));
+    return Duration.ofNanos((long) (positiveNumber(field) * NANOS_PER_SECOND));
   }
 
   private static boolean isAbsent(JsonNode found) {
--- a/src/main/java/io/cherryspool/config/OperatorSettings.java
+++ b/src/main/java/io/cherryspool/config/OperatorSettings.java
@@ -6,16 +6,20 @@
 import java.util.Optional;
 
 /**
- * What operators may set beyond the platform's settings, as XML. Every element is optional;
- * docs/operations.md describes them. Components are named after their elements.
+ * The settings that operators may add to those of the platform, read from an XML file. Every
+ * element is optional; docs/operations.md describes them.
  *
- * @param maxRoundInterval how long a scheduling round waits at most for an event that starts it
- * @param stateStoreLease after what time a leader that is not heard from is replaced
- * @param failureCap after how many failures a task is not restarted any more
- * @param idleTimeout for how long an idle instance is kept
- * @param maxStartDelay the age at which a job that has not begun is scheduled before all others
- * @param recovery how lost state is recovered; empty if losses are not looked for
- * @param partitions what is done about links that fail
+ * @param maxRoundInterval the longest time until the next scheduling round if no event starts one
+ *     earlier ({@code round-max})
+ * @param stateStoreLease the time to live of a leader's lease in the state store, after which an
+ *     unreachable leader is replaced ({@code state-lease})
+ * @param failureCap the number of failures of a task after which it is retried only rarely ({@code
+ *     failure-cap})
+ * @param idleTimeout how long an idle instance is kept ({@code idle-keep})
+ * @param maxStartDelay the age at which a job that has not started is scheduled before all others
+ *     ({@code begin-within})
+ * @param recovery how lost state is recovered; empty if nodes do not check for losses
+ * @param partitions how nodes handle failing links
  */
 public record OperatorSettings(
     Duration maxRoundInterval,
@@ -25,7 +29,7 @@
     Duration maxStartDelay,
     Optional<RecoverySettings> recovery,
     PartitionSettings partitions) {
-  /** What holds without a file, and for elements that a file leaves out. */
+  /** The settings in use without a file, and the defaults for elements that a file omits. */
   public static final OperatorSettings DEFAULTS =
       new OperatorSettings(
           Duration.ofSeconds(1),
@@ -37,10 +41,10 @@
           PartitionSettings.DEFAULTS);
 
   /**
-   * Reads and checks a file; blocks.
+   * Reads and validates a file. Blocks.
    *
    * @return the settings; the defaults if there is no such file
-   * @throws ConfigException if the file can't be read, or an element is unknown or unusable
+   * @throws ConfigException if the file cannot be read, or an element is unknown or invalid
    */
   public static OperatorSettings load(Path file) throws ConfigException {
     return Files.exists(file) ? OperatorSettingsParser.parse(file) : DEFAULTS;
--- a/src/main/java/io/cherryspool/config/OperatorSettingsParser.java
+++ b/src/main/java/io/cherryspool/config/OperatorSettingsParser.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Turns the operators' XML into {@link OperatorSettings}. */
+/** Parses the operators' XML file into {@link OperatorSettings}. */
 final class OperatorSettingsParser {
   private static final List<String> RECOVERY_ELEMENTS =
       List.of("recovery-gather", "recovery-hold", "snapshot-directory", "snapshot-interval");
@@ -19,28 +19,28 @@
     this.reader = reader;
   }
 
-  /** See {@link OperatorSettings#load}. */
+  /** Parses and validates a file; see {@link OperatorSettings#load}. */
   static OperatorSettings parse(Path file) throws ConfigException {
     XmlSettingsReader reader = XmlSettingsReader.read(file, "cherryspool");
     OperatorSettings settings = new OperatorSettingsParser(reader).settings();
-    reader.checkNoneLeft();
+    reader.rejectUnreadElements();
     return settings;
   }
 
   private OperatorSettings settings() throws ConfigException {
     OperatorSettings defaults = OperatorSettings.DEFAULTS;
     return new OperatorSettings(
-        reader.duration("round-max", defaults.maxRoundInterval(), 0.05, 10),
-        reader.duration("state-lease", defaults.stateStoreLease(), 1, 60),
-        (int) reader.number("failure-cap", defaults.failureCap(), 1, 1_000_000),
-        reader.duration("idle-keep", defaults.idleTimeout(), 0, SECONDS_PER_DAY),
-        reader.duration("begin-within", defaults.maxStartDelay(), 1, SECONDS_PER_DAY),
+        reader.takeDuration("round-max", defaults.maxRoundInterval(), 0.05, 10),
+        reader.takeDuration("state-lease", defaults.stateStoreLease(), 1, 60),
+        (int) reader.takeNumber("failure-cap", defaults.failureCap(), 1, 1_000_000),
+        reader.takeDuration("idle-keep", defaults.idleTimeout(), 0, SECONDS_PER_DAY),
+        reader.takeDuration("begin-within", defaults.maxStartDelay(), 1, SECONDS_PER_DAY),
         recovery(),
         partitions());
   }
 
   private Optional<RecoverySettings> recovery() throws ConfigException {
-    if (!reader.isOn("recovery", false)) {
+    if (!reader.takeSwitch("recovery", false)) {
       for (String name : RECOVERY_ELEMENTS) {
         if (reader.has(name)) {
           throw reader.invalid(name, "needs <recovery>on</recovery>");
@@ -50,11 +50,11 @@
     }
     RecoverySettings defaults = RecoverySettings.DEFAULTS;
     Duration gatherDuration =
-        reader.duration("recovery-gather", defaults.gatherDuration(), 0.5, 60);
+        reader.takeDuration("recovery-gather", defaults.gatherDuration(), 0.5, 60);
     boolean hasInterval = reader.has("snapshot-interval");
     Duration snapshotInterval =
-        reader.duration("snapshot-interval", defaults.snapshotInterval(), 1, SECONDS_PER_DAY);
-    Optional<String> directory = reader.take("snapshot-directory");
+        reader.takeDuration("snapshot-interval", defaults.snapshotInterval(), 1, SECONDS_PER_DAY);
+    Optional<String> directory = reader.takeText("snapshot-directory");
     if (directory.isEmpty() && hasInterval) {
       throw reader.invalid("snapshot-interval", "needs <snapshot-directory>");
     }
@@ -67,19 +67,19 @@
   }
 
   private Set<String> heldClasses() {
-    String names = reader.take("recovery-hold").orElse("");
+    String names = reader.takeText("recovery-hold").orElse("");
     return names.isEmpty() ? Set.of() : Set.of(names.split("\\s+"));
   }
 
   private PartitionSettings partitions() throws ConfigException {
     PartitionSettings defaults = PartitionSettings.DEFAULTS;
-    boolean dampsFlapping = reader.isOn("flap-damping", defaults.dampsFlapping());
+    boolean dampsFlapping = reader.takeSwitch("flap-damping", defaults.dampsFlapping());
     if (!dampsFlapping && reader.has("flap-half-life")) {
       throw reader.invalid("flap-half-life", "needs <flap-damping>on</flap-damping>");
     }
     return new PartitionSettings(
         dampsFlapping,
-        reader.duration("flap-half-life", defaults.flapHalfLife(), 5, 3600),
-        reader.isOn("request-forwarding", defaults.forwardsRequests()));
+        reader.takeDuration("flap-half-life", defaults.flapHalfLife(), 5, 3600),
+        reader.takeSwitch("request-forwarding", defaults.forwardsRequests()));
   }
 }
--- a/src/main/java/io/cherryspool/config/RecoverySettings.java
+++ b/src/main/java/io/cherryspool/config/RecoverySettings.java
@@ -6,21 +6,22 @@
 import java.util.Set;
 
 /**
- * How a cluster that looks for losses of its state recovers, see docs/recovery-operations.md.
+ * How a cluster recovers from a loss of its state; see docs/recovery-operations.md.
  *
- * @param gatherDuration how long nodes exchange what they retain before one of them rebuilds
- * @param snapshotDirectory where each node keeps its snapshots, in a directory of its own name;
- *     empty if it keeps none
- * @param snapshotInterval how often a node takes a snapshot
- * @param heldJobClasses the classes whose tasks are not run again, if they may have ended
- *     unnoticed, until an operator decides
+ * @param gatherDuration how long nodes exchange their retained records before one of them rebuilds
+ *     the state
+ * @param snapshotDirectory the directory in which each node stores its snapshots, in a subdirectory
+ *     with the node's name; empty if nodes store no snapshots
+ * @param snapshotInterval the time between two snapshots of a node
+ * @param heldJobClasses the job classes whose tasks, if they may have ended unnoticed, are not run
+ *     again until an operator decides
  */
 public record RecoverySettings(
     Duration gatherDuration,
     Optional<Path> snapshotDirectory,
     Duration snapshotInterval,
     Set<String> heldJobClasses) {
-  /** What holds for elements that a file with recovery switched on leaves out. */
+  /** The defaults for elements that a file omits, if the file enables recovery. */
   public static final RecoverySettings DEFAULTS =
       new RecoverySettings(
           Duration.ofMillis(1500), Optional.empty(), Duration.ofSeconds(30), Set.of());
--- a/src/main/java/io/cherryspool/config/Settings.java
+++ b/src/main/java/io/cherryspool/config/Settings.java
@@ -13,28 +13,30 @@
 import java.util.Map;
 
 /**
- * The settings that the platform hands over, as JSON. Fields that it adds later are ignored.
+ * The settings that the platform provides in a JSON file. Unknown fields are ignored, since the
+ * platform may add fields later.
  *
- * <p>It has more components than seven, one for each setting, so that their users name a setting
- * and not its place in the file; one call in the parser makes it.
+ * <p>The record has more than seven components, one for each setting, so that callers name a
+ * setting and not its place in the file. Only the parser calls the constructor.
  *
- * @param name this node's name, which no other node has
+ * @param name the name of this node, unique in the cluster
  * @param zone the zone that this node runs in
- * @param clientAddress where the node takes requests of users, workers and operators
- * @param meshAddress where it takes heartbeats of other nodes
+ * @param clientAddress the address at which the node accepts requests of users, workers and
+ *     operators
+ * @param meshAddress the address at which the node accepts heartbeats of other nodes
  * @param peers the other nodes
- * @param cloudAddress where the cloud takes requests
- * @param stateStoreAddress where the state store takes requests
+ * @param cloudAddress the address of the cloud
+ * @param stateStoreAddress the address of the state store
  * @param teams the teams with their quotas
- * @param deadlineMultiples by class, the multiples of the deadline that the service-level
- *     objectives name, ascending
- * @param heartbeatInterval how often a worker sends a heartbeat
- * @param workerLease for how long a worker runs its tasks after it was last kept alive
- * @param maxCancellationTime within what time a cancelled task has to be gone
- * @param stateStoreLimits what the state store accepts
- * @param cloudRequestsPerSecond how many requests the cloud accepts
- * @param cloudListLag how far the cloud's list of instances may be behind
- * @param fileDescriptorLimit how many files and sockets the process may have open
+ * @param deadlineMultiples for each job class, the multiples of the deadline that the service-level
+ *     objectives name, in ascending order
+ * @param heartbeatInterval the time between two heartbeats of a worker
+ * @param workerLease how long a worker keeps its tasks running after its last lease renewal
+ * @param maxCancellationTime the time within which the tasks of a cancelled job must have ended
+ * @param stateStoreLimits the limits that the state store enforces
+ * @param cloudRequestsPerSecond the request rate that the cloud accepts
+ * @param cloudListLag how out of date the cloud's list of instances may be
+ * @param fileDescriptorLimit the number of files and sockets that the process may have open
  */
 public record Settings(
     String name,
@@ -57,17 +59,17 @@
   /**
    * Another controller node.
    *
-   * @param endpoint where it takes heartbeats
+   * @param endpoint the address at which it accepts heartbeats
    */
   public record Peer(String name, Endpoint endpoint) {}
 
   /**
-   * What the state store accepts from all nodes together.
+   * The limits that the state store enforces. The rates apply to all nodes together.
    *
-   * @param requestsPerSecond bounds all requests
-   * @param writesPerSecond bounds the puts and deletes in them
-   * @param maxValueBytes bounds one value
-   * @param maxTransactionOperations bounds the changes of one transaction
+   * @param requestsPerSecond the maximum rate of requests
+   * @param writesPerSecond the maximum rate of puts and deletes in these requests
+   * @param maxValueBytes the maximum size of a value
+   * @param maxTransactionOperations the maximum number of changes in a transaction
    */
   public record StateStoreLimits(
       double requestsPerSecond,
@@ -75,17 +77,19 @@
       int maxValueBytes,
       int maxTransactionOperations) {}
 
-  /** The names of the other nodes. */
+  /** Returns the names of the other nodes. */
   public List<String> peerNames() {
     return peers.stream().map(Peer::name).toList();
   }
 
   /**
-   * How long a leader may keep workers alive after it sent the last requests that confirmed its
-   * lease and a read of the state store. A task on a machine that only a cut-off leader still
-   * reaches must be gone within the cancel limit, so authority, worker lease and margins together
-   * stay within it. The margins cover clock drift, and messages that arrive late within their
-   * deadlines.
+   * Returns a leader's authority: how long it may renew the leases of workers, counted from when it
+   * sent the last successful requests that renewed its own lease and read the state store.
+   *
+   * <p>A cancelled task must have ended within the maximum cancellation time, even on a machine
+   * that only a partitioned leader still reaches. Authority, worker lease and the margins for the
+   * two therefore add up to that time. The margins cover clock drift, and messages that arrive late
+   * but within their deadlines.
    */
   public Duration authority() {
     return authority(workerLease, maxCancellationTime);
@@ -97,9 +101,9 @@
   }
 
   /**
-   * Reads and checks a settings file; blocks.
+   * Reads and validates a settings file. Blocks.
    *
-   * @throws ConfigException if the file can't be read, or a setting is missing or unusable
+   * @throws ConfigException if the file cannot be read, or a setting is missing or invalid
    */
   public static Settings load(Path file) throws ConfigException {
     JsonNode root;
@@ -114,10 +118,10 @@
   }
 
   /**
-   * Reads and checks settings.
+   * Parses and validates settings.
    *
-   * @param origin names the settings in errors
-   * @throws ConfigException if a setting is missing or unusable
+   * @param origin the name of the settings file in error messages
+   * @throws ConfigException if a setting is missing or invalid
    */
   public static Settings parse(JsonNode root, String origin) throws ConfigException {
     return SettingsParser.parse(root, origin);
--- a/src/main/java/io/cherryspool/config/SettingsParser.java
+++ b/src/main/java/io/cherryspool/config/SettingsParser.java
@@ -9,12 +9,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns the platform's JSON into {@link Settings}, and checks that a node can run with them. */
+/** Parses the platform's JSON into {@link Settings} and checks that a node can run with them. */
 final class SettingsParser {
-  /** The node's own calls, the mesh, files and a few workers and users need that many sockets. */
+  /**
+   * The file descriptors that a node needs at least: for its own calls, the mesh, files, and a few
+   * workers and users.
+   */
   private static final int MIN_SOCKETS = 64;
 
-  /** A leader with less authority than this would hardly ever be allowed to act. */
+  /** With a shorter authority, a leader would hardly ever be allowed to act. */
   private static final Duration MIN_AUTHORITY = Duration.ofSeconds(1);
 
   private static final int BYTES_PER_KB = 1024;
@@ -35,7 +38,7 @@
     services = root.object("services");
   }
 
-  /** See {@link Settings#parse}. */
+  /** Parses and validates settings; see {@link Settings#parse}. */
   static Settings parse(JsonNode root, String origin) throws ConfigException {
     return new SettingsParser(new JsonSettingsReader(origin, "", root)).settings();
   }
@@ -64,7 +67,7 @@
         workerLease,
         cancelLimit,
         stateStoreLimits(),
-        cloud.positive("rps"),
+        cloud.positiveNumber("rps"),
         cloud.seconds("list_lag_s"),
         fdLimit);
   }
@@ -97,7 +100,7 @@
       if ("deadline".equals(objective.text("kind"))) {
         multiples
             .computeIfAbsent(objective.text("class"), key -> new ArrayList<>())
-            .add(objective.positive("times"));
+            .add(objective.positiveNumber("times"));
       }
     }
     multiples.values().forEach(Collections::sort);
@@ -122,7 +125,7 @@
 
   private int fdLimit() throws ConfigException {
     JsonSettingsReader resources = facts.object("resources");
-    int limit = (int) resources.positive("fd_limit");
+    int limit = (int) resources.positiveNumber("fd_limit");
     if (limit < MIN_SOCKETS) {
       throw resources.unusable("fd_limit", "must be at least " + MIN_SOCKETS);
     }
@@ -131,9 +134,9 @@
 
   private Settings.StateStoreLimits stateStoreLimits() throws ConfigException {
     return new Settings.StateStoreLimits(
-        stateStore.positive("rps"),
-        stateStore.positive("write_rps"),
-        (int) (stateStore.positive("value_kb") * BYTES_PER_KB),
-        (int) stateStore.positive("txn_ops"));
+        stateStore.positiveNumber("rps"),
+        stateStore.positiveNumber("write_rps"),
+        (int) (stateStore.positiveNumber("value_kb") * BYTES_PER_KB),
+        (int) stateStore.positiveNumber("txn_ops"));
   }
 }
--- a/src/main/java/io/cherryspool/config/XmlSettingsReader.java
+++ b/src/main/java/io/cherryspool/config/XmlSettingsReader.java
@@ -17,9 +17,9 @@
 import org.xml.sax.SAXParseException;
 
 /**
- * Reads a flat XML file of settings: one element for each, with text in it. Each element is taken
- * out as it is read, so that the unknown ones are left at the end. An element that is wrong is a
- * {@link ConfigException} with its name.
+ * Reads a flat XML file of settings, with one element that contains text for each setting. Reading
+ * an element removes it from this reader, so that only unknown elements remain at the end. If an
+ * element is invalid, the methods throw a {@link ConfigException} with its name.
  */
 final class XmlSettingsReader {
   private static final String NO_DOCTYPE = "http://apache.org/xml/features/disallow-doctype-decl";
@@ -67,24 +67,27 @@
     }
   }
 
-  /** The error of an element that is there and can't be used. */
+  /** Returns the exception for an element that is present but invalid. */
   ConfigException invalid(String name, String problem) {
     return ConfigException.ofSetting(file, name, "<" + name + "> " + problem);
   }
 
-  /** Whether the element is there and was not read yet. */
+  /** Whether the element is present and was not read yet. */
   boolean has(String name) {
     return values.containsKey(name);
   }
 
-  /** Takes an element's text out; empty if there is no such element. */
-  Optional<String> take(String name) {
+  /** Removes an element and returns its text; empty if there is no such element. */
+  Optional<String> takeText(String name) {
     return Optional.ofNullable(values.remove(name));
   }
 
-  /** Takes a switch out; {@code defaultValue} if there is no such element. */
-  boolean isOn(String name, boolean defaultValue) throws ConfigException {
-    Optional<String> word = take(name);
+  /**
+   * Removes an element with the text {@code on} or {@code off} and returns whether it is on; {@code
+   * defaultValue} if there is no such element.
+   */
+  boolean takeSwitch(String name, boolean defaultValue) throws ConfigException {
+    Optional<String> word = takeText(name);
     if (word.isEmpty()) {
       return defaultValue;
     }
@@ -95,16 +98,23 @@
     };
   }
 
-  /** Takes a duration in seconds out, within bounds; {@code defaultValue} if there is none. */
-  Duration duration(String name, Duration defaultValue, double min, double max)
+  /**
+   * Removes an element that contains seconds from {@code min} to {@code max} and returns them as a
+   * duration; {@code defaultValue} if there is no such element.
+   */
+  Duration takeDuration(String name, Duration defaultValue, double min, double max)
       throws ConfigException {
-    double seconds = number(name, defaultValue.toNanos() / NANOS_PER_SECOND, min, max);
+    double seconds = takeNumber(name, defaultValue.toNanos() / NANOS_PER_SECOND, min, max);
     return Duration.ofNanos(Math.round(seconds * NANOS_PER_SECOND));
   }
 
-  /** Takes a number out, within bounds; {@code defaultValue} if there is no such element. */
-  double number(String name, double defaultValue, double min, double max) throws ConfigException {
-    Optional<String> text = take(name);
+  /**
+   * Removes an element that contains a number from {@code min} to {@code max} and returns the
+   * number; {@code defaultValue} if there is no such element.
+   */
+  double takeNumber(String name, double defaultValue, double min, double max)
+      throws ConfigException {
+    Optional<String> text = takeText(name);
     if (text.isEmpty()) {
       return defaultValue;
     }
@@ -114,22 +124,22 @@
         return value;
       }
     } catch (NumberFormatException e) {
-      // The error below names the range as well.
+      // The exception below names the allowed range.
     }
     throw invalid(name, "must be a number from " + min + " to " + max + ", not " + text.get());
   }
 
-  /** Fails if there are elements that nobody has read. */
-  void checkNoneLeft() throws ConfigException {
+  /** Throws an exception if there are elements that were not read, which are unknown ones. */
+  void rejectUnreadElements() throws ConfigException {
     if (!values.isEmpty()) {
       String name = values.keySet().iterator().next();
       throw ConfigException.ofSetting(file, name, "unknown element <" + name + ">");
     }
   }
 
-  /** Throws errors, which the default handler prints to standard error. */
+  /** Throws parse errors; the default handler would also print them to standard error. */
   private static final class ThrowingErrorHandler implements ErrorHandler {
-    /** A warning changes no setting. */
+    /** Ignores a warning, which does not affect any setting. */
     @Override
     public void warning(SAXParseException e) {}
 
--- a/src/main/java/io/cherryspool/http/AbandonedRequestFilter.java
+++ b/src/main/java/io/cherryspool/http/AbandonedRequestFilter.java
@@ -7,62 +7,64 @@
 import java.util.List;
 
 /**
- * Buffers what a connection has received until the loop has read all that is there, and discards it
- * if the peer has closed the connection by then.
+ * Buffers the received bytes of a connection until the event loop has read everything available,
+ * and discards them if the peer has closed the connection by then.
  *
- * <p>An overloaded node finds requests in its sockets whose senders have given up. Decoding and
- * answering them would use the time in which those that still wait could be answered, so that all
- * of them would be answered too late. A peer that closes only its sending side is not answered
- * either.
+ * <p>The sockets of an overloaded node contain requests whose senders have already given up. If the
+ * node spent time on decoding and answering them, it would answer the remaining requests too late
+ * as well. A request is also discarded if its peer closes only the sending side of the connection.
  */
 final class AbandonedRequestFilter extends ChannelInboundHandlerAdapter {
   /**
-   * Bounds what is buffered of a connection; a larger request is passed on as it arrives. Without
-   * it many large bodies at once would exhaust the memory for buffers.
+   * The maximum number of bytes to buffer for a connection. Beyond it, received bytes are forwarded
+   * as they arrive, since many large bodies at once would exhaust the memory for buffers.
    */
-  private static final int MAX_HELD_BYTES = 8 * 1024;
+  private static final int MAX_BUFFERED_BYTES = 8 * 1024;
 
   private List<ByteBuf> received = new ArrayList<>(1);
-  private int heldBytes;
+  private int bufferedBytes;
   private boolean isCheckScheduled;
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     ByteBuf bytes = (ByteBuf) message;
     received.add(bytes);
-    heldBytes += bytes.readableBytes();
-    if (heldBytes > MAX_HELD_BYTES) {
-      passOn(ctx);
+    bufferedBytes += bytes.readableBytes();
+    if (bufferedBytes > MAX_BUFFERED_BYTES) {
+      forward(ctx);
     }
   }
 
-  /** Checks later: if the connection's end was read, Netty closes the channel after this call. */
+  /**
+   * Schedules the check for after this call: if Netty has read the end of the connection, it closes
+   * the channel only then.
+   */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     if (!isCheckScheduled && !received.isEmpty()) {
       isCheckScheduled = true;
-      ctx.executor().execute(() -> passIfOpen(ctx));
+      ctx.executor().execute(() -> forwardOrDiscard(ctx));
     }
   }
 
-  private void passIfOpen(ChannelHandlerContext ctx) {
+  private void forwardOrDiscard(ChannelHandlerContext ctx) {
     isCheckScheduled = false;
     if (ctx.channel().isActive()) {
-      passOn(ctx);
+      forward(ctx);
       ctx.fireChannelReadComplete();
     } else {
-      takeReceived().forEach(ByteBuf::release);
+      removeReceived().forEach(ByteBuf::release);
     }
   }
 
-  private void passOn(ChannelHandlerContext ctx) {
-    takeReceived().forEach(ctx::fireChannelRead);
+  private void forward(ChannelHandlerContext ctx) {
+    removeReceived().forEach(ctx::fireChannelRead);
   }
 
-  private List<ByteBuf> takeReceived() {
-    List<ByteBuf> taken = received;
+  private List<ByteBuf> removeReceived() {
+    List<ByteBuf> removed = received;
     received = new ArrayList<>(1);
-    heldBytes = 0;
-    return taken;
+    bufferedBytes = 0;
+    return removed;
   }
 }
--- a/src/main/java/io/cherryspool/http/Endpoint.java
+++ b/src/main/java/io/cherryspool/http/Endpoint.java
@@ -1,12 +1,13 @@
 package io.cherryspool.http;
 
-/** A TCP address. Hosts are IP addresses: the machines have no name service. */
+/** A TCP address. The host is an IP address, since the machines have no name service. */
 public record Endpoint(String host, int port) {
 
   /**
-   * Reads {@code host:port}.
+   * Parses an address of the form {@code host:port}.
    *
-   * @throws IllegalArgumentException if the text has another form, or the port is out of range
+   * @throws IllegalArgumentException if the text does not have this form, or the port is out of
+   *     range
    */
   public static Endpoint parse(String text) {
     int colon = text.lastIndexOf(':');
@@ -25,7 +26,8 @@
     return new Endpoint(text.substring(0, colon), port);
   }
 
-  // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
+  // Written out because the JVM links generated record methods only at run time, which slows down
+  // the start of a node; see "Start-up" in docs/design.md.
   @Override
   public boolean equals(Object object) {
     return object instanceof Endpoint other && port == other.port && host.equals(other.host);
--- a/src/main/java/io/cherryspool/http/NettyEventLoop.java
+++ b/src/main/java/io/cherryspool/http/NettyEventLoop.java
@@ -10,7 +10,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The node's event loop on Netty: one NIO thread, since the machine is a fraction of a core. */
+/**
+ * The node's event loop, implemented with Netty. It has a single NIO thread, since the machine has
+ * only a fraction of a core.
+ */
 public final class NettyEventLoop implements EventLoop {
   private static final Logger LOG = LoggerFactory.getLogger(NettyEventLoop.class);
 
@@ -18,7 +21,7 @@
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final long startNanos = System.nanoTime();
 
-  /** The loop as Netty knows it, to open channels on. */
+  /** Returns the Netty event loop group on which channels are opened. */
   public EventLoopGroup group() {
     return group;
   }
@@ -31,31 +34,38 @@
   @Override
   public Timer schedule(Duration delay, Runnable task) {
     Future<?> future =
-        group.schedule(() -> runLogged(task), Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
+        group.schedule(
+            () -> runLoggingFailures(task), Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
     return () -> future.cancel(false);
   }
 
-  /** Runs the task on the loop as soon as it is free. May be called from any thread. */
+  /** Runs the task on the loop as soon as the loop is free. May be called from any thread. */
   public void execute(Runnable task) {
-    group.execute(() -> runLogged(task));
+    group.execute(() -> runLoggingFailures(task));
   }
 
-  /** Blocks until the loop has ended; must not be called on the loop. */
+  /** Blocks until the loop has terminated. Must not be called on the loop. */
   public void awaitTermination() throws InterruptedException {
     group.terminationFuture().await();
   }
 
-  /** Begins to end the loop, which takes at most a second. May be called from any thread. */
+  /**
+   * Initiates the shutdown of the loop, which takes at most a second. May be called from any
+   * thread.
+   */
   public void shutdown() {
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  /** A defect in one task must end neither the loop's thread, silently, nor the process. */
-  private static void runLogged(Runnable task) {
+  /**
+   * Runs the task and logs an exception that it throws. A defect in one task must neither silently
+   * end the loop's thread nor end the process.
+   */
+  private static void runLoggingFailures(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
-      LOG.error("a task on the event loop failed", e);
+      LOG.error("task on the event loop failed", e);
     }
   }
 }
--- a/src/main/java/io/cherryspool/http/NettyHttpClient.java
+++ b/src/main/java/io/cherryspool/http/NettyHttpClient.java
@@ -31,10 +31,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * HTTP client on the node's event loop: persistent connections for each address, and a deadline on
- * every call. Sockets are bounded, since a leader calls a thousand workers: a new connection evicts
- * the idle one that was unused longest, and a call beyond the bound fails at once. Used on the
- * event loop only.
+ * HTTP client on the node's event loop, with persistent connections to each address and a deadline
+ * for every call. The number of sockets is limited, since a leader calls a thousand workers. At the
+ * limit, a new connection replaces the least recently used idle one; if none is idle, the call
+ * fails immediately. Must be used on the event loop only.
  */
 public final class NettyHttpClient implements Transport {
   private static final int MAX_REPLY_BYTES = 64 << 20;
@@ -45,12 +45,12 @@
   private final int maxSockets;
   private final Map<Endpoint, Deque<Connection>> idleByEndpoint = new HashMap<>();
 
-  /** All idle connections, the one that was unused longest first. */
+  /** All idle connections, the least recently used one first. */
   private final LinkedHashSet<Connection> idle = new LinkedHashSet<>();
 
   private int openSockets;
 
-  /** Makes a client that has at most {@code maxSockets} connections open at a time. */
+  /** Creates a client that has at most {@code maxSockets} connections open at a time. */
   public NettyHttpClient(NettyEventLoop loop, int maxSockets) {
     this.loop = loop;
     this.maxSockets = maxSockets;
@@ -64,7 +64,8 @@
         evictIdle();
       }
       if (openSockets >= maxSockets) {
-        return CompletableFuture.failedFuture(new IOException("no socket is free for " + to));
+        return CompletableFuture.failedFuture(
+            new IOException("no free socket for a request to " + to));
       }
       connection = new Connection(to);
       connection.connect(deadline);
@@ -72,7 +73,7 @@
     return connection.send(request, deadline);
   }
 
-  /** The idle connection that was used last; null if there is none. */
+  /** Removes and returns the most recently used idle connection; null if there is none. */
   private Connection takeIdle(Endpoint to) {
     Deque<Connection> candidates = idleByEndpoint.get(to);
     while (candidates != null && !candidates.isEmpty()) {
@@ -93,13 +94,13 @@
     }
   }
 
-  /** One outgoing connection, with at most one request on it at a time. */
+  /** An outgoing connection, which carries at most one request at a time. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final Endpoint to;
     private ChannelFuture connecting;
     private Channel channel;
 
-    /** The answer that is awaited; null while the connection is idle. */
+    /** Completes with the reply to the current request; null while the connection is idle. */
     private CompletableFuture<Reply> pending;
 
     private Future<?> deadlineTimer;
@@ -139,7 +140,7 @@
       deadlineTimer =
           loop.group()
               .schedule(
-                  () -> fail(new IOException("no answer from " + to + " in " + deadline)),
+                  () -> fail(new IOException("no response from " + to + " within " + deadline)),
                   deadline.toNanos(),
                   TimeUnit.NANOSECONDS);
       connecting.addListener(
@@ -181,14 +182,15 @@
       if (result == null || response.decoderResult().isFailure()) {
         ctx.close();
         if (result != null) {
-          result.completeExceptionally(new IOException("malformed answer from " + to));
+          result.completeExceptionally(new IOException("malformed response from " + to));
         }
         return;
       }
       Reply reply = Reply.json(response.status().code(), ByteBufUtil.getBytes(response.content()));
-      Deque<Connection> idleThere = idleByEndpoint.computeIfAbsent(to, key -> new ArrayDeque<>());
-      if (HttpUtil.isKeepAlive(response) && idleThere.size() < MAX_IDLE_PER_ENDPOINT) {
-        idleThere.addLast(this);
+      Deque<Connection> idleToEndpoint =
+          idleByEndpoint.computeIfAbsent(to, key -> new ArrayDeque<>());
+      if (HttpUtil.isKeepAlive(response) && idleToEndpoint.size() < MAX_IDLE_PER_ENDPOINT) {
+        idleToEndpoint.addLast(this);
         idle.add(this);
       } else {
         ctx.close();
@@ -196,7 +198,7 @@
       result.complete(reply);
     }
 
-    /** Ends the wait for the answer, and returns its future; null if none is awaited. */
+    /** Ends the wait for a reply and returns its future; null if no request is pending. */
     private CompletableFuture<Reply> takePending() {
       CompletableFuture<Reply> result = pending;
       pending = null;
@@ -218,10 +220,10 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
       idle.remove(this);
-      Deque<Connection> idleThere = idleByEndpoint.get(to);
-      if (idleThere != null) {
-        idleThere.remove(this);
-        if (idleThere.isEmpty()) {
+      Deque<Connection> idleToEndpoint = idleByEndpoint.get(to);
+      if (idleToEndpoint != null) {
+        idleToEndpoint.remove(this);
+        if (idleToEndpoint.isEmpty()) {
           idleByEndpoint.remove(to);
         }
       }
--- a/src/main/java/io/cherryspool/http/NettyHttpServer.java
+++ b/src/main/java/io/cherryspool/http/NettyHttpServer.java
@@ -31,13 +31,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves HTTP on the node's event loop. Connections are bounded, so that sockets remain for the
- * node's own calls, and one on which no complete request arrives for a while is closed.
+ * HTTP server on the node's event loop. The number of connections is limited, so that sockets
+ * remain for the node's own calls, and a connection is closed if no complete request arrives on it
+ * for a while.
  *
- * <p>There may be more workers than connections, and each sends only every few seconds. So well
- * before the bound, responses ask their clients to close: such a client reconnects when it has a
- * request, while one whose connection is refused would take this node for dead. At the bound the
- * connection that was idle longest is evicted; by then it most likely belongs to a dead client.
+ * <p>There may be more workers than connections, and each worker sends a request only every few
+ * seconds. Therefore, well before the limit, responses ask clients to close the connection. Such a
+ * client reconnects for its next request, whereas a client whose connection is refused would
+ * consider this node dead. At the limit, a new connection evicts the one that has been idle
+ * longest, which by then most likely belongs to a dead client.
  */
 public final class NettyHttpServer {
   private static final Logger LOG = LoggerFactory.getLogger(NettyHttpServer.class);
@@ -46,19 +48,22 @@
   private static final int MAX_CHUNK_BYTES = 8192;
   private static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** Bounds the reads of one connection before another's turn; Netty's own default. */
+  /**
+   * The maximum number of reads from one connection before the loop serves the next; Netty's
+   * default.
+   */
   private static final int MAX_READS_PER_TURN = 16;
 
   private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
 
-  /** Shorter than the idle timeout: clients connect because they have a request. */
+  /** Shorter than the idle timeout, since clients connect only when they have a request. */
   private static final Duration FIRST_REQUEST_TIMEOUT = Duration.ofSeconds(10);
 
-  /** Bounds the connections that wait to be accepted, which hold sockets as well. */
+  /** The maximum number of connections waiting to be accepted, which occupy sockets as well. */
   private static final int BACKLOG = 256;
 
-  /** The fraction of the bound from which on responses ask their clients to close. */
-  private static final double CROWDED_FRACTION = 0.875;
+  /** The fraction of the connection limit above which responses ask clients to close. */
+  private static final double CLOSE_REQUEST_FRACTION = 0.875;
 
   private static final byte[] INTERNAL_ERROR =
       "{\"error\":\"internal error\"}".getBytes(StandardCharsets.UTF_8);
@@ -69,28 +74,31 @@
   private final NettyEventLoop loop;
   private final RequestHandler handler;
   private final int maxConnections;
-  private final int crowdedConnections;
+  private final int closeRequestThreshold;
 
-  /** The counted connections without a request, the one that was idle longest first. */
+  /** The counted connections without a request, the one that has been idle longest first. */
   private final LinkedHashSet<Connection> idle = new LinkedHashSet<>();
 
   private int connectionCount;
   private Channel listener;
 
-  /** Makes a server that does not listen yet, and serves at most that many connections. */
+  /**
+   * Creates a server that serves at most {@code maxConnections} connections. It does not listen
+   * until {@link #bind} is called.
+   */
   public NettyHttpServer(NettyEventLoop loop, RequestHandler handler, int maxConnections) {
     this.loop = loop;
     this.handler = handler;
     this.maxConnections = maxConnections;
-    this.crowdedConnections = (int) (maxConnections * CROWDED_FRACTION);
+    this.closeRequestThreshold = (int) (maxConnections * CLOSE_REQUEST_FRACTION);
   }
 
   /**
-   * Begins to listen; port 0 stands for any that is free. Called once, from outside the loop, and
-   * blocks. Fails with {@link java.net.BindException}, which Netty does not declare, if the port is
-   * taken.
+   * Starts to listen; port 0 selects any free port. Must be called only once, from outside the
+   * loop, and blocks. Throws {@link java.net.BindException}, which Netty does not declare, if the
+   * port is in use.
    */
-  public void bind(Endpoint at) throws InterruptedException {
+  public void bind(Endpoint address) throws InterruptedException {
     listener =
         new ServerBootstrap()
             .group(loop.group())
@@ -113,39 +121,45 @@
                         .addLast(new Connection());
                   }
                 })
-            .bind(new InetSocketAddress(at.host(), at.port()))
+            .bind(new InetSocketAddress(address.host(), address.port()))
             .sync()
             .channel();
   }
 
-  /** Reads go on until nothing is left, so that a connection's end is read with its last bytes. */
+  /**
+   * Returns an allocator that makes Netty read a connection until nothing is left, so that the end
+   * of the connection is read together with its last bytes.
+   */
   private static RecvByteBufAllocator readUntilEmpty() {
     return new AdaptiveRecvByteBufAllocator()
         .respectMaybeMoreData(false)
         .maxMessagesPerRead(MAX_READS_PER_TURN);
   }
 
-  /** The port that the server listens on, where {@link #bind} was asked for any. */
+  /** Returns the port that the server listens on, which {@link #bind} may have selected. */
   public int port() {
     return ((InetSocketAddress) listener.localAddress()).getPort();
   }
 
-  /** How many connections are open and not evicted. Exact on the event loop only. */
+  /**
+   * Returns the number of connections that are open and not evicted. The value is exact only if
+   * read on the event loop.
+   */
   public int connectionCount() {
     return connectionCount;
   }
 
-  /** What a connection is doing. */
+  /** The phase of a connection. */
   private enum Phase {
-    /** Not accepted yet, turned away, evicted or closed. */
+    /** The connection is not accepted yet, or was rejected, evicted or closed. */
     NOT_COUNTED,
-    /** Counted, and without a request: it may be evicted. */
+    /** The connection is counted and has no request; it may be evicted. */
     IDLE,
-    /** Counted, and its request is being answered. */
+    /** The connection is counted and its request is being handled. */
     ANSWERING
   }
 
-  /** One incoming connection. */
+  /** An incoming connection. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private long lastUseNanos = System.nanoTime();
     private Duration timeout = FIRST_REQUEST_TIMEOUT;
@@ -157,7 +171,7 @@
       channel = ctx.channel();
       if (connectionCount >= maxConnections && !idle.isEmpty()) {
         Connection oldest = idle.iterator().next();
-        oldest.leave();
+        oldest.uncount();
         oldest.channel.close();
       }
       if (connectionCount >= maxConnections) {
@@ -170,8 +184,8 @@
       scheduleTimeoutCheck(ctx);
     }
 
-    /** Takes it out of the count, whether or not the socket is closed yet. */
-    private void leave() {
+    /** Removes the connection from the count, whether or not its socket is closed yet. */
+    private void uncount() {
       idle.remove(this);
       if (phase != Phase.NOT_COUNTED) {
         phase = Phase.NOT_COUNTED;
@@ -198,7 +212,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      leave();
+      uncount();
     }
 
     @Override
@@ -213,13 +227,13 @@
       Request request =
           new Request(
               message.method().name(), message.uri(), ByteBufUtil.getBytes(message.content()));
-      moveTo(Phase.ANSWERING);
+      setPhase(Phase.ANSWERING);
       handle(request)
           .whenComplete((reply, failure) -> answer(ctx, isPersistent, request, reply, failure));
     }
 
-    /** Changes the phase, unless the connection is not counted any more. */
-    private void moveTo(Phase next) {
+    /** Sets the phase, unless the connection is no longer counted. */
+    private void setPhase(Phase next) {
       if (phase != Phase.NOT_COUNTED) {
         phase = next;
         if (next == Phase.IDLE) {
@@ -245,13 +259,14 @@
         Reply reply,
         Throwable failure) {
       lastUseNanos = System.nanoTime();
-      moveTo(Phase.IDLE);
+      setPhase(Phase.IDLE);
       if (failure != null) {
-        LOG.error("request failed: method={} path={}", request.method(), request.path(), failure);
+        LOG.error(
+            "request handler failed: method={} path={}", request.method(), request.path(), failure);
       }
       Reply sent = failure == null ? reply : Reply.withRetryAfter(503, INTERNAL_ERROR, 1);
-      boolean isCrowded = connectionCount > crowdedConnections;
-      write(ctx, isPersistent && !isCrowded && !sent.closesConnection(), sent);
+      boolean isNearLimit = connectionCount > closeRequestThreshold;
+      write(ctx, isPersistent && !isNearLimit && !sent.closesConnection(), sent);
     }
 
     private void write(ChannelHandlerContext ctx, boolean isPersistent, Reply reply) {
--- a/src/main/java/io/cherryspool/http/ObservedTransport.java
+++ b/src/main/java/io/cherryspool/http/ObservedTransport.java
@@ -6,8 +6,8 @@
 import java.util.function.Predicate;
 
 /**
- * Sends requests by another transport, and reports to an observer of the link which of them were
- * answered. Used on the event loop.
+ * Sends requests through another transport and reports to an observer whether they were answered,
+ * which shows the state of the link. Used on the event loop.
  */
 public final class ObservedTransport implements Transport {
   private final EventLoop loop;
@@ -16,21 +16,24 @@
   private final Predicate<Reply> isRefusal;
   private final Observer observer;
 
-  /** Receives the outcome of each observed request, by the loop's time at which it was sent. */
+  /**
+   * Receives the outcome of each observed request. Times are those of the event loop's clock, and
+   * {@code sent} is when the request was sent.
+   */
   public interface Observer {
-    /** The other side answered. */
+    /** Called when the other side has answered a request. */
     void onAnswer(Duration sent);
 
-    /** The other side refused the request, or did not answer it in time. */
+    /** Called when the other side has refused a request, or has not answered it in time. */
     void onFailure(Duration sent, Duration now);
   }
 
   /**
-   * Makes a transport on top of another.
+   * Creates a transport that wraps another.
    *
    * @param isObserved selects the requests whose outcome shows the state of the link
-   * @param isRefusal selects the replies by which the other side says that it can't serve anybody,
-   *     or not this node
+   * @param isRefusal selects the replies that mean that the other side cannot serve any request, or
+   *     none of this node
    */
   public ObservedTransport(
       EventLoop loop,
--- a/src/main/java/io/cherryspool/http/RequestHandler.java
+++ b/src/main/java/io/cherryspool/http/RequestHandler.java
@@ -2,13 +2,14 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Answers requests. */
+/** Handles HTTP requests. */
 @FunctionalInterface
 public interface RequestHandler {
   /**
-   * Answers one request; called on the event loop, and must not block.
+   * Handles one request. Called on the event loop; must not block.
    *
-   * @return the answer, completed on the event loop; a failure is answered as an internal error
+   * @return the reply, completed on the event loop; if it completes exceptionally, the client gets
+   *     an internal error
    */
   CompletableFuture<Reply> handle(Request request);
 }
--- a/src/main/java/io/cherryspool/http/Transport.java
+++ b/src/main/java/io/cherryspool/http/Transport.java
@@ -3,14 +3,16 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
-/** Sends requests to other hosts. */
+/** Sends HTTP requests to other hosts. */
 @FunctionalInterface
 public interface Transport {
   /**
-   * Sends a request; called on the event loop.
+   * Sends a request. Must be called on the event loop.
    *
-   * @return the answer whatever its status, completed on the event loop; exceptionally if there is
-   *     none before the deadline, and then the request may have been carried out, or may yet be
+   * @param deadline the time limit for the reply, counted from this call
+   * @return the reply with any status, completed on the event loop; completes exceptionally if no
+   *     reply arrives within the deadline, and then the request may have been executed or may still
+   *     be executed later
    */
   CompletableFuture<Reply> send(Endpoint to, Request request, Duration deadline);
 }
--- a/src/main/java/io/cherryspool/http/package-info.java
+++ b/src/main/java/io/cherryspool/http/package-info.java
@@ -1,11 +1,11 @@
 /**
- * HTTP on the node's event loop: a client and a server with bounded sockets, and the plain types of
- * requests, replies and addresses that the other packages use.
+ * HTTP on the node's event loop: a client and a server that use a limited number of sockets, and
+ * types for requests, replies and addresses that the other packages use.
  *
- * <p>May depend on {@code lifecycle}, besides Netty. The types without Netty in them are all that
- * others need, so that the simulation can take the place of the network.
+ * <p>May depend on {@code lifecycle} and on Netty. Most packages use only the types that do not
+ * depend on Netty, so that the simulation can replace the network.
  *
- * <p>Threading: handlers and futures run on the event loop, a single Netty thread; they must not
- * block. Only binding a port blocks, and is called from outside the loop.
+ * <p>Threading: handlers and futures run on the event loop, a single Netty thread, and must not
+ * block. Binding a port blocks, and therefore is done from outside the loop.
  */
 package io.cherryspool.http;
--- a/src/main/java/io/cherryspool/lifecycle/EventLoop.java
+++ b/src/main/java/io/cherryspool/lifecycle/EventLoop.java
@@ -3,24 +3,25 @@
 import java.time.Duration;
 
 /**
- * The one thread on which a node's state lives, and its monotonic clock. Tasks on it must not
- * block. The simulation runs the same code on a virtual one.
+ * The event loop of a node: the single thread that accesses the node's state, and a monotonic
+ * clock. Tasks on the loop must not block. The simulation runs the same code on an event loop with
+ * virtual time.
  */
 public interface EventLoop {
 
-  /** Monotonic time since some fixed moment of this process. */
+  /** Returns the monotonic time since an arbitrary fixed moment of this process. */
   Duration now();
 
   /**
-   * Runs the task once after the delay, unless it is cancelled before; a negative delay counts as
-   * none. May be called from any thread.
+   * Runs the task once after the delay, unless it is cancelled first. A negative delay counts as
+   * zero. May be called from any thread.
    */
   Timer schedule(Duration delay, Runnable task);
 
-  /** A task that waits for its time. */
+  /** A scheduled task. */
   @FunctionalInterface
   interface Timer {
-    /** Keeps the task from running; has no effect once it has begun. */
+    /** Cancels the task. Has no effect once the task has started. */
     void cancel();
   }
 }
--- a/src/main/java/io/cherryspool/lifecycle/Lifecycle.java
+++ b/src/main/java/io/cherryspool/lifecycle/Lifecycle.java
@@ -1,11 +1,11 @@
 package io.cherryspool.lifecycle;
 
-/** A long-lived activity of a node. It is started and stopped on the event loop. */
+/** A long-lived component of a node, which is started and stopped on the event loop. */
 public interface Lifecycle {
 
-  /** Begins the activity. */
+  /** Starts the component. */
   void start();
 
-  /** Ends the activity; leaves no timer behind. */
+  /** Stops the component and cancels all its timers. */
   void stop();
 }
--- a/src/main/java/io/cherryspool/lifecycle/package-info.java
+++ b/src/main/java/io/cherryspool/lifecycle/package-info.java
@@ -1,9 +1,9 @@
 /**
- * What every long-lived activity of a node shares: the event loop on which it runs, and that it can
- * be started and stopped.
+ * The interfaces that all long-lived components of a node share: the event loop on which they run,
+ * and the methods to start and stop them.
  *
- * <p>Depends on nothing; every other package may depend on it.
+ * <p>Depends on no other package; every other package may depend on it.
  *
- * <p>Threading: the event loop is the one thread on which a node's state lives.
+ * <p>Threading: the event loop is the single thread that accesses the state of a node.
  */
 package io.cherryspool.lifecycle;
--- a/src/main/java/io/cherryspool/wire/CloudProtocol.java
+++ b/src/main/java/io/cherryspool/wire/CloudProtocol.java
@@ -13,28 +13,29 @@
 
 /** Encodes requests to the cloud and decodes its responses. */
 public final class CloudProtocol {
-  /** The cloud answers 503 with this error when an offering is out of capacity. */
+  /** The error text of the cloud's 503 response when an offering is out of capacity. */
   private static final String NO_CAPACITY = "no capacity";
 
   private CloudProtocol() {}
 
   /**
-   * One page of the instance list, in the order of the instances' names.
+   * One page of the instance list, ordered by instance name.
    *
-   * @param hasMore whether another page follows, which begins after the last name of this one
+   * @param hasMore whether another page follows; it begins after the last name of this page
    */
   public record InstancePage(List<Instance> instances, boolean hasMore) {}
 
-  /** The request for the machine types and their current prices. */
+  /** Returns the request for the machine types and their current prices. */
   public static Request catalogRequest() {
     return Request.get("/catalog");
   }
 
   /**
-   * Decodes the catalog, also in the stored form of {@link #encodeCatalog}.
+   * Decodes the catalog, either from the cloud's response or as stored by {@link #encodeCatalog}.
    *
    * @return the machine types in the cloud's order; immutable and not empty
-   * @throws MalformedMessageException if a type lacks a field, or there is no type
+   * @throws MalformedMessageException if the catalog is empty, or a machine type has a missing or
+   *     invalid field
    */
   public static List<MachineType> parseCatalog(JsonNode node) throws MalformedMessageException {
     List<MachineType> types = new ArrayList<>();
@@ -59,7 +60,7 @@
         List.copyOf(Json.requiredTexts(node, ProtocolFields.ZONES)));
   }
 
-  /** Encodes the catalog in the cloud's form, in which the state store keeps it. */
+  /** Encodes the catalog in the cloud's format, which is also its format in the state store. */
   public static ObjectNode encodeCatalog(List<MachineType> types) {
     ObjectNode node = Json.object();
     ArrayNode list = node.putArray(ProtocolFields.MACHINE_TYPES);
@@ -79,10 +80,10 @@
   }
 
   /**
-   * The request for new instances of one offering. It is idempotent by its name.
+   * Returns the request for new instances of one offering. The name makes it idempotent.
    *
-   * @param name the request's name, which must never have been used for another request
-   * @param count how many instances, at most 50; the cloud may grant fewer
+   * @param name the request's name, which must be unique among all requests ever sent
+   * @param count the number of instances, at most 50; the cloud may grant fewer
    */
   public static Request instanceRequest(
       String name, String type, String zone, boolean isSpot, int count) {
@@ -96,8 +97,8 @@
   }
 
   /**
-   * Whether the body of a 503 says that the offering is out of capacity. An outage of the cloud has
-   * the same status.
+   * Whether the body of a 503 response reports that the offering is out of capacity. The cloud also
+   * responds with status 503 during an outage, but with another error.
    */
   public static boolean isNoCapacity(byte[] body) {
     try {
@@ -110,16 +111,16 @@
   /**
    * Decodes the response to an instance request.
    *
-   * @return the names of the instances granted, fewer than requested or none
+   * @return the names of the granted instances, which may be fewer than requested, or none
    */
   public static List<String> parseInstanceNames(JsonNode node) throws MalformedMessageException {
     return Json.requiredTexts(node, ProtocolFields.MACHINES);
   }
 
   /**
-   * The request to delete instances. The cloud ignores unknown names.
+   * Returns the request to delete instances. The cloud ignores unknown names.
    *
-   * @param machines the instances' names, at most 100
+   * @param machines the names of the instances, at most 100
    */
   public static Request deleteRequest(List<String> machines) {
     ObjectNode node = Json.object();
@@ -129,10 +130,10 @@
   }
 
   /**
-   * The request for one page of the instance list.
+   * Returns the request for one page of the instance list.
    *
-   * @param after the last name of the page before, null for the first page
-   * @param limit the most instances in the page, at most 500
+   * @param after the last name of the previous page; null for the first page
+   * @param limit the maximum number of instances in the page, at most 500
    */
   public static Request listRequest(String after, int limit) {
     String from =
@@ -157,12 +158,12 @@
     return new InstancePage(instances, node.path(ProtocolFields.HAS_MORE).asBoolean(false));
   }
 
-  private static Instance.Status parseStatus(String word) throws MalformedMessageException {
-    return switch (word) {
+  private static Instance.Status parseStatus(String name) throws MalformedMessageException {
+    return switch (name) {
       case "booting" -> Instance.Status.BOOTING;
       case "running" -> Instance.Status.RUNNING;
       case "failed" -> Instance.Status.FAILED;
-      default -> throw new MalformedMessageException("status is unknown: " + word);
+      default -> throw new MalformedMessageException("status is unknown: " + name);
     };
   }
 }
--- a/src/main/java/io/cherryspool/wire/Json.java
+++ b/src/main/java/io/cherryspool/wire/Json.java
@@ -12,40 +12,44 @@
 import java.util.List;
 
 /**
- * Creates, reads and writes JSON trees. A field that is missing or has the wrong type or range
- * causes a {@link MalformedMessageException} that names it.
+ * Creates, reads and writes JSON trees. The methods that read a required field throw a {@link
+ * MalformedMessageException} that names the field if it is missing, has the wrong type or is out of
+ * range.
  */
 public final class Json {
-  /** Bound on amounts and on durations in seconds; it keeps durations in nanoseconds in range. */
+  /**
+   * Upper bound on amounts, and on durations in seconds, whose nanoseconds then fit into a {@code
+   * long}.
+   */
   private static final double MAX_AMOUNT = 1e9;
 
   private static final double NANOS_PER_SECOND = 1e9;
 
   private Json() {}
 
-  /** A new empty object. */
+  /** Returns a new empty object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
-  /** A new empty array. */
+  /** Returns a new empty array. */
   public static ArrayNode array() {
     return JsonNodeFactory.instance.arrayNode();
   }
 
-  /** Writes the tree as UTF-8. */
+  /** Encodes the tree as UTF-8 text. */
   public static byte[] toBytes(JsonNode node) {
     try {
       return JsonTree.write(node);
     } catch (IOException e) {
-      throw new IllegalStateException("a tree that cannot be written", e);
+      throw new IllegalStateException("the JSON tree cannot be encoded", e);
     }
   }
 
   /**
-   * Reads one object with nothing after it.
+   * Parses a body that consists of a single JSON object.
    *
-   * @throws MalformedMessageException if the body is not JSON, or not one object
+   * @throws MalformedMessageException if the body is not valid JSON, or not a single object
    */
   public static JsonNode parseObject(byte[] body) throws MalformedMessageException {
     JsonNode node;
@@ -69,9 +73,9 @@
   }
 
   /**
-   * The node's text, checked to be encodable: an escape may name half of a surrogate pair, which
-   * can be read but not written again. Few texts have surrogates, and each heartbeat has many
-   * texts, so that an encoder is made for those few only.
+   * Returns the node's text after checking that it can be encoded as UTF-8. A JSON escape may name
+   * half of a surrogate pair, which can be parsed but not written again. A heartbeat contains many
+   * texts and few of them have surrogates, so an encoder is created only for those.
    */
   private static String encodableText(JsonNode node, String field)
       throws MalformedMessageException {
@@ -91,12 +95,12 @@
     return false;
   }
 
-  /** The field's text, or null if the field is missing or null. */
+  /** Returns the field's text, or null if the field is missing or null. */
   static String textOrNull(JsonNode node, String field) throws MalformedMessageException {
     return isAbsent(node, field) ? null : requiredText(node, field);
   }
 
-  /** Whether the field is missing or null, which mean the same in all protocols. */
+  /** Whether the field is missing or null; all protocols treat the two alike. */
   static boolean isAbsent(JsonNode node, String field) {
     JsonNode found = node.path(field);
     return found.isMissingNode() || found.isNull();
@@ -122,7 +126,7 @@
     return found.longValue();
   }
 
-  /** The field's number, from 0 to {@value #MAX_AMOUNT}. */
+  /** Returns the field's number, which must be from 0 to {@value #MAX_AMOUNT}. */
   static double requiredAmount(JsonNode node, String field) throws MalformedMessageException {
     JsonNode found = node.path(field);
     double value = found.doubleValue();
@@ -132,7 +136,7 @@
     return value;
   }
 
-  /** The field's duration, given as a decimal number of seconds. */
+  /** Returns the field's duration, which is given as a decimal number of seconds. */
   static Duration requiredSeconds(JsonNode node, String field) throws MalformedMessageException {
     return Duration.ofNanos(Math.round(requiredAmount(node, field) * NANOS_PER_SECOND));
   }
@@ -141,7 +145,7 @@
     return duration.toNanos() / NANOS_PER_SECOND;
   }
 
-  /** The resources of a task or machine, which have a field each. */
+  /** Reads the resources of a task or machine from the three fields that hold them. */
   static Resources requiredResources(JsonNode node) throws MalformedMessageException {
     return new Resources(
         requiredAmount(node, ProtocolFields.CPUS),
@@ -155,7 +159,7 @@
     node.put(ProtocolFields.MEMORY_GB, resources.memoryGb());
   }
 
-  /** The field's list of strings, which may be empty. */
+  /** Returns the field's list of strings, which may be empty. */
   static List<String> requiredTexts(JsonNode node, String field) throws MalformedMessageException {
     JsonNode found = node.path(field);
     if (!found.isArray()) {
--- a/src/main/java/io/cherryspool/wire/JsonTree.java
+++ b/src/main/java/io/cherryspool/wire/JsonTree.java
@@ -17,14 +17,14 @@
 import java.util.Map;
 
 /**
- * Reads and writes trees of JSON nodes with Jackson's streaming parser and generator alone.
+ * Reads and writes trees of JSON nodes using only Jackson's streaming parser and generator.
  *
- * <p>An {@code ObjectMapper} does the same, but its first use loads type resolution, serializers,
- * date formats and locale data that no tree needs, which is a large part of the processor time that
- * a starting node takes.
+ * <p>An {@code ObjectMapper} would do the same, but its first use loads type resolution,
+ * serializers, date formats and locale data that no tree needs. Loading them takes a large part of
+ * the processor time of a node's start-up.
  */
 public final class JsonTree {
-  /** Initial size of the output buffer, which most messages fit into. */
+  /** The initial size of the output buffer; most messages fit into it. */
   private static final int INITIAL_OUTPUT_BYTES = 256;
 
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
@@ -34,10 +34,11 @@
   private JsonTree() {}
 
   /**
-   * Reads one JSON value with nothing after it.
+   * Parses input that consists of a single JSON value.
    *
    * @return the value, or a missing node if the input is empty
-   * @throws IOException if the input is not one JSON value, or nested deeper than Jackson's limit
+   * @throws IOException if the input is not a single JSON value, or is nested deeper than Jackson's
+   *     limit
    */
   public static JsonNode read(byte[] json) throws IOException {
     try (JsonParser parser = FACTORY.createParser(json)) {
@@ -46,7 +47,7 @@
       }
       JsonNode value = readValue(parser);
       if (parser.nextToken() != null) {
-        throw new IOException("more than one JSON value");
+        throw new IOException("expected one JSON value, found another after it");
       }
       return value;
     }
@@ -62,7 +63,7 @@
       case VALUE_TRUE -> NODES.booleanNode(true);
       case VALUE_FALSE -> NODES.booleanNode(false);
       case VALUE_NULL -> NODES.nullNode();
-      default -> throw new IOException("unexpected " + parser.currentToken());
+      default -> throw new IOException("unexpected JSON token " + parser.currentToken());
     };
   }
 
@@ -74,7 +75,7 @@
     };
   }
 
-  /** Reads an object; of a field that appears twice the last value counts, as in Jackson. */
+  /** Reads an object. If a field is repeated, its last value is used, as in Jackson. */
   private static JsonNode readObject(JsonParser parser) throws IOException {
     ObjectNode object = NODES.objectNode();
     String name = parser.nextFieldName();
@@ -95,9 +96,9 @@
   }
 
   /**
-   * Writes the tree as UTF-8.
+   * Encodes the tree as UTF-8 text.
    *
-   * @throws IOException if the tree has a node that JSON cannot express
+   * @throws IOException if the tree contains a node that JSON cannot express
    */
   public static byte[] write(JsonNode node) throws IOException {
     ByteArrayOutputStream output = new ByteArrayOutputStream(INITIAL_OUTPUT_BYTES);
@@ -115,7 +116,7 @@
       case NUMBER -> writeNumber(node, generator);
       case BOOLEAN -> generator.writeBoolean(node.booleanValue());
       case NULL -> generator.writeNull();
-      default -> throw new IOException("a node that JSON does not know: " + node.getNodeType());
+      default -> throw new IOException("JSON cannot express a node of type " + node.getNodeType());
     }
   }
 
--- a/src/main/java/io/cherryspool/wire/MalformedMessageException.java
+++ b/src/main/java/io/cherryspool/wire/MalformedMessageException.java
@@ -1,13 +1,17 @@
 package io.cherryspool.wire;
 
-/** A received message breaks its protocol. The exception's message names the field and says how. */
+/**
+ * Thrown when a received message violates its protocol. The exception's message names the invalid
+ * field and the problem.
+ */
 public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
   /**
    * Creates the exception.
    *
-   * @param message what is wrong, and in which field; users get it in the body of a 400
+   * @param message names the invalid field and the problem; users receive it in the body of a 400
+   *     response
    */
   public MalformedMessageException(String message) {
     super(message);
--- a/src/main/java/io/cherryspool/wire/ProtocolFields.java
+++ b/src/main/java/io/cherryspool/wire/ProtocolFields.java
@@ -1,14 +1,14 @@
 package io.cherryspool.wire;
 
 /**
- * The JSON field names of the deployment's protocols, each under the standard term that the code
- * uses for it. The package documentation has the table of the terms.
+ * The JSON field names of the protocols. Each constant is named by the standard term that the code
+ * uses for the field; the package documentation has a table of these terms.
  *
- * <p>All are compile-time constants, so that this class is not loaded at run time. A word that
- * means different things in different messages has a constant for each meaning.
+ * <p>All fields are compile-time constants, so this class is not loaded at run time. A field name
+ * with different meanings in different messages has one constant for each meaning.
  */
 final class ProtocolFields {
-  // Machines and tasks, in several protocols.
+  // Fields of machines and tasks that several protocols share.
   static final String ID = "ref";
   static final String MACHINE = "spindle";
   static final String MACHINES = "spindles";
@@ -25,7 +25,7 @@
   static final String ERROR = "error";
   static final String HAS_MORE = "has_next";
 
-  // Jobs as users submit and query them.
+  // Jobs, as submitted and queried by users.
   static final String JOB_CLASS = "lane";
   static final String TEAM = "owner";
   static final String JOB_KIND = "shape";
@@ -43,7 +43,7 @@
   static final String RUNNING_TASKS = "running";
   static final String FAILING_TASKS = "failing";
 
-  // Heartbeats of workers, and the commands to them.
+  // Heartbeats from workers, and commands to them.
   static final String AGENT_EPOCH = "shift";
   static final String SEQUENCE = "tick";
   static final String FENCING_TOKEN = "baton";
--- a/src/main/java/io/cherryspool/wire/StateStoreProtocol.java
+++ b/src/main/java/io/cherryspool/wire/StateStoreProtocol.java
@@ -16,65 +16,70 @@
 /** Encodes requests to the state store and decodes its responses. */
 public final class StateStoreProtocol {
   /**
-   * Bound in bytes on the values of one transaction, with {@link #CHANGE_OVERHEAD_BYTES} for each
-   * change. The store accepts 64 KiB in all; the rest is left for keys and conditions.
+   * The maximum size in bytes of all values of one transaction, including {@link
+   * #CHANGE_OVERHEAD_BYTES} for each change. The store accepts transactions of up to 64 KiB; the
+   * difference is reserved for keys and conditions.
    */
   public static final int MAX_TRANSACTION_VALUE_BYTES = 56_000;
 
-  /** Bytes that one change may add to a transaction beside its value. */
+  /** The bytes to reserve for each change of a transaction in addition to its value. */
   public static final int CHANGE_OVERHEAD_BYTES = 300;
 
   private static final String WATCH_TARGET = "/follow?";
-  private static final String WATCH_WAIT = "&block_ms=";
+  private static final String WATCH_WAIT_PARAMETER = "&block_ms=";
 
   private StateStoreProtocol() {}
 
   /**
-   * One change of a transaction.
+   * One change of a transaction: sets or deletes a key.
    *
-   * @param value the key's new value, null to delete the key
-   * @param leaseId the lease that the key is attached to, 0 for none
+   * @param value the key's new value; null to delete the key
+   * @param leaseId the lease to attach the key to; 0 for none
    */
   public record Change(String key, JsonNode value, long leaseId) {}
 
   /**
-   * A key's state, or its deletion.
+   * The state of a key after its last change, which may be its deletion.
    *
-   * @param value the key's value, null if it was deleted
-   * @param version the store's revision at the key's last change
+   * @param value the key's value; null if the key was deleted
+   * @param version the revision of the store that last changed the key
    */
   public record Event(String key, JsonNode value, long version) {}
 
   /**
-   * The changes of a key range after some revision.
+   * The events of a key range after the revision that the watch named.
    *
    * @param revision the revision up to which the events are complete
    */
   public record WatchResult(List<Event> events, long revision) {}
 
   /**
-   * One page of a key range, in the order of the keys.
+   * One page of a key range, ordered by key.
    *
-   * @param hasMore whether another page follows, which begins after the last key of this one
-   * @param revision the store's revision at which the page was read
+   * @param hasMore whether another page follows; it begins after the last key of this page
+   * @param revision the revision of the store at which the page was read
    */
   public record KeyPage(List<Event> entries, boolean hasMore, long revision) {}
 
   /**
-   * A compare-and-swap transaction: all changes, if every condition holds, else none.
+   * Returns the request for a compare-and-swap transaction. The store applies all changes if every
+   * condition holds, and none otherwise.
    *
-   * @param conditions the version that each key must have, 0 for one that must not exist
-   * @param changes the changes to apply; without any the transaction only compares
+   * @param conditions the version that each key must have; 0 if the key must not exist
+   * @param changes the changes to apply; if empty, the transaction only checks the conditions
    */
   public static Request transactionRequest(Map<String, Long> conditions, List<Change> changes) {
     ObjectNode node = Json.object();
-    ArrayNode guards = node.putArray(ProtocolFields.CONDITIONS);
+    ArrayNode conditionNodes = node.putArray(ProtocolFields.CONDITIONS);
     conditions.forEach(
         (key, version) ->
-            guards.addObject().put(ProtocolFields.KEY, key).put(ProtocolFields.VERSION, version));
-    ArrayNode list = node.putArray(ProtocolFields.CHANGES);
+            conditionNodes
+                .addObject()
+                .put(ProtocolFields.KEY, key)
+                .put(ProtocolFields.VERSION, version));
+    ArrayNode changeNodes = node.putArray(ProtocolFields.CHANGES);
     for (Change change : changes) {
-      encodeChange(change, list.addObject());
+      encodeChange(change, changeNodes.addObject());
     }
     return Request.post("/commit", Json.toBytes(node));
   }
@@ -91,26 +96,30 @@
     }
   }
 
-  /** Whether the request waits for changes, so that its response may come late. */
+  /**
+   * Whether the request is a watch for which the store waits until there is a change, so its
+   * response may come late.
+   */
   public static boolean isWatch(Request request) {
-    return request.target().startsWith(WATCH_TARGET) && !request.target().endsWith(WATCH_WAIT + 0);
+    return request.target().startsWith(WATCH_TARGET)
+        && !request.target().endsWith(WATCH_WAIT_PARAMETER + 0);
   }
 
-  /** The store's revision that a response carries. */
+  /** Returns the revision of the store that a response contains. */
   public static long parseRevision(JsonNode node) throws MalformedMessageException {
     return Json.requiredInteger(node, ProtocolFields.REVISION, 0, Long.MAX_VALUE);
   }
 
-  /** The keys whose conditions did not hold, from the response to a transaction that failed. */
+  /** Returns the keys whose conditions did not hold, from the response to a failed transaction. */
   public static Set<String> parseFailedKeys(JsonNode node) throws MalformedMessageException {
     return new HashSet<>(Json.requiredTexts(node, ProtocolFields.FAILED_KEYS));
   }
 
   /**
-   * The request for one page of a key range.
+   * Returns the request for one page of the keys with the given prefix.
    *
-   * @param after the last key of the page before, null for the first page
-   * @param limit the most keys in the page, at most 1000
+   * @param after the last key of the previous page; null for the first page
+   * @param limit the maximum number of keys in the page, at most 1000
    */
   public static Request listRequest(String prefix, String after, int limit) {
     String from = after == null ? "" : "&from=" + encode(after);
@@ -132,10 +141,11 @@
   }
 
   /**
-   * The request for the changes of a key range.
+   * Returns the request that watches the keys with the given prefix.
    *
-   * @param after the revision after which changes are wanted
-   * @param wait how long the store waits for a change, zero to answer at once
+   * @param after the revision after which changes are requested
+   * @param wait how long the store waits for a change before it responds without any; zero for an
+   *     immediate response
    */
   public static Request watchRequest(String prefix, long after, Duration wait) {
     return Request.get(
@@ -144,7 +154,7 @@
             + encode(prefix)
             + "&from="
             + after
-            + WATCH_WAIT
+            + WATCH_WAIT_PARAMETER
             + wait.toMillis());
   }
 
@@ -170,28 +180,28 @@
     return Json.requiredInteger(node, ProtocolFields.VERSION, 0, Long.MAX_VALUE);
   }
 
-  /** The request for a new lease with this time to live. */
+  /** Returns the request for a new lease with the given time to live. */
   public static Request grantLeaseRequest(Duration timeToLive) {
     ObjectNode node = Json.object().put(ProtocolFields.LEASE_MILLIS, timeToLive.toMillis());
     return Request.post("/leases", Json.toBytes(node));
   }
 
-  /** The id of the lease granted, from the response. */
+  /** Returns the id of the granted lease from the response to a lease request. */
   public static long parseLeaseId(JsonNode node) throws MalformedMessageException {
     return Json.requiredInteger(node, ProtocolFields.LEASE_ID, 1, Long.MAX_VALUE);
   }
 
-  /** The request that gives a lease its full time to live again. */
+  /** Returns the request that renews a lease for its full time to live. */
   public static Request renewLeaseRequest(long leaseId) {
     return Request.post("/leases/" + leaseId + "/extend", new byte[0]);
   }
 
-  /** The request that ends a lease at once, with the keys attached to it. */
+  /** Returns the request that revokes a lease, which also deletes the keys attached to it. */
   public static Request revokeLeaseRequest(long leaseId) {
     return Request.delete("/leases/" + leaseId);
   }
 
-  /** The text for a query, in which the store takes slashes as they are. */
+  /** URL-encodes the text of a query parameter, except for slashes, which the store accepts. */
   private static String encode(String text) {
     return URLEncoder.encode(text, StandardCharsets.UTF_8).replace("%2F", "/");
   }
--- a/src/main/java/io/cherryspool/wire/UserProtocol.java
+++ b/src/main/java/io/cherryspool/wire/UserProtocol.java
@@ -16,44 +16,47 @@
   private static final Pattern JOB_ID = Pattern.compile("req-[0-9]{6,18}");
   private static final int MAX_TASKS = 100_000;
 
-  /** The only kind of job that the protocol has: independent tasks, each run to completion. */
+  /** The only kind of job in the protocol: independent tasks, each of which runs to completion. */
   private static final String ARRAY_JOB = "array";
 
   private UserProtocol() {}
 
-  /** The state of a job in a response to its user. */
+  /** The status of a job in a response to its user. */
   public enum JobStatus {
-    /** No task runs. */
+    /** No task is running. */
     PENDING("pending"),
-    /** At least one task runs. */
+    /** At least one task is running. */
     RUNNING("running"),
     /** All tasks are done; final. */
     DONE("done"),
     /** Cancelled by its user; final. */
     CANCELLED("withdrawn");
 
-    private final String word;
+    private final String protocolName;
 
-    JobStatus(String word) {
-      this.word = word;
+    JobStatus(String protocolName) {
+      this.protocolName = protocolName;
     }
   }
 
-  /** Whether the text has the form of a job id, such as {@code req-000412}. */
+  /** Whether the text is a well-formed job id, such as {@code req-000412}. */
   public static boolean isJobId(String text) {
     return JOB_ID.matcher(text).matches();
   }
 
-  /** The job id that a submission names, whatever else is wrong with it; empty if it has none. */
+  /**
+   * Returns the job id of a submission that may be invalid otherwise; empty if it has no
+   * well-formed id.
+   */
   public static Optional<String> findJobId(JsonNode node) {
     String text = node.path(ProtocolFields.ID).asText();
     return isJobId(text) ? Optional.of(text) : Optional.empty();
   }
 
   /**
-   * Decodes a submission, which is also the stored form of {@link #encodeJob}.
+   * Decodes a job from a user's submission, or as stored by {@link #encodeJob}.
    *
-   * @param submittedAt the job's time of submission, which the description does not carry
+   * @param submittedAt the job's submission time, which the encoded job does not contain
    * @throws MalformedMessageException if a field is missing or invalid
    */
   public static Job parseJob(JsonNode node, Instant submittedAt) throws MalformedMessageException {
@@ -94,8 +97,8 @@
   }
 
   /**
-   * Encodes the job in the users' form, in which the state store keeps it. Its time of submission
-   * is left out.
+   * Encodes the job in the format of submissions, which is also its format in the state store. The
+   * submission time is omitted.
    */
   public static ObjectNode encodeJob(Job job) {
     ObjectNode node = Json.object();
@@ -127,17 +130,18 @@
     return node;
   }
 
-  /** The body of the response to a submission or a cancellation. */
+  /** Encodes the body of the response to a submission or a cancellation. */
   public static byte[] encodeStatus(String id, JobStatus status) {
     return Json.toBytes(statusOf(id, status));
   }
 
   /**
-   * The body of the response to a query.
+   * Encodes the body of the response to a query.
    *
-   * @param done tasks that are done
-   * @param running tasks that run
-   * @param failing tasks beyond the failure cap; the field is left out if there are none
+   * @param done the number of tasks that are done
+   * @param running the number of tasks that are running
+   * @param failing the number of tasks that have reached the failure cap; the field is omitted if
+   *     it is 0
    */
   public static byte[] encodeStatus(
       String id, JobStatus status, int done, int running, int failing) {
@@ -150,16 +154,16 @@
   }
 
   private static ObjectNode statusOf(String id, JobStatus status) {
-    return Json.object().put(ProtocolFields.ID, id).put(ProtocolFields.STATUS, status.word);
+    return Json.object().put(ProtocolFields.ID, id).put(ProtocolFields.STATUS, status.protocolName);
   }
 
-  /** The body of a response that refuses a request, with the reason. */
+  /** Encodes the body of a response that rejects a request with the given reason. */
   public static byte[] encodeError(String message) {
     return Json.toBytes(Json.object().put(ProtocolFields.ERROR, message));
   }
 
-  private static Priority parsePriority(String word) throws MalformedMessageException {
-    return switch (word) {
+  private static Priority parsePriority(String name) throws MalformedMessageException {
+    return switch (name) {
       case "production" -> Priority.PRODUCTION;
       case "urgent" -> Priority.HIGH;
       case "normal" -> Priority.NORMAL;
--- a/src/main/java/io/cherryspool/wire/WorkerProtocol.java
+++ b/src/main/java/io/cherryspool/wire/WorkerProtocol.java
@@ -10,12 +10,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Decodes the heartbeats of workers, and encodes the responses and commands to them. */
+/** Decodes the heartbeats of workers, and encodes responses and commands to workers. */
 public final class WorkerProtocol {
   private WorkerProtocol() {}
 
   /**
-   * Decodes a heartbeat, or the same message as the response to a direct call.
+   * Decodes a heartbeat. A worker's response to a direct call has the same format.
    *
    * @throws MalformedMessageException if a field is missing or invalid
    */
@@ -66,35 +66,37 @@
   }
 
   /**
-   * The body of the 200 to a heartbeat. It renews the worker's lease and carries commands, which
-   * the worker executes in order.
+   * Encodes the body of the 200 response to a heartbeat. The response renews the worker's lease and
+   * contains commands, which the worker executes in order.
    *
-   * @param fencingToken the leader's token; the worker drops the response if it has seen a higher
+   * @param fencingToken the leader's token; the worker ignores the response if it has seen a higher
+   *     token
    */
   public static byte[] encodeHeartbeatReply(long fencingToken, List<WorkerCommand> commands) {
     ObjectNode node = Json.object().put(ProtocolFields.FENCING_TOKEN, fencingToken);
-    node.set(ProtocolFields.COMMANDS, encodeList(commands));
+    node.set(ProtocolFields.COMMANDS, encodeCommandList(commands));
     return Json.toBytes(node);
   }
 
   /**
-   * The body of a direct call with commands, which renews no lease.
+   * Encodes the body of a direct call with commands, which does not renew the worker's lease.
    *
-   * @param agentEpoch the epoch that the commands are meant for; the worker refuses them in another
+   * @param agentEpoch the agent epoch that the commands are meant for; the worker refuses them in
+   *     any other epoch
    */
   public static byte[] encodeCommands(
       long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
     ObjectNode node = Json.object();
     node.put(ProtocolFields.FENCING_TOKEN, fencingToken);
     node.put(ProtocolFields.AGENT_EPOCH, agentEpoch);
-    node.set(ProtocolFields.COMMANDS, encodeList(commands));
+    node.set(ProtocolFields.COMMANDS, encodeCommandList(commands));
     return Json.toBytes(node);
   }
 
   /**
-   * The body of the 421 that sends a worker to another node.
+   * Encodes the body of the 421 response that redirects a worker to the leader.
    *
-   * @param leader the node to report to, null if it is not known
+   * @param leader the node to send heartbeats to; null if the leader is not known
    */
   public static byte[] encodeRedirect(String leader) {
     ObjectNode node = Json.object();
@@ -104,7 +106,7 @@
     return Json.toBytes(node);
   }
 
-  private static ArrayNode encodeList(List<WorkerCommand> commands) {
+  private static ArrayNode encodeCommandList(List<WorkerCommand> commands) {
     ArrayNode list = Json.array();
     for (WorkerCommand command : commands) {
       ObjectNode node = list.addObject();
@@ -126,23 +128,23 @@
     };
   }
 
-  private static WorkerHeartbeat.TaskState parseState(String word)
+  private static WorkerHeartbeat.TaskState parseState(String name)
       throws MalformedMessageException {
-    return switch (word) {
+    return switch (name) {
       case "pulling" -> WorkerHeartbeat.TaskState.FETCHING;
       case "running" -> WorkerHeartbeat.TaskState.RUNNING;
       case "saving" -> WorkerHeartbeat.TaskState.CHECKPOINTING;
       case "ended" -> WorkerHeartbeat.TaskState.EXITED;
-      default -> throw new MalformedMessageException("status is unknown: " + word);
+      default -> throw new MalformedMessageException("status is unknown: " + name);
     };
   }
 
-  /** A cause that is missing or not documented counts as an error, never as done. */
-  private static WorkerHeartbeat.ExitCause parseCause(String word) {
-    if (word == null) {
+  /** Parses an exit cause; a missing or unknown one counts as an error, never as done. */
+  private static WorkerHeartbeat.ExitCause parseCause(String name) {
+    if (name == null) {
       return WorkerHeartbeat.ExitCause.ERROR;
     }
-    return switch (word) {
+    return switch (name) {
       case "done" -> WorkerHeartbeat.ExitCause.DONE;
       case "stopped" -> WorkerHeartbeat.ExitCause.STOPPED;
       case "no_room" -> WorkerHeartbeat.ExitCause.INSUFFICIENT_RESOURCES;
--- a/src/main/java/io/cherryspool/worker/WorkerClient.java
+++ b/src/main/java/io/cherryspool/worker/WorkerClient.java
@@ -16,31 +16,36 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * Client of the agents on the machines. Used on the event loop, where its futures complete: with
- * the heartbeat by which the worker answers, or with a failure if there was no usable answer.
+ * Client of the worker agents on the machines. Used on the event loop, where its futures complete:
+ * with the heartbeat that the worker sends as its response, or exceptionally if there was no usable
+ * response.
  */
 public final class WorkerClient {
   private static final int OK = 200;
 
-  /** Nothing was executed: the token is too old, or the agent epoch another. */
+  /**
+   * The status if the worker executed nothing, because the fencing token is too old or the agent
+   * epoch is not the current one.
+   */
   private static final int CONFLICT = 409;
 
   private final Transport transport;
   private final Duration deadline;
 
-  /** Makes a client whose calls fail after {@code deadline} without an answer. */
+  /** Creates a client whose calls fail if there is no response within {@code deadline}. */
   public WorkerClient(Transport transport, Duration deadline) {
     this.transport = transport;
     this.deadline = deadline;
   }
 
   /**
-   * Sends commands to a worker, which executes them unless it knows a later token or is in another
-   * epoch; the heartbeat in its answer shows what came of them. If the call fails, they may still
-   * be executed later, as long as token and epoch are current.
+   * Sends commands to a worker, which executes them unless it has seen a later token or is in
+   * another agent epoch. The heartbeat in the response shows the state of its tasks afterwards. If
+   * the call fails, the commands may still be executed later, as long as token and epoch are
+   * current.
    *
    * @param token the leader's fencing token
-   * @param agentEpoch the epoch of the worker, from its last heartbeat
+   * @param agentEpoch the agent epoch from the worker's last heartbeat
    */
   public CompletableFuture<WorkerHeartbeat> sendCommands(
       Endpoint worker, long token, long agentEpoch, List<WorkerCommand> commands) {
@@ -48,7 +53,7 @@
     return call(worker, Request.post("/commands", body));
   }
 
-  /** Requests a heartbeat outside of the worker's interval; changes nothing at the worker. */
+  /** Requests a heartbeat outside the worker's interval, without changing the worker's state. */
   public CompletableFuture<WorkerHeartbeat> requestHeartbeat(Endpoint worker) {
     return call(worker, Request.get("/inspect"));
   }
@@ -62,9 +67,10 @@
       if (reply.status() == OK || reply.status() == CONFLICT) {
         return WorkerProtocol.parseHeartbeat(Json.parseObject(reply.body()));
       }
-      throw new MalformedMessageException("status " + reply.status());
+      throw new MalformedMessageException("unexpected status " + reply.status());
     } catch (MalformedMessageException e) {
-      throw new CompletionException(new IOException("a worker's answer: " + e.getMessage()));
+      throw new CompletionException(
+          new IOException("malformed response from a worker: " + e.getMessage()));
     }
   }
 }
