--- a/src/test/java/io/cherryspool/KnownRedTest.java
+++ b/src/test/java/io/cherryspool/KnownRedTest.java
@@ -20,36 +20,37 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * That just the tests in KNOWN-RED.txt are passed over: each tag has its entry, and each entry has
- * its test and all four parts.
+ * Checks that test runs exclude exactly the tests listed in KNOWN-RED.txt: each tagged test has an
+ * entry, and each entry is complete and names a tagged test.
  */
 public class KnownRedTest {
-  /** Tests with this tag are passed over; each has an entry in the file. */
+  /** Test runs exclude the tests with this tag, each of which has an entry in the file. */
   public static final String TAG = "known-red";
 
   private static final Path FILE = Path.of("KNOWN-RED.txt");
   private static final List<String> PARTS =
       List.of("test", "command and seed", "what was seen", "open issue");
 
-  /** The last part names an issue, which the tracker knows to be open. */
+  /** The form of the last part of an entry, which names an open issue of the tracker. */
   private static final Pattern ISSUE = Pattern.compile("issue \\d+");
 
   @Test
-  void justTheListedTestsArePassedOver() throws IOException {
+  void exactlyTheListedTestsAreExcluded() throws IOException {
     Set<String> listed = new TreeSet<>();
     if (Files.exists(FILE)) {
       for (String line : Files.readAllLines(FILE)) {
-        assertTrue(listed.add(testOf(line)), "twice: " + line);
+        assertTrue(listed.add(parseTestName(line)), "test is listed twice: " + line);
       }
     }
-    assertEquals(listed, tagged());
+    assertEquals(listed, taggedTests());
   }
 
   @Test
-  void anEntryHasFourPartsAndNamesAnIssue() {
+  void acceptsOnlyEntriesWithFourPartsAndAnIssue() {
     assertEquals(
         "AnyTest.fails",
-        testOf("AnyTest.fails; mvn test -Dtest=AnyTest, seed 9; fails after 90 s; issue 35"));
+        parseTestName(
+            "AnyTest.fails; mvn test -Dtest=AnyTest, seed 9; fails after 90 s; issue 35"));
     for (String malformed :
         List.of(
             "AnyTest.fails; mvn test; issue 35",
@@ -57,23 +58,23 @@
             "AnyTest.fails; mvn test; fails; ",
             "AnyTest.fails; mvn test; fails; soon",
             "")) {
-      assertThrows(AssertionError.class, () -> testOf(malformed), malformed);
+      assertThrows(AssertionError.class, () -> parseTestName(malformed), malformed);
     }
   }
 
-  /** The test that the entry names; fails if the entry is malformed. */
-  private static String testOf(String entry) {
+  /** Returns the name of the test in the entry; fails if the entry is malformed. */
+  private static String parseTestName(String entry) {
     String[] parts = entry.split("; ", -1);
     assertEquals(PARTS.size(), parts.length, String.join("; ", PARTS) + ": " + entry);
     for (int i = 0; i < parts.length; i++) {
       assertFalse(parts[i].isBlank(), PARTS.get(i) + " is missing: " + entry);
     }
     String issue = parts[PARTS.size() - 1];
-    assertTrue(ISSUE.matcher(issue).matches(), "no issue: " + entry);
+    assertTrue(ISSUE.matcher(issue).matches(), "the last part names no issue: " + entry);
     return parts[0];
   }
 
-  private static Set<String> tagged() {
+  private static Set<String> taggedTests() {
     Set<String> result = new TreeSet<>();
     for (JavaClass each :
         new ClassFileImporter()
--- a/src/test/java/io/cherryspool/PackageDependenciesTest.java
+++ b/src/test/java/io/cherryspool/PackageDependenciesTest.java
@@ -16,12 +16,15 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** That packages depend on one another only in the order that docs/design.md gives. */
+/** Checks that packages depend on one another only as docs/design.md specifies. */
 class PackageDependenciesTest {
   private static final String ROOT = "io.cherryspool";
 
-  /** From the top: each rank may use all ranks below it, and its members not one another. */
-  private static final List<List<String>> ORDER =
+  /**
+   * The layers of packages from top to bottom. A package may use all packages in lower layers, but
+   * no package in its own layer.
+   */
+  private static final List<List<String>> LAYERS =
       List.of(
           List.of("cli"),
           List.of("config"),
@@ -34,8 +37,11 @@
           List.of("model"),
           List.of("lifecycle"));
 
-  /** The same for the packages below {@code controller}, whose own class is above them all. */
-  private static final List<List<String>> CONTROLLER_ORDER =
+  /**
+   * The layers of the subpackages of {@code controller}. The classes of {@code controller} itself
+   * form the layer above them.
+   */
+  private static final List<List<String>> CONTROLLER_LAYERS =
       List.of(
           List.of("api"),
           List.of("recovery"),
@@ -47,31 +53,31 @@
           List.of("ownership"),
           List.of("metrics", "timing"));
 
-  /** The single dependencies against the order; each reason is in docs/design.md. */
-  private static final List<AllowedEdge> ALLOWED_EDGES =
+  /** The dependencies that violate the layers; docs/design.md states the reason for each. */
+  private static final List<AllowedDependency> ALLOWED_DEPENDENCIES =
       List.of(
-          new AllowedEdge("controller.Controller", "config.Settings"),
-          new AllowedEdge("controller.Controller", "config.OperatorSettings"),
-          new AllowedEdge("controller.ControllerModule", "config.Settings"),
-          new AllowedEdge("controller.ControllerModule", "config.Settings$StateStoreLimits"),
-          new AllowedEdge("controller.ControllerModule", "config.OperatorSettings"),
-          new AllowedEdge("controller.ControllerModule", "config.RecoverySettings"),
-          new AllowedEdge("controller.ControllerModule", "config.PartitionSettings"),
-          new AllowedEdge("controller.ServiceClients", "config.Settings"),
-          new AllowedEdge("controller.ServiceClients", "config.Settings$StateStoreLimits"),
-          new AllowedEdge("controller.ServiceClients", "config.PartitionSettings"),
-          new AllowedEdge("controller.timing.Timings", "config.Settings"),
-          new AllowedEdge("controller.timing.Timings", "config.OperatorSettings"),
-          new AllowedEdge("wire.CloudProtocol", "http.Request"),
-          new AllowedEdge("wire.StateStoreProtocol", "http.Request"));
+          new AllowedDependency("controller.Controller", "config.Settings"),
+          new AllowedDependency("controller.Controller", "config.OperatorSettings"),
+          new AllowedDependency("controller.ControllerModule", "config.Settings"),
+          new AllowedDependency("controller.ControllerModule", "config.Settings$StateStoreLimits"),
+          new AllowedDependency("controller.ControllerModule", "config.OperatorSettings"),
+          new AllowedDependency("controller.ControllerModule", "config.RecoverySettings"),
+          new AllowedDependency("controller.ControllerModule", "config.PartitionSettings"),
+          new AllowedDependency("controller.ServiceClients", "config.Settings"),
+          new AllowedDependency("controller.ServiceClients", "config.Settings$StateStoreLimits"),
+          new AllowedDependency("controller.ServiceClients", "config.PartitionSettings"),
+          new AllowedDependency("controller.timing.Timings", "config.Settings"),
+          new AllowedDependency("controller.timing.Timings", "config.OperatorSettings"),
+          new AllowedDependency("wire.CloudProtocol", "http.Request"),
+          new AllowedDependency("wire.StateStoreProtocol", "http.Request"));
 
   private final JavaClasses classes =
       new ClassFileImporter()
           .withImportOption(new ImportOption.DoNotIncludeTests())
           .importPackages(ROOT);
 
-  /** A class that uses another against the order. */
-  private record AllowedEdge(String origin, String target) {
+  /** A dependency of one class on another that violates the layers. */
+  private record AllowedDependency(String origin, String target) {
     String originName() {
       return ROOT + "." + origin;
     }
@@ -82,36 +88,36 @@
   }
 
   @Test
-  void packagesDependOnlyOnThoseBelowThem() {
+  void packagesDependOnlyOnLowerLayers() {
     LayeredArchitecture layers =
-        ranked(
+        addLayers(
             layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .ensureAllClassesAreContainedInArchitecture(),
             ROOT,
-            ORDER,
+            LAYERS,
             List.of());
-    for (AllowedEdge edge : ALLOWED_EDGES) {
-      layers = layers.ignoreDependency(edge.originName(), edge.targetName());
+    for (AllowedDependency dependency : ALLOWED_DEPENDENCIES) {
+      layers = layers.ignoreDependency(dependency.originName(), dependency.targetName());
     }
     layers.check(classes);
   }
 
   @Test
-  void packagesOfTheControllerDependOnlyOnThoseBelowThem() {
+  void controllerPackagesDependOnlyOnLowerLayers() {
     String root = ROOT + ".controller";
     LayeredArchitecture layers =
         layeredArchitecture().consideringOnlyDependenciesInLayers().layer("node").definedBy(root);
-    ranked(layers, root, CONTROLLER_ORDER, List.of("node"))
+    addLayers(layers, root, CONTROLLER_LAYERS, List.of("node"))
         .whereLayer("node")
         .mayNotBeAccessedByAnyLayer()
         .check(classes);
   }
 
   @Test
-  void eachPackageOfTheControllerHasARank() {
-    Set<String> ranked = new TreeSet<>();
-    CONTROLLER_ORDER.forEach(ranked::addAll);
+  void eachControllerPackageBelongsToALayer() {
+    Set<String> layered = new TreeSet<>();
+    CONTROLLER_LAYERS.forEach(layered::addAll);
     Set<String> present = new TreeSet<>();
     String prefix = ROOT + ".controller.";
     for (JavaClass type : classes) {
@@ -119,39 +125,41 @@
         present.add(type.getPackageName().substring(prefix.length()));
       }
     }
-    assertEquals(ranked, present);
+    assertEquals(layered, present);
   }
 
-  /** Adds the ranks as layers, each open to the given ones and to the ranks above it only. */
-  private static LayeredArchitecture ranked(
-      LayeredArchitecture start, String root, List<List<String>> order, List<String> top) {
+  /** Adds the layers. Only the given top layers and the layers above may access each of them. */
+  private static LayeredArchitecture addLayers(
+      LayeredArchitecture start, String root, List<List<String>> packageLayers, List<String> top) {
     LayeredArchitecture layers = start;
-    List<String> above = new ArrayList<>(top);
-    for (List<String> rank : order) {
-      for (String name : rank) {
+    List<String> upperLayers = new ArrayList<>(top);
+    for (List<String> layer : packageLayers) {
+      for (String name : layer) {
         layers = layers.layer(name).definedBy(root + "." + name + "..");
         layers =
-            above.isEmpty()
+            upperLayers.isEmpty()
                 ? layers.whereLayer(name).mayNotBeAccessedByAnyLayer()
-                : layers.whereLayer(name).mayOnlyBeAccessedByLayers(above.toArray(String[]::new));
+                : layers
+                    .whereLayer(name)
+                    .mayOnlyBeAccessedByLayers(upperLayers.toArray(String[]::new));
       }
-      above.addAll(rank);
+      upperLayers.addAll(layer);
     }
     return layers;
   }
 
   @Test
-  void packagesFormNoCycle() {
+  void packagesHaveNoCyclicDependencies() {
     slices().matching(ROOT + ".(*)..").should().beFreeOfCycles().check(classes);
   }
 
   @Test
-  void eachAllowedEdgeIsStillNeeded() {
-    for (AllowedEdge edge : ALLOWED_EDGES) {
-      boolean used =
-          classes.get(edge.originName()).getDirectDependenciesFromSelf().stream()
-              .anyMatch(found -> found.getTargetClass().getName().equals(edge.targetName()));
-      assertTrue(used, edge + " is listed and not used");
+  void eachAllowedDependencyIsStillUsed() {
+    for (AllowedDependency dependency : ALLOWED_DEPENDENCIES) {
+      boolean isUsed =
+          classes.get(dependency.originName()).getDirectDependenciesFromSelf().stream()
+              .anyMatch(found -> found.getTargetClass().getName().equals(dependency.targetName()));
+      assertTrue(isUsed, dependency + " is allowed but not used");
     }
   }
 }
--- a/src/test/java/io/cherryspool/PagesNameExistingClassesTest.java
+++ b/src/test/java/io/cherryspool/PagesNameExistingClassesTest.java
@@ -17,16 +17,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** That the pages for readers of the code name no class and no member that is not there. */
+/** Checks that each class and member exists that the documentation of the code names. */
 class PagesNameExistingClassesTest {
   /**
-   * A type in back quotes, perhaps with a member; a trailing {@code ...} abbreviates the member.
+   * A type in back quotes, optionally with a member; a trailing {@code ...} means that the name of
+   * the member is abbreviated.
    */
   private static final Pattern NAME =
       Pattern.compile("`([A-Z][a-z]\\w*)(?:\\.([a-zA-Z]\\w*)(\\.\\.\\.)?)?`");
 
-  /** Back-quoted words of other systems that look like types. */
-  private static final List<String> OTHER_WORDS = List.of("ObjectMapper");
+  /** Names in back quotes that look like types of this project but are not. */
+  private static final List<String> IGNORED_NAMES = List.of("ObjectMapper");
 
   private static final Map<String, String> SOURCES = new HashMap<>();
 
@@ -54,7 +55,7 @@
     int found = 0;
     Matcher names = NAME.matcher(Files.readString(Path.of(page)));
     while (names.find()) {
-      if (OTHER_WORDS.contains(names.group(1))) {
+      if (IGNORED_NAMES.contains(names.group(1))) {
         continue;
       }
       found++;
@@ -63,15 +64,15 @@
       }
     }
     assertEquals(List.of(), missing, page);
-    assertFalse(found == 0, page + " names no class at all");
+    assertFalse(found == 0, page + " names no class of this project");
   }
 
-  private static boolean exists(String type, String member, boolean abbreviated) {
+  private static boolean exists(String type, String member, boolean isAbbreviated) {
     String source = SOURCES.get(type);
     if (source == null || member == null) {
       return source != null;
     }
-    String word = "\\b" + Pattern.quote(member) + (abbreviated ? "" : "\\b");
+    String word = "\\b" + Pattern.quote(member) + (isAbbreviated ? "" : "\\b");
     return Pattern.compile(word).matcher(source).find();
   }
 }
--- a/src/test/java/io/cherryspool/cli/CapturedOutputFixture.java
+++ b/src/test/java/io/cherryspool/cli/CapturedOutputFixture.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** Runs commands in this process and captures what they print. */
+/** Runs commands in this process and captures their output. */
 abstract class CapturedOutputFixture {
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -25,17 +25,17 @@
     System.setErr(originalErr);
   }
 
-  /** Runs a command line; returns its exit status. */
+  /** Runs a command line and returns its exit status. */
   static int run(String... arguments) {
     return RootCommand.execute(arguments);
   }
 
-  /** What was printed to standard output so far. */
+  /** Returns what was printed to standard output so far. */
   String printed() {
     return out.toString(StandardCharsets.UTF_8);
   }
 
-  /** What was printed to standard error since the last call. */
+  /** Returns what was printed to standard error since the last call. */
   String errors() {
     String text = err.toString(StandardCharsets.UTF_8);
     err.reset();
--- a/src/test/java/io/cherryspool/cli/CommandFixture.java
+++ b/src/test/java/io/cherryspool/cli/CommandFixture.java
@@ -10,13 +10,16 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A node on a real socket whose answers the test determines, for commands that ask a node. */
+/**
+ * Runs a fake node on a real socket, for commands that send requests to a node. The test determines
+ * the responses.
+ */
 abstract class CommandFixture extends CapturedOutputFixture {
   private static final int MAX_CONNECTIONS = 8;
 
   private final NettyEventLoop loop = new NettyEventLoop();
 
-  /** The node's address, as HOST:PORT. */
+  /** The address of the fake node, as HOST:PORT. */
   String node;
 
   @BeforeEach
@@ -34,7 +37,7 @@
     loop.awaitTermination();
   }
 
-  /** The node's answer to a request; called on its event loop. */
+  /** Returns the node's response to a request. Called on the node's event loop. */
   abstract Reply answer(Request request);
 
   static Reply json(int status, String text) {
--- a/src/test/java/io/cherryspool/cli/LinksCommandTest.java
+++ b/src/test/java/io/cherryspool/cli/LinksCommandTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the links command prints of a node's answer, and its exit statuses. */
+/** Tests the output of the links command and its exit statuses. */
 class LinksCommandTest extends CommandFixture {
   private volatile boolean isAllUp;
 
@@ -44,26 +44,26 @@
   }
 
   @Test
-  void printsTheAnswerAsJson() {
+  void printsTheResponseAsJson() {
     isAllUp = true;
     assertEquals(0, run("links", "--json", "--node", node));
     assertTrue(JsonText.parse(printed()).path("all_up").asBoolean(), printed());
   }
 
   @Test
-  void anUnreachableNodeHasExitStatusOne() {
+  void exitsWithOneIfTheNodeIsUnreachable() {
     assertEquals(1, run("links", "--node", "127.0.0.1:1"));
     assertTrue(errors().contains("can't be reached"));
   }
 
   @Test
-  void wrongUseHasExitStatusTwo() {
+  void exitsWithTwoOnAUsageError() {
     assertEquals(2, run("links"));
     assertEquals(2, run("links", "--node", node, "--config", "x"));
   }
 
   @Test
-  void missingSettingsAreWrongUse(@TempDir Path folder) {
+  void exitsWithTwoIfTheSettingsFileIsMissing(@TempDir Path folder) {
     String missing = folder.resolve("none.json").toString();
     assertEquals(2, run("links", "--config", missing));
     String message = errors();
--- a/src/test/java/io/cherryspool/cli/MetricsExportTest.java
+++ b/src/test/java/io/cherryspool/cli/MetricsExportTest.java
@@ -7,11 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * That a scrape shows the values of meters as they are, also those from before the first scrape.
+ * Checks that a scrape exports the current values of meters, including values recorded before the
+ * first scrape.
  */
 class MetricsExportTest {
   @Test
-  void showsValuesFromBeforeTheFirstScrape() {
+  void exportsValuesRecordedBeforeTheFirstScrape() {
     AtomicLong events = new AtomicLong();
     MetricsExport metrics = new MetricsExport();
     metrics.add(
--- a/src/test/java/io/cherryspool/cli/RecoveryCommandTest.java
+++ b/src/test/java/io/cherryspool/cli/RecoveryCommandTest.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** What the recovery commands print of a node's answers, and their exit statuses. */
+/** Tests the output of the recovery commands and their exit statuses. */
 class RecoveryCommandTest extends CommandFixture {
   private volatile Request lastRequest;
 
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void aRefusalIsPrintedWithItsReasonAndExitStatusOne() {
+  void printsTheReasonOfARefusalAndExitsWithOne() {
     assertEquals(1, run("recovery", "resolve", "--node", node, "req-000001", "--repeat"));
     assertTrue(errors().contains("job req-000001 is not held"));
     assertEquals(
@@ -38,19 +38,19 @@
   }
 
   @Test
-  void aNodeWithoutRecoveryIsReportedAsSuch() {
+  void reportsThatRecoveryIsOff() {
     assertEquals(1, run("recovery", "held", "--node", node));
     assertTrue(errors().contains("recovery is off"));
   }
 
   @Test
-  void anUnreachableNodeIsReportedAsSuch() {
+  void reportsAnUnreachableNode() {
     assertEquals(1, run("recovery", "status", "--node", "127.0.0.1:1"));
     assertTrue(errors().contains("can't be reached"));
   }
 
   @Test
-  void wrongUseHasExitStatusTwo() {
+  void exitsWithTwoOnAUsageError() {
     assertEquals(2, run("recovery"));
     assertEquals(2, run("recovery", "status"));
     assertEquals(2, run("recovery", "status", "--node", "not an address"));
--- a/src/test/java/io/cherryspool/cli/SnapshotCommandTest.java
+++ b/src/test/java/io/cherryspool/cli/SnapshotCommandTest.java
@@ -13,39 +13,39 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the snapshot commands print of a directory, and their exit statuses. */
+/** Tests the output of the snapshot commands and their exit statuses. */
 class SnapshotCommandTest extends CapturedOutputFixture {
   @TempDir private Path folder;
-  private Path good;
-  private Path broken;
+  private Path valid;
+  private Path corrupted;
 
   @BeforeEach
   void writeSnapshots() throws IOException {
-    good = folder.resolve("1-1-1.snapshot");
-    Files.write(good, new SnapshotFile(RecordsSnapshot.EMPTY, Instant.EPOCH).encode());
-    broken = Files.writeString(folder.resolve("2-1-1.snapshot"), "hello");
+    valid = folder.resolve("1-1-1.snapshot");
+    Files.write(valid, new SnapshotFile(RecordsSnapshot.EMPTY, Instant.EPOCH).encode());
+    corrupted = Files.writeString(folder.resolve("2-1-1.snapshot"), "hello");
   }
 
   @Test
-  void verifyAcceptsAGoodSnapshot() {
-    assertEquals(0, run("snapshot", "verify", good.toString()));
+  void verifyAcceptsAValidSnapshot() {
+    assertEquals(0, run("snapshot", "verify", valid.toString()));
     assertTrue(printed().contains("1-1-1.snapshot is good: taken 1970"), printed());
   }
 
   @Test
-  void verifyNamesTheFaultOfABrokenSnapshot() {
-    assertEquals(1, run("snapshot", "verify", broken.toString()));
+  void verifyReportsTheFaultOfACorruptedSnapshot() {
+    assertEquals(1, run("snapshot", "verify", corrupted.toString()));
     assertTrue(errors().contains("NOT_A_SNAPSHOT"));
   }
 
   @Test
-  void verifyRefusesAMissingFile() {
+  void verifyRejectsAMissingFile() {
     assertEquals(1, run("snapshot", "verify", folder.resolve("none").toString()));
     assertTrue(errors().contains("is not a file"));
   }
 
   @Test
-  void listShowsGoodAndBrokenSnapshots() {
+  void listShowsValidAndCorruptedSnapshots() {
     assertEquals(0, run("snapshot", "list", folder.toString()));
     String listed = printed();
     assertTrue(listed.contains("1-1-1.snapshot  taken 1970"), listed);
@@ -53,13 +53,13 @@
   }
 
   @Test
-  void listRefusesAnEmptyDirectory(@TempDir Path empty) {
+  void listRejectsAnEmptyDirectory(@TempDir Path empty) {
     assertEquals(1, run("snapshot", "list", empty.toString()));
     assertTrue(errors().contains("holds no snapshots"));
   }
 
   @Test
-  void wrongUseHasExitStatusTwo() {
+  void exitsWithTwoOnAUsageError() {
     assertEquals(2, run("snapshot"));
     assertEquals(2, run("snapshot", "verify"));
   }
--- a/src/test/java/io/cherryspool/cloud/CloudClientTest.java
+++ b/src/test/java/io/cherryspool/cloud/CloudClientTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.CompletionException;
 import org.junit.jupiter.api.Test;
 
-/** How the client tells the cloud's answers and refusals apart. */
+/** Checks how the client classifies the cloud's responses. */
 class CloudClientTest {
   private static final Endpoint CLOUD = new Endpoint("127.0.0.1", 8443);
 
@@ -24,7 +24,7 @@
     return Reply.json(status, body.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static CloudClient clientAnsweredBy(Reply reply) {
+  private static CloudClient clientReceiving(Reply reply) {
     return new CloudClient(
         (to, request, deadline) -> CompletableFuture.completedFuture(reply),
         CLOUD,
@@ -35,41 +35,41 @@
     return assertThrows(CompletionException.class, call::join).getCause();
   }
 
-  private static CloudClient.RefusedException refusalBy(Reply reply) {
+  private static CloudClient.RefusedException refusalFor(Reply reply) {
     CompletableFuture<List<String>> call =
-        clientAnsweredBy(reply).requestInstances("r-1", "box", "a", true, 2);
+        clientReceiving(reply).requestInstances("r-1", "box", "a", true, 2);
     return assertInstanceOf(CloudClient.RefusedException.class, failureOf(call));
   }
 
   @Test
-  void aRequestReturnsTheNamesOfTheInstances() {
-    CloudClient client = clientAnsweredBy(reply(200, "{\"spindles\":[\"host-1\",\"host-2\"]}"));
+  void returnsTheNamesOfTheRequestedInstances() {
+    CloudClient client = clientReceiving(reply(200, "{\"spindles\":[\"host-1\",\"host-2\"]}"));
     assertEquals(
         List.of("host-1", "host-2"), client.requestInstances("r-1", "box", "a", true, 2).join());
   }
 
   @Test
-  void anEmptyBodyIsAnAnswer() {
-    clientAnsweredBy(reply(200, "")).deleteInstances(List.of("host-1")).join();
+  void acceptsAResponseWithAnEmptyBody() {
+    clientReceiving(reply(200, "")).deleteInstances(List.of("host-1")).join();
   }
 
   @Test
-  void aTypeThatIsSoldOutIsNoOutage() {
-    Reply soldOut = reply(503, "{\"error\":\"no capacity\"}");
-    assertTrue(refusalBy(soldOut).isOutOfCapacity());
-    assertFalse(CloudClient.isOutage(soldOut));
+  void recognizesMissingCapacity() {
+    Reply noCapacity = reply(503, "{\"error\":\"no capacity\"}");
+    assertTrue(refusalFor(noCapacity).isOutOfCapacity());
+    assertFalse(CloudClient.isOutage(noCapacity));
   }
 
   @Test
-  void anOutageIsNotOutOfCapacity() {
+  void recognizesAnOutage() {
     Reply outage = reply(503, "{\"error\":\"unavailable\"}");
-    assertFalse(refusalBy(outage).isOutOfCapacity());
+    assertFalse(refusalFor(outage).isOutOfCapacity());
     assertTrue(CloudClient.isOutage(outage));
   }
 
   @Test
-  void aMalformedAnswerIsNoRefusal() {
-    CompletableFuture<?> call = clientAnsweredBy(reply(200, "[")).fetchMachineTypes();
+  void reportsAMalformedResponseAsAnIoException() {
+    CompletableFuture<?> call = clientReceiving(reply(200, "[")).fetchMachineTypes();
     assertInstanceOf(IOException.class, failureOf(call));
   }
 }
--- a/src/test/java/io/cherryspool/compatibility/RecordedBytes.java
+++ b/src/test/java/io/cherryspool/compatibility/RecordedBytes.java
@@ -17,15 +17,15 @@
 import java.nio.file.Path;
 
 /**
- * Bytes of stored records and messages as version 0.1.0 wrote them. Nodes of two versions serve
- * side by side while a cluster is upgraded, and a later version reads what an earlier one stored;
- * both rest on these bytes.
+ * The bytes of stored records and messages as version 0.1.0 wrote them. Nodes of two versions run
+ * side by side during an upgrade of a cluster, and a later version reads what an earlier one
+ * stored, so these formats must not change.
  *
- * <p>Bundles and snapshots are compressed, so that their bytes rest on the JDK's zlib as well. A
- * JDK with another one may write others, which every version still reads.
+ * <p>Bundles and snapshots are compressed, so their bytes also depend on the JDK's zlib. A JDK with
+ * another zlib may write different bytes, which every version can still read.
  *
- * <p>With the system property {@code compatibility.record} a file that is missing is written first,
- * for formats that are new. A file that exists is never written again.
+ * <p>If the system property {@code compatibility.record} is set, a missing file is written before
+ * it is compared, which serves to record a new format. An existing file is never overwritten.
  */
 public final class RecordedBytes {
   private static final String FOLDER = "/compatibility/";
@@ -34,25 +34,28 @@
 
   private RecordedBytes() {}
 
-  /** The recorded bytes; fails the test where there are none. */
+  /** Returns the recorded bytes; fails the test if there are none. */
   public static byte[] read(String name) {
     try (InputStream in = RecordedBytes.class.getResourceAsStream(FOLDER + name)) {
       if (in == null && RECORDING) {
         return Files.readAllBytes(SOURCES.resolve(name));
       }
-      assertNotNull(in, "no recorded bytes: " + name);
+      assertNotNull(in, "no recorded bytes with the name " + name);
       return in.readAllBytes();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  /** The recorded JSON object. */
+  /** Returns the recorded JSON object. */
   public static JsonNode readJson(String name) throws MalformedMessageException {
     return Json.parseObject(read(name));
   }
 
-  /** Fails unless these are the recorded bytes; text is compared as text for a legible message. */
+  /**
+   * Fails unless the bytes equal the recorded ones. Text files are first compared as text, which
+   * gives a readable failure message.
+   */
   public static void assertRecorded(String name, byte[] written) {
     record(name, written);
     byte[] recorded = read(name);
@@ -65,12 +68,15 @@
     assertArrayEquals(recorded, written, name);
   }
 
-  /** As above, for the JSON of a record. */
+  /** Fails unless the encoded JSON equals the recorded bytes. */
   public static void assertRecorded(String name, JsonNode written) {
     assertRecorded(name, Json.toBytes(written));
   }
 
-  /** As above, for a request: its method and target on one line, then its body. */
+  /**
+   * Fails unless the request equals the recorded one. A request is recorded as its method and
+   * target on one line, followed by its body.
+   */
   public static void assertRecorded(String name, Request written) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     String line = written.method() + " " + written.target() + "\n";
--- a/src/test/java/io/cherryspool/compatibility/SampleRecords.java
+++ b/src/test/java/io/cherryspool/compatibility/SampleRecords.java
@@ -15,13 +15,13 @@
 import org.pcollections.PMap;
 import org.pcollections.TreePMap;
 
-/** The values behind the recorded bytes. They must not change, as the bytes don't. */
+/** The values that were encoded as the recorded bytes. They must not change. */
 public final class SampleRecords {
   public static final Instant SUBMITTED = Instant.ofEpochMilli(1_764_692_800_123L);
 
   public static final int TASKS_PER_SHARD = 200;
 
-  /** A job that uses each optional field of its description. */
+  /** A job with all optional fields. */
   public static final Job CONSTRAINED_JOB =
       new Job(
           "req-000412",
@@ -43,7 +43,7 @@
           Duration.ofHours(2),
           SUBMITTED);
 
-  /** A job that uses none of them. */
+  /** A job without any optional field. */
   public static final Job PLAIN_JOB =
       new Job(
           "req-000007",
@@ -88,7 +88,7 @@
 
   private SampleRecords() {}
 
-  /** Finished, owned, failed and free tasks. */
+  /** Returns a shard with finished, owned, failed and free tasks. */
   public static Shard shard() {
     return Shard.EMPTY
         .edit()
@@ -102,7 +102,7 @@
         .build();
   }
 
-  /** A running job with progress and a cancelled one. */
+  /** Returns a running job with progress records and a cancelled job. */
   public static PMap<String, RecordsSnapshot.JobSnapshot> jobs() {
     RecordsSnapshot.JobSnapshot running =
         new RecordsSnapshot.JobSnapshot(
--- a/src/test/java/io/cherryspool/compatibility/package-info.java
+++ b/src/test/java/io/cherryspool/compatibility/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Records and messages as earlier versions wrote them, for the tests beside the codecs that must
- * read and write them unchanged.
+ * Records and messages as earlier versions wrote them. The tests of the codecs check that the
+ * formats have not changed.
  */
 package io.cherryspool.compatibility;
--- a/src/test/java/io/cherryspool/config/OperatorSettingsTest.java
+++ b/src/test/java/io/cherryspool/config/OperatorSettingsTest.java
@@ -14,11 +14,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** That the operators' settings are read and checked, and those shipped are what they say. */
+/**
+ * Checks that the operators' settings are read and validated, and that the files in {@code deploy}
+ * contain the settings that their names promise.
+ */
 class OperatorSettingsTest {
-  /** Loads a file with these elements, which must fail; returns the error's message. */
-  private static String refusal(Path file, String text) throws Exception {
-    Files.writeString(file, "<cherryspool>" + text + "</cherryspool>");
+  /** Writes the elements to the file and loads it, which must fail; returns the error message. */
+  private static String errorFor(Path file, String elements) throws Exception {
+    Files.writeString(file, "<cherryspool>" + elements + "</cherryspool>");
     String message =
         assertThrows(ConfigException.class, () -> OperatorSettings.load(file)).getMessage();
     assertTrue(message.contains(file.toString()), message);
@@ -26,7 +29,7 @@
   }
 
   @Test
-  void elementsAreOptionalAndChecked(@TempDir Path folder) throws Exception {
+  void usesDefaultsWithoutAFileAndReadsAnElement(@TempDir Path folder) throws Exception {
     Path file = folder.resolve("cherryspool.xml");
     assertEquals(OperatorSettings.DEFAULTS, OperatorSettings.load(file));
     Files.writeString(file, "<cherryspool><failure-cap>7</failure-cap></cherryspool>");
@@ -44,15 +47,15 @@
         "<cherryspool>",
         "<!DOCTYPE x [<!ENTITY e SYSTEM 'file:///etc/hostname'>]><cherryspool/>"
       })
-  void aWrongFileIsRefusedInOneLine(String wrong, @TempDir Path folder) throws Exception {
+  void rejectsAnInvalidFileWithAOneLineMessage(String text, @TempDir Path folder) throws Exception {
     Path file = folder.resolve("cherryspool.xml");
-    Files.writeString(file, wrong);
+    Files.writeString(file, text);
     ConfigException e = assertThrows(ConfigException.class, () -> OperatorSettings.load(file));
     assertTrue(!e.getMessage().contains("\n"), e.getMessage());
   }
 
   @Test
-  void anErrorNamesTheElement(@TempDir Path folder) throws Exception {
+  void errorNamesTheInvalidElement(@TempDir Path folder) throws Exception {
     Path file = folder.resolve("cherryspool.xml");
     Files.writeString(file, "<cherryspool><failure-cap>0</failure-cap></cherryspool>");
     ConfigException e = assertThrows(ConfigException.class, () -> OperatorSettings.load(file));
@@ -70,7 +73,7 @@
   }
 
   @Test
-  void recoverySettingsAreRead(@TempDir Path folder) throws Exception {
+  void readsRecoverySettings(@TempDir Path folder) throws Exception {
     Path file = folder.resolve("operators.xml");
     Files.writeString(
         file,
@@ -89,28 +92,28 @@
   }
 
   @Test
-  void recoverySettingsAreChecked(@TempDir Path folder) throws Exception {
+  void rejectsInvalidRecoverySettings(@TempDir Path folder) throws Exception {
     Path file = folder.resolve("operators.xml");
-    assertTrue(refusal(file, "<recovery>maybe</recovery>").contains("<recovery>"));
-    assertTrue(refusal(file, "<recovery-hold>x</recovery-hold>").contains("<recovery-hold>"));
+    assertTrue(errorFor(file, "<recovery>maybe</recovery>").contains("<recovery>"));
+    assertTrue(errorFor(file, "<recovery-hold>x</recovery-hold>").contains("<recovery-hold>"));
     String on = "<recovery>on</recovery>";
     assertTrue(
-        refusal(file, on + "<recovery-gather>0</recovery-gather>").contains("<recovery-gather>"));
+        errorFor(file, on + "<recovery-gather>0</recovery-gather>").contains("<recovery-gather>"));
     assertTrue(
-        refusal(file, on + "<snapshot-interval>3</snapshot-interval>")
+        errorFor(file, on + "<snapshot-interval>3</snapshot-interval>")
             .contains("<snapshot-directory>"));
     assertTrue(
-        refusal(file, on + "<snapshot-directory> </snapshot-directory>")
+        errorFor(file, on + "<snapshot-directory> </snapshot-directory>")
             .contains("<snapshot-directory>"));
   }
 
   @Test
-  void theShippedRecoveryFileSwitchesRecoveryOn() throws Exception {
+  void theShippedRecoveryFileEnablesRecovery() throws Exception {
     assertTrue(OperatorSettings.load(Path.of("deploy/recovery.xml")).recovery().isPresent());
   }
 
   @Test
-  void partitionSettingsAreReadAndChecked(@TempDir Path folder) throws Exception {
+  void readsPartitionSettingsAndRejectsInvalidOnes(@TempDir Path folder) throws Exception {
     Path file = folder.resolve("operators.xml");
     Files.writeString(
         file,
@@ -121,15 +124,15 @@
         OperatorSettings.load(file).partitions());
     for (String name : new String[] {"flap-damping", "request-forwarding", "flap-half-life"}) {
       String text = "<" + name + ">maybe</" + name + ">";
-      assertTrue(refusal(file, text).contains("<" + name + ">"));
+      assertTrue(errorFor(file, text).contains("<" + name + ">"));
     }
-    assertTrue(refusal(file, "<flap-half-life>1</flap-half-life>").contains("<flap-half-life>"));
+    assertTrue(errorFor(file, "<flap-half-life>1</flap-half-life>").contains("<flap-half-life>"));
     String off = "<flap-damping>off</flap-damping><flap-half-life>30</flap-half-life>";
-    assertTrue(refusal(file, off).contains("<flap-damping>on</flap-damping>"));
+    assertTrue(errorFor(file, off).contains("<flap-damping>on</flap-damping>"));
   }
 
   @Test
-  void theShippedPartitionsFileHoldsTheDefaults() throws Exception {
+  void theShippedPartitionsFileContainsTheDefaults() throws Exception {
     assertEquals(
         OperatorSettings.DEFAULTS, OperatorSettings.load(Path.of("deploy/partitions.xml")));
   }
--- a/src/test/java/io/cherryspool/config/SettingsTest.java
+++ b/src/test/java/io/cherryspool/config/SettingsTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** That the platform's settings are read, and that errors name the file and the field. */
+/** Checks that the platform's settings are read, and that errors name the file and the field. */
 class SettingsTest {
-  private static final String GOOD =
+  private static final String VALID_SETTINGS =
       "{'host_name':'n0','site':'a','client_listen':'127.0.0.1:8080','mesh_addr':'127.0.0.1:8081',"
           + "'known':[{'host_name':'n1','site':'b','endpoint':'127.0.0.2:8081'}],"
           + "'services':{'cloud':'127.0.0.3:8443','state':'127.0.0.3:2379'},'later':{},"
@@ -25,13 +25,13 @@
           + "'state':{'rps':150.0,'write_rps':60.0,'value_kb':16.0,'txn_ops':48},"
           + "'cloud':{'rps':6.0,'list_lag_s':6.0},'resources':{'fd_limit':1800}}}";
 
-  private static ObjectNode good() throws Exception {
-    return (ObjectNode) new ObjectMapper().readTree(GOOD.replace('\'', '"'));
+  private static ObjectNode validSettings() throws Exception {
+    return (ObjectNode) new ObjectMapper().readTree(VALID_SETTINGS.replace('\'', '"'));
   }
 
   @Test
   void readsSettingsAndIgnoresUnknownFields() throws Exception {
-    Settings settings = Settings.parse(good(), "test");
+    Settings settings = Settings.parse(validSettings(), "test");
     assertEquals(Duration.ofMillis(2500), settings.heartbeatInterval());
     assertEquals(16 * 1024, settings.stateStoreLimits().maxValueBytes());
     assertEquals("n1", settings.peers().get(0).name());
@@ -54,8 +54,8 @@
     "facts/cloud/rps",
     "facts/resources/fd_limit"
   })
-  void namesAMissingField(String path) throws Exception {
-    ObjectNode root = good();
+  void errorNamesAMissingField(String path) throws Exception {
+    ObjectNode root = validSettings();
     int slash = path.lastIndexOf('/');
     ObjectNode parent = slash < 0 ? root : (ObjectNode) root.at("/" + path.substring(0, slash));
     parent.remove(path.substring(slash + 1));
@@ -75,8 +75,8 @@
     "facts/state,rps,0",
     "facts/state,write_rps,-1"
   })
-  void namesAFieldThatIsTooSmall(String parent, String field, double value) throws Exception {
-    ObjectNode root = good();
+  void errorNamesAFieldThatIsTooSmall(String parent, String field, double value) throws Exception {
+    ObjectNode root = validSettings();
     ((ObjectNode) root.at("/" + parent)).put(field, value);
     ConfigException e =
         assertThrows(ConfigException.class, () -> Settings.parse(root, "file.json"));
@@ -86,13 +86,14 @@
   }
 
   /**
-   * The limit on cancels is what a leader's authority is made from, so that it can't be given up.
+   * A leader's authority is derived from the maximum cancellation time, so this limit must always
+   * hold.
    */
   @ParameterizedTest
   @CsvSource({"16.0,21.2", "16.0,36.0", "22.0,42.0", "24.0,54.0", "30.0,37.0"})
-  void authorityAndWorkerLeaseStayWithinTheCancelLimit(double lease, double cancel)
+  void authorityAndWorkerLeaseFitIntoTheMaxCancellationTime(double lease, double cancel)
       throws Exception {
-    ObjectNode root = good();
+    ObjectNode root = validSettings();
     ((ObjectNode) root.at("/facts/workers")).put("lease_s", lease).put("cancel_s", cancel);
     Settings settings = Settings.parse(root, "test");
     Duration margins = settings.maxCancellationTime().dividedBy(10).plusSeconds(2);
@@ -103,7 +104,7 @@
   }
 
   @Test
-  void aMissingFileIsReported(@TempDir Path folder) {
+  void reportsAMissingFile(@TempDir Path folder) {
     Path file = folder.resolve("none.json");
     ConfigException e = assertThrows(ConfigException.class, () -> Settings.load(file));
     assertEquals(file + ": there is no such file", e.getMessage());
--- a/src/test/java/io/cherryspool/http/AbandonedRequestFilterTest.java
+++ b/src/test/java/io/cherryspool/http/AbandonedRequestFilterTest.java
@@ -9,12 +9,12 @@
 import io.netty.channel.embedded.EmbeddedChannel;
 import org.junit.jupiter.api.Test;
 
-/** What the filter passes on, discards and buffers. */
+/** Checks which bytes the filter buffers, forwards and discards. */
 class AbandonedRequestFilterTest {
-  private static final int SMALL = 100;
-  private static final int LARGE = 5000;
+  private static final int SMALL_BYTES = 100;
+  private static final int LARGE_BYTES = 5000;
 
-  /** Set instead of closing the channel, which would run the pending check first. */
+  /** Simulates a closed channel; closing the real one would run the pending check first. */
   private boolean isClosed;
 
   private final EmbeddedChannel channel =
@@ -25,17 +25,17 @@
         }
       };
 
-  private ByteBuf read(int bytes) {
+  private ByteBuf receive(int bytes) {
     ByteBuf buffer = Unpooled.buffer(bytes).writeZero(bytes);
     channel.pipeline().fireChannelRead(buffer);
     return buffer;
   }
 
   @Test
-  void passesOnInOrderOnceTheReadIsComplete() {
-    ByteBuf first = read(SMALL);
-    ByteBuf second = read(SMALL);
-    assertNull(channel.readInbound(), "buffered until then");
+  void forwardsBytesInOrderOnceTheReadIsComplete() {
+    ByteBuf first = receive(SMALL_BYTES);
+    ByteBuf second = receive(SMALL_BYTES);
+    assertNull(channel.readInbound(), "the bytes must be buffered until the read is complete");
     channel.pipeline().fireChannelReadComplete();
     channel.runPendingTasks();
     assertSame(first, channel.readInbound());
@@ -44,8 +44,8 @@
   }
 
   @Test
-  void releasesWhatAClosedConnectionHasSent() {
-    ByteBuf buffer = read(SMALL);
+  void releasesTheBytesOfAClosedConnection() {
+    ByteBuf buffer = receive(SMALL_BYTES);
     isClosed = true;
     channel.pipeline().fireChannelReadComplete();
     channel.runPendingTasks();
@@ -53,14 +53,17 @@
     assertEquals(0, buffer.refCnt());
   }
 
-  /** Fifty connections that each send a megabyte would exhaust the memory for buffers. */
+  /**
+   * If the filter buffered all bytes, fifty connections that each send a megabyte would exhaust the
+   * memory for buffers.
+   */
   @Test
-  void buffersNoMoreThanSmallRequests() {
-    read(LARGE);
+  void forwardsAllBytesOnceTheBufferLimitIsExceeded() {
+    receive(LARGE_BYTES);
     assertNull(channel.readInbound());
-    ByteBuf second = read(LARGE);
+    ByteBuf second = receive(LARGE_BYTES);
     channel.<ByteBuf>readInbound().release();
-    assertSame(second, channel.readInbound(), "nothing is buffered any more");
+    assertSame(second, channel.readInbound(), "the bytes beyond the limit must be forwarded too");
     second.release();
     channel.finishAndReleaseAll();
   }
--- a/src/test/java/io/cherryspool/http/HttpLoopbackFixture.java
+++ b/src/test/java/io/cherryspool/http/HttpLoopbackFixture.java
@@ -10,18 +10,18 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A server on a real socket that echoes bodies, and clients of it. */
+/** Runs a server on a real socket that echoes request bodies, and sends requests to it. */
 abstract class HttpLoopbackFixture {
-  /** How many connections the server takes. */
+  /** The maximum number of connections of the server. */
   static final int MAX_CONNECTIONS = 8;
 
-  /** Longer than any call of these tests takes, unless it fails. */
-  static final Duration GENEROUS = Duration.ofSeconds(20);
+  /** A time limit that no call of these tests reaches unless it fails. */
+  static final Duration TEST_TIMEOUT = Duration.ofSeconds(20);
 
   final NettyEventLoop loop = new NettyEventLoop();
 
-  /** How many requests for {@code /count} the server has handled. */
-  final AtomicInteger handledCounts = new AtomicInteger();
+  /** The number of requests for {@code /count} that the server has handled. */
+  final AtomicInteger countRequests = new AtomicInteger();
 
   NettyHttpServer server;
   Endpoint address;
@@ -43,17 +43,17 @@
     return switch (request.path()) {
       case "/never" -> new CompletableFuture<>();
       case "/count" -> {
-        handledCounts.incrementAndGet();
+        countRequests.incrementAndGet();
         yield CompletableFuture.completedFuture(Reply.json(200, new byte[0]));
       }
-      case "/broken" -> throw new IllegalStateException("a defect");
+      case "/broken" -> throw new IllegalStateException("handler fails on purpose");
       default ->
           CompletableFuture.completedFuture(
               Reply.withRetryAfter(200, request.body(), request.path().equals("/later") ? 3 : 0));
     };
   }
 
-  /** Sends a request by a client of its own and waits for the reply. */
+  /** Sends a request with a new client and waits for the reply. */
   Reply send(Request request, Duration deadline) throws Exception {
     NettyHttpClient client = new NettyHttpClient(loop, MAX_CONNECTIONS);
     CompletableFuture<Reply> result = new CompletableFuture<>();
@@ -69,24 +69,24 @@
                         result.completeExceptionally(failure);
                       }
                     }));
-    return result.get(GENEROUS.toSeconds(), TimeUnit.SECONDS);
+    return result.get(TEST_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
   }
 
-  /** Opens a connection that sends nothing yet. */
+  /** Opens a connection without sending anything. */
   Socket connect() throws IOException {
     Socket socket = new Socket(address.host(), address.port());
-    socket.setSoTimeout((int) GENEROUS.toMillis());
+    socket.setSoTimeout((int) TEST_TIMEOUT.toMillis());
     return socket;
   }
 
-  /** Sends these bytes by a connection of their own; returns the beginning of the response. */
+  /** Sends the text over a new connection; returns the beginning of the response. */
   String exchange(String bytes) throws IOException {
     try (Socket socket = connect()) {
       return exchange(socket, bytes);
     }
   }
 
-  /** Sends a small valid request; returns the beginning of the response. */
+  /** Sends a small valid request over the connection; returns the beginning of the response. */
   static String exchange(Socket socket) throws IOException {
     return exchange(socket, "GET /echo HTTP/1.1\r\nHost: x\r\n\r\n");
   }
--- a/src/test/java/io/cherryspool/http/NettyHttpClientTest.java
+++ b/src/test/java/io/cherryspool/http/NettyHttpClientTest.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.ExecutionException;
 import org.junit.jupiter.api.Test;
 
-/** The client over real sockets. */
+/** Tests the client over real sockets. */
 class NettyHttpClientTest extends HttpLoopbackFixture {
   @Test
   void receivesTheReplyWithItsBody() throws Exception {
     byte[] body = "x".repeat(60_000).getBytes(StandardCharsets.UTF_8);
-    assertEquals(60_000, send(Request.post("/echo", body), GENEROUS).body().length);
+    assertEquals(60_000, send(Request.post("/echo", body), TEST_TIMEOUT).body().length);
   }
 
   @Test
--- a/src/test/java/io/cherryspool/wire/JsonTreeTest.java
+++ b/src/test/java/io/cherryspool/wire/JsonTreeTest.java
@@ -19,7 +19,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The trees are what Jackson's own mapper makes of the same input, and so is what is refused. */
+/**
+ * Checks that {@link JsonTree} reads the same trees as Jackson's mapper and rejects the same input.
+ */
 class JsonTreeTest {
   private static final JsonMapper MAPPER =
       JsonMapper.builder()
@@ -27,7 +29,7 @@
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
           .build();
 
-  /** As the threads of a node have it, whose nested bodies are read by recursion. */
+  /** The stack size of a node's threads, which read nested bodies recursively. */
   private static final long STACK_BYTES = 512 * 1024;
 
   private static byte[] utf8(String text) {
@@ -48,7 +50,7 @@
         "{\"\\u00e9\":\"\\ud83d\\ude00 \\\"\\\\ \\n\"}",
         " { \"a\" : [ ] } "
       })
-  void readsWhatTheMapperReads(String json) throws IOException {
+  void readsValidInputLikeJacksonsMapper(String json) throws IOException {
     JsonNode expected = MAPPER.readTree(utf8(json));
     assertEquals(expected, JsonTree.read(utf8(json)));
     assertArrayEquals(MAPPER.writeValueAsBytes(expected), JsonTree.write(expected));
@@ -76,48 +78,48 @@
         "// no\n{}",
         "{\"a\":\"\u0001\"}"
       })
-  void refusesWhatTheMapperRefuses(String json) {
+  void rejectsInputThatJacksonsMapperRejects(String json) {
     assertThrows(IOException.class, () -> MAPPER.readTree(utf8(json)));
     assertThrows(IOException.class, () -> JsonTree.read(utf8(json)));
   }
 
   @Test
-  void anEmptyInputIsMissing() throws IOException {
+  void readsEmptyInputAsAMissingNode() throws IOException {
     assertTrue(JsonTree.read(new byte[0]).isMissingNode());
     assertTrue(JsonTree.read(utf8("  ")).isMissingNode());
   }
 
   @Test
-  void brokenInputOfAnyKindIsReadAlike() {
+  void treatsCorruptedInputLikeJacksonsMapper() {
     SplittableRandom random = new SplittableRandom(7);
     byte[] whole =
         utf8("{\"spindle\":\"m-1\",\"pieces\":[{\"try\":1,\"status\":\"ended\"}],\"x\":-1.5}");
-    int refused = 0;
+    int rejectedCount = 0;
     for (int i = 0; i < 2000; i++) {
       byte[] json = whole.clone();
       json[random.nextInt(json.length)] = (byte) random.nextInt(256);
       Object expected = read(() -> MAPPER.readTree(json));
       assertEquals(
           expected, read(() -> JsonTree.read(json)), new String(json, StandardCharsets.ISO_8859_1));
-      refused += expected instanceof JsonNode ? 0 : 1;
+      rejectedCount += expected instanceof JsonNode ? 0 : 1;
     }
-    assertTrue(refused > 200 && refused < 1900, "refused " + refused);
+    assertTrue(rejectedCount > 200 && rejectedCount < 1900, "inputs rejected: " + rejectedCount);
   }
 
-  private interface Reading {
+  private interface JsonReader {
     JsonNode read() throws IOException;
   }
 
-  private static Object read(Reading reading) {
+  private static Object read(JsonReader reader) {
     try {
-      return reading.read();
+      return reader.read();
     } catch (IOException e) {
       return "refused";
     }
   }
 
   @Test
-  void deeplyNestedInputFitsTheStackOrIsRefused() throws InterruptedException {
+  void readsDeeplyNestedInputOnASmallStackOrRejectsIt() throws InterruptedException {
     List<Object> outcomes = new ArrayList<>();
     AtomicReference<Throwable> failure = new AtomicReference<>();
     Thread thread =
--- a/src/test/java/io/cherryspool/wire/MessageFormatsTest.java
+++ b/src/test/java/io/cherryspool/wire/MessageFormatsTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * That what this version sends to users, workers, the cloud and the state store is what version
- * 0.1.0 sent, and that it reads their messages as that version did.
+ * Checks that this version encodes messages to users, workers, the cloud and the state store
+ * exactly as version 0.1.0 did, and decodes their messages to the same values.
  */
 class MessageFormatsTest {
   private static final TaskId TASK = new TaskId("req-000412", 3);
@@ -33,7 +33,7 @@
           WorkerCommand.acknowledge(new TaskId("req-000007", 0), 7));
 
   @Test
-  void responsesAndCommandsToWorkers() {
+  void encodesResponsesAndCommandsToWorkersAsRecorded() {
     assertRecorded("worker-reply.json", WorkerProtocol.encodeHeartbeatReply(1L << 33, COMMANDS));
     assertRecorded("worker-reply-empty.json", WorkerProtocol.encodeHeartbeatReply(5, List.of()));
     assertRecorded("worker-commands.json", WorkerProtocol.encodeCommands(1L << 33, 2, COMMANDS));
@@ -41,9 +41,9 @@
     assertRecorded("worker-redirect-nowhere.json", WorkerProtocol.encodeRedirect(null));
   }
 
-  /** The recorded one has a task in each status and with each cause that the protocol names. */
+  /** The recorded heartbeat has a task for each status and each exit cause of the protocol. */
   @Test
-  void heartbeatsOfWorkers() throws MalformedMessageException {
+  void decodesRecordedHeartbeats() throws MalformedMessageException {
     WorkerHeartbeat heartbeat = WorkerProtocol.parseHeartbeat(readJson("worker-report.json"));
     assertEquals("host-000003", heartbeat.machine());
     assertEquals("10.1.0.3:9000", heartbeat.address());
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void requestsToTheCloud() {
+  void encodesRequestsToTheCloudAsRecorded() {
     assertRecorded("cloud-catalog.http", CloudProtocol.catalogRequest());
     assertRecorded(
         "cloud-rent.http", CloudProtocol.instanceRequest("node-1-7", "box", "zone-a", true, 4));
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void responsesOfTheCloud() throws MalformedMessageException {
+  void decodesRecordedResponsesOfTheCloud() throws MalformedMessageException {
     CloudProtocol.InstancePage page = CloudProtocol.parsePage(readJson("cloud-machines.json"));
     assertTrue(page.hasMore());
     assertEquals(
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void requestsToTheStateStore() {
+  void encodesRequestsToTheStateStoreAsRecorded() {
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put("c/term", 40L);
     conditions.put("c/jobs/req-000412", 0L);
@@ -135,7 +135,7 @@
   }
 
   @Test
-  void responsesOfTheStateStore() throws MalformedMessageException {
+  void decodesRecordedResponsesOfTheStateStore() throws MalformedMessageException {
     assertEquals(1L << 40, StateStoreProtocol.parseRevision(readJson("state-conflict.json")));
     assertEquals(
         Set.of("c/term", "c/leader"),
@@ -158,14 +158,14 @@
   }
 
   @Test
-  void submissionsOfUsersAndAnswersToThem() throws MalformedMessageException {
+  void encodesAndDecodesMessagesOfUsersAsRecorded() throws MalformedMessageException {
     assertRecorded("user-job.json", UserProtocol.encodeJob(SampleRecords.CONSTRAINED_JOB));
     Job read = UserProtocol.parseJob(readJson("user-job.json"), SampleRecords.SUBMITTED);
     assertEquals(SampleRecords.CONSTRAINED_JOB, read);
-    checkStatus("user-status-pending.json", UserProtocol.JobStatus.PENDING);
-    checkStatus("user-status-running.json", UserProtocol.JobStatus.RUNNING);
-    checkStatus("user-status-done.json", UserProtocol.JobStatus.DONE);
-    checkStatus("user-status-cancelled.json", UserProtocol.JobStatus.CANCELLED);
+    assertStatusRecorded("user-status-pending.json", UserProtocol.JobStatus.PENDING);
+    assertStatusRecorded("user-status-running.json", UserProtocol.JobStatus.RUNNING);
+    assertStatusRecorded("user-status-done.json", UserProtocol.JobStatus.DONE);
+    assertStatusRecorded("user-status-cancelled.json", UserProtocol.JobStatus.CANCELLED);
     assertRecorded(
         "user-poll.json",
         UserProtocol.encodeStatus("req-000412", UserProtocol.JobStatus.RUNNING, 11, 2, 0));
@@ -177,7 +177,7 @@
     assertFalse(UserProtocol.isJobId("req-12"));
   }
 
-  private static void checkStatus(String name, UserProtocol.JobStatus status) {
+  private static void assertStatusRecorded(String name, UserProtocol.JobStatus status) {
     assertRecorded(name, UserProtocol.encodeStatus("req-000412", status));
   }
 }
--- a/src/test/java/io/cherryspool/wire/UserProtocolTest.java
+++ b/src/test/java/io/cherryspool/wire/UserProtocolTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Submissions are read as they are written, and one that is invalid names the field. */
+/**
+ * Checks that encoded jobs are decoded to equal jobs, and that the error of an invalid submission
+ * names the field.
+ */
 class UserProtocolTest {
   private static final String SUBMISSION =
       "{\"ref\":\"req-000412\",\"lane\":\"train\",\"owner\":\"vision\",\"shape\":\"array\","
@@ -31,13 +34,13 @@
   }
 
   @Test
-  void aJobIsReadAsItIsWritten() throws MalformedMessageException {
+  void decodesAnEncodedJob() throws MalformedMessageException {
     Job job = parseJob(parse(SUBMISSION));
     assertEquals(job, parseJob(UserProtocol.encodeJob(job)));
   }
 
   @Test
-  void aJobWithoutOptionalFieldsIsReadAsItIsWritten() throws MalformedMessageException {
+  void decodesAnEncodedJobWithoutOptionalFields() throws MalformedMessageException {
     ObjectNode node = parse(SUBMISSION);
     node.remove("builds");
     node.remove("yard");
@@ -80,7 +83,7 @@
         "pieces|99999999999999999999",
         "vcpus|1e300"
       })
-  void anInvalidFieldIsNamed(String field, String value) throws MalformedMessageException {
+  void errorNamesAnInvalidField(String field, String value) throws MalformedMessageException {
     ObjectNode node = parse(SUBMISSION);
     node.set(field, parse("{\"v\":" + value + "}").get("v"));
     MalformedMessageException failure =
@@ -89,7 +92,7 @@
   }
 
   @Test
-  void theJobIdIsFoundInAnInvalidSubmission() throws MalformedMessageException {
+  void findsTheJobIdInAnInvalidSubmission() throws MalformedMessageException {
     assertEquals(
         Optional.of("req-000412"), UserProtocol.findJobId(parse("{\"ref\":\"req-000412\"}")));
     assertEquals(Optional.empty(), UserProtocol.findJobId(parse("{\"ref\":\"job-1\"}")));
@@ -101,7 +104,7 @@
   @CsvSource(
       delimiter = '|',
       value = {"''", "[]", "nul", "{\"a\":1", "{} {}", "{\"a\":NaN}", "7"})
-  void aBodyThatIsNotOneObjectIsRefused(String text) {
+  void rejectsABodyThatIsNotASingleObject(String text) {
     assertThrows(
         MalformedMessageException.class,
         () -> Json.parseObject(text.getBytes(StandardCharsets.UTF_8)));
--- a/src/test/java/io/cherryspool/wire/WorkerProtocolTest.java
+++ b/src/test/java/io/cherryspool/wire/WorkerProtocolTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A heartbeat that is invalid names the field, and what the protocol leaves open has a default. */
+/**
+ * Checks that the error of an invalid heartbeat names the field, and that missing optional fields
+ * get their defaults.
+ */
 class WorkerProtocolTest {
   private static ObjectNode parse(String json) throws MalformedMessageException {
     return (ObjectNode) Json.parseObject(json.getBytes(StandardCharsets.UTF_8));
@@ -45,10 +48,10 @@
         "warning_s|-3",
         "pieces|{}"
       })
-  void anInvalidFieldIsNamed(String field, String value) throws MalformedMessageException {
+  void errorNamesAnInvalidField(String field, String value) throws MalformedMessageException {
     ObjectNode node = heartbeat("");
     node.set(field, parse("{\"v\":" + value + "}").get("v"));
-    assertNamesField(field, node);
+    assertErrorNamesField(field, node);
   }
 
   @ParameterizedTest
@@ -68,14 +71,15 @@
         "status|null",
         "cause|7"
       })
-  void anInvalidFieldOfATaskIsNamed(String field, String value) throws MalformedMessageException {
+  void errorNamesAnInvalidFieldOfATask(String field, String value)
+      throws MalformedMessageException {
     ObjectNode task =
         parse("{\"piece\":\"req-000412/3\",\"try\":2,\"status\":\"ended\",\"cause\":\"done\"}");
     task.set(field, parse("{\"v\":" + value + "}").get("v"));
-    assertNamesField(field, heartbeat(task.toString()));
+    assertErrorNamesField(field, heartbeat(task.toString()));
   }
 
-  private static void assertNamesField(String field, ObjectNode node) {
+  private static void assertErrorNamesField(String field, ObjectNode node) {
     MalformedMessageException failure =
         assertThrows(MalformedMessageException.class, () -> WorkerProtocol.parseHeartbeat(node));
     assertTrue(failure.getMessage().contains(field), failure.getMessage());
@@ -86,7 +90,7 @@
       delimiter = '|',
       nullValues = "none",
       value = {"none", ",\"cause\":null", ",\"cause\":\"new_cause\"", ",\"cause\":\"error\""})
-  void aCauseThatIsMissingOrUnknownIsAnError(String cause) throws MalformedMessageException {
+  void treatsAMissingOrUnknownExitCauseAsAnError(String cause) throws MalformedMessageException {
     String task =
         "{\"piece\":\"req-000412/3\",\"try\":2,\"status\":\"ended\""
             + (cause == null ? "" : cause)
@@ -96,7 +100,7 @@
   }
 
   @Test
-  void aHeartbeatWithoutAListOfTasksHasNone() throws MalformedMessageException {
+  void acceptsAHeartbeatWithoutATaskList() throws MalformedMessageException {
     ObjectNode node = heartbeat("");
     node.remove("pieces");
     assertEquals(List.of(), WorkerProtocol.parseHeartbeat(node).tasks());
--- a/src/test/java/io/cherryspool/worker/WorkerClientTest.java
+++ b/src/test/java/io/cherryspool/worker/WorkerClientTest.java
@@ -16,11 +16,11 @@
 import java.util.concurrent.CompletionException;
 import org.junit.jupiter.api.Test;
 
-/** Which answers of a worker hold its heartbeat. */
+/** Checks from which responses of a worker the client decodes a heartbeat. */
 class WorkerClientTest {
   private static final Endpoint WORKER = new Endpoint("127.0.0.1", 9000);
 
-  private static WorkerClient clientAnsweredBy(Reply reply) {
+  private static WorkerClient clientReceiving(Reply reply) {
     return new WorkerClient(
         (to, request, deadline) -> CompletableFuture.completedFuture(reply), Duration.ofSeconds(1));
   }
@@ -29,37 +29,37 @@
     return RecordedBytes.read("worker-report.json");
   }
 
-  private static void assertHoldsTheHeartbeat(int status) throws Exception {
+  private static void assertReturnsTheHeartbeat(int status) throws Exception {
     assertEquals(
         WorkerProtocol.parseHeartbeat(Json.parseObject(heartbeat())),
-        clientAnsweredBy(Reply.json(status, heartbeat()))
+        clientReceiving(Reply.json(status, heartbeat()))
             .sendCommands(WORKER, 1, 1, List.of())
             .join());
   }
 
   private static void assertFails(Reply reply) {
-    CompletableFuture<?> call = clientAnsweredBy(reply).requestHeartbeat(WORKER);
+    CompletableFuture<?> call = clientReceiving(reply).requestHeartbeat(WORKER);
     Throwable failure = assertThrows(CompletionException.class, call::join).getCause();
     assertInstanceOf(IOException.class, failure);
   }
 
   @Test
-  void commandsThatWereExecutedAreAnsweredWithAHeartbeat() throws Exception {
-    assertHoldsTheHeartbeat(200);
+  void returnsTheHeartbeatIfCommandsWereExecuted() throws Exception {
+    assertReturnsTheHeartbeat(200);
   }
 
   @Test
-  void commandsThatWereRefusedAreAnsweredWithAHeartbeat() throws Exception {
-    assertHoldsTheHeartbeat(409);
+  void returnsTheHeartbeatIfCommandsWereRefused() throws Exception {
+    assertReturnsTheHeartbeat(409);
   }
 
   @Test
-  void anyOtherStatusIsAFailure() throws Exception {
+  void failsOnAnyOtherStatus() throws Exception {
     assertFails(Reply.json(500, heartbeat()));
   }
 
   @Test
-  void aMalformedHeartbeatIsAFailure() {
+  void failsOnAMalformedHeartbeat() {
     assertFails(Reply.json(200, new byte[] {'['}));
   }
 }
