--- a/src/test/java/io/cherryspool/sim/driver/ControllerLogs.java
+++ b/src/test/java/io/cherryspool/sim/driver/ControllerLogs.java
@@ -3,20 +3,20 @@
 import io.cherryspool.sim.loopback.ControllerProcess;
 import java.util.List;
 
-/** When the logs of several controllers had a text, by {@link System#nanoTime}. */
+/** Finds texts in the logs of several controllers. Times are those of {@link System#nanoTime}. */
 final class ControllerLogs {
   private final List<ControllerProcess> controllers;
 
   /**
    * Creates the controller logs.
    *
-   * @param controllers read at each call, so that a process may be added or removed
+   * @param controllers the processes; later changes of the list take effect
    */
   ControllerLogs(List<ControllerProcess> controllers) {
     this.controllers = controllers;
   }
 
-  /** When the first log had the text at or after a moment; -1 if none did. */
+  /** Returns when a log first had the text at or after a moment; -1 if none had it. */
   long firstAt(String text, long since) {
     long first = -1;
     for (ControllerProcess controller : controllers) {
@@ -26,7 +26,10 @@
     return first;
   }
 
-  /** When the last log that had the text at or after a moment first had it; -1 if none did. */
+  /**
+   * Returns the latest time at which a log first had the text at or after a moment; -1 if none had
+   * it.
+   */
   long lastAt(String text, long since) {
     long last = -1;
     for (ControllerProcess controller : controllers) {
--- a/src/test/java/io/cherryspool/sim/driver/CostDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostDriver.java
@@ -18,25 +18,28 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Measures where the processor time and the memory of a controller go. Three controllers run as
- * processes of their own, by the command of deploy/service.toml, with fake services and workers;
- * the kernel's count of each thread's time is read before and after each phase. Nothing is
- * throttled. The figures are written to standard output as Markdown; docs/operations.md tells how
- * to run it.
+ * Measures what the processor time and the memory of a controller are used for. Three controllers
+ * run in separate processes, started by the command of deploy/service.toml, with fake services and
+ * workers. The processor time of each thread is read from the kernel before and after each phase.
+ * The processes are not throttled. The figures are printed as Markdown; docs/operations.md
+ * describes how to run the program.
  */
 public final class CostDriver {
-  private static final Path WORK = Path.of("target", "costs");
-  private static final String ASKED_NODE = LoopbackNodes.name(1);
+  private static final Path WORK_DIRECTORY = Path.of("target", "costs");
+  private static final String QUERIED_NODE = LoopbackNodes.name(1);
   private static final int CONTROLLERS = LoopbackNodes.ZONES.size();
   private static final LoopbackNodes.Limits LIMITS = new LoopbackNodes.Limits(400, 160, 2048, 0);
 
   private static final Duration COLD_PHASE = Duration.ofSeconds(30);
   private static final Duration IDLE_PHASE = Duration.ofSeconds(8);
 
-  /** A new token reaches all workers within a heartbeat interval; each then sends one more. */
+  /**
+   * A new fencing token reaches all workers within one heartbeat interval, and each worker then
+   * sends one more heartbeat.
+   */
   private static final Duration SETTLE_TIME = LoopbackCluster.HEARTBEAT_INTERVAL.plusMillis(500);
 
-  /** A leader defers writes that nothing waits for by 4 s. */
+  /** A leader delays writes by 4 s if nothing waits for them. */
   private static final Duration LATE_WRITE_TIME = Duration.ofSeconds(5);
 
   private static final Duration PLACING_TIMEOUT = Duration.ofSeconds(25);
@@ -72,10 +75,13 @@
     this.measuresMemory = measuresMemory;
     this.cluster = new LoopbackCluster(77, CONTROLLERS, machines, LIMITS);
     this.meter = new CostMeter(controllers, cluster.fleet(), report);
-    this.load = new LoadGenerator(cluster, meter, ASKED_NODE, SETTLE_TIME);
+    this.load = new LoadGenerator(cluster, meter, QUERIED_NODE, SETTLE_TIME);
   }
 
-  /** Takes the number of machines, and {@code memory} to measure that instead of time. */
+  /**
+   * Runs the measurement. The arguments are the number of machines and, to measure memory instead
+   * of time, {@code memory}.
+   */
   public static void main(String[] args) throws Exception {
     boolean measuresMemory = args.length == 2 && args[1].equals("memory");
     if (args.length != 1 && !measuresMemory) {
@@ -107,9 +113,10 @@
       measureTime();
       System.out.println(report);
     }
-    System.out.println("\nLeases lost by workers meanwhile: " + cluster.fleet().expiredLeases());
-    if (controllers.get(0).leadershipLost()) {
-      System.out.println("The leader changed meanwhile, so that no figure above counts.");
+    System.out.println(
+        "\nLeases lost by workers during the run: " + cluster.fleet().expiredLeases());
+    if (controllers.get(0).hasLostLeadership()) {
+      System.out.println("The leader changed during the run, so the figures above are not valid.");
     }
   }
 
@@ -125,7 +132,7 @@
   }
 
   private void startControllers() throws IOException, InterruptedException {
-    ServiceFolder folder = ServiceFolder.create(WORK, "<idle-keep>86400</idle-keep>");
+    ServiceFolder folder = ServiceFolder.create(WORK_DIRECTORY, "<idle-keep>86400</idle-keep>");
     List<String> options =
         measuresMemory
             ? List.of("-XX:NativeMemoryTracking=summary", "-XX:+UsePerfData")
@@ -133,9 +140,9 @@
     for (int i = 0; i < CONTROLLERS; i++) {
       ControllerProcess controller = folder.start(cluster.nodes(), i, options);
       controllers.add(controller);
-      report.started(LoopbackNodes.name(i) + " listens", controller.awaitListening());
+      report.addMilestone(LoopbackNodes.name(i) + " listens", controller.awaitListening());
       if (i == 0) {
-        report.started(LoopbackNodes.name(i) + " leads", controller.awaitLeading());
+        report.addMilestone(LoopbackNodes.name(i) + " leads", controller.awaitLeading());
       }
     }
   }
@@ -152,19 +159,19 @@
   private void measureHeartbeats() throws InterruptedException {
     meter.measure(
         "unchanged heartbeat",
-        Kind.UNCHANGED_REPORTS,
+        Kind.UNCHANGED_HEARTBEATS,
         UNCHANGED_HEARTBEATS,
-        () -> load.atRate(UNCHANGED_HEARTBEATS, HEARTBEATS_PER_S, this::sendUnchanged));
+        () -> load.runAtRate(UNCHANGED_HEARTBEATS, HEARTBEATS_PER_S, this::sendUnchanged));
     meter.measure(
         "changed heartbeat, beyond an unchanged one",
-        Kind.CHANGED_REPORTS,
+        Kind.CHANGED_HEARTBEATS,
         CHANGED_HEARTBEATS,
-        () -> load.atRate(CHANGED_HEARTBEATS, CHANGED_HEARTBEATS_PER_S, this::sendChanged));
+        () -> load.runAtRate(CHANGED_HEARTBEATS, CHANGED_HEARTBEATS_PER_S, this::sendChanged));
     meter.measure(
-        "heartbeat redirected by " + ASKED_NODE,
+        "heartbeat redirected by " + QUERIED_NODE,
         Kind.EVENTS,
         REDIRECTS,
-        () -> load.atRate(REDIRECTS, REQUESTS_PER_S, this::sendToFollower));
+        () -> load.runAtRate(REDIRECTS, REQUESTS_PER_S, this::sendToFollower));
   }
 
   private CompletableFuture<Reply> sendUnchanged(int number) {
@@ -181,16 +188,16 @@
 
   private CompletableFuture<Reply> sendToFollower(int number) {
     byte[] heartbeat = cluster.fleet().worker(number % 8).heartbeatBody();
-    return cluster.ask(ASKED_NODE, Request.post("/v1/report", heartbeat));
+    return cluster.send(QUERIED_NODE, Request.post("/v1/report", heartbeat));
   }
 
   private void measureReading() throws InterruptedException {
     int known = jobCount;
     meter.measure(
-        "poll of " + ASKED_NODE,
+        "poll of " + QUERIED_NODE,
         Kind.EVENTS,
         POLLS,
-        () -> load.atRate(POLLS, REQUESTS_PER_S, i -> load.poll(known)));
+        () -> load.runAtRate(POLLS, REQUESTS_PER_S, i -> load.poll(known)));
     int number = ++jobCount;
     String id = LoadGenerator.jobId(number);
     Job unplaceable = LoadGenerator.job(id, RECORD_CHANGES + 1, List.of("none"));
@@ -201,7 +208,8 @@
         Kind.EVENTS,
         RECORD_CHANGES,
         () ->
-            load.atRate(RECORD_CHANGES, RECORD_CHANGES_PER_S, i -> load.writeProgress(number, i)));
+            load.runAtRate(
+                RECORD_CHANGES, RECORD_CHANGES_PER_S, i -> load.writeProgress(number, i)));
     load.write(Records.outcomeKey(id), Records.encodeOutcome(Outcome.CANCELLED));
     meter.pause(SETTLE_TIME);
   }
@@ -210,18 +218,18 @@
     int first = jobCount + 1;
     jobCount += JOBS;
     meter.measure(
-        "job of one task submitted to " + ASKED_NODE + ", and started",
+        "job of one task submitted to " + QUERIED_NODE + ", and started",
         Kind.EVENTS,
         JOBS,
-        () -> load.atRate(JOBS, JOBS_PER_S, i -> load.submit(first + i, 1)));
+        () -> load.runAtRate(JOBS, JOBS_PER_S, i -> load.submit(first + i, 1)));
     meter.measure(
-        "job cancelled at " + ASKED_NODE + ", and its task stopped",
+        "job cancelled at " + QUERIED_NODE + ", and its task stopped",
         Kind.EVENTS,
         JOBS,
-        () -> load.atRate(JOBS, JOBS_PER_S, i -> load.cancel(first + i)));
+        () -> load.runAtRate(JOBS, JOBS_PER_S, i -> load.cancel(first + i)));
   }
 
-  /** All arrays but the last are cancelled again, so that the machines have room. */
+  /** Cancels all arrays but the last after their measurement, so that the machines have room. */
   private void measureArrays() throws InterruptedException {
     for (int i = 0; i < ARRAY_SIZES.length; i++) {
       measureArray(ARRAY_SIZES[i]);
@@ -238,7 +246,7 @@
         "array of " + tasks + " tasks starts", Kind.EVENTS, tasks, () -> startArray(tasks));
   }
 
-  /** Submits an array and waits until all of it runs. */
+  /** Submits an array and waits until all its tasks have started. */
   private void startArray(int tasks) throws InterruptedException {
     int before = cluster.fleet().startedTaskCount();
     int number = ++jobCount;
--- a/src/test/java/io/cherryspool/sim/driver/CostMeter.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostMeter.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** Measures the processor time that controllers use in phases, and adds it to a report. */
+/** Measures the processor time that controllers use in each phase, and adds it to a report. */
 final class CostMeter {
   private static final Duration SAMPLE_INTERVAL = Duration.ofMillis(500);
 
@@ -15,7 +15,7 @@
   private final LoopbackFleet fleet;
   private final CostReport report;
 
-  /** What is done in a phase. */
+  /** The work of a phase. */
   @FunctionalInterface
   interface Step {
     void run() throws InterruptedException;
@@ -24,7 +24,7 @@
   /**
    * Creates the cost meter.
    *
-   * @param controllers the processes, the leader first
+   * @param controllers the processes; the leader is the first
    */
   CostMeter(List<ControllerProcess> controllers, LoopbackFleet fleet, CostReport report) {
     this.controllers = controllers;
@@ -32,32 +32,32 @@
     this.report = report;
   }
 
-  /** Does the step, in which so many events happen, and adds what it cost to the report. */
+  /** Runs a step with the given number of events, and adds its costs to the report. */
   void measure(String name, CostReport.Kind kind, int events, Step step)
       throws InterruptedException {
     System.err.println("measuring: " + name);
-    List<ThreadCpuTimes> before = used();
+    List<ThreadCpuTimes> before = cpuTimes();
     long heartbeats = fleet.heartbeatCount();
     long start = System.nanoTime();
     step.run();
     double seconds = (System.nanoTime() - start) / 1e9;
-    List<ThreadCpuTimes> after = used();
+    List<ThreadCpuTimes> after = cpuTimes();
     List<ThreadCpuTimes> used =
         IntStream.range(0, after.size()).mapToObj(i -> after.get(i).minus(before.get(i))).toList();
     long sent = fleet.heartbeatCount() - heartbeats;
     report.add(new CostReport.Window(name, kind, events, seconds, sent, used));
   }
 
-  /** Waits, and samples meanwhile, so that the time of threads that end is not lost. */
+  /** Waits, and samples the processor time meanwhile, so that the time of ended threads counts. */
   void pause(Duration length) throws InterruptedException {
     long end = System.nanoTime() + length.toNanos();
     while (System.nanoTime() < end) {
       Thread.sleep(SAMPLE_INTERVAL.toMillis());
-      used();
+      cpuTimes();
     }
   }
 
-  private List<ThreadCpuTimes> used() {
-    return controllers.stream().map(ControllerProcess::used).toList();
+  private List<ThreadCpuTimes> cpuTimes() {
+    return controllers.stream().map(ControllerProcess::cpuTimes).toList();
   }
 }
--- a/src/test/java/io/cherryspool/sim/driver/CostReport.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostReport.java
@@ -6,63 +6,63 @@
 import java.util.List;
 import java.util.function.ToDoubleFunction;
 
-/** Turns what was measured in windows of time into tables of costs. */
+/** Computes tables of costs from the measurements in windows of time. */
 final class CostReport {
   private static final int LEADER = 0;
-  private static final int ASKED = 1;
-  private static final int OTHER = 2;
+  private static final int QUERIED = 1;
+  private static final int OTHER_FOLLOWER = 2;
 
   private final List<Window> windows = new ArrayList<>();
-  private final MarkdownTable starts =
+  private final MarkdownTable startTable =
       new MarkdownTable(
           "start, processor ms", "event loop", "compiler", "main", "VM and others", "all", "wall");
 
-  /** How the figures of a window are read. */
+  /** How the report evaluates a window. */
   enum Kind {
-    /** Nothing but what always goes on; the other windows are compared with these. */
+    /** Only periodic work happened; the costs of the other kinds are compared with these. */
     IDLE,
-    /** Printed as it is, by the second. */
+    /** The costs are reported per second, without a comparison. */
     WHOLE,
-    /** Something happened a known number of times. */
+    /** A known number of events happened, and the costs are reported per event. */
     EVENTS,
-    /** Workers reported without being due, with no news. */
-    UNCHANGED_REPORTS,
-    /** Workers reported without being due, each with news. */
-    CHANGED_REPORTS
+    /** Workers sent heartbeats before they were due, without changes. */
+    UNCHANGED_HEARTBEATS,
+    /** Workers sent heartbeats before they were due, each with a change. */
+    CHANGED_HEARTBEATS
   }
 
-  /** What happened in a window of time, and what each node used meanwhile. */
+  /** What happened in a window of time, and the processor time that each node used in it. */
   record Window(
       String name,
       Kind kind,
       int events,
       double seconds,
       long heartbeats,
-      List<ThreadCpuTimes> used) {}
+      List<ThreadCpuTimes> cpuTimes) {}
 
   void add(Window window) {
     windows.add(window);
   }
 
-  /** A controller that starts has got so far. */
-  void started(String name, ControllerProcess.Reached reached) {
-    ThreadCpuTimes used = reached.used();
-    starts.row(
+  /** Adds a milestone in the start of a controller. */
+  void addMilestone(String name, ControllerProcess.Milestone milestone) {
+    ThreadCpuTimes used = milestone.cpuTimes();
+    startTable.addRow(
         name,
         used.millis(ThreadCpuTimes.Group.LOOP),
         used.millis(ThreadCpuTimes.Group.COMPILER),
         used.millis(ThreadCpuTimes.Group.MAIN),
         used.millis(ThreadCpuTimes.Group.OTHER),
         used.millis(),
-        reached.wallMillis());
+        milestone.wallMillis());
   }
 
   @Override
   public String toString() {
-    return starts + "\n\n" + bySecond() + "\n\n" + byEvent();
+    return startTable + "\n\n" + costsPerSecond() + "\n\n" + costsPerEvent();
   }
 
-  private MarkdownTable bySecond() {
+  private MarkdownTable costsPerSecond() {
     MarkdownTable table =
         new MarkdownTable(
             "processor ms a second",
@@ -76,8 +76,8 @@
             "other follower");
     for (Window window : windows) {
       if (window.kind == Kind.IDLE || window.kind == Kind.WHOLE) {
-        ThreadCpuTimes leader = window.used.get(LEADER);
-        table.row(
+        ThreadCpuTimes leader = window.cpuTimes.get(LEADER);
+        table.addRow(
             window.name,
             window.seconds,
             window.heartbeats / window.seconds,
@@ -85,14 +85,14 @@
             leader.millis(ThreadCpuTimes.Group.COMPILER) / window.seconds,
             leader.millis(ThreadCpuTimes.Group.OTHER) / window.seconds,
             leader.millis() / window.seconds,
-            window.used.get(ASKED).millis() / window.seconds,
-            window.used.get(OTHER).millis() / window.seconds);
+            window.cpuTimes.get(QUERIED).millis() / window.seconds,
+            window.cpuTimes.get(OTHER_FOLLOWER).millis() / window.seconds);
       }
     }
     return table;
   }
 
-  private MarkdownTable byEvent() {
+  private MarkdownTable costsPerEvent() {
     MarkdownTable table =
         new MarkdownTable(
             "processor ms each, beyond idling",
@@ -106,53 +106,56 @@
             "other follower");
     for (Window window : windows) {
       if (window.kind != Kind.IDLE && window.kind != Kind.WHOLE) {
-        table.row(
+        table.addRow(
             window.name,
             events(window),
-            reportsBeyondIdle(window) / events(window),
-            each(window, LEADER, used -> used.millis(ThreadCpuTimes.Group.LOOP)),
-            each(window, LEADER, used -> used.millis(ThreadCpuTimes.Group.COMPILER)),
-            each(window, LEADER, used -> used.millis(ThreadCpuTimes.Group.OTHER)),
-            each(window, LEADER, ThreadCpuTimes::millis),
-            each(window, ASKED, ThreadCpuTimes::millis),
-            each(window, OTHER, ThreadCpuTimes::millis));
+            heartbeatsBeyondIdle(window) / events(window),
+            costPerEvent(window, LEADER, used -> used.millis(ThreadCpuTimes.Group.LOOP)),
+            costPerEvent(window, LEADER, used -> used.millis(ThreadCpuTimes.Group.COMPILER)),
+            costPerEvent(window, LEADER, used -> used.millis(ThreadCpuTimes.Group.OTHER)),
+            costPerEvent(window, LEADER, ThreadCpuTimes::millis),
+            costPerEvent(window, QUERIED, ThreadCpuTimes::millis),
+            costPerEvent(window, OTHER_FOLLOWER, ThreadCpuTimes::millis));
       }
     }
     return table;
   }
 
-  /** A worker that sends a heartbeat without being due puts its next one off. */
+  /**
+   * Returns the number of events. Unchanged heartbeats are counted beyond the periodic ones, since
+   * a worker that sends a heartbeat early sends its next periodic one later.
+   */
   private double events(Window window) {
-    return window.kind == Kind.UNCHANGED_REPORTS ? reportsBeyondIdle(window) : window.events;
+    return window.kind == Kind.UNCHANGED_HEARTBEATS ? heartbeatsBeyondIdle(window) : window.events;
   }
 
-  private double each(Window window, int node, ToDoubleFunction<ThreadCpuTimes> part) {
-    double cost = beyondIdle(window, node, part);
-    if (window.kind == Kind.CHANGED_REPORTS) {
-      cost -= reportsBeyondIdle(window) * unchangedReport(node, part);
+  private double costPerEvent(Window window, int node, ToDoubleFunction<ThreadCpuTimes> part) {
+    double cost = costBeyondIdle(window, node, part);
+    if (window.kind == Kind.CHANGED_HEARTBEATS) {
+      cost -= heartbeatsBeyondIdle(window) * costPerUnchangedHeartbeat(node, part);
     }
     return cost / events(window);
   }
 
-  private double unchangedReport(int node, ToDoubleFunction<ThreadCpuTimes> part) {
+  private double costPerUnchangedHeartbeat(int node, ToDoubleFunction<ThreadCpuTimes> part) {
     return windows.stream()
-        .filter(window -> window.kind == Kind.UNCHANGED_REPORTS)
-        .mapToDouble(window -> each(window, node, part))
+        .filter(window -> window.kind == Kind.UNCHANGED_HEARTBEATS)
+        .mapToDouble(window -> costPerEvent(window, node, part))
         .average()
         .orElseThrow();
   }
 
-  private double reportsBeyondIdle(Window window) {
-    return window.heartbeats - whenIdle(Window::heartbeats) * window.seconds;
+  private double heartbeatsBeyondIdle(Window window) {
+    return window.heartbeats - idleRate(Window::heartbeats) * window.seconds;
   }
 
-  private double beyondIdle(Window window, int node, ToDoubleFunction<ThreadCpuTimes> part) {
-    double usual = whenIdle(item -> part.applyAsDouble(item.used.get(node)));
-    return part.applyAsDouble(window.used.get(node)) - usual * window.seconds;
+  private double costBeyondIdle(Window window, int node, ToDoubleFunction<ThreadCpuTimes> part) {
+    double usual = idleRate(item -> part.applyAsDouble(item.cpuTimes.get(node)));
+    return part.applyAsDouble(window.cpuTimes.get(node)) - usual * window.seconds;
   }
 
-  /** The figure for a second in which nothing happens. */
-  private double whenIdle(ToDoubleFunction<Window> figure) {
+  /** Returns the average of a figure per second over the idle windows. */
+  private double idleRate(ToDoubleFunction<Window> figure) {
     return windows.stream()
         .filter(window -> window.kind == Kind.IDLE)
         .mapToDouble(window -> figure.applyAsDouble(window) / window.seconds)
--- a/src/test/java/io/cherryspool/sim/driver/HeapMeter.java
+++ b/src/test/java/io/cherryspool/sim/driver/HeapMeter.java
@@ -5,17 +5,20 @@
 import java.lang.management.MemoryMXBean;
 import java.util.function.Supplier;
 
-/** Counts bytes, which unlike time do not depend on what else the machine does. */
+/**
+ * Measures allocated and retained bytes. Unlike time, they do not depend on the load of the
+ * machine.
+ */
 public final class HeapMeter {
   private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
   private static final MemoryMXBean MEMORY = ManagementFactory.getMemoryMXBean();
 
-  /** What one collection only makes ready to be freed, the next ones free. */
+  /** Some objects only become collectable in one collection, and are freed by a later one. */
   private static final int COLLECTIONS = 3;
 
   private HeapMeter() {}
 
-  /** The bytes that the task allocates, all of it on this thread. */
+  /** Returns the bytes that the task allocates. The task must run completely on this thread. */
   public static long allocatedBytes(Runnable task) {
     long thread = Thread.currentThread().getId();
     long before = THREADS.getThreadAllocatedBytes(thread);
@@ -23,18 +26,18 @@
     return THREADS.getThreadAllocatedBytes(thread) - before;
   }
 
-  /** The bytes by which the heap grows as long as what is made stays reachable. */
-  public static long retainedBytes(Supplier<Object> maker) {
-    long before = live();
-    Object made = maker.get();
-    long after = live();
-    if (made == null) {
-      throw new IllegalArgumentException("nothing was made");
+  /** Returns the bytes by which the heap grows while the created object is reachable. */
+  public static long retainedBytes(Supplier<Object> factory) {
+    long before = usedHeapBytes();
+    Object retained = factory.get();
+    long after = usedHeapBytes();
+    if (retained == null) {
+      throw new IllegalArgumentException("the factory returned null");
     }
     return after - before;
   }
 
-  private static long live() {
+  private static long usedHeapBytes() {
     for (int i = 0; i < COLLECTIONS; i++) {
       MEMORY.gc();
     }
--- a/src/test/java/io/cherryspool/sim/driver/LinkFlapDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/LinkFlapDriver.java
@@ -3,7 +3,7 @@
 import io.cherryspool.sim.partition.LinkFlapRun;
 import java.time.Duration;
 
-/** Prints what flapping links cost in simulated time, as the table in docs/partitions.md has it. */
+/** Prints the costs of flapping links in simulated time, as the table in docs/partitions.md. */
 public final class LinkFlapDriver {
   private static final double[] SECONDS = {0.5, 1, 2, 3, 5, 10};
   private static final int SEEDS = 4;
--- a/src/test/java/io/cherryspool/sim/driver/LoadGenerator.java
+++ b/src/test/java/io/cherryspool/sim/driver/LoadGenerator.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.IntFunction;
 
-/** Sends requests of users and changes of records at steady rates, for measurements. */
+/** Sends users' requests and changes of records at constant rates, for measurements. */
 final class LoadGenerator {
   private final LoopbackCluster cluster;
   private final CostMeter meter;
@@ -31,7 +31,8 @@
    * Creates the load generator.
    *
    * @param node the node that users' requests are sent to
-   * @param settleTime how long to wait at the end of each load, so that its effects are measured
+   * @param settleTime how long to wait at the end of each load, so that the measurement includes
+   *     its effects
    */
   LoadGenerator(LoopbackCluster cluster, CostMeter meter, String node, Duration settleTime) {
     this.cluster = cluster;
@@ -45,9 +46,9 @@
   }
 
   /**
-   * A job that outlasts the measurement.
+   * Returns a job that runs longer than the measurement.
    *
-   * @param types the machine types that it may run on, null for any
+   * @param types the machine types that the job may run on; null for any
    */
   static Job job(String id, int tasks, List<String> types) {
     return new Job(
@@ -71,25 +72,25 @@
         Instant.EPOCH);
   }
 
-  /** Submits a job of so many tasks. Call it on the loop. */
+  /** Submits a job with the given number of tasks. Must be called on the loop. */
   CompletableFuture<Reply> submit(int number, int tasks) {
     Job job = job(jobId(number), tasks, null);
     cluster.fleet().addJobDescription(job);
-    return cluster.ask(node, Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(job))));
+    return cluster.send(node, Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(job))));
   }
 
-  /** Cancels a job. Call it on the loop. */
+  /** Cancels a job. Must be called on the loop. */
   CompletableFuture<Reply> cancel(int number) {
     Request request = Request.post("/api/jobs/" + jobId(number) + "/withdraw", new byte[0]);
-    return cluster.ask(node, request);
+    return cluster.send(node, request);
   }
 
-  /** Asks for a job. Call it on the loop. */
+  /** Queries a job. Must be called on the loop. */
   CompletableFuture<Reply> poll(int number) {
-    return cluster.ask(node, Request.get("/api/jobs/" + jobId(number)));
+    return cluster.send(node, Request.get("/api/jobs/" + jobId(number)));
   }
 
-  /** Writes the first progress record of a job of which so many tasks are done. */
+  /** Writes the first progress record of a job, in which tasks 0 to {@code done} are done. */
   CompletableFuture<Reply> writeProgress(int number, int done) {
     Shard shard = Shard.EMPTY.edit().markDone(0, done).build();
     return cluster.commit(
@@ -97,17 +98,18 @@
             Records.progressKey(jobId(number), 0), Records.encodeShard(shard), 0));
   }
 
-  /** Writes a record and waits for the answer. */
+  /** Writes a record and waits for the reply. */
   void write(String key, JsonNode value) {
     EventLoopCalls.await(cluster.commit(new StateStoreProtocol.Change(key, value, 0)));
   }
 
   /**
-   * Does something on the loop at a steady rate and waits for the answers.
+   * Runs an action on the loop at a constant rate and waits for the replies.
    *
-   * @param action by its number from 0 on; answers null where no answer comes
+   * @param action called with consecutive numbers from 0; returns null if there is no reply to wait
+   *     for
    */
-  void atRate(int count, double perSecond, IntFunction<CompletableFuture<Reply>> action)
+  void runAtRate(int count, double perSecond, IntFunction<CompletableFuture<Reply>> action)
       throws InterruptedException {
     List<CompletableFuture<Reply>> answers = new ArrayList<>();
     CompletableFuture<Boolean> sent = new CompletableFuture<>();
@@ -131,7 +133,7 @@
     long failed =
         answers.stream().filter(answer -> EventLoopCalls.await(answer).status() >= 500).count();
     if (failed > 0) {
-      System.out.println(failed + " of " + count + " requests were refused");
+      System.out.println(failed + " of " + count + " requests failed");
     }
     meter.pause(settleTime);
   }
--- a/src/test/java/io/cherryspool/sim/driver/MarkdownTable.java
+++ b/src/test/java/io/cherryspool/sim/driver/MarkdownTable.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A table of figures in Markdown. */
+/** A Markdown table of figures. */
 final class MarkdownTable {
   private final List<String> lines = new ArrayList<>();
 
@@ -13,16 +13,16 @@
     lines.add("| ---" + " | ---:".repeat(headings.length - 1) + " |");
   }
 
-  void row(String name, double... figures) {
+  void addRow(String name, double... figures) {
     StringBuilder line = new StringBuilder("| ").append(name);
     for (double figure : figures) {
-      line.append(" | ").append(number(figure));
+      line.append(" | ").append(format(figure));
     }
     lines.add(line.append(" |").toString());
   }
 
-  /** Three digits at most, since the runs do not agree on more. */
-  private static String number(double figure) {
+  /** Formats a figure with about three significant digits; further digits vary between runs. */
+  private static String format(double figure) {
     if (Double.isNaN(figure)) {
       return "";
     }
--- a/src/test/java/io/cherryspool/sim/driver/MemoryReport.java
+++ b/src/test/java/io/cherryspool/sim/driver/MemoryReport.java
@@ -9,14 +9,14 @@
 import java.util.regex.Pattern;
 
 /**
- * What the controllers hold in memory, as the kernel and the JDK's own tools tell it. They must run
- * with -XX:NativeMemoryTracking=summary.
+ * Reports the memory use of the controllers, as measured by the kernel and the JDK's tools. The
+ * controllers must run with -XX:NativeMemoryTracking=summary.
  */
 final class MemoryReport {
-  private static final List<String> KERNEL = List.of("VmRSS", "VmHWM", "RssAnon", "RssFile");
+  private static final List<String> KERNEL_FIELDS = List.of("VmRSS", "VmHWM", "RssAnon", "RssFile");
 
-  /** The parts of native memory as jcmd names them; direct buffers are under the fourth. */
-  private static final List<String> PARTS =
+  /** The categories of native memory as named by jcmd; direct buffers belong to "Other". */
+  private static final List<String> NATIVE_MEMORY_PARTS =
       List.of(
           "Java Heap",
           "Metaspace",
@@ -36,13 +36,13 @@
 
   MemoryReport(List<ControllerProcess> controllers) throws IOException, InterruptedException {
     this.controllers = controllers;
-    // The kernel's figures first, since the tools below make a process load more.
-    for (String field : KERNEL) {
+    // Reads the kernel's figures first, since the tools below make the process load more classes.
+    for (String field : KERNEL_FIELDS) {
       double[] figures = new double[controllers.size()];
       for (int i = 0; i < figures.length; i++) {
         figures[i] = controllers.get(i).statusMib(field);
       }
-      table.row(field + ", MiB", figures);
+      table.addRow(field + ", MiB", figures);
     }
     addNativeMemory();
     addCollections();
@@ -51,10 +51,10 @@
   private void addNativeMemory() throws IOException, InterruptedException {
     List<String> texts = new ArrayList<>();
     for (ControllerProcess controller : controllers) {
-      texts.add(output("jcmd", String.valueOf(controller.pid()), "VM.native_memory", "summary"));
+      texts.add(runTool("jcmd", String.valueOf(controller.pid()), "VM.native_memory", "summary"));
     }
-    for (String part : PARTS) {
-      table.row(
+    for (String part : NATIVE_MEMORY_PARTS) {
+      table.addRow(
           part + ", MiB committed",
           texts.stream().mapToDouble(text -> committed(text, part)).toArray());
     }
@@ -69,22 +69,22 @@
   private void addCollections() throws IOException, InterruptedException {
     List<String> texts = new ArrayList<>();
     for (ControllerProcess controller : controllers) {
-      texts.add(output("jstat", "-gc", String.valueOf(controller.pid())));
+      texts.add(runTool("jstat", "-gc", String.valueOf(controller.pid())));
     }
-    collections("heap used, MiB", texts, 1024, "S0U", "S1U", "EU", "OU");
-    collections("old generation used, MiB", texts, 1024, "OU");
-    collections("young collections", texts, 1, "YGC");
-    collections("young collections, ms in all", texts, 1e-3, "YGCT");
-    collections("full collections", texts, 1, "FGC");
-    collections("full collections, ms in all", texts, 1e-3, "FGCT");
+    addColumns("heap used, MiB", texts, 1024, "S0U", "S1U", "EU", "OU");
+    addColumns("old generation used, MiB", texts, 1024, "OU");
+    addColumns("young collections", texts, 1, "YGC");
+    addColumns("young collections, ms in all", texts, 1e-3, "YGCT");
+    addColumns("full collections", texts, 1, "FGC");
+    addColumns("full collections, ms in all", texts, 1e-3, "FGCT");
   }
 
-  private void collections(String name, List<String> texts, double unit, String... columns) {
-    table.row(
+  private void addColumns(String name, List<String> texts, double unit, String... columns) {
+    table.addRow(
         name, texts.stream().mapToDouble(text -> sum(text, List.of(columns)) / unit).toArray());
   }
 
-  /** The sum of some columns of jstat's one line. */
+  /** Returns the sum of the given columns in the single data line of jstat's output. */
   private static double sum(String text, List<String> columns) {
     String[] lines = text.strip().split("\n");
     String[] names = lines[0].strip().split(" +");
@@ -98,7 +98,7 @@
     return sum;
   }
 
-  private static String output(String... command) throws IOException, InterruptedException {
+  private static String runTool(String... command) throws IOException, InterruptedException {
     Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
     String text = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     if (process.waitFor() != 0) {
--- a/src/test/java/io/cherryspool/sim/driver/RecoveryDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/RecoveryDriver.java
@@ -26,14 +26,14 @@
 import java.util.stream.Stream;
 
 /**
- * Measures a recovery: three controllers run as processes of their own, by the command of
- * deploy/service.toml, with fake services and workers; the state store loses its data while an
- * array runs. What it took is written to standard output as Markdown; docs/recovery-operations.md
- * tells how to run it.
+ * Measures a recovery. Three controllers run in separate processes, started by the command of
+ * deploy/service.toml, with fake services and workers, and the state store loses its data while an
+ * array runs. The figures are printed as Markdown; docs/recovery-operations.md describes how to run
+ * the program.
  */
 public final class RecoveryDriver {
-  private static final Path WORK = Path.of("target", "recovery");
-  private static final int SERVICES = 85;
+  private static final Path WORK_DIRECTORY = Path.of("target", "recovery");
+  private static final int SUBNET = 85;
   private static final int CONTROLLERS = LoopbackNodes.ZONES.size();
   private static final LoopbackNodes.Limits LIMITS = new LoopbackNodes.Limits(150, 60, 2048, 0);
   private static final int TASKS_PER_SHARD = Records.tasksPerShard(16 * 1024);
@@ -43,24 +43,24 @@
 
   private final LoopbackCluster cluster;
   private final int tasks;
-  private final int ended;
-  private final boolean leaderEnds;
+  private final int endedJobCount;
+  private final boolean killsLeader;
   private final List<ControllerProcess> controllers = new ArrayList<>();
 
-  private RecoveryDriver(int machines, int tasks, int ended, boolean leaderEnds) {
+  private RecoveryDriver(int machines, int tasks, int endedJobCount, boolean killsLeader) {
     this.tasks = tasks;
-    this.ended = ended;
-    this.leaderEnds = leaderEnds;
-    this.cluster = new LoopbackCluster(SERVICES, CONTROLLERS, machines, LIMITS);
+    this.endedJobCount = endedJobCount;
+    this.killsLeader = killsLeader;
+    this.cluster = new LoopbackCluster(SUBNET, CONTROLLERS, machines, LIMITS);
   }
 
   /**
-   * Takes the number of machines, of the array's tasks and of jobs that have ended, and {@code
-   * leader} if the leader is to end with the data.
+   * Runs the measurement. The arguments are the number of machines, the number of tasks of the
+   * array, the number of ended jobs and, to kill the leader when the data is lost, {@code leader}.
    */
   public static void main(String[] args) throws Exception {
-    boolean leader = args.length == 4 && args[3].equals("leader");
-    if (args.length != 3 && !leader) {
+    boolean killsLeader = args.length == 4 && args[3].equals("leader");
+    if (args.length != 3 && !killsLeader) {
       System.err.println("usage: RecoveryDriver MACHINES TASKS ENDED [leader]");
       System.exit(2);
     }
@@ -69,18 +69,18 @@
             Integer.parseInt(args[0]),
             Integer.parseInt(args[1]),
             Integer.parseInt(args[2]),
-            leader);
+            killsLeader);
     int status = 1;
     try {
       driver.run();
       status = 0;
     } catch (IOException | RuntimeException e) {
-      System.err.println("the run counts for nothing: " + e);
+      System.err.println("the run failed and gives no valid figures: " + e);
     } finally {
       for (ControllerProcess controller : driver.controllers) {
         controller.kill();
       }
-      // The event loops of the fakes would keep the process alive, also after a failure.
+      // Otherwise the event loops of the fakes would keep the process alive, even after a failure.
       System.exit(status);
     }
   }
@@ -88,24 +88,24 @@
   private void run() throws IOException, InterruptedException {
     cluster.listen();
     startControllers();
-    for (int i = 0; i < ended; i++) {
-      putEnded(String.format("req-%06d", 100_000 + i));
+    for (int i = 0; i < endedJobCount; i++) {
+      writeEndedJob(String.format("req-%06d", 100_000 + i));
     }
     cluster.bootWorkers();
     Thread.sleep(SETTLE_TIME.toMillis());
     submit();
-    awaitNoStarts();
+    awaitAllStarted();
     Thread.sleep(SETTLE_TIME.toMillis());
     RecoveryMeasurement measurement =
         new RecoveryMeasurement(cluster, controllers, status().path("snapshot"));
-    measurement.run(leaderEnds);
-    measurement.print(ended);
+    measurement.run(killsLeader);
+    measurement.print(endedJobCount);
   }
 
   private void startControllers() throws IOException, InterruptedException {
     ServiceFolder folder =
         ServiceFolder.create(
-            WORK,
+            WORK_DIRECTORY,
             "<idle-keep>86400</idle-keep><recovery>on</recovery>"
                 + "<snapshot-directory>snapshots</snapshot-directory>"
                 + "<snapshot-interval>2</snapshot-interval>");
@@ -117,9 +117,9 @@
     awaitLeader();
   }
 
-  /** Snapshots of an earlier run are of another cluster, which nodes would rebuild. */
+  /** Deletes the snapshots of earlier runs, from which nodes would rebuild another cluster. */
   private static void deleteSnapshots() throws IOException {
-    try (Stream<Path> files = Files.walk(WORK)) {
+    try (Stream<Path> files = Files.walk(WORK_DIRECTORY)) {
       List<Path> old =
           files.filter(file -> file.toString().endsWith(DirectorySnapshotStore.SUFFIX)).toList();
       for (Path file : old) {
@@ -133,7 +133,7 @@
     long end = System.nanoTime() + TIMEOUT.toNanos();
     while (logs.firstAt(RecoveryMeasurement.LEADING, 0) < 0) {
       if (System.nanoTime() > end) {
-        throw new IllegalStateException("nobody leads");
+        throw new IllegalStateException("no controller became leader in time");
       }
       Thread.sleep(CHECK_INTERVAL.toMillis());
     }
@@ -143,7 +143,7 @@
     return LoopbackCluster.job(id, tasks, 2, Duration.ofHours(1));
   }
 
-  private void putEnded(String id) {
+  private void writeEndedJob(String id) {
     CompletableFuture<Reply> put =
         cluster.commit(
             new StateStoreProtocol.Change(
@@ -159,25 +159,25 @@
     Job array = job("req-000001", tasks);
     Request request = Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(array)));
     Reply reply =
-        ask(
+        send(
             LoopbackNodes.name(1),
             () -> {
               cluster.fleet().addJobDescription(array);
               return request;
             });
     if (reply.status() != 201) {
-      throw new IllegalStateException("the array is answered " + reply.status());
+      throw new IllegalStateException("the submission of the array got status " + reply.status());
     }
   }
 
-  private Reply ask(String node, Supplier<Request> request) {
+  private Reply send(String node, Supplier<Request> request) {
     CompletableFuture<Reply> answer = new CompletableFuture<>();
-    cluster.loop().execute(() -> cluster.ask(node, request.get()).thenAccept(answer::complete));
+    cluster.loop().execute(() -> cluster.send(node, request.get()).thenAccept(answer::complete));
     return EventLoopCalls.await(answer);
   }
 
-  /** Until no task has been started for a while. */
-  private void awaitNoStarts() throws InterruptedException {
+  /** Waits until no task has been started for a while. */
+  private void awaitAllStarted() throws InterruptedException {
     int before = -1;
     for (int i = 0;
         i < TIMEOUT.toSeconds() / 5 && cluster.fleet().startedTaskCount() != before;
@@ -188,7 +188,7 @@
   }
 
   private JsonNode status() {
-    Reply reply = ask(LoopbackNodes.name(1), () -> Request.get("/recovery/status"));
+    Reply reply = send(LoopbackNodes.name(1), () -> Request.get("/recovery/status"));
     try {
       return Json.parseObject(reply.body());
     } catch (MalformedMessageException e) {
--- a/src/test/java/io/cherryspool/sim/driver/RecoveryMeasurement.java
+++ b/src/test/java/io/cherryspool/sim/driver/RecoveryMeasurement.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.function.ToLongFunction;
 
-/** One loss of the state store's data, and what it took until work was placed again. */
+/** Measures one loss of the state store's data and the recovery until tasks are placed again. */
 final class RecoveryMeasurement {
-  /** Pieces of log lines of the controllers. */
+  /** Parts of log lines of the controllers. */
   static final String LEADING = "; rebuilding ownership";
 
   private static final String LOSS_NOTICED = "has lost data";
@@ -38,7 +38,7 @@
   private long lostAt;
   private long firstStartAt = -1;
 
-  /** What should not happen to a fleet, counted since it was started. */
+  /** Counts of faults of a fleet since its start. */
   private record FleetFaults(long expiredLeases, int startedTwice, int endedLate) {
     static FleetFaults of(LoopbackFleet fleet) {
       return new FleetFaults(
@@ -47,10 +47,10 @@
   }
 
   /**
-   * Notes how things stand before the loss.
+   * Records the state before the loss.
    *
-   * @param controllers the processes that live, the first of which was started first
-   * @param snapshotStatus what a node tells operators of its last snapshot
+   * @param controllers the running processes, in the order in which they were started
+   * @param snapshotStatus the status of a node's last snapshot, as reported to operators
    */
   RecoveryMeasurement(
       LoopbackCluster cluster, List<ControllerProcess> controllers, JsonNode snapshotStatus)
@@ -67,7 +67,7 @@
     this.startedBefore = fleet.startedTaskCount();
   }
 
-  /** The process whose log says that it leads; valid while no other has led. */
+  /** Returns the process whose log shows that it leads. Valid only before any change of leader. */
   private ControllerProcess leader() {
     return controllers.stream()
         .filter(controller -> controller.firstLogLineAt(LEADING, 0) >= 0)
@@ -75,65 +75,69 @@
         .orElseThrow();
   }
 
-  /** Loses the data, and maybe the leader, and waits until a leader has started a task again. */
-  void run(boolean leaderEnds) throws InterruptedException {
+  /**
+   * Makes the state store lose its data, kills the leader if requested, and waits until a leader
+   * has started a task again.
+   */
+  void run(boolean killsLeader) throws InterruptedException {
     ControllerProcess leader = leader();
     lostAt = System.nanoTime();
     cluster.loseStateStoreData();
-    if (leaderEnds) {
+    if (killsLeader) {
       leader.kill();
       controllers.remove(leader);
     }
     long end = lostAt + TIMEOUT.toNanos();
-    while (System.nanoTime() < end && (!isLedAgain() || firstStartAt < 0)) {
+    while (System.nanoTime() < end && (!hasNewLeader() || firstStartAt < 0)) {
       Thread.sleep(SAMPLE_INTERVAL.toMillis());
       samples.add(cluster.stateStoreLoad());
       if (firstStartAt < 0 && fleet.startedTaskCount() > startedBefore) {
         firstStartAt = System.nanoTime();
       }
-      if (isLedAgain() && firstStartAt < 0) {
-        // So that the next leader has something to start.
+      if (hasNewLeader() && firstStartAt < 0) {
+        // Makes room, so that the new leader can start another task.
         fleet.completeTasks(1);
       }
     }
   }
 
-  private boolean isLedAgain() {
+  private boolean hasNewLeader() {
     return logs.firstAt(LEADING, lostAt) >= 0;
   }
 
   /** Prints the figures as rows of a Markdown table. */
   void print(int endedJobs) throws IOException {
     StateStoreLoad load = cluster.stateStoreLoad();
-    row("machines, running tasks, ended jobs", cluster.machineCount(), runningBefore, endedJobs);
-    row(
+    printRow(
+        "machines, running tasks, ended jobs", cluster.machineCount(), runningBefore, endedJobs);
+    printRow(
         "noticed by the first and the last node, ms",
         millis(logs.firstAt(LOSS_NOTICED, lostAt)),
         millis(logs.lastAt(LOSS_NOTICED, lostAt)));
-    row("rebuilt, ms", millis(logs.firstAt(REBUILT, lostAt)));
-    row("served again, ms", millis(logs.firstAt(SERVING, lostAt)));
-    row("led again, ms", millis(logs.firstAt(LEADING, lostAt)));
-    row("first order, ms", millis(firstStartAt));
-    row(
+    printRow("rebuilt, ms", millis(logs.firstAt(REBUILT, lostAt)));
+    printRow("served again, ms", millis(logs.firstAt(SERVING, lostAt)));
+    printRow("led again, ms", millis(logs.firstAt(LEADING, lostAt)));
+    printRow("first order, ms", millis(firstStartAt));
+    printRow(
         "requests, changes meanwhile",
         load.requests() - loadBefore.requests(),
         load.changes() - loadBefore.changes());
-    row(
+    printRow(
         "most requests, changes in a second",
         mostInASecond(StateStoreLoad::requests),
         mostInASecond(StateStoreLoad::changes));
-    row("most memory of a controller before, after, MiB", memoryBefore, peakMemoryMib());
-    row(
+    printRow("most memory of a controller before, after, MiB", memoryBefore, peakMemoryMib());
+    printRow(
         "snapshot: bytes, ms",
         snapshotStatus.path("bytes").asDouble(),
         snapshotStatus.path("took_ms").asDouble());
     FleetFaults faults = FleetFaults.of(fleet);
-    row(
+    printRow(
         "before the loss: leases lost, tasks on two machines, ended late by the stand-ins",
         faultsBefore.expiredLeases,
         faultsBefore.startedTwice,
         faultsBefore.endedLate);
-    row(
+    printRow(
         "since the loss, the same",
         faults.expiredLeases - faultsBefore.expiredLeases,
         faults.startedTwice - faultsBefore.startedTwice,
@@ -161,7 +165,7 @@
     return most;
   }
 
-  private static void row(String name, double... figures) {
+  private static void printRow(String name, double... figures) {
     StringBuilder line = new StringBuilder("| ").append(name).append(" |");
     for (double figure : figures) {
       line.append(String.format(" %.0f", figure));
--- a/src/test/java/io/cherryspool/sim/driver/ServiceCommand.java
+++ b/src/test/java/io/cherryspool/sim/driver/ServiceCommand.java
@@ -6,10 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The command by which the platform starts a controller, as deploy/service.toml has it. */
+/** The command in deploy/service.toml by which the platform starts a controller. */
 final class ServiceCommand {
   private static final Path FILE = Path.of("deploy", "service.toml");
-  private static final String RUN = "run = \"";
+  private static final String RUN_PREFIX = "run = \"";
 
   private final List<String> words;
 
@@ -19,18 +19,18 @@
 
   static ServiceCommand read() throws IOException {
     for (String line : Files.readAllLines(FILE)) {
-      if (line.startsWith(RUN)) {
-        String command = line.substring(RUN.length(), line.lastIndexOf('"'));
+      if (line.startsWith(RUN_PREFIX)) {
+        String command = line.substring(RUN_PREFIX.length(), line.lastIndexOf('"'));
         return new ServiceCommand(List.of(command.split(" ")));
       }
     }
     throw new IOException(FILE + " has no run line");
   }
 
-  /** The command with the settings, and with further options of the Java launcher. */
-  List<String> with(List<String> javaOptions, Path settings) {
+  /** Returns the command with the settings file and additional options of the Java launcher. */
+  List<String> withOptions(List<String> javaOptions, Path settings) {
     List<String> command = new ArrayList<>(words);
-    // The last one of two that contradict each other counts.
+    // Placed after the command's own options, since the last of contradicting options takes effect.
     command.addAll(command.indexOf("-jar"), javaOptions);
     command.add(settings.toString());
     return command;
--- a/src/test/java/io/cherryspool/sim/driver/ServiceFolder.java
+++ b/src/test/java/io/cherryspool/sim/driver/ServiceFolder.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /**
- * A folder that looks to a controller like the repository, in which the platform starts it, but
+ * A folder with the same layout as the repository, in which the platform starts a controller, but
  * with other operators' settings.
  */
 final class ServiceFolder {
@@ -18,7 +18,7 @@
     this.folder = folder;
   }
 
-  /** Makes the folder, with these operators' settings in place of those of the repository. */
+  /** Creates the folder, with the given operators' settings instead of the repository's. */
   static ServiceFolder create(Path folder, String operatorSettings) throws IOException {
     Files.createDirectories(folder.resolve("deploy"));
     Path target = folder.resolve("target");
@@ -31,11 +31,12 @@
     return new ServiceFolder(folder);
   }
 
-  /** Starts a node by the platform's command, with further options of the Java launcher. */
+  /** Starts a node by the platform's command with additional options of the Java launcher. */
   ControllerProcess start(LoopbackNodes nodes, int index, List<String> javaOptions)
       throws IOException {
-    Path settings = nodes.write(folder, index).toAbsolutePath();
+    Path settings = nodes.writeSettings(folder, index).toAbsolutePath();
     Path log = folder.resolve(LoopbackNodes.name(index) + ".log");
-    return new ControllerProcess(ServiceCommand.read().with(javaOptions, settings), folder, log);
+    return new ControllerProcess(
+        ServiceCommand.read().withOptions(javaOptions, settings), folder, log);
   }
 }
--- a/src/test/java/io/cherryspool/sim/driver/WaitingJobsDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/WaitingJobsDriver.java
@@ -13,12 +13,13 @@
 import java.util.stream.LongStream;
 
 /**
- * Plays many seeds of the random runs and counts those that break a rule, by rule. A seed of itself
- * proves little of a change of scheduling, since the change plays all later events of the run anew.
+ * Runs the randomized simulation with many seeds and counts the violations of each rule. A single
+ * seed says little about a change of scheduling, since the change alters all later events of the
+ * run.
  *
- * <p>Arguments: {@code faults}, {@code verdicts} or {@code tight}, the first and the last seed. In
- * {@code tight} runs quotas are small and one zone has no capacity, so that jobs bound to it may
- * stay unserved: only the other rules say something there.
+ * <p>The arguments are {@code faults}, {@code verdicts} or {@code tight}, the first seed and the
+ * last seed. In {@code tight} runs, quotas are small and one zone has no capacity. Jobs that
+ * require this zone may then wait forever, so only the other rules are meaningful in these runs.
  */
 public final class WaitingJobsDriver {
   private static final Pattern JOB_ID = Pattern.compile("req-\\d{6}");
@@ -27,7 +28,7 @@
   private static final double VERDICTS_S = 240;
   private static final double VERDICTS_QUIET_S = 260;
 
-  /** With small quotas the same work takes far longer. */
+  /** With small quotas, the same work takes far longer. */
   private static final double TIGHT_FAULTS_S = 160;
 
   private static final double TIGHT_QUIET_S = 900;
@@ -75,7 +76,7 @@
     }
   }
 
-  /** What the job that a violation names asks for; empty if it names none. */
+  /** Describes the requirements of the job that a violation names; empty if it names none. */
   private static String describeJob(RandomizedRun run, AssertionError violation) {
     Matcher id = JOB_ID.matcher(violation.getMessage());
     Job job = id.find() ? run.cluster().rules().job(id.group()) : null;
--- a/src/test/java/io/cherryspool/sim/driver/package-info.java
+++ b/src/test/java/io/cherryspool/sim/driver/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Programs that measure and print Markdown, none of which is a test: processor time and memory of
- * controllers, recoveries, flapping links. Uses {@code sim.loopback} and {@code sim.partition}.
+ * Programs that measure controllers and print the figures, most of them as Markdown: processor time
+ * and memory, recoveries, flapping links, and violations of rules in randomized runs. They are not
+ * tests. Uses {@code sim.loopback} and {@code sim.partition}.
  */
 package io.cherryspool.sim.driver;
--- a/src/test/java/io/cherryspool/sim/fakes/ControlledTransport.java
+++ b/src/test/java/io/cherryspool/sim/fakes/ControlledTransport.java
@@ -15,26 +15,26 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One node's connection to the state store, on which a test decides the fate of single messages.
- * All others take a millisecond each way.
+ * A node's connection to the state store, on which a test can hold, drop or replace individual
+ * messages. All other messages take a millisecond in each direction.
  */
 public final class ControlledTransport implements Transport {
-  /** What readings, watches and transactions have in their targets. */
+  /** Part of the request target of reads, watches and transactions. */
   public static final String READ = "block_ms=0";
 
   public static final String WATCH = "block_ms=10000";
   public static final String COMMIT = "/commit";
 
-  private static final Duration WAY = Duration.ofMillis(1);
+  private static final Duration ONE_WAY_DELAY = Duration.ofMillis(1);
 
   private final VirtualTime time;
-  private final RequestHandler state;
-  private final List<Plan> plans = new ArrayList<>();
-  private final List<Held> held = new ArrayList<>();
+  private final RequestHandler stateStore;
+  private final List<PlannedInterception> plannedInterceptions = new ArrayList<>();
+  private final List<HeldMessage> held = new ArrayList<>();
   private final List<Request> sent = new ArrayList<>();
-  private boolean refusing;
+  private boolean isUnavailable;
 
-  /** What becomes of a message. */
+  /** What the transport does with an intercepted request or its reply. */
   public enum Interception {
     HOLD_REQUEST,
     HOLD_REPLY,
@@ -42,52 +42,59 @@
     REPLACE_REPLY
   }
 
-  private record Plan(String target, Interception fate, Reply instead) {}
+  private record PlannedInterception(String target, Interception interception, Reply replacement) {}
 
-  private record Held(String target, Runnable message) {}
+  private record HeldMessage(String target, Runnable message) {}
 
-  public ControlledTransport(VirtualTime time, RequestHandler state) {
+  public ControlledTransport(VirtualTime time, RequestHandler stateStore) {
     this.time = time;
-    this.state = state;
+    this.stateStore = stateStore;
   }
 
-  /** Decides on the next request with this in its target; several are taken in order. */
-  public void interceptNext(String target, Interception fate) {
-    plans.add(new Plan(target, fate, null));
+  /**
+   * Intercepts the next request whose target contains the text. If this is called several times,
+   * each call applies to one request, in order.
+   */
+  public void interceptNext(String target, Interception interception) {
+    plannedInterceptions.add(new PlannedInterception(target, interception, null));
   }
 
-  /** The next such request gets this answer once released, and does not reach the service. */
+  /**
+   * Holds this reply for the next request whose target contains the text, until it is released. The
+   * request itself does not reach the state store.
+   */
   public void replyNext(String target, int status, String body) {
-    Reply instead = Reply.json(status, body.getBytes(StandardCharsets.UTF_8));
-    plans.add(new Plan(target, Interception.REPLACE_REPLY, instead));
+    Reply replacement = Reply.json(status, body.getBytes(StandardCharsets.UTF_8));
+    plannedInterceptions.add(
+        new PlannedInterception(target, Interception.REPLACE_REPLY, replacement));
   }
 
-  /** Whether all requests from now on are answered 503, and carried out never. */
+  /** Sets whether all requests from now on get a 503 reply and are not executed. */
   public void setUnavailable(boolean value) {
-    refusing = value;
+    isUnavailable = value;
   }
 
-  /** Lets go the one of the messages of such requests that was held longest. */
+  /** Releases the oldest held message of the requests whose target contains the text. */
   public void release(String target) {
     release(held(target).get(0));
   }
 
-  /** Lets go the one that was held last. */
+  /** Releases the newest held message of the requests whose target contains the text. */
   public void releaseLast(String target) {
-    List<Held> found = held(target);
+    List<HeldMessage> found = held(target);
     release(found.get(found.size() - 1));
   }
 
-  private List<Held> held(String target) {
+  private List<HeldMessage> held(String target) {
     return held.stream().filter(item -> item.target.contains(target)).toList();
   }
 
-  private void release(Held item) {
+  private void release(HeldMessage item) {
     held.remove(item);
     item.message.run();
   }
 
-  /** How many such requests were sent. */
+  /** Returns the number of sent requests whose target contains the text. */
   public long sentCount(String target) {
     return sent.stream().filter(request -> request.target().contains(target)).count();
   }
@@ -95,26 +102,28 @@
   @Override
   public CompletableFuture<Reply> send(Endpoint to, Request request, Duration deadline) {
     CompletableFuture<Reply> result = new CompletableFuture<>();
-    time.schedule(deadline, () -> result.completeExceptionally(new IOException("no answer")));
+    time.schedule(
+        deadline,
+        () -> result.completeExceptionally(new IOException("no response within the deadline")));
     sent.add(request);
-    if (refusing) {
+    if (isUnavailable) {
       Reply refusal = Reply.json(503, new byte[0]);
-      time.schedule(WAY.multipliedBy(2), () -> result.complete(refusal));
+      time.schedule(ONE_WAY_DELAY.multipliedBy(2), () -> result.complete(refusal));
       return result;
     }
-    Plan plan = plan(request);
-    Runnable arrival = () -> arrive(request, plan, result);
-    if (plan != null && plan.fate == Interception.HOLD_REQUEST) {
-      held.add(new Held(request.target(), arrival));
+    PlannedInterception plan = takeInterception(request);
+    Runnable delivery = () -> deliver(request, plan, result);
+    if (plan != null && plan.interception == Interception.HOLD_REQUEST) {
+      held.add(new HeldMessage(request.target(), delivery));
     } else {
-      time.schedule(WAY, arrival);
+      time.schedule(ONE_WAY_DELAY, delivery);
     }
     return result;
   }
 
-  private Plan plan(Request request) {
-    for (Iterator<Plan> each = plans.iterator(); each.hasNext(); ) {
-      Plan plan = each.next();
+  private PlannedInterception takeInterception(Request request) {
+    for (Iterator<PlannedInterception> each = plannedInterceptions.iterator(); each.hasNext(); ) {
+      PlannedInterception plan = each.next();
       if (request.target().contains(plan.target)) {
         each.remove();
         return plan;
@@ -123,19 +132,19 @@
     return null;
   }
 
-  private void arrive(Request request, Plan plan, CompletableFuture<Reply> result) {
-    if (plan != null && plan.fate == Interception.REPLACE_REPLY) {
-      held.add(new Held(request.target(), () -> result.complete(plan.instead)));
+  private void deliver(Request request, PlannedInterception plan, CompletableFuture<Reply> result) {
+    if (plan != null && plan.interception == Interception.REPLACE_REPLY) {
+      held.add(new HeldMessage(request.target(), () -> result.complete(plan.replacement)));
       return;
     }
-    state
+    stateStore
         .handle(request)
         .thenAccept(
             reply -> {
-              if (plan != null && plan.fate == Interception.HOLD_REPLY) {
-                held.add(new Held(request.target(), () -> result.complete(reply)));
-              } else if (plan == null || plan.fate != Interception.DROP_REPLY) {
-                time.schedule(WAY, () -> result.complete(reply));
+              if (plan != null && plan.interception == Interception.HOLD_REPLY) {
+                held.add(new HeldMessage(request.target(), () -> result.complete(reply)));
+              } else if (plan == null || plan.interception != Interception.DROP_REPLY) {
+                time.schedule(ONE_WAY_DELAY, () -> result.complete(reply));
               }
             });
   }
--- a/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
@@ -23,19 +23,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A working cloud without real machines: it starts and deletes instances, boots workers on them,
- * and lists them as they were some seconds ago. It can be down.
+ * A fake cloud that starts and deletes instances, boots workers on them, and returns a list of
+ * instances that is a few seconds out of date. Tests can simulate an outage of it.
  *
  * <p>All methods must be called on the event loop.
  */
 public final class FakeCloud implements RequestHandler {
   private static final int PORT = 9000;
 
-  /** Each machine is given the next address in this network. */
+  /** The prefix of the machines' addresses, which are assigned in ascending order. */
   public static final String DEFAULT_NETWORK = "10.1.";
 
-  /** So many machines have addresses that differ in their last part only. */
-  private static final int SUBNET = 250;
+  /** The number of machines whose addresses differ in the last part only. */
+  private static final int HOSTS_PER_SUBNET = 250;
 
   private static final Duration LIST_LAG = Duration.ofSeconds(6);
 
@@ -44,26 +44,26 @@
   private final List<MachineType> types;
   private final int capacity;
   private final String network;
-  private final Consumer<Machine> boot;
-  private final Consumer<Machine> end;
+  private final Consumer<Machine> onBoot;
+  private final Consumer<Machine> onEnd;
   private final TreeMap<String, Machine> machines = new TreeMap<>();
-  private final Map<String, ArrayNode> provided = new HashMap<>();
-  private ObjectNode listed = Json.object();
-  private int count;
+  private final Map<String, ArrayNode> grantedNames = new HashMap<>();
+  private ObjectNode visibleList = Json.object();
+  private int addedMachineCount;
   private int deletedMachineCount;
-  private boolean down;
-  private boolean fast;
+  private boolean isDown;
+  private boolean isFastBoot;
   private final Set<String> closedZones = new HashSet<>();
 
-  /** An instance that the cloud has started, from the request on. */
+  /** An instance, from the moment at which it was requested. */
   public static final class Machine {
     private final String name;
     private final String host;
     private final MachineType type;
     private final String zone;
-    private final boolean spot;
+    private final boolean isSpot;
     private final Duration requestedAt;
-    private boolean up;
+    private boolean isRunning;
 
     private Machine(
         String name, String host, MachineType type, String zone, boolean spot, Duration now) {
@@ -71,7 +71,7 @@
       this.host = host;
       this.type = type;
       this.zone = zone;
-      this.spot = spot;
+      this.isSpot = spot;
       this.requestedAt = now;
     }
 
@@ -79,7 +79,7 @@
       return name;
     }
 
-    /** Its address without the port. */
+    /** Returns the address without the port. */
     public String host() {
       return host;
     }
@@ -93,10 +93,10 @@
     }
 
     public boolean isSpot() {
-      return spot;
+      return isSpot;
     }
 
-    /** Where its worker listens. */
+    /** Returns the address at which the machine's worker listens. */
     public String address() {
       return host + ":" + PORT;
     }
@@ -108,48 +108,48 @@
       List<MachineType> types,
       int capacity,
       String network,
-      Consumer<Machine> boot,
-      Consumer<Machine> end) {
+      Consumer<Machine> onBoot,
+      Consumer<Machine> onEnd) {
     this.loop = loop;
     this.random = random;
     this.types = types;
     this.capacity = capacity;
     this.network = network;
-    this.boot = boot;
-    this.end = end;
-    snapshot();
+    this.onBoot = onBoot;
+    this.onEnd = onEnd;
+    updateList();
   }
 
   public void setDown(boolean value) {
-    down = value;
+    isDown = value;
   }
 
-  /** Whether new machines are up within two seconds. */
+  /** Sets whether new machines boot within two seconds. */
   public void setFastBoot(boolean value) {
-    fast = value;
+    isFastBoot = value;
   }
 
-  /** Refuses all requests for instances in the zone from now on, for lack of capacity. */
+  /** From now on refuses all requests for instances in the zone for lack of capacity. */
   public void exhaustZone(String zone) {
     closedZones.add(zone);
   }
 
-  /** The machines that the cloud has up. */
+  /** Returns the machines that have booted and were not taken away. */
   public List<Machine> runningMachines() {
-    return machines.values().stream().filter(machine -> machine.up).toList();
+    return machines.values().stream().filter(machine -> machine.isRunning).toList();
   }
 
-  /** Whether the cloud has this machine up, as far as it knows. */
+  /** Whether the machine has booted and was not taken away. */
   public boolean isRunning(String name) {
     Machine machine = machines.get(name);
-    return machine != null && machine.up;
+    return machine != null && machine.isRunning;
   }
 
-  /** The cloud takes a machine away. */
+  /** Takes a machine away, as a cloud does with a preempted spot instance. */
   public void reclaim(String name) {
     Machine machine = machines.remove(name);
     if (machine != null) {
-      end.accept(machine);
+      onEnd.accept(machine);
     }
   }
 
@@ -158,28 +158,28 @@
     reclaim(name);
   }
 
-  /** How many machines the controllers have deleted. */
+  /** Returns the number of machines that controllers have deleted. */
   public int deletedMachineCount() {
     return deletedMachineCount;
   }
 
-  /** How many machines the controllers have requested, or the test has added. */
+  /** Returns the number of machines that controllers have requested or the test has added. */
   public int addedMachineCount() {
-    return count;
+    return addedMachineCount;
   }
 
   @Override
   public CompletableFuture<Reply> handle(Request request) {
-    if (down) {
+    if (isDown) {
       return CompletableFuture.completedFuture(
           Reply.json(503, Json.toBytes(Json.object().put("error", "trouble"))));
     }
     CompletableFuture<Reply> result = new CompletableFuture<>();
-    loop.schedule(Duration.ofMillis(50 + random.nextLong(200)), () -> answer(request, result));
+    loop.schedule(Duration.ofMillis(50 + random.nextLong(200)), () -> respond(request, result));
     return result;
   }
 
-  private void answer(Request request, CompletableFuture<Reply> result) {
+  private void respond(Request request, CompletableFuture<Reply> result) {
     try {
       JsonNode body = request.body().length == 0 ? null : Json.parseObject(request.body());
       switch (request.path()) {
@@ -190,9 +190,9 @@
         }
         default -> {
           if (request.method().equals("GET")) {
-            reply(result, listed);
+            reply(result, visibleList);
           } else {
-            provide(body, result);
+            grantInstances(body, result);
           }
         }
       }
@@ -201,9 +201,9 @@
     }
   }
 
-  private void provide(JsonNode body, CompletableFuture<Reply> result) {
+  private void grantInstances(JsonNode body, CompletableFuture<Reply> result) {
     String name = body.path("hire").asText();
-    ArrayNode names = provided.get(name);
+    ArrayNode names = grantedNames.get(name);
     if (names == null) {
       names = Json.array();
       boolean isClosed = closedZones.contains(body.path("yard").asText());
@@ -214,44 +214,45 @@
                 body.path("build").asText(),
                 body.path("yard").asText(),
                 body.path("loaners").booleanValue(),
-                Duration.ofMillis(fast ? random.nextLong(2000) : 3000 + random.nextLong(12_000))));
+                Duration.ofMillis(
+                    isFastBoot ? random.nextLong(2000) : 3000 + random.nextLong(12_000))));
       }
       if (names.isEmpty()) {
         result.complete(Reply.json(503, Json.toBytes(Json.object().put("error", "no capacity"))));
         return;
       }
-      provided.put(name, names);
+      grantedNames.put(name, names);
     }
     ObjectNode answer = Json.object();
     answer.set("spindles", names);
     reply(result, answer);
   }
 
-  /** Adds a machine that boots in the given time. */
+  /** Adds a machine that boots in the given time, and returns its name. */
   public String addMachine(String typeName, String zone, boolean spot, Duration bootTime) {
     MachineType type =
         types.stream().filter(item -> item.name().equals(typeName)).findFirst().orElseThrow();
-    String name = String.format("host-%06d", ++count);
-    Machine machine = new Machine(name, host(count), type, zone, spot, loop.now());
+    String name = String.format("host-%06d", ++addedMachineCount);
+    Machine machine = new Machine(name, host(addedMachineCount), type, zone, spot, loop.now());
     machines.put(name, machine);
     loop.schedule(
         bootTime,
         () -> {
           if (machines.get(name) == machine) {
-            machine.up = true;
-            boot.accept(machine);
+            machine.isRunning = true;
+            onBoot.accept(machine);
           }
         });
     return name;
   }
 
   private String host(int number) {
-    return network + number / SUBNET + "." + number % SUBNET;
+    return network + number / HOSTS_PER_SUBNET + "." + number % HOSTS_PER_SUBNET;
   }
 
-  /** The list shows the fleet as it was a while ago. */
-  private void snapshot() {
-    loop.schedule(Duration.ofSeconds(1), this::snapshot);
+  /** Builds the current list of machines once a second; requests get it after a delay. */
+  private void updateList() {
+    loop.schedule(Duration.ofSeconds(1), this::updateList);
     ObjectNode list = Json.object().put("has_next", false);
     ArrayNode items = list.putArray("spindles");
     for (Machine machine : machines.values()) {
@@ -261,11 +262,11 @@
           .put("endpoint", machine.address())
           .put("build", machine.type.name())
           .put("yard", machine.zone)
-          .put("loaners", machine.spot)
-          .put("status", machine.up ? "running" : "booting")
+          .put("loaners", machine.isSpot)
+          .put("status", machine.isRunning ? "running" : "booting")
           .put("held_s", loop.now().minus(machine.requestedAt).toMillis() / 1e3);
     }
-    loop.schedule(LIST_LAG, () -> listed = list);
+    loop.schedule(LIST_LAG, () -> visibleList = list);
   }
 
   private static void reply(CompletableFuture<Reply> result, JsonNode body) {
--- a/src/test/java/io/cherryspool/sim/fakes/FakeStateStore.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeStateStore.java
@@ -18,41 +18,41 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A working state store in memory: keys, leases, watches, compare-and-swap transactions. It can be
- * down, slow, rate limited or set back to an earlier state, and it can lose replies or apply
- * transactions late.
+ * A fake state store in memory with keys, leases, watches and compare-and-swap transactions. Tests
+ * can make it unavailable, slow or rate limited, restore an earlier state, make it lose replies, or
+ * make it apply transactions late.
  *
  * <p>All methods must be called on the event loop.
  */
 public final class FakeStateStore implements RequestHandler {
   private static final Duration EXPIRY_CHECK_INTERVAL = Duration.ofMillis(50);
 
-  /** Transactions held back by {@link #delayCommits} are applied within these times. */
-  private static final int HELD_BACK_MIN_MS = 2000;
+  /** The delay of transactions selected by {@link #delayCommits}: minimum and random spread. */
+  private static final int DELAYED_COMMIT_MIN_MS = 2000;
 
-  private static final int HELD_BACK_SPREAD_MS = 10_000;
+  private static final int DELAYED_COMMIT_SPREAD_MS = 10_000;
 
-  /** Transactions that get no reply by chance are applied at once, or within these times. */
-  private static final int LATE_MIN_MS = 1000;
+  /** The delay of unanswered transactions that are applied late: minimum and random spread. */
+  private static final int LATE_COMMIT_MIN_MS = 1000;
 
-  private static final int LATE_SPREAD_MS = 20_000;
+  private static final int LATE_COMMIT_SPREAD_MS = 20_000;
 
   private final EventLoop loop;
   private final RandomGenerator random;
-  private final double unansweredShare;
+  private final double unansweredProbability;
   private final KeyValueStore store = new KeyValueStore();
   private final LeaseTable leases;
   private final WatchQueue watches;
   private Consumer<String> onPut = key -> {};
   private TokenBucket writeLimit;
-  private double heldBackShare;
-  private double lostReplyShare;
+  private double delayedCommitProbability;
+  private double lostReplyProbability;
   private int maxReplyDelayMs;
-  private boolean down;
+  private boolean isDown;
   private long requestCount;
   private long changeCount;
 
-  /** A copy of everything that the store held at a moment. */
+  /** A copy of the complete contents of the store at some moment. */
   public static final class Backup {
     private final KeyValueStore.Contents contents;
     private final Map<Long, Duration> leases;
@@ -66,70 +66,70 @@
   /**
    * Creates the fake state store.
    *
-   * @param unansweredShare the share of transactions that are applied, maybe late, and never
-   *     answered
+   * @param unansweredProbability the probability of applying a transaction, immediately or late,
+   *     without a reply
    */
-  public FakeStateStore(EventLoop loop, RandomGenerator random, double unansweredShare) {
+  public FakeStateStore(EventLoop loop, RandomGenerator random, double unansweredProbability) {
     this.loop = loop;
     this.random = random;
-    this.unansweredShare = unansweredShare;
+    this.unansweredProbability = unansweredProbability;
     this.leases = new LeaseTable(loop::now);
-    this.watches = new WatchQueue(loop, store, () -> down);
+    this.watches = new WatchQueue(loop, store, () -> isDown);
     expireLeases();
   }
 
-  /** While it is down, all requests are answered 503 and no lease expires. */
+  /** Sets whether the store is down. While it is, requests get a 503 reply and no lease expires. */
   public void setDown(boolean value) {
-    if (down && !value) {
+    if (isDown && !value) {
       leases.renewAll();
     }
-    down = value;
-    watches.answerReady();
+    isDown = value;
+    watches.completeReady();
   }
 
-  /** Loses keys, leases and the revision; transactions under way are still applied. */
+  /** Loses all keys, leases and the revision. Delayed transactions are still applied afterwards. */
   public void loseAllData() {
     restore(new Backup(KeyValueStore.Contents.EMPTY, Map.of()));
   }
 
-  /** Everything that the store holds now. */
+  /** Returns a copy of the current contents. */
   public Backup backup() {
     return new Backup(store.copy(), leases.copy());
   }
 
-  /** Sets the store back. The leases of the backup get their whole time to live. */
+  /** Restores a backup. The leases of the backup get their full time to live. */
   public void restore(Backup backup) {
     store.replaceWith(backup.contents);
     leases.replaceWith(backup.leases);
-    watches.answerReady();
+    watches.completeReady();
   }
 
-  /** This share of the transactions is applied 2 to 12 s late and never answered; 0 for none. */
-  public void delayCommits(double share) {
-    heldBackShare = share;
+  /** Sets how probably a transaction is applied 2 to 12 s late, without a reply; 0 for never. */
+  public void delayCommits(double probability) {
+    delayedCommitProbability = probability;
   }
 
-  /** This share of the transactions is applied at once and never answered; 0 for none. */
-  public void loseReplies(double share) {
-    lostReplyShare = share;
+  /** Sets how probably a transaction is applied immediately, without a reply; 0 for never. */
+  public void loseReplies(double probability) {
+    lostReplyProbability = probability;
   }
 
-  /** Transactions beyond so many puts and deletes a second are answered 429. */
+  /** Limits the rate of puts and deletes. Transactions beyond it get a 429 reply. */
   public void limitWriteRate(double ratePerSecond) {
     writeLimit = new TokenBucket(ratePerSecond, loop.now());
   }
 
-  /** Each reply is delayed by a random time of up to so many milliseconds; 0 for none. */
+  /** Delays each reply by a random time of less than {@code maxMillis}; 0 for no delay. */
   public void delayReplies(int maxMillis) {
     maxReplyDelayMs = maxMillis;
   }
 
-  /** The listener is called with each key right after it was put. */
+  /** Sets the listener that is called with each key immediately after it was put. */
   public void onPut(Consumer<String> listener) {
     onPut = listener;
   }
 
-  /** The value of a key; null where there is no such key. */
+  /** Returns the value of a key; null if there is no such key. */
   public JsonNode value(String key) {
     return store.value(key);
   }
@@ -138,12 +138,12 @@
     return store.hasKeyEndingWith(suffix);
   }
 
-  /** How many requests have arrived. */
+  /** Returns the number of received requests. */
   public long requestCount() {
     return requestCount;
   }
 
-  /** How many puts and deletes were applied. */
+  /** Returns the number of applied puts and deletes. */
   public long changeCount() {
     return changeCount;
   }
@@ -162,7 +162,7 @@
 
   private CompletableFuture<Reply> process(Request request) {
     requestCount++;
-    if (down) {
+    if (isDown) {
       return completed(503, error("trouble"));
     }
     try {
@@ -176,7 +176,7 @@
     String path = request.path();
     return switch (path) {
       case "/commit" -> commit(Json.parseObject(request.body()));
-      case "/follow" -> follow(request);
+      case "/follow" -> watch(request);
       case "/keys" -> list(request);
       case "/leases" -> grantLease(Json.parseObject(request.body()));
       default ->
@@ -191,7 +191,7 @@
     return completed(200, Json.object().put("tenancy", id));
   }
 
-  /** Renews {@code ID/extend}, or revokes {@code ID}. */
+  /** Renews the lease of a path {@code ID/extend}, or revokes the lease of a path {@code ID}. */
   private CompletableFuture<Reply> changeLease(String rest) {
     boolean isRenewal = rest.endsWith("/extend");
     long id = Long.parseLong(isRenewal ? rest.substring(0, rest.indexOf('/')) : rest);
@@ -209,12 +209,12 @@
   private void revoke(long lease) {
     leases.remove(lease);
     store.removeAttached(lease);
-    watches.answerReady();
+    watches.completeReady();
   }
 
   private void expireLeases() {
     loop.schedule(EXPIRY_CHECK_INTERVAL, this::expireLeases);
-    if (!down) {
+    if (!isDown) {
       leases.expired().forEach(this::revoke);
     }
   }
@@ -223,18 +223,19 @@
     if (writeLimit != null && !writeLimit.tryTake(body.path("apply").size(), loop.now())) {
       return completed(429, error("too many writes"));
     }
-    if (heldBackShare > 0 && random.nextDouble() < heldBackShare) {
-      return applyLater(body, HELD_BACK_MIN_MS + random.nextLong(HELD_BACK_SPREAD_MS));
+    if (delayedCommitProbability > 0 && random.nextDouble() < delayedCommitProbability) {
+      return applyLater(body, DELAYED_COMMIT_MIN_MS + random.nextLong(DELAYED_COMMIT_SPREAD_MS));
     }
-    if (lostReplyShare > 0 && random.nextDouble() < lostReplyShare) {
+    if (lostReplyProbability > 0 && random.nextDouble() < lostReplyProbability) {
       apply(body);
       return new CompletableFuture<>();
     }
-    double luck = random.nextDouble();
-    if (luck < unansweredShare) {
-      // Half of them only after the sender has long given up.
-      boolean isAppliedAtOnce = luck < unansweredShare / 2;
-      return applyLater(body, isAppliedAtOnce ? 0 : LATE_MIN_MS + random.nextLong(LATE_SPREAD_MS));
+    double draw = random.nextDouble();
+    if (draw < unansweredProbability) {
+      // Half of these transactions are applied late, when the sender may have given up already.
+      boolean isAppliedAtOnce = draw < unansweredProbability / 2;
+      return applyLater(
+          body, isAppliedAtOnce ? 0 : LATE_COMMIT_MIN_MS + random.nextLong(LATE_COMMIT_SPREAD_MS));
     }
     return apply(body);
   }
@@ -260,7 +261,7 @@
     }
     changeCount += changes.size();
     store.apply(changes, onPut);
-    watches.answerReady();
+    watches.completeReady();
     return completed(200, Json.object().put("epoch", store.revision()));
   }
 
@@ -271,22 +272,22 @@
     return completed(200, store.page(prefix, after, limit));
   }
 
-  private CompletableFuture<Reply> follow(Request request) {
+  private CompletableFuture<Reply> watch(Request request) {
     long after = Long.parseLong(queryParameter(request, "from", "0"));
     long waitMs = Long.parseLong(queryParameter(request, "block_ms", "0"));
-    return watches.follow(after, queryParameter(request, "starts", ""), Duration.ofMillis(waitMs));
+    return watches.watch(after, queryParameter(request, "starts", ""), Duration.ofMillis(waitMs));
   }
 
-  private static String queryParameter(Request request, String name, String absent) {
-    int mark = request.target().indexOf('?');
-    if (mark >= 0) {
-      for (String pair : request.target().substring(mark + 1).split("&")) {
+  private static String queryParameter(Request request, String name, String defaultValue) {
+    int queryStart = request.target().indexOf('?');
+    if (queryStart >= 0) {
+      for (String pair : request.target().substring(queryStart + 1).split("&")) {
         if (pair.startsWith(name + "=")) {
           return URLDecoder.decode(pair.substring(name.length() + 1), StandardCharsets.UTF_8);
         }
       }
     }
-    return absent;
+    return defaultValue;
   }
 
   private static ObjectNode error(String message) {
--- a/src/test/java/io/cherryspool/sim/fakes/FakeWorker.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeWorker.java
@@ -17,19 +17,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A working worker agent without real tasks: it sends heartbeats, carries out commands, and kills
- * its tasks when its lease expires. It can hang and go on later.
+ * A fake worker agent without real tasks. It sends heartbeats, executes commands, and kills its
+ * tasks when its lease expires. Tests can make it hang for a while.
  *
  * <p>All methods must be called on the event loop.
  */
 public final class FakeWorker implements RequestHandler {
-  /** Tasks of jobs of this class always fail. */
+  /** All tasks of jobs of this class fail. */
   public static final String FAILING_JOB_CLASS = "broken";
 
   private static final Duration REPLY_TIMEOUT = Duration.ofSeconds(4);
   private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
-  /** What has changed is sent no earlier than this after the last heartbeat. */
+  /** The minimum time between the last heartbeat and one that reports a change. */
   private static final Duration MIN_HEARTBEAT_INTERVAL = Duration.ofMillis(500);
 
   private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
@@ -50,11 +50,11 @@
   private long fencingToken;
   private Duration leaseRenewedAt;
   private Duration lastHeartbeatAt = Duration.ZERO;
-  private boolean awaitingReply;
-  private boolean changed;
+  private boolean isAwaitingReply;
+  private boolean hasChanges;
   private Double preemptionNoticeSeconds;
 
-  /** Starts at once; the first heartbeat goes to a random one of the controllers. */
+  /** Creates and starts a worker. Its first heartbeat goes to a random controller. */
   public FakeWorker(
       EventLoop loop,
       RandomGenerator random,
@@ -78,7 +78,7 @@
     ownLoop.schedule(Duration.ZERO, this::checkLease);
   }
 
-  /** 1 at first, and one more with each lease that has expired. */
+  /** Returns the agent epoch, which is 1 at first and increases with each expired lease. */
   public long agentEpoch() {
     return agentEpoch;
   }
@@ -88,79 +88,80 @@
   }
 
   /**
-   * The tasks that run, by the users' rules: with their image, and not exited. A machine that hangs
-   * past its lease has none, since it kills them before it does anything else.
+   * Returns the tasks that users consider running: they have fetched their image and have not
+   * exited. A machine that hangs beyond the end of its lease has none, since it kills its tasks
+   * before it does anything else.
    */
   public List<String> runningTasks() {
     return ownLoop.isHung() && isLeaseExpired() ? List.of() : tasks.running();
   }
 
-  /** The tasks that take resources of the machine: those that fetch their image, too. */
+  /** Returns the tasks that use resources of the machine, including those fetching their image. */
   public List<String> assignedTasks() {
     return tasks.assigned();
   }
 
-  /** When the last heartbeat that was answered was sent, or the agent's epoch began. */
+  /** Returns when the last answered heartbeat was sent, or the agent epoch began if later. */
   public Duration leaseRenewedAt() {
     return leaseRenewedAt;
   }
 
-  /** Ends the machine with its tasks; nothing it does is seen any more. */
+  /** Kills the machine with its tasks. It has no effect on anything afterwards. */
   public void kill() {
     ownLoop.kill();
     tasks.clear();
   }
 
-  /** Does nothing for so long; what arrives meanwhile is processed afterwards, in order. */
+  /** Hangs for the given time. Events during that time are processed afterwards, in order. */
   public void hang(Duration duration) {
     ownLoop.hang(duration, this::expireLease);
   }
 
-  /** Tasks that start within this time fail. */
-  public void failTasksFor(Duration length) {
+  /** Makes all tasks fail that start within this time. */
+  public void failTasksFor(Duration duration) {
     tasks.setFailing(true);
-    loop.schedule(length, () -> tasks.setFailing(false));
+    loop.schedule(duration, () -> tasks.setFailing(false));
   }
 
-  /** From now on heartbeats say that the machine will be preempted in so many seconds. */
+  /** From now on reports in heartbeats that the machine will be preempted in this many seconds. */
   public void setPreemptionNotice(double seconds) {
     preemptionNoticeSeconds = seconds;
-    changed = true;
+    hasChanges = true;
   }
 
-  /** Sends a heartbeat at once unless one is unanswered. */
+  /** Sends a heartbeat immediately, unless a previous one still awaits its reply. */
   public void sendHeartbeatNow() {
-    if (!awaitingReply && ownLoop.isRunning()) {
+    if (!isAwaitingReply && ownLoop.isRunning()) {
       sendHeartbeat();
     }
   }
 
-  /** The body of the heartbeat that would be sent now. */
+  /** Returns the body of the next heartbeat. */
   public byte[] heartbeatBody() {
-    return Json.toBytes(describe());
+    return Json.toBytes(encodeHeartbeat());
   }
 
-  /** How often the worker has described itself, in heartbeats and in answers to requests. */
+  /** Returns the number of encoded heartbeats, including those in responses to requests. */
   public long heartbeatCount() {
     return sequence;
   }
 
-  /** Heartbeats say of the running tasks that they save a checkpoint, or run; they do neither. */
+  /** Sets whether heartbeats report running tasks as saving a checkpoint, although they don't. */
   public void reportCheckpointing(boolean value) {
     tasks.pretendCheckpointing(value);
   }
 
-  /** One of its running tasks completes now. */
+  /** Completes one of the running tasks now. */
   public void completeOneTask() {
     tasks.completeOne();
   }
 
-  /** What heartbeats say has changed, so that the next one is due soon. */
+  /** Called when the contents of heartbeats have changed, so that the next one is due soon. */
   void markChanged() {
-    changed = true;
+    hasChanges = true;
   }
 
-  /** Runs the event later, unless the worker is dead by then, and not while it hangs. */
+  /** Runs the event after the delay, but not while the worker hangs and not once it is killed. */
   void schedule(Duration delay, Runnable event) {
     ownLoop.schedule(delay, event);
   }
@@ -179,7 +180,7 @@
       tasks.clear();
       agentEpoch++;
       leaseRenewedAt = loop.now();
-      changed = true;
+      hasChanges = true;
     }
   }
 
@@ -187,15 +188,15 @@
     schedule(CHECK_INTERVAL, this::checkHeartbeat);
     Duration since = loop.now().minus(lastHeartbeatAt);
     boolean isDue = since.compareTo(settings.heartbeatInterval()) >= 0;
-    boolean isNewsDue = changed && since.compareTo(MIN_HEARTBEAT_INTERVAL) >= 0;
-    if (!awaitingReply && (isDue || isNewsDue)) {
+    boolean isChangeDue = hasChanges && since.compareTo(MIN_HEARTBEAT_INTERVAL) >= 0;
+    if (!isAwaitingReply && (isDue || isChangeDue)) {
       sendHeartbeat();
     }
   }
 
   private void sendHeartbeat() {
-    awaitingReply = true;
-    changed = false;
+    isAwaitingReply = true;
+    hasChanges = false;
     lastHeartbeatAt = loop.now();
     Duration sentAt = loop.now();
     long sentEpoch = agentEpoch;
@@ -218,17 +219,18 @@
         tryOtherController(body.path("foreman").asText(""));
         return;
       }
-      awaitingReply = false;
+      isAwaitingReply = false;
       if (sentEpoch == agentEpoch && acceptToken(body)) {
         leaseRenewedAt = leaseRenewedAt.compareTo(sentAt) > 0 ? leaseRenewedAt : sentAt;
         tasks.execute(body.path("orders"));
       }
     } catch (MalformedMessageException e) {
-      throw new IllegalStateException("a controller's answer to a worker: " + e.getMessage());
+      throw new IllegalStateException(
+          "malformed response of a controller to a worker: " + e.getMessage());
     }
   }
 
-  /** Turns to the controller that was named as leader, or to the next one. */
+  /** Selects the controller that was named as the leader, or else the next one. */
   private void tryOtherController(String leader) {
     int index = controllerNames.indexOf(leader);
     boolean isRedirect = index >= 0 && index != currentController;
@@ -238,24 +240,24 @@
     schedule(
         delay,
         () -> {
-          awaitingReply = false;
-          changed = true;
+          isAwaitingReply = false;
+          hasChanges = true;
           lastHeartbeatAt = Duration.ZERO;
         });
   }
 
-  /** Whether the message's fencing token is not older than the newest one seen. */
+  /** Stores a message's fencing token unless it is outdated; returns whether it is current. */
   private boolean acceptToken(JsonNode body) {
     long token = body.path("baton").longValue();
     if (!body.has("baton") || token < fencingToken) {
       return false;
     }
-    changed |= token > fencingToken;
+    hasChanges |= token > fencingToken;
     fencingToken = token;
     return true;
   }
 
-  private ObjectNode describe() {
+  private ObjectNode encodeHeartbeat() {
     sequence++;
     ObjectNode node = Json.object().put("spindle", machine.name());
     node.put("endpoint", machine.address()).put("build", machine.type().name());
@@ -269,11 +271,11 @@
   @Override
   public CompletableFuture<Reply> handle(Request request) {
     CompletableFuture<Reply> result = new CompletableFuture<>();
-    ownLoop.run(() -> result.complete(answer(request)));
+    ownLoop.run(() -> result.complete(respond(request)));
     return result;
   }
 
-  private Reply answer(Request request) {
+  private Reply respond(Request request) {
     expireLease();
     if (request.path().equals("/inspect")) {
       return Reply.json(200, heartbeatBody());
--- a/src/test/java/io/cherryspool/sim/fakes/HangableLoop.java
+++ b/src/test/java/io/cherryspool/sim/fakes/HangableLoop.java
@@ -6,52 +6,58 @@
 import java.util.List;
 
 /**
- * The event loop as a machine sees it that may hang, when its events wait, or be dead, when they
- * are dropped.
+ * The event loop of a machine that may hang or be killed. While the machine hangs, its events wait;
+ * once it is killed, they are dropped.
  */
 final class HangableLoop {
   private final EventLoop loop;
   private final List<Runnable> missedEvents = new ArrayList<>();
-  private boolean hung;
-  private boolean dead;
+  private boolean isHung;
+  private boolean isDead;
 
   HangableLoop(EventLoop loop) {
     this.loop = loop;
   }
 
   boolean isHung() {
-    return hung;
+    return isHung;
   }
 
   boolean isRunning() {
-    return !hung && !dead;
+    return !isHung && !isDead;
   }
 
-  /** Runs the event after a delay, as {@link #run} does. */
+  /** Passes the event to {@link #run} after a delay. */
   void schedule(Duration delay, Runnable event) {
     loop.schedule(delay, () -> run(event));
   }
 
-  /** Runs the event now, or once the machine goes on, or not at all if it is dead by then. */
+  /**
+   * Runs the event now, or once the machine no longer hangs. Drops the event if the machine was
+   * killed.
+   */
   void run(Runnable event) {
-    if (hung) {
+    if (isHung) {
       missedEvents.add(() -> run(event));
-    } else if (!dead) {
+    } else if (!isDead) {
       event.run();
     }
   }
 
-  /** Hangs for so long, unless it hangs already; then runs {@code first} and what was missed. */
+  /**
+   * Hangs for the given time, unless the machine already hangs. Afterwards runs {@code first} and
+   * then the events that have waited.
+   */
   void hang(Duration duration, Runnable first) {
-    if (!hung) {
-      hung = true;
+    if (!isHung) {
+      isHung = true;
       loop.schedule(duration, () -> resume(first));
     }
   }
 
   private void resume(Runnable first) {
-    hung = false;
-    if (!dead) {
+    isHung = false;
+    if (!isDead) {
       first.run();
       List<Runnable> missed = List.copyOf(missedEvents);
       missedEvents.clear();
@@ -60,6 +66,6 @@
   }
 
   void kill() {
-    dead = true;
+    isDead = true;
   }
 }
--- a/src/test/java/io/cherryspool/sim/fakes/InMemorySnapshotStore.java
+++ b/src/test/java/io/cherryspool/sim/fakes/InMemorySnapshotStore.java
@@ -7,14 +7,17 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** A disk that outlives the processes of its node; it can be broken. */
+/**
+ * A snapshot store in memory that outlives the processes of its node. Tests can make it lose or
+ * corrupt files.
+ */
 public final class InMemorySnapshotStore implements SnapshotStore {
-  private boolean frozen;
+  private boolean dropsWrites;
   private final TreeMap<String, byte[]> files = new TreeMap<>();
 
   @Override
   public void write(String name, byte[] bytes) {
-    if (!frozen) {
+    if (!dropsWrites) {
       files.put(name, bytes);
     }
   }
@@ -28,7 +31,7 @@
   public byte[] read(String name) throws IOException {
     byte[] bytes = files.get(name);
     if (bytes == null) {
-      throw new IOException("no file " + name);
+      throw new IOException("no such file: " + name);
     }
     return bytes;
   }
@@ -38,17 +41,17 @@
     files.remove(name);
   }
 
-  /** What is written from now on is lost. */
+  /** From now on discards all written files. */
   public void dropWrites() {
-    frozen = true;
+    dropsWrites = true;
   }
 
-  /** Loses all files. */
+  /** Deletes all files. */
   public void deleteAll() {
     files.clear();
   }
 
-  /** The newest file loses its second half. */
+  /** Removes the second half of the newest file. */
   public void truncateNewest() {
     byte[] whole = files.lastEntry().getValue();
     files.put(files.lastKey(), Arrays.copyOf(whole, whole.length / 2));
--- a/src/test/java/io/cherryspool/sim/fakes/KeyValueStore.java
+++ b/src/test/java/io/cherryspool/sim/fakes/KeyValueStore.java
@@ -11,20 +11,22 @@
 import java.util.function.Consumer;
 
 /**
- * The keys of a {@link FakeStateStore} with their versions, and the events of all revisions, in the
- * form in which the protocol carries them.
+ * The keys of a {@link FakeStateStore} with their versions, and the events of all revisions in the
+ * format of the protocol.
  */
 final class KeyValueStore {
   private final TreeMap<String, Item> items = new TreeMap<>();
   private final List<ObjectNode> events = new ArrayList<>();
   private long revision;
 
-  /** A key's value, the revision that wrote it, and the lease it is attached to, 0 for none. */
+  /**
+   * A key's value, the revision that wrote it, and the lease that it is attached to; 0 for none.
+   */
   private record Item(JsonNode value, long version, long lease) {}
 
-  /** A copy of everything in the store. Immutable. */
+  /** An immutable copy of the complete contents of the store. */
   static final class Contents {
-    /** Of a store that nothing was ever written to. */
+    /** The contents of a new store. */
     static final Contents EMPTY = new Contents(Map.of(), List.of(), 0);
 
     private final Map<String, Item> items;
@@ -54,7 +56,7 @@
     return revision;
   }
 
-  /** The value of a key; null where there is no such key. */
+  /** Returns the value of a key; null if there is no such key. */
   JsonNode value(String key) {
     Item item = items.get(key);
     return item == null ? null : item.value;
@@ -64,7 +66,7 @@
     return items.keySet().stream().anyMatch(key -> key.endsWith(suffix));
   }
 
-  /** The keys of those conditions that do not hold. */
+  /** Returns the keys of the conditions that do not hold. */
   ArrayNode failedConditions(JsonNode conditions) {
     ArrayNode failed = Json.array();
     for (JsonNode condition : conditions) {
@@ -77,7 +79,7 @@
     return failed;
   }
 
-  /** Applies puts and deletes as one revision, and passes each key that is put to the listener. */
+  /** Applies puts and deletes as one revision, and calls the listener with each key that is put. */
   void apply(JsonNode changes, Consumer<String> onPut) {
     revision++;
     for (JsonNode change : changes) {
@@ -94,7 +96,7 @@
     }
   }
 
-  /** Removes, as one revision, the keys that are attached to the lease. */
+  /** Removes the keys attached to the lease, as one revision. */
   void removeAttached(long lease) {
     revision++;
     List<String> attached = new ArrayList<>();
@@ -113,7 +115,9 @@
     }
   }
 
-  /** One page of the keys with this prefix, from the first key behind {@code after} on. */
+  /**
+   * Returns one page of the keys with the prefix, starting with the first key after {@code after}.
+   */
   ObjectNode page(String prefix, String after, int limit) {
     ObjectNode page = Json.object();
     ArrayNode entries = page.putArray("entries");
@@ -132,7 +136,7 @@
     return page.put("has_next", hasMore).put("epoch", revision);
   }
 
-  /** The events of keys with this prefix after a revision, oldest first. */
+  /** Returns the events of the keys with the prefix after a revision, the oldest first. */
   ArrayNode eventsAfter(long after, String prefix) {
     ArrayNode found = Json.array();
     for (int i = events.size() - 1; i >= 0; i--) {
--- a/src/test/java/io/cherryspool/sim/fakes/LeaseTable.java
+++ b/src/test/java/io/cherryspool/sim/fakes/LeaseTable.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** The leases of a {@link FakeStateStore}, by the clock of its event loop. */
+/** The leases of a {@link FakeStateStore}. Times are those of the given clock. */
 final class LeaseTable {
   private final Supplier<Duration> clock;
   private final Map<Long, Lease> leases = new HashMap<>();
@@ -19,7 +19,7 @@
     this.clock = clock;
   }
 
-  /** Grants a lease and returns its id. An id is never used twice, whatever data is lost. */
+  /** Grants a lease and returns its id. Ids are never reused, not even after a loss of data. */
   long grant(Duration timeToLive) {
     put(++lastId, timeToLive);
     return lastId;
@@ -29,20 +29,20 @@
     return leases.containsKey(id);
   }
 
-  /** The lease, which must exist, has its whole time to live again. */
+  /** Renews the lease, which must exist, for its full time to live. */
   void renew(long id) {
     put(id, leases.get(id).timeToLive);
   }
 
   void renewAll() {
-    leases.replaceAll((id, lease) -> renewed(lease.timeToLive));
+    leases.replaceAll((id, lease) -> newLease(lease.timeToLive));
   }
 
   void remove(long id) {
     leases.remove(id);
   }
 
-  /** The leases that have run out and are still in the table. */
+  /** Returns the leases in the table that have expired. */
   List<Long> expired() {
     List<Long> expired = new ArrayList<>();
     leases.forEach(
@@ -54,24 +54,24 @@
     return expired;
   }
 
-  /** The times to live by id. */
+  /** Returns the time to live of each lease by its id. */
   Map<Long, Duration> copy() {
     Map<Long, Duration> times = new HashMap<>();
     leases.forEach((id, lease) -> times.put(id, lease.timeToLive));
     return times;
   }
 
-  /** These leases alone exist from now on, each with its whole time to live. */
+  /** Replaces all leases by the given ones, each with its full time to live. */
   void replaceWith(Map<Long, Duration> times) {
     leases.clear();
     times.forEach(this::put);
   }
 
   private void put(long id, Duration timeToLive) {
-    leases.put(id, renewed(timeToLive));
+    leases.put(id, newLease(timeToLive));
   }
 
-  private Lease renewed(Duration timeToLive) {
+  private Lease newLease(Duration timeToLive) {
     return new Lease(timeToLive, clock.get().plus(timeToLive));
   }
 }
--- a/src/test/java/io/cherryspool/sim/fakes/TaskAttempt.java
+++ b/src/test/java/io/cherryspool/sim/fakes/TaskAttempt.java
@@ -3,29 +3,29 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.cherryspool.wire.Json;
 
-/** One attempt at a task on a {@link FakeWorker}, from the command that starts it on. */
+/** An attempt at a task on a {@link FakeWorker}, from the command that starts it. */
 final class TaskAttempt {
   private final String task;
   private final int number;
   private Status status = Status.FETCHING_IMAGE;
   private ExitCause exitCause;
-  private boolean checkpointed;
+  private boolean isCheckpointed;
 
-  /** What the attempt is doing. */
+  /** The status of an attempt. */
   private enum Status {
     FETCHING_IMAGE("pulling"),
     RUNNING("running"),
     CHECKPOINTING("saving"),
     EXITED("ended");
 
-    private final String word;
+    private final String protocolName;
 
-    Status(String word) {
-      this.word = word;
+    Status(String protocolName) {
+      this.protocolName = protocolName;
     }
   }
 
-  /** Why an attempt has exited. */
+  /** The reason why an attempt has exited. */
   enum ExitCause {
     DONE("done"),
     ERROR("error"),
@@ -33,10 +33,10 @@
     DUPLICATE("busy"),
     UNKNOWN_JOB("no_such");
 
-    private final String word;
+    private final String protocolName;
 
-    ExitCause(String word) {
-      this.word = word;
+    ExitCause(String protocolName) {
+      this.protocolName = protocolName;
     }
   }
 
@@ -45,7 +45,7 @@
     this.number = number;
   }
 
-  /** The key that a worker has the attempt under. */
+  /** Returns the key under which a worker stores the attempt. */
   static String key(String task, int number) {
     return task + "#" + number;
   }
@@ -84,23 +84,26 @@
   }
 
   void exitWithCheckpoint() {
-    checkpointed = true;
+    isCheckpointed = true;
     exit(ExitCause.STOPPED);
   }
 
-  /** Reports another status than the true one, for an attempt that has its image. */
+  /**
+   * Sets the status to saving a checkpoint or to running, whatever the attempt does, if it has its
+   * image and has not exited.
+   */
   void pretendCheckpointing(boolean value) {
     if (!hasExited() && status != Status.FETCHING_IMAGE) {
       status = value ? Status.CHECKPOINTING : Status.RUNNING;
     }
   }
 
-  /** The attempt as a heartbeat has it. */
+  /** Returns the attempt as encoded in a heartbeat. */
   ObjectNode describe() {
     ObjectNode node = Json.object().put("piece", task).put("try", number);
-    node.put("status", status.word);
+    node.put("status", status.protocolName);
     if (hasExited()) {
-      node.put("cause", exitCause.word).put("kept", checkpointed);
+      node.put("cause", exitCause.protocolName).put("kept", isCheckpointed);
     }
     return node;
   }
--- a/src/test/java/io/cherryspool/sim/fakes/WatchQueue.java
+++ b/src/test/java/io/cherryspool/sim/fakes/WatchQueue.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 
-/** The watches of a {@link FakeStateStore} that wait for an event. */
+/** The watches of a {@link FakeStateStore} that are waiting for an event. */
 final class WatchQueue {
   private final EventLoop loop;
   private final KeyValueStore store;
@@ -22,7 +22,7 @@
   /**
    * Creates the watch queue.
    *
-   * @param isDown whether the state store is down, so that no watch is answered
+   * @param isDown whether the state store is down; meanwhile no watch is completed
    */
   WatchQueue(EventLoop loop, KeyValueStore store, BooleanSupplier isDown) {
     this.loop = loop;
@@ -30,11 +30,14 @@
     this.isDown = isDown;
   }
 
-  /** Answers with the events after a revision, once there is one or the time is over. */
-  CompletableFuture<Reply> follow(long after, String prefix, Duration wait) {
+  /**
+   * Returns a reply with the events after a revision, which completes once there is an event or the
+   * waiting time is over.
+   */
+  CompletableFuture<Reply> watch(long after, String prefix, Duration wait) {
     Watch watch = new Watch(after, prefix, new CompletableFuture<>());
     if (wait.isZero() || hasEvents(watch)) {
-      answer(watch);
+      complete(watch);
     } else {
       waiting.add(watch);
       loop.schedule(wait, () -> timeOut(watch));
@@ -44,19 +47,19 @@
 
   private void timeOut(Watch watch) {
     if (!isDown.getAsBoolean() && waiting.remove(watch)) {
-      answer(watch);
+      complete(watch);
     }
   }
 
-  /** Answers the watches that have an event by now. */
-  void answerReady() {
+  /** Completes the waiting watches for which there is an event now. */
+  void completeReady() {
     if (isDown.getAsBoolean()) {
       return;
     }
     for (Watch watch : List.copyOf(waiting)) {
       if (hasEvents(watch)) {
         waiting.remove(watch);
-        answer(watch);
+        complete(watch);
       }
     }
   }
@@ -65,7 +68,7 @@
     return !store.eventsAfter(watch.after, watch.prefix).isEmpty();
   }
 
-  private void answer(Watch watch) {
+  private void complete(Watch watch) {
     ObjectNode answer = Json.object().put("epoch", store.revision());
     answer.set("events", store.eventsAfter(watch.after, watch.prefix));
     watch.reply.complete(Reply.json(200, Json.toBytes(answer)));
--- a/src/test/java/io/cherryspool/sim/fakes/WorkerSettings.java
+++ b/src/test/java/io/cherryspool/sim/fakes/WorkerSettings.java
@@ -3,12 +3,13 @@
 import java.time.Duration;
 
 /**
- * How fake workers behave.
+ * The settings of fake workers.
  *
- * @param heartbeatInterval between heartbeats of a worker that has nothing new to send
- * @param lease after so long without an answered heartbeat a worker kills its tasks
- * @param failureProbability the share of tasks that fail for no reason of the job's or the
- *     machine's
+ * @param heartbeatInterval the time between heartbeats of a worker whose state has not changed
+ * @param lease the time without a valid response to a heartbeat after which a worker kills its
+ *     tasks
+ * @param failureProbability the probability with which a task fails at random, independently of its
+ *     job and its machine
  */
 public record WorkerSettings(
     Duration heartbeatInterval, Duration lease, double failureProbability) {}
--- a/src/test/java/io/cherryspool/sim/fakes/WorkerTasks.java
+++ b/src/test/java/io/cherryspool/sim/fakes/WorkerTasks.java
@@ -18,8 +18,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The attempts at tasks on a {@link FakeWorker}. A task fetches its image, runs for half of its
- * estimate and up to 4 s more, and exits; a failing one exits after a third of that.
+ * The task attempts on a {@link FakeWorker}. An attempt fetches the image unless the machine has
+ * it, runs for half of the estimated run time plus up to 4 s, and exits. An attempt that fails
+ * exits after a third of that time.
  */
 final class WorkerTasks {
   private static final Duration IMAGE_FETCH = Duration.ofSeconds(2);
@@ -28,29 +29,31 @@
   private final FakeWorker worker;
   private final RandomGenerator random;
   private final Workload workload;
-  private final double failureShare;
+  private final double failureProbability;
   private final Map<String, TaskAttempt> attempts = new LinkedHashMap<>();
   private final Set<String> images = new HashSet<>();
-  private boolean failing;
+  private boolean failsAllTasks;
 
   /**
    * Creates the worker tasks.
    *
-   * @param failureShare the share of tasks that fail for no reason of the job's or the machine's
+   * @param failureProbability the probability with which a task fails at random, independently of
+   *     its job and its machine
    */
-  WorkerTasks(FakeWorker worker, RandomGenerator random, Workload workload, double failureShare) {
+  WorkerTasks(
+      FakeWorker worker, RandomGenerator random, Workload workload, double failureProbability) {
     this.worker = worker;
     this.random = random;
     this.workload = workload;
-    this.failureShare = failureShare;
+    this.failureProbability = failureProbability;
   }
 
-  /** Tasks that run or save a checkpoint. */
+  /** Returns the tasks that are running or saving a checkpoint. */
   List<String> running() {
     return tasks(attempt -> attempt.isRunning() || attempt.isCheckpointing());
   }
 
-  /** Tasks that have not exited. */
+  /** Returns the tasks that have not exited. */
   List<String> assigned() {
     return tasks(attempt -> !attempt.hasExited());
   }
@@ -65,21 +68,21 @@
     return result;
   }
 
-  /** Kills all tasks; images stay. */
+  /** Kills all tasks. The machine keeps the images. */
   void clear() {
     attempts.clear();
   }
 
-  /** Whether every task that starts from now on fails. */
+  /** Sets whether every task that starts from now on fails. */
   void setFailing(boolean value) {
-    failing = value;
+    failsAllTasks = value;
   }
 
   void pretendCheckpointing(boolean value) {
     attempts.values().forEach(attempt -> attempt.pretendCheckpointing(value));
   }
 
-  /** One of the running tasks completes now. */
+  /** Completes one of the running tasks now. */
   void completeOne() {
     for (TaskAttempt attempt : attempts.values()) {
       if (attempt.isRunning()) {
@@ -95,7 +98,7 @@
     return list;
   }
 
-  /** Carries out the commands of a heartbeat's answer or of a direct request. */
+  /** Executes the commands of a heartbeat's reply or of a direct request. */
   void execute(JsonNode commands) {
     for (JsonNode command : commands) {
       String task = command.path("piece").asText();
@@ -155,9 +158,9 @@
     Duration runTime =
         job.estimatedRunTime().dividedBy(2).plusMillis(random.nextLong(RUN_SPREAD_MS));
     boolean fails =
-        failing
+        failsAllTasks
             || job.jobClass().equals(FakeWorker.FAILING_JOB_CLASS)
-            || random.nextDouble() < failureShare;
+            || random.nextDouble() < failureProbability;
     worker.schedule(fails ? runTime.dividedBy(3) : runTime, () -> finish(attempt, fails));
   }
 
--- a/src/test/java/io/cherryspool/sim/fakes/Workload.java
+++ b/src/test/java/io/cherryspool/sim/fakes/Workload.java
@@ -3,14 +3,19 @@
 import io.cherryspool.model.Job;
 import java.util.Optional;
 
-/** The jobs whose tasks fake workers run, and what is to happen as tasks start and complete. */
+/**
+ * Provides the jobs whose tasks fake workers run, and is notified when tasks start and complete.
+ */
 public interface Workload {
-  /** The description of a job, by which its tasks run; empty where workers can't get it. */
+  /**
+   * Returns the description of a job, which determines how its tasks run; empty if workers cannot
+   * get it.
+   */
   Optional<Job> job(String id);
 
-  /** A task has its image and starts to run, on this worker. */
+  /** Called when a task has its image and starts to run on the worker. */
   void taskStarted(FakeWorker worker, String task);
 
-  /** A task has run to its end without a failure. */
+  /** Called when a task has completed without a failure. */
   void taskCompleted(String task);
 }
--- a/src/test/java/io/cherryspool/sim/fakes/package-info.java
+++ b/src/test/java/io/cherryspool/sim/fakes/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Test doubles that work: a state store, a cloud, workers, and transports and stores with faults.
- * They speak the protocols as plain JSON, but for the catalog not through {@code wire}, so that a
- * mistake there is not made twice. They run in simulated time and, on a real event loop, behind
- * real sockets. Uses {@code sim.time}.
+ * Fakes for tests: a state store, a cloud, workers, and transports and stores with faults. They
+ * encode and decode the protocols as plain JSON, so that they do not share a defect with the codecs
+ * of {@code wire}; only the catalog is encoded by {@code wire}. They run in simulated time, or on a
+ * real event loop with real sockets. Uses {@code sim.time}.
  *
- * <p>Threading: all calls are made on the event loop that a fake was given.
+ * <p>Threading: a fake must be called on the event loop that was passed to its constructor.
  */
 package io.cherryspool.sim.fakes;
--- a/src/test/java/io/cherryspool/sim/loopback/ControllerProcess.java
+++ b/src/test/java/io/cherryspool/sim/loopback/ControllerProcess.java
@@ -18,36 +18,36 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** A controller as a process of its own, and what the kernel tells of it. */
+/** A controller in a separate process, with its log and the kernel's accounting of the process. */
 public final class ControllerProcess {
-  private static final String LISTENING = " listens on ";
-  private static final String LEADING = " leading in term ";
-  private static final String NO_LONGER = " no longer leading ";
-  private static final long PATIENCE_S = 30;
+  private static final String LISTENING_TEXT = " listens on ";
+  private static final String LEADING_TEXT = " leading in term ";
+  private static final String LEADERSHIP_LOST_TEXT = " no longer leading ";
+  private static final long TIMEOUT_S = 30;
 
   private final Process process;
   private final long startNanos = System.nanoTime();
-  private final Path folder;
-  private final Map<String, Used> threads = new HashMap<>();
-  private final CompletableFuture<Reached> listening = new CompletableFuture<>();
-  private final CompletableFuture<Reached> leading = new CompletableFuture<>();
+  private final Path procDirectory;
+  private final Map<String, ThreadUsage> threads = new HashMap<>();
+  private final CompletableFuture<Milestone> listening = new CompletableFuture<>();
+  private final CompletableFuture<Milestone> leading = new CompletableFuture<>();
 
-  private volatile boolean leadershipLost;
-  private final List<Line> lines = new ArrayList<>();
+  private volatile boolean hasLostLeadership;
+  private final List<LogLine> lines = new ArrayList<>();
 
-  private record Line(long nanos, String text) {}
+  private record LogLine(long nanos, String text) {}
 
-  /** The processor time of a thread, also of one that has ended, as it was last seen. */
-  private record Used(ThreadCpuTimes.Group group, long nanos) {}
+  /** The last known processor time of a thread, which may have ended. */
+  private record ThreadUsage(ThreadCpuTimes.Group group, long nanos) {}
 
-  /** What had been used, and how long it had taken, when the log had a line. */
-  public record Reached(ThreadCpuTimes used, double wallMillis) {}
+  /** The processor time and the elapsed time when a certain line appeared in the log. */
+  public record Milestone(ThreadCpuTimes cpuTimes, double wallMillis) {}
 
-  /** Starts the command in the directory; its log goes to the file. */
+  /** Starts the command in the directory and writes its log to the file. */
   public ControllerProcess(List<String> command, Path directory, Path log) throws IOException {
     process =
         new ProcessBuilder(command).directory(directory.toFile()).redirectErrorStream(true).start();
-    folder = Path.of("/proc", String.valueOf(process.pid()));
+    procDirectory = Path.of("/proc", String.valueOf(process.pid()));
     Thread reader = new Thread(() -> readLog(log), "log");
     reader.setDaemon(true);
     reader.start();
@@ -57,15 +57,15 @@
     try (BufferedReader reader = process.inputReader(StandardCharsets.UTF_8);
         BufferedWriter writer = Files.newBufferedWriter(log)) {
       for (String line = reader.readLine(); line != null; line = reader.readLine()) {
-        if (line.contains(LISTENING)) {
-          listening.complete(reached());
-        } else if (line.contains(NO_LONGER)) {
-          leadershipLost = true;
-        } else if (line.contains(LEADING)) {
-          leading.complete(reached());
+        if (line.contains(LISTENING_TEXT)) {
+          listening.complete(milestone());
+        } else if (line.contains(LEADERSHIP_LOST_TEXT)) {
+          hasLostLeadership = true;
+        } else if (line.contains(LEADING_TEXT)) {
+          leading.complete(milestone());
         }
         synchronized (lines) {
-          lines.add(new Line(System.nanoTime(), line));
+          lines.add(new LogLine(System.nanoTime(), line));
         }
         writer.write(line);
         writer.newLine();
@@ -76,16 +76,17 @@
     }
   }
 
-  private Reached reached() {
-    return new Reached(used(), (System.nanoTime() - startNanos) / 1e6);
+  private Milestone milestone() {
+    return new Milestone(cpuTimes(), (System.nanoTime() - startNanos) / 1e6);
   }
 
   /**
-   * When the log first had the text at or after a moment, by {@link System#nanoTime}; -1 if never.
+   * Returns when the text first appeared in the log at or after a moment, by {@link
+   * System#nanoTime}; -1 if it did not appear.
    */
   public long firstLogLineAt(String text, long since) {
     synchronized (lines) {
-      for (Line line : lines) {
+      for (LogLine line : lines) {
         if (line.nanos >= since && line.text.contains(text)) {
           return line.nanos;
         }
@@ -94,29 +95,29 @@
     return -1;
   }
 
-  /** Ends the process without a signal that it could take notice of. */
+  /** Kills the process without a signal that it could handle. */
   public void kill() throws InterruptedException {
     process.destroyForcibly().waitFor();
   }
 
-  public Reached awaitListening() throws InterruptedException {
+  public Milestone awaitListening() throws InterruptedException {
     return await(listening, "listen");
   }
 
-  public Reached awaitLeading() throws InterruptedException {
+  public Milestone awaitLeading() throws InterruptedException {
     return await(leading, "lead");
   }
 
-  public boolean leadershipLost() {
-    return leadershipLost;
+  public boolean hasLostLeadership() {
+    return hasLostLeadership;
   }
 
-  private static Reached await(CompletableFuture<Reached> event, String what)
+  private static Milestone await(CompletableFuture<Milestone> event, String what)
       throws InterruptedException {
     try {
-      return event.get(PATIENCE_S, TimeUnit.SECONDS);
+      return event.get(TIMEOUT_S, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      throw new IllegalStateException("the controller does not " + what, e);
+      throw new IllegalStateException("timed out waiting for the controller to " + what, e);
     }
   }
 
@@ -124,47 +125,47 @@
     return process.pid();
   }
 
-  /** The processor time that the process has used until now. */
-  public synchronized ThreadCpuTimes used() {
-    try (DirectoryStream<Path> tasks = Files.newDirectoryStream(folder.resolve("task"))) {
+  /** Returns the processor time that the process has used so far. */
+  public synchronized ThreadCpuTimes cpuTimes() {
+    try (DirectoryStream<Path> tasks = Files.newDirectoryStream(procDirectory.resolve("task"))) {
       for (Path task : tasks) {
-        readThread(task);
+        updateThread(task);
       }
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
     ThreadCpuTimes sum = ThreadCpuTimes.NONE;
-    for (Used thread : threads.values()) {
+    for (ThreadUsage thread : threads.values()) {
       sum = sum.plus(thread.group, thread.nanos);
     }
     return sum;
   }
 
-  private void readThread(Path task) throws IOException {
+  private void updateThread(Path task) throws IOException {
     try {
       String name = Files.readString(task.resolve("comm")).strip();
       String nanos = Files.readString(task.resolve("schedstat")).split(" ")[0];
-      Used used = new Used(ThreadCpuTimes.Group.of(name), Long.parseLong(nanos));
-      threads.put(task.getFileName().toString(), used);
+      ThreadUsage usage = new ThreadUsage(ThreadCpuTimes.Group.of(name), Long.parseLong(nanos));
+      threads.put(task.getFileName().toString(), usage);
     } catch (NoSuchFileException e) {
-      // The thread has ended since its folder was listed.
+      // The thread has ended since the directory was listed.
     }
   }
 
-  /** A field of the process's status in MiB, such as VmRSS. */
+  /** Returns a memory field of the process's status in MiB, such as VmRSS. */
   public double statusMib(String field) throws IOException {
-    for (String line : Files.readAllLines(folder.resolve("status"))) {
+    for (String line : Files.readAllLines(procDirectory.resolve("status"))) {
       if (line.startsWith(field + ":")) {
         return Long.parseLong(line.replaceAll("\\D", "")) / 1024.0;
       }
     }
-    throw new IllegalArgumentException("no field " + field);
+    throw new IllegalArgumentException("the process status has no field " + field);
   }
 
   public void stop() throws InterruptedException {
-    // By its handle, since Process.destroy would close the log as well.
+    // Uses the handle, since Process.destroy would also close the stream of the log.
     process.toHandle().destroy();
-    if (!process.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
+    if (!process.waitFor(TIMEOUT_S, TimeUnit.SECONDS)) {
       process.destroyForcibly();
     }
   }
--- a/src/test/java/io/cherryspool/sim/loopback/EventLoopCalls.java
+++ b/src/test/java/io/cherryspool/sim/loopback/EventLoopCalls.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Supplier;
 
-/** Calls from other threads to what lives on an event loop. */
+/** Calls code on an event loop from other threads. */
 public final class EventLoopCalls {
   private static final long TIMEOUT_S = 30;
 
@@ -20,7 +20,7 @@
     return await(result);
   }
 
-  /** Runs the task on the loop and returns once it is done. */
+  /** Runs the task on the loop and returns once it has finished. */
   public static void run(NettyEventLoop loop, Runnable task) {
     call(
         loop,
@@ -31,9 +31,10 @@
   }
 
   /**
-   * Waits for a value that the loop completes.
+   * Waits for a future that the loop completes.
    *
-   * @throws IllegalStateException if there is none within 30 s, or the thread is interrupted
+   * @throws IllegalStateException if the future fails or does not complete within 30 s, or the
+   *     thread is interrupted
    */
   public static <T> T await(CompletableFuture<T> result) {
     try {
@@ -42,7 +43,7 @@
       Thread.currentThread().interrupt();
       throw new IllegalStateException(e);
     } catch (ExecutionException | TimeoutException e) {
-      throw new IllegalStateException("no answer on the event loop", e);
+      throw new IllegalStateException("the call on the event loop failed or timed out", e);
     }
   }
 }
--- a/src/test/java/io/cherryspool/sim/loopback/LocalCluster.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LocalCluster.java
@@ -28,13 +28,13 @@
 import java.util.SplittableRandom;
 
 /**
- * A program that runs a fake state store, a fake cloud and fake workers on loopback addresses, to
- * try the controllers by hand, and writes the settings of three of them into a folder; README.md
- * tells how. It prints each task that starts or is done.
+ * A program for trying out controllers by hand. It runs a fake state store, a fake cloud and fake
+ * workers on loopback addresses, and writes the settings of three controllers into a folder. It
+ * prints each task that starts or completes. README.md describes how to use it.
  */
 public final class LocalCluster {
   private static final List<String> ZONES = LoopbackNodes.ZONES;
-  private static final Endpoint STATE = new Endpoint("127.0.0.1", 2379);
+  private static final Endpoint STATE_STORE = new Endpoint("127.0.0.1", 2379);
   private static final Endpoint CLOUD = new Endpoint("127.0.0.1", 8443);
   private static final WorkerSettings WORKER_SETTINGS =
       new WorkerSettings(Duration.ofMillis(2500), Duration.ofSeconds(16), 0);
@@ -53,18 +53,18 @@
           ZONES.size(),
           "127.0.0.",
           8080,
-          new LoopbackNodes.Services(STATE, CLOUD),
+          new LoopbackNodes.Services(STATE_STORE, CLOUD),
           WORKER_SETTINGS,
           new LoopbackNodes.Limits(150, 60, 1000, 128),
           LoopbackRoutes.DIRECT);
   private final LoopbackWorkers workers =
-      new LoopbackWorkers(loop, random, nodes.addresses(), WORKER_SETTINGS, new PrintedTasks());
+      new LoopbackWorkers(loop, random, nodes.addresses(), WORKER_SETTINGS, new PrintingWorkload());
   private final FakeCloud cloud =
       new FakeCloud(
-          loop, random.split(), List.of(BOX), MACHINES, "127.1.", workers::boot, workers::end);
-  private final Map<String, Job> descriptions = new HashMap<>();
+          loop, random.split(), List.of(BOX), MACHINES, "127.1.", workers::boot, workers::kill);
+  private final Map<String, Job> jobs = new HashMap<>();
 
-  /** Takes the folder for the settings, and runs until it is stopped. */
+  /** Runs until the process is stopped. The argument is the folder for the settings. */
   public static void main(String[] args) throws Exception {
     if (args.length != 1) {
       System.err.println("usage: LocalCluster FOLDER");
@@ -74,13 +74,13 @@
   }
 
   private void run(Path folder) throws IOException, InterruptedException {
-    state.onPut(this::describe);
-    new NettyHttpServer(loop, state, SOCKETS).bind(STATE);
+    state.onPut(this::storeDescription);
+    new NettyHttpServer(loop, state, SOCKETS).bind(STATE_STORE);
     new NettyHttpServer(loop, cloud, SOCKETS).bind(CLOUD);
     loop.execute(() -> ZONES.forEach(zone -> cloud.addMachine("box", zone, false, FIRST_BOOT)));
     Files.createDirectories(folder);
     for (int i = 0; i < ZONES.size(); i++) {
-      Path file = nodes.write(folder, i);
+      Path file = nodes.writeSettings(folder, i);
       System.out.println("settings of " + LoopbackNodes.name(i) + ": " + file);
     }
     System.out.println("a line with \"lose\" makes the state store lose its data");
@@ -99,11 +99,11 @@
     }
   }
 
-  /** Prints what becomes of tasks. */
-  private final class PrintedTasks implements Workload {
+  /** Prints the starts and completions of tasks. */
+  private final class PrintingWorkload implements Workload {
     @Override
     public Optional<Job> job(String id) {
-      return Optional.ofNullable(descriptions.get(id));
+      return Optional.ofNullable(jobs.get(id));
     }
 
     @Override
@@ -118,16 +118,17 @@
   }
 
   /**
-   * Keeps the description of a job as it is written to the state store. Real users upload what the
-   * tasks are to run; this stands for it, and so outlives the state store's data.
+   * Stores the description of a job when the job is written to the state store. It represents what
+   * real users upload for their tasks to run, and therefore survives a loss of the state store's
+   * data.
    */
-  private void describe(String key) {
+  private void storeDescription(String key) {
     if (key.contains("/jobs/")) {
       try {
         Job job = UserProtocol.parseJob(state.value(key).path("job"), Instant.now());
-        descriptions.put(job.id(), job);
+        jobs.put(job.id(), job);
       } catch (MalformedMessageException e) {
-        System.err.println("the job of " + key + " can't be read: " + e.getMessage());
+        System.err.println("cannot decode the job of " + key + ": " + e.getMessage());
       }
     }
   }
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackCluster.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackCluster.java
@@ -22,8 +22,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What controllers that run as processes of their own need around them, on loopback addresses: a
- * fake state store on one event loop of this process, and a fake cloud with its workers on another.
+ * The environment of controllers that run in separate processes, on loopback addresses: a fake
+ * state store on one event loop of this process, and a fake cloud and its workers on another.
  */
 public final class LoopbackCluster {
   public static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(2500);
@@ -45,13 +45,13 @@
           Duration.ofSeconds(10),
           LoopbackNodes.ZONES);
 
-  private final int size;
+  private final int machineCount;
   private final Endpoint stateAddress;
   private final Endpoint cloudAddress;
   private final NettyEventLoop loop = new NettyEventLoop();
   private final SplittableRandom random = new SplittableRandom(1);
 
-  /** Of its own, so that the state store answers while a whole fleet sends its first heartbeats. */
+  /** A separate loop, so that the state store responds while a fleet sends its first heartbeats. */
   private final NettyEventLoop stateLoop = new NettyEventLoop();
 
   private final FakeStateStore state = new FakeStateStore(stateLoop, random.split(), 0);
@@ -63,18 +63,23 @@
   /**
    * Creates the loopback cluster.
    *
-   * @param services the second part of the loopback addresses of services and controllers; the
-   *     workers have the one after it
+   * @param subnet the second part of the loopback addresses of services and controllers; the
+   *     workers use the next subnet
    */
-  public LoopbackCluster(int services, int controllers, int size, LoopbackNodes.Limits limits) {
-    this(services, controllers, size, limits, LoopbackRoutes.DIRECT);
+  public LoopbackCluster(
+      int subnet, int controllers, int machineCount, LoopbackNodes.Limits limits) {
+    this(subnet, controllers, machineCount, limits, LoopbackRoutes.DIRECT);
   }
 
-  /** As above, with links that take these routes. */
+  /** Creates a loopback cluster whose hosts reach one another by the given routes. */
   LoopbackCluster(
-      int services, int controllers, int size, LoopbackNodes.Limits limits, LoopbackRoutes routes) {
-    this.size = size;
-    String network = "127." + services + ".";
+      int subnet,
+      int controllers,
+      int machineCount,
+      LoopbackNodes.Limits limits,
+      LoopbackRoutes routes) {
+    this.machineCount = machineCount;
+    String network = "127." + subnet + ".";
     stateAddress = new Endpoint(network + "1.1", STATE_PORT);
     cloudAddress = new Endpoint(network + "1.2", CLOUD_PORT);
     WorkerSettings workerSettings = new WorkerSettings(HEARTBEAT_INTERVAL, LEASE, 0);
@@ -93,13 +98,13 @@
             loop,
             random.split(),
             List.of(BOX),
-            size,
-            "127." + (services + 1) + ".",
+            machineCount,
+            "127." + (subnet + 1) + ".",
             fleet::boot,
             machine -> {});
   }
 
-  /** A job of the one team, whose tasks are equal. */
+  /** Returns a job with equal tasks that belongs to the only team. */
   public static Job job(String id, int tasks, double cpus, Duration estimate) {
     return new Job(
         id,
@@ -122,16 +127,16 @@
         Instant.EPOCH);
   }
 
-  /** Requests and changes that a state store has processed. */
+  /** The number of requests and changes that the state store has processed. */
   public record StateStoreLoad(long requests, long changes) {}
 
-  /** Binds the state store and the cloud; there is no machine yet. */
+  /** Starts the servers of the state store and the cloud. There are no machines yet. */
   public void listen() throws InterruptedException {
     new NettyHttpServer(stateLoop, state, SOCKETS).bind(stateAddress);
     new NettyHttpServer(loop, cloud, SOCKETS).bind(cloudAddress);
   }
 
-  /** The machines and what they run. */
+  /** Returns the workers and the counts of their tasks. */
   public LoopbackFleet fleet() {
     return fleet;
   }
@@ -140,41 +145,41 @@
     return nodes;
   }
 
-  /** Boots all machines, spread over one heartbeat interval. */
+  /** Boots all machines, distributed over one heartbeat interval. */
   public void bootWorkers() {
     EventLoopCalls.run(
         loop,
         () -> {
-          for (int i = 0; i < size; i++) {
+          for (int i = 0; i < machineCount; i++) {
             String zone = LoopbackNodes.ZONES.get(i % LoopbackNodes.ZONES.size());
             cloud.addMachine(
-                BOX.name(), zone, true, HEARTBEAT_INTERVAL.multipliedBy(i).dividedBy(size));
+                BOX.name(), zone, true, HEARTBEAT_INTERVAL.multipliedBy(i).dividedBy(machineCount));
           }
         });
   }
 
-  /** The state store loses its data. */
+  /** Makes the state store lose its data. */
   public void loseStateStoreData() {
     EventLoopCalls.run(stateLoop, state::loseAllData);
   }
 
-  /** What the state store has processed since it was started. */
+  /** Returns what the state store has processed since its start. */
   public StateStoreLoad stateStoreLoad() {
     return EventLoopCalls.call(
         stateLoop, () -> new StateStoreLoad(state.requestCount(), state.changeCount()));
   }
 
-  /** How many machines there are. */
+  /** Returns the number of machines. */
   public int machineCount() {
-    return size;
+    return machineCount;
   }
 
-  /** Sends a request to a node. Call it on the loop. */
-  public CompletableFuture<Reply> ask(String node, Request request) {
+  /** Sends a request to a node. Must be called on the loop. */
+  public CompletableFuture<Reply> send(String node, Request request) {
     return client.send(nodes.addresses().get(node), request, REQUEST_TIMEOUT);
   }
 
-  /** Commits a change to the state store, as a node might. */
+  /** Commits a change to the state store, as a node would. */
   public CompletableFuture<Reply> commit(StateStoreProtocol.Change change) {
     CompletableFuture<Reply> result = new CompletableFuture<>();
     Request request = StateStoreProtocol.transactionRequest(Map.of(), List.of(change));
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackFixture.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackFixture.java
@@ -23,22 +23,22 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Controllers as processes of their own and a few dozen fake workers, on real sockets of this
- * machine, with users whose record of their jobs' answers is kept here.
+ * Runs controllers in separate processes and a few dozen fake workers on real sockets of this
+ * machine. Acts as the users of the controllers and records the status of their jobs.
  */
 abstract class LoopbackFixture {
-  private static final Duration PAUSE = Duration.ofMillis(250);
-  private static final long LIMIT_S = 60;
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(250);
+  private static final long TIMEOUT_S = 60;
 
   @TempDir Path folder;
 
   final LoopbackCluster cluster;
   private final ControllerProcess[] controllers;
   private final Map<String, Job> jobs = new HashMap<>();
-  private final Map<String, String> ends = new HashMap<>();
+  private final Map<String, String> finalStatuses = new HashMap<>();
   private final List<String> cancelled = new ArrayList<>();
-  private int lives;
-  private int asked;
+  private int startCount;
+  private int requestCount;
 
   LoopbackFixture(int controllers, LoopbackCluster cluster) {
     this.cluster = cluster;
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Ends the controller without a signal that it could take notice of. */
+  /** Kills the controller without a signal that it could handle. */
   void kill(int number) throws InterruptedException {
     if (controllers[number] != null) {
       controllers[number].kill();
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Starts all controllers, and waits until they listen. */
+  /** Starts all controllers and waits until they listen. */
   void startControllers(Optional<Path> operators) throws IOException, InterruptedException {
     for (int i = 0; i < controllers.length; i++) {
       start(i, operators);
@@ -70,7 +70,7 @@
     }
   }
 
-  /** Starts the controller of this number. */
+  /** Starts the controller with the given number. */
   void start(int number, Optional<Path> operators) throws IOException {
     List<String> command =
         new ArrayList<>(
@@ -84,44 +84,46 @@
                 "io.cherryspool.cli.Main",
                 "serve",
                 "--config",
-                cluster.nodes().write(folder, number).toString()));
+                cluster.nodes().writeSettings(folder, number).toString()));
     operators.ifPresent(file -> command.addAll(List.of("--operators", file.toString())));
-    Path log = folder.resolve("node-" + lives++ + ".log");
+    Path log = folder.resolve("node-" + startCount++ + ".log");
     controllers[number] = new ControllerProcess(command, folder, log);
   }
 
-  /** Asks a node, the next one each time; null without an answer. */
-  Reply ask(Request request) {
-    return ask(asked++ % controllers.length, request);
+  /** Sends a request to the next node in turn; returns null if there is no reply. */
+  Reply send(Request request) {
+    return send(requestCount++ % controllers.length, request);
   }
 
-  /** Asks the node of this number; null without an answer. */
-  Reply ask(int number, Request request) {
+  /** Sends a request to the node with the given number; returns null if there is no reply. */
+  Reply send(int number, Request request) {
     CompletableFuture<Reply> answer = new CompletableFuture<>();
     cluster
         .loop()
         .execute(
             () ->
                 cluster
-                    .ask(LoopbackNodes.name(number), request)
+                    .send(LoopbackNodes.name(number), request)
                     .whenComplete((reply, failure) -> answer.complete(reply)));
     return EventLoopCalls.await(answer);
   }
 
   String submit(int tasks, double seconds) throws InterruptedException {
     Job job = newJob(tasks, seconds);
-    until(job.id() + " is accepted", () -> accepted(ask(submission(job))));
+    await(job.id() + " is accepted", () -> isAccepted(send(submission(job))));
     return job.id();
   }
 
-  /** Submits at this node alone; returns whether it accepts at the first try. */
+  /**
+   * Submits a job to the given node, and returns whether it accepts the job at the first attempt.
+   */
   boolean submitAt(int number, int tasks, double seconds) throws InterruptedException {
     Job job = newJob(tasks, seconds);
-    boolean first = accepted(ask(number, submission(job)));
-    if (!first) {
-      until(job.id() + " is accepted", () -> accepted(ask(submission(job))));
+    boolean isAcceptedAtOnce = isAccepted(send(number, submission(job)));
+    if (!isAcceptedAtOnce) {
+      await(job.id() + " is accepted", () -> isAccepted(send(submission(job))));
     }
-    return first;
+    return isAcceptedAtOnce;
   }
 
   private Job newJob(int tasks, double seconds) {
@@ -137,19 +139,19 @@
     return Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(job)));
   }
 
-  private static boolean accepted(Reply reply) {
+  private static boolean isAccepted(Reply reply) {
     return reply != null && (reply.status() == 201 || reply.status() == 200);
   }
 
   void cancel(String id) throws InterruptedException {
     cancelled.add(id);
-    until(
+    await(
         id + " is cancelled",
         () -> {
-          Reply reply = ask(Request.post("/api/jobs/" + id + "/withdraw", new byte[0]));
+          Reply reply = send(Request.post("/api/jobs/" + id + "/withdraw", new byte[0]));
           return reply != null && reply.status() == 200 && status(reply).equals("withdrawn");
         });
-    ends.put(id, "withdrawn");
+    finalStatuses.put(id, "withdrawn");
   }
 
   private static String status(Reply reply) {
@@ -160,21 +162,24 @@
     }
   }
 
-  /** Asks about every job; an accepted one is never unknown, and an end never changes. */
-  boolean allEnded() {
+  /**
+   * Queries every job and returns whether all have ended. Fails if a node does not know an accepted
+   * job, or if the final status of a job has changed.
+   */
+  boolean haveAllJobsEnded() {
     for (String id : jobs.keySet()) {
-      Reply reply = ask(Request.get("/api/jobs/" + id));
+      Reply reply = send(Request.get("/api/jobs/" + id));
       if (reply != null && reply.status() == 404) {
-        throw new AssertionError(id + " is forgotten");
+        throw new AssertionError(id + " was accepted, but a node does not know it");
       }
       if (reply != null && reply.status() == 200) {
         String status = status(reply);
-        boolean end = status.equals("done") || status.equals("withdrawn");
-        String before = end ? ends.putIfAbsent(id, status) : ends.get(id);
+        boolean isFinal = status.equals("done") || status.equals("withdrawn");
+        String before = isFinal ? finalStatuses.putIfAbsent(id, status) : finalStatuses.get(id);
         assertTrue(before == null || before.equals(status), id + " was " + before + ": " + status);
       }
     }
-    return ends.keySet().containsAll(jobs.keySet());
+    return finalStatuses.keySet().containsAll(jobs.keySet());
   }
 
   @FunctionalInterface
@@ -182,30 +187,33 @@
     boolean holds();
   }
 
-  static void until(String what, Condition condition) throws InterruptedException {
-    long end = System.nanoTime() + Duration.ofSeconds(LIMIT_S).toNanos();
+  static void await(String what, Condition condition) throws InterruptedException {
+    long end = System.nanoTime() + Duration.ofSeconds(TIMEOUT_S).toNanos();
     while (!condition.holds()) {
-      assertTrue(System.nanoTime() < end, what + " within " + LIMIT_S + " s");
-      Thread.sleep(PAUSE.toMillis());
+      assertTrue(System.nanoTime() < end, what + " within " + TIMEOUT_S + " s");
+      Thread.sleep(POLL_INTERVAL.toMillis());
     }
   }
 
   void pollFor(double seconds) throws InterruptedException {
     long end = System.nanoTime() + (long) (seconds * 1e9);
     while (System.nanoTime() < end) {
-      allEnded();
-      Thread.sleep(PAUSE.toMillis());
+      haveAllJobsEnded();
+      Thread.sleep(POLL_INTERVAL.toMillis());
     }
   }
 
-  /** No task was on two machines, no answer is lost, and each has the end that it must have. */
-  void checkAnswers() {
+  /**
+   * Checks that no task ran on two machines at the same time, and that each job has the right final
+   * status and each of its tasks the right number of completions.
+   */
+  void checkOutcomes() {
     assertEquals(Set.of(), cluster.fleet().tasksStartedTwice());
     Map<String, Integer> completed = cluster.fleet().completions();
     boolean leasesHeld = cluster.fleet().expiredLeases() == 0;
     jobs.forEach(
         (id, job) -> {
-          assertEquals(cancelled.contains(id) ? "withdrawn" : "done", ends.get(id), id);
+          assertEquals(cancelled.contains(id) ? "withdrawn" : "done", finalStatuses.get(id), id);
           for (int task = 0; task < job.taskCount() && !cancelled.contains(id); task++) {
             int times = completed.getOrDefault(id + "/" + task, 0);
             assertTrue(leasesHeld ? times == 1 : times >= 1, id + "/" + task + ": " + times);
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackFleet.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackFleet.java
@@ -18,8 +18,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The workers of a {@link LoopbackCluster}, and a count of what they run. Unless a method says
- * otherwise it may be called on any thread but the event loop, and waits for the loop.
+ * The workers of a {@link LoopbackCluster}, and counts of the tasks that they run. Unless stated
+ * otherwise, a method waits for the event loop and may be called on any other thread.
  */
 public final class LoopbackFleet {
   private final NettyEventLoop loop;
@@ -38,11 +38,11 @@
       WorkerSettings settings) {
     this.loop = loop;
     this.lease = settings.lease();
-    this.workers = new LoopbackWorkers(loop, random, controllers, settings, new CountedTasks());
+    this.workers = new LoopbackWorkers(loop, random, controllers, settings, new CountingWorkload());
   }
 
-  /** Counts starts and completions, on the loop. */
-  private final class CountedTasks implements Workload {
+  /** Counts starts and completions of tasks. Called on the loop. */
+  private final class CountingWorkload implements Workload {
     @Override
     public Optional<Job> job(String id) {
       return Optional.ofNullable(jobs.get(id));
@@ -53,7 +53,7 @@
       startedTasks++;
       for (FakeWorker other : workers.all()) {
         if (other != worker && other.runningTasks().contains(task)) {
-          // A loop that is behind ends the tasks of an expired lease too late.
+          // If the loop lags, it kills the tasks of an expired lease too late.
           boolean isExpired = loop.now().minus(other.leaseRenewedAt()).compareTo(lease) > 0;
           (isExpired ? endedLate : startedTwice).add(task);
         }
@@ -66,41 +66,44 @@
     }
   }
 
-  /** Starts the worker of a machine that has booted. Call it on the loop. */
+  /** Starts the worker of a machine that has booted. Must be called on the loop. */
   void boot(FakeCloud.Machine machine) {
     workers.boot(machine);
   }
 
-  /** From now on workers can run tasks of this job. Call it on the loop. */
+  /** Allows workers to run tasks of this job from now on. Must be called on the loop. */
   public void addJobDescription(Job job) {
     jobs.put(job.id(), job);
   }
 
-  /** The worker of this number; numbers beyond the last begin again. Call it on the loop. */
+  /** Returns a worker by its number, modulo the number of workers. Must be called on the loop. */
   public FakeWorker worker(int number) {
     List<FakeWorker> all = new ArrayList<>(workers.all());
     return all.get(number % all.size());
   }
 
   /**
-   * Tasks that were started while another machine, whose lease had expired, had not killed them
-   * yet: this process was too slow, and what a run with such tasks measures means little.
+   * Returns the tasks that were started while another machine had not killed them yet, although its
+   * lease had expired. This happens if the process of the fakes is too slow, and then the
+   * measurements of the run are unreliable.
    */
   public Set<String> tasksEndedLate() {
     return EventLoopCalls.call(loop, () -> Set.copyOf(endedLate));
   }
 
-  /** Tasks that were started on one machine while they ran on another with a valid lease. */
+  /**
+   * Returns the tasks that were started while they were running on a machine with a valid lease.
+   */
   public Set<String> tasksStartedTwice() {
     return EventLoopCalls.call(loop, () -> Set.copyOf(startedTwice));
   }
 
-  /** How often each task has completed. */
+  /** Returns how often each task has completed. */
   public Map<String, Integer> completions() {
     return EventLoopCalls.call(loop, () -> Map.copyOf(completions));
   }
 
-  /** Completes so many running tasks now, one on each machine. */
+  /** Completes up to {@code count} running tasks now, one on each machine. */
   public void completeTasks(int count) {
     EventLoopCalls.run(
         loop,
@@ -111,24 +114,24 @@
                 .forEach(FakeWorker::completeOneTask));
   }
 
-  /** How many tasks run now. */
+  /** Returns the number of running tasks. */
   public int runningTaskCount() {
     return EventLoopCalls.call(
         loop, () -> workers.all().stream().mapToInt(each -> each.runningTasks().size()).sum());
   }
 
-  /** How many tasks were ever started. */
+  /** Returns the number of task starts so far. */
   public int startedTaskCount() {
     return EventLoopCalls.call(loop, () -> startedTasks);
   }
 
-  /** How many heartbeats the workers have made. */
+  /** Returns the number of heartbeats that the workers have encoded. */
   public long heartbeatCount() {
     return EventLoopCalls.call(
         loop, () -> workers.all().stream().mapToLong(FakeWorker::heartbeatCount).sum());
   }
 
-  /** How many leases have expired; a measurement should see none. */
+  /** Returns the number of expired worker leases, which should be 0 in a measurement. */
   public long expiredLeases() {
     return EventLoopCalls.call(
         loop, () -> workers.all().stream().mapToLong(each -> each.agentEpoch() - 1).sum());
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackNodes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackNodes.java
@@ -12,12 +12,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Nodes on addresses of the loopback network, and their settings files. */
+/** Addresses of nodes in the loopback network, and their settings files. */
 public final class LoopbackNodes {
   public static final List<String> ZONES = List.of("a", "b", "c");
 
   private final int count;
-  private final String network;
+  private final String addressPrefix;
   private final int port;
   private final Services services;
   private final WorkerSettings workers;
@@ -26,31 +26,32 @@
   private final Map<String, Endpoint> addresses = new LinkedHashMap<>();
 
   /**
-   * What the state store takes a second, how many sockets a node may hold, and how many processors
-   * the one team may use, 0 for as many as there are.
+   * The request and write rates of the state store, the maximum number of sockets of a node, and
+   * the maximum number of CPUs of the only team; 0 for all.
    */
-  public record Limits(double stateRequests, double stateWrites, int sockets, double teamCpus) {}
+  public record Limits(
+      double requestsPerSecond, double writesPerSecond, int maxSockets, double maxTeamCpus) {}
 
-  /** Where the services listen. */
+  /** The addresses of the services. */
   public record Services(Endpoint state, Endpoint cloud) {}
 
   /**
    * Creates the loopback nodes.
    *
-   * @param network the first three parts of the nodes' addresses, with a dot; the last one is 1 for
-   *     the first node
-   * @param port for users and workers; {@code port + 1} is for the other nodes
+   * @param addressPrefix the first three parts of the nodes' addresses, with a trailing dot; the
+   *     last part is 1 for the first node
+   * @param port the port for users and workers; the other nodes use {@code port + 1}
    */
   LoopbackNodes(
       int count,
-      String network,
+      String addressPrefix,
       int port,
       Services services,
       WorkerSettings workers,
       Limits limits,
       LoopbackRoutes routes) {
     this.count = count;
-    this.network = network;
+    this.addressPrefix = addressPrefix;
     this.port = port;
     this.services = services;
     this.workers = workers;
@@ -65,12 +66,12 @@
     return ZONES.get(index % ZONES.size());
   }
 
-  /** The address of each node by its name. */
+  /** Returns the address of each node by its name. */
   Map<String, Endpoint> addresses() {
     return addresses;
   }
 
-  /** Where workers reach each node, by its name. */
+  /** Returns the address at which workers reach each node, by the node's name. */
   Map<String, Endpoint> workerAddresses() {
     Map<String, Endpoint> result = new LinkedHashMap<>();
     for (int i = 0; i < count; i++) {
@@ -84,15 +85,15 @@
   }
 
   private String host(int index) {
-    return network + (index + 1);
+    return addressPrefix + (index + 1);
   }
 
-  private Endpoint mesh(int index) {
+  private Endpoint meshAddress(int index) {
     return new Endpoint(host(index), port + 1);
   }
 
-  /** Writes the settings of one node into the folder. */
-  public Path write(Path folder, int index) throws IOException {
+  /** Writes the settings of a node into the folder, and returns the file. */
+  public Path writeSettings(Path folder, int index) throws IOException {
     Path file = folder.resolve(name(index) + ".json");
     return Files.write(file, Json.toBytes(settings(index)));
   }
@@ -100,16 +101,18 @@
   private ObjectNode settings(int index) {
     ObjectNode root = Json.object().put("host_name", name(index)).put("site", zone(index));
     root.put("client_listen", addresses.get(name(index)).toString());
-    root.put("mesh_addr", mesh(index).toString());
+    root.put("mesh_addr", meshAddress(index).toString());
     ArrayNode known = root.putArray("known");
     for (int i = 0; i < count; i++) {
       if (i != index) {
         ObjectNode peer = known.addObject().put("host_name", name(i));
-        peer.put("site", zone(i)).put("endpoint", routes.peer(index, i, mesh(i)).toString());
+        peer.put("site", zone(i)).put("endpoint", routes.peer(index, i, meshAddress(i)).toString());
       }
     }
-    String reached = routes.state(index, services.state).toString();
-    root.putObject("services").put("cloud", services.cloud.toString()).put("state", reached);
+    String stateStoreAddress = routes.state(index, services.state).toString();
+    root.putObject("services")
+        .put("cloud", services.cloud.toString())
+        .put("state", stateStoreAddress);
     root.set("facts", facts());
     return root;
   }
@@ -117,7 +120,7 @@
   private ObjectNode facts() {
     ObjectNode facts = Json.object();
     ObjectNode team = facts.putArray("teams").addObject().put("name", "red").put("cpus", 64.0);
-    team.put("cpus_max", limits.teamCpus);
+    team.put("cpus_max", limits.maxTeamCpus);
     facts
         .putObject("workers")
         .put("report_s", workers.heartbeatInterval().toMillis() / 1e3)
@@ -125,12 +128,12 @@
         .put("cancel_s", 36.0);
     facts
         .putObject("state")
-        .put("rps", limits.stateRequests)
-        .put("write_rps", limits.stateWrites)
+        .put("rps", limits.requestsPerSecond)
+        .put("write_rps", limits.writesPerSecond)
         .put("value_kb", 16.0)
         .put("txn_ops", 48);
     facts.putObject("cloud").put("rps", 6.0).put("list_lag_s", 6.0);
-    facts.putObject("resources").put("fd_limit", limits.sockets);
+    facts.putObject("resources").put("fd_limit", limits.maxSockets);
     return facts;
   }
 }
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackRoutes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackRoutes.java
@@ -2,9 +2,9 @@
 
 import io.cherryspool.http.Endpoint;
 
-/** By which addresses the hosts of a loopback cluster reach one another. */
+/** The addresses by which the hosts of a loopback cluster reach one another. */
 interface LoopbackRoutes {
-  /** Each by its own address. */
+  /** Routes by which each host is reached at its own address. */
   LoopbackRoutes DIRECT =
       new LoopbackRoutes() {
         @Override
@@ -23,12 +23,12 @@
         }
       };
 
-  /** Where the controller reaches the state store. */
+  /** Returns the address at which the controller reaches the state store. */
   Endpoint state(int controller, Endpoint service);
 
-  /** Where the one controller reaches the other for its heartbeats. */
+  /** Returns the address to which one controller sends its heartbeats to another. */
   Endpoint peer(int from, int to, Endpoint mesh);
 
-  /** Where workers reach the controller. */
+  /** Returns the address at which workers reach the controller. */
   Endpoint controller(int controller, Endpoint address);
 }
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackWorkers.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackWorkers.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** Fake workers that listen on loopback addresses. All methods are called on their event loop. */
+/** Fake workers that listen on loopback addresses. Must be used on their event loop. */
 final class LoopbackWorkers {
   private static final int SOCKETS_PER_WORKER = 4;
   private static final int SOCKETS_PER_SERVER = 256;
@@ -27,7 +27,7 @@
   private final Workload workload;
   private final Map<String, FakeWorker> workers = new LinkedHashMap<>();
 
-  /** A server is bound on another thread, since binding waits for the loop. */
+  /** Binds servers on another thread, since binding waits for the event loop. */
   private final ExecutorService binding =
       Executors.newSingleThreadExecutor(
           task -> {
@@ -72,15 +72,15 @@
     }
   }
 
-  /** Kills the worker of a machine that the cloud has deleted; its address stays bound. */
-  void end(FakeCloud.Machine machine) {
+  /** Kills the worker of a machine that the cloud has deleted. Its address remains bound. */
+  void kill(FakeCloud.Machine machine) {
     FakeWorker worker = workers.remove(machine.name());
     if (worker != null) {
       worker.kill();
     }
   }
 
-  /** The workers in the order in which they booted. */
+  /** Returns the workers in the order in which they booted. */
   Collection<FakeWorker> all() {
     return workers.values();
   }
--- a/src/test/java/io/cherryspool/sim/loopback/LostStateLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LostStateLoopbackTest.java
@@ -10,12 +10,13 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Five controllers as processes of their own and a few dozen fake workers, on real sockets of this
- * machine. The state store's data is deleted while work runs, once under the controllers and once
- * together with all of them; each job's answers are held against a record kept here.
+ * Runs five controllers in separate processes and a few dozen fake workers on real sockets of this
+ * machine. The state store loses its data twice while tasks run: once while the controllers run,
+ * and once together with a kill of all controllers. The status that the controllers report for each
+ * job is compared with a record of the test.
  */
 class LostStateLoopbackTest extends LoopbackFixture {
-  private static final int SERVICES = 81;
+  private static final int SUBNET = 81;
   private static final int CONTROLLERS = 5;
   private static final int MACHINES = 24;
 
@@ -23,7 +24,7 @@
     super(
         CONTROLLERS,
         new LoopbackCluster(
-            SERVICES, CONTROLLERS, MACHINES, new LoopbackNodes.Limits(300, 120, 1024, 0)));
+            SUBNET, CONTROLLERS, MACHINES, new LoopbackNodes.Limits(300, 120, 1024, 0)));
   }
 
   private Path operators() throws IOException {
@@ -37,7 +38,7 @@
 
   @Test
   @Timeout(240)
-  void everyJobGetsItsOneAnswer() throws Exception {
+  void everyJobGetsOneOutcomeDespiteLossesOfTheStateStore() throws Exception {
     cluster.listen();
     Optional<Path> operators = Optional.of(operators());
     startControllers(operators);
@@ -45,7 +46,7 @@
     submit(4, 0.5);
     submit(40, 14);
     String first = submit(8, 60);
-    until("tasks run", () -> cluster.fleet().runningTaskCount() >= 20);
+    await("tasks run", () -> cluster.fleet().runningTaskCount() >= 20);
     cancel(first);
     submit(6, 9);
     pollFor(3);
@@ -56,15 +57,15 @@
     pollFor(2);
     cancel(second);
 
-    // What snapshots of one second's age have seen survives all controllers as well.
+    // With snapshots every second, these jobs also survive a kill of all controllers.
     submit(20, 12);
     pollFor(4);
     cluster.loseStateStoreData();
     killControllers();
     startControllers(operators);
     submit(4, 1);
-    until("all jobs have ended", this::allEnded);
+    await("all jobs have ended", this::haveAllJobsEnded);
     assertEquals(0, cluster.fleet().expiredLeases(), "no worker lost its tasks");
-    checkAnswers();
+    checkOutcomes();
   }
 }
--- a/src/test/java/io/cherryspool/sim/loopback/PartitionLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/loopback/PartitionLoopbackTest.java
@@ -14,22 +14,22 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Three controllers as processes and a dozen fake workers, with a relay on each link of the
- * controllers. Chosen links fail, alone and together, and two controllers are ended while links are
- * down. No task may start twice, and no answer may be lost.
+ * Runs three controllers in separate processes and a dozen fake workers, with a relay on each link
+ * of the controllers. Links fail alone and together, and two controllers are killed while links are
+ * down. No task may start twice, and no job may lose its outcome.
  */
 class PartitionLoopbackTest extends LoopbackFixture {
-  private static final int SERVICES = 83;
+  private static final int SUBNET = 83;
   private static final int CONTROLLERS = 3;
   private static final int MACHINES = 12;
 
-  private static final RelayedRoutes ROUTES = new RelayedRoutes("127." + SERVICES + ".2.");
+  private static final RelayedRoutes ROUTES = new RelayedRoutes("127." + SUBNET + ".2.");
 
   PartitionLoopbackTest() {
     super(
         CONTROLLERS,
         new LoopbackCluster(
-            SERVICES, CONTROLLERS, MACHINES, new LoopbackNodes.Limits(300, 120, 1024, 0), ROUTES));
+            SUBNET, CONTROLLERS, MACHINES, new LoopbackNodes.Limits(300, 120, 1024, 0), ROUTES));
   }
 
   @AfterAll
@@ -37,9 +37,9 @@
     ROUTES.close();
   }
 
-  /** What a node tells of all links; empty without an answer. */
+  /** Returns what a node reports about all links; empty without a usable response. */
   private Optional<JsonNode> links(int number) {
-    Reply reply = ask(number, Request.get("/links"));
+    Reply reply = send(number, Request.get("/links"));
     try {
       return reply == null || reply.status() != 200
           ? Optional.empty()
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Who says of itself that it leads; -1 if nobody does. */
+  /** Returns the number of a node that reports itself as leader; -1 if there is none. */
   private int leader() {
     for (int i = 0; i < CONTROLLERS; i++) {
       if (links(i)
@@ -62,7 +62,7 @@
   }
 
   private int awaitLeader() throws InterruptedException {
-    until("somebody leads", () -> leader() >= 0);
+    await("a node leads", () -> leader() >= 0);
     return leader();
   }
 
@@ -74,37 +74,42 @@
 
   @Test
   @Timeout(240)
-  void noTaskStartsTwiceAndNoAnswerIsLost() throws Exception {
+  void startsNoTaskTwiceAndLosesNoOutcomeWhileLinksFail() throws Exception {
     cluster.listen();
     startControllers(Optional.empty());
     cluster.bootWorkers();
     submit(30, 12);
     String cancelled = submit(6, 60);
-    until("tasks run", () -> cluster.fleet().runningTaskCount() >= 20);
+    await("tasks run", () -> cluster.fleet().runningTaskCount() >= 20);
 
-    loseStateStoreAtTheLeaderAsAFollowerEnds();
-    cutTheLeaderFromWorkersAndPeersAndEndIt(cancelled);
-    flapTheLeadersLink();
-    until("all jobs have ended", this::allEnded);
-    checkAnswers();
+    cutLeaderFromStateStoreAndKillFollower();
+    cutLeaderFromWorkersAndPeersAndKillIt(cancelled);
+    flapLeadersStateStoreLink();
+    await("all jobs have ended", this::haveAllJobsEnded);
+    checkOutcomes();
     awaitAllUp();
   }
 
-  /** The state store alone is lost to the leader, which forwards its users. */
-  private void loseStateStoreAtTheLeaderAsAFollowerEnds() throws Exception {
+  /**
+   * Cuts only the leader's link to the state store, so that the leader must forward its users'
+   * requests to another node, and kills a follower meanwhile.
+   */
+  private void cutLeaderFromStateStoreAndKillFollower() throws Exception {
     int leader = awaitLeader();
     int follower = (leader + 1) % CONTROLLERS;
     ROUTES.state(leader).setMode(TcpRelay.Mode.RESET);
-    until("the leader holds placing", () -> verdict(leader).startsWith("hold-placing"));
-    assertTrue(submitAt(leader, 3, 2), "accepted through another node");
+    await("the leader stops placing tasks", () -> verdict(leader).startsWith("hold-placing"));
+    assertTrue(
+        submitAt(leader, 3, 2),
+        "the leader must get the job accepted by forwarding it to another node");
     kill(follower);
     pollFor(3);
     ROUTES.state(leader).setMode(TcpRelay.Mode.PASS);
     start(follower, Optional.empty());
   }
 
-  /** No worker's heartbeat reaches the leader, and those of its peers are held on the way. */
-  private void cutTheLeaderFromWorkersAndPeersAndEndIt(String cancelled) throws Exception {
+  /** Holds all heartbeats from workers and peers to the leader, and kills the leader meanwhile. */
+  private void cutLeaderFromWorkersAndPeersAndKillIt(String cancelled) throws Exception {
     int leader = awaitLeader();
     cancel(cancelled);
     setInboundMode(leader, TcpRelay.Mode.HOLD_REQUESTS);
@@ -125,12 +130,12 @@
     }
   }
 
-  /** The state store's replies to whichever node leads are held again and again. */
-  private void flapTheLeadersLink() throws Exception {
+  /** Repeatedly holds the state store's replies to the current leader. */
+  private void flapLeadersStateStoreLink() throws Exception {
     submit(10, 5);
     for (int i = 0; i < 4; i++) {
       int leader = Math.max(0, leader());
-      ROUTES.state(leader).setMode(TcpRelay.Mode.HOLD_ANSWERS);
+      ROUTES.state(leader).setMode(TcpRelay.Mode.HOLD_REPLIES);
       pollFor(1);
       ROUTES.state(leader).setMode(TcpRelay.Mode.PASS);
       pollFor(1);
@@ -144,6 +149,6 @@
       }
       Thread.sleep(250);
     }
-    throw new AssertionError("a link is not up again: " + links(0));
+    throw new AssertionError("not all links are up again: " + links(0));
   }
 }
--- a/src/test/java/io/cherryspool/sim/loopback/RelayedRoutes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/RelayedRoutes.java
@@ -6,64 +6,64 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A relay on each link of the controllers, so that a test can fail any of them alone. */
+/** Routes with a relay on each link of the controllers, so that a test can fail each link alone. */
 final class RelayedRoutes implements LoopbackRoutes, AutoCloseable {
   private static final int STATE_PORT = 12380;
   private static final int PEER_PORT = 12400;
   private static final int CONTROLLER_PORT = 12381;
 
-  private final String network;
+  private final String addressPrefix;
   private final Map<String, TcpRelay> relays = new HashMap<>();
 
   /**
    * Creates the relayed routes.
    *
-   * @param network the first three parts of the relays' addresses, with a dot
+   * @param addressPrefix the first three parts of the relays' addresses, with a trailing dot
    */
-  RelayedRoutes(String network) {
-    this.network = network;
+  RelayedRoutes(String addressPrefix) {
+    this.addressPrefix = addressPrefix;
   }
 
-  private Endpoint relayed(String name, int host, int port, Endpoint target) {
-    Endpoint at = new Endpoint(network + (host + 1), port);
+  private Endpoint addRelay(String name, int host, int port, Endpoint target) {
+    Endpoint relayAddress = new Endpoint(addressPrefix + (host + 1), port);
     relays.computeIfAbsent(
         name,
         key -> {
           try {
-            return new TcpRelay(at, target);
+            return new TcpRelay(relayAddress, target);
           } catch (IOException e) {
             throw new UncheckedIOException(e);
           }
         });
-    return at;
+    return relayAddress;
   }
 
   @Override
   public Endpoint state(int controller, Endpoint service) {
-    return relayed("state " + controller, controller, STATE_PORT, service);
+    return addRelay("state " + controller, controller, STATE_PORT, service);
   }
 
   @Override
   public Endpoint peer(int from, int to, Endpoint mesh) {
-    return relayed("peer " + from + " " + to, from, PEER_PORT + to, mesh);
+    return addRelay("peer " + from + " " + to, from, PEER_PORT + to, mesh);
   }
 
   @Override
   public Endpoint controller(int controller, Endpoint address) {
-    return relayed("workers " + controller, controller, CONTROLLER_PORT, address);
+    return addRelay("workers " + controller, controller, CONTROLLER_PORT, address);
   }
 
-  /** The controller's link to the state store. */
+  /** Returns the relay of the controller's link to the state store. */
   TcpRelay state(int controller) {
     return relays.get("state " + controller);
   }
 
-  /** The controller's heartbeats to another. */
+  /** Returns the relay of one controller's heartbeats to another. */
   TcpRelay peer(int from, int to) {
     return relays.get("peer " + from + " " + to);
   }
 
-  /** The workers' link to the controller. */
+  /** Returns the relay of the workers' link to the controller. */
   TcpRelay workers(int controller) {
     return relays.get("workers " + controller);
   }
--- a/src/test/java/io/cherryspool/sim/loopback/TcpRelay.java
+++ b/src/test/java/io/cherryspool/sim/loopback/TcpRelay.java
@@ -11,56 +11,57 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Passes connections on to another address, and fails on demand: it resets them, or holds what goes
- * in one direction until it is well again, as a network does that loses packets which TCP repeats.
+ * Relays connections to another address, and simulates faults: it closes the connections, or holds
+ * the data of one direction until the fault is over. Held data arrives late, as in a network that
+ * loses packets which TCP then retransmits.
  */
 final class TcpRelay implements AutoCloseable {
-  private static final int BUFFER = 16 * 1024;
+  private static final int BUFFER_BYTES = 16 * 1024;
 
   private final Endpoint target;
   private final ServerSocket listener;
   private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
   private Mode mode = Mode.PASS;
 
-  /** What the relay does. */
+  /** The behaviour of the relay. */
   enum Mode {
     PASS,
-    /** Connections are closed, and new ones at once. */
+    /** Closes all connections, and new ones immediately. */
     RESET,
-    /** What clients send waits; answers pass. */
+    /** Holds requests of clients and relays replies. */
     HOLD_REQUESTS,
-    /** What clients send passes; answers wait. */
-    HOLD_ANSWERS
+    /** Relays requests of clients and holds replies. */
+    HOLD_REPLIES
   }
 
-  TcpRelay(Endpoint at, Endpoint target) throws IOException {
+  TcpRelay(Endpoint listenAddress, Endpoint target) throws IOException {
     this.target = target;
     listener = new ServerSocket();
     listener.setReuseAddress(true);
-    listener.bind(new InetSocketAddress(at.host(), at.port()));
-    begin(this::acceptAll);
+    listener.bind(new InetSocketAddress(listenAddress.host(), listenAddress.port()));
+    startThread(this::acceptAll);
   }
 
-  private void begin(Runnable task) {
+  private void startThread(Runnable task) {
     Thread thread = new Thread(task, "relay to " + target);
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** From now on. */
+  /** Sets the behaviour from now on. */
   synchronized void setMode(Mode next) {
     mode = next;
     notifyAll();
     if (next == Mode.RESET) {
-      sockets.forEach(TcpRelay::shut);
+      sockets.forEach(TcpRelay::closeQuietly);
     }
   }
 
-  private synchronized boolean resets() {
+  private synchronized boolean isResetting() {
     return mode == Mode.RESET;
   }
 
-  private synchronized void awaitPassing(Mode holding) throws InterruptedException {
+  private synchronized void awaitRelease(Mode holding) throws InterruptedException {
     while (mode == holding) {
       wait();
     }
@@ -76,44 +77,47 @@
     }
   }
 
-  /** A client that the target does not accept must not take the relay for it. */
+  /**
+   * Connects the client to the target. If the target does not accept the connection, the client's
+   * connection is closed, so that the client does not mistake the relay for the target.
+   */
   private void relay(Socket client) {
-    if (resets()) {
-      shut(client);
+    if (isResetting()) {
+      closeQuietly(client);
       return;
     }
     try {
       Socket server = new Socket(target.host(), target.port());
       sockets.add(client);
       sockets.add(server);
-      begin(() -> pump(client, server, Mode.HOLD_REQUESTS));
-      begin(() -> pump(server, client, Mode.HOLD_ANSWERS));
+      startThread(() -> pump(client, server, Mode.HOLD_REQUESTS));
+      startThread(() -> pump(server, client, Mode.HOLD_REPLIES));
     } catch (IOException e) {
-      shut(client);
+      closeQuietly(client);
     }
   }
 
   private void pump(Socket from, Socket to, Mode holding) {
-    byte[] buffer = new byte[BUFFER];
+    byte[] buffer = new byte[BUFFER_BYTES];
     try (InputStream in = from.getInputStream();
         OutputStream out = to.getOutputStream()) {
       for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
-        awaitPassing(holding);
+        awaitRelease(holding);
         out.write(buffer, 0, count);
       }
     } catch (IOException e) {
-      // Either side has closed, or the relay has.
+      // The client, the target or the relay has closed the connection.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      shut(from);
-      shut(to);
+      closeQuietly(from);
+      closeQuietly(to);
       sockets.remove(from);
       sockets.remove(to);
     }
   }
 
-  private static void shut(Socket socket) {
+  private static void closeQuietly(Socket socket) {
     try {
       socket.close();
     } catch (IOException e) {
--- a/src/test/java/io/cherryspool/sim/loopback/ThreadCpuTimes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/ThreadCpuTimes.java
@@ -3,11 +3,11 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Processor time by what the threads of a controller do. Immutable. */
+/** The processor time of a controller for each group of its threads. Immutable. */
 public final class ThreadCpuTimes {
   static final ThreadCpuTimes NONE = new ThreadCpuTimes(new EnumMap<>(Group.class));
 
-  /** What a thread is for. The kernel cuts the names after 15 characters. */
+  /** A group of threads by their names, which the kernel truncates to 15 characters. */
   public enum Group {
     LOOP("multiThreadIoEv"),
     COMPILER("C1 CompilerThre"),
@@ -20,7 +20,7 @@
       this.threadName = threadName;
     }
 
-    /** The group of a thread by the name that the kernel has of it. */
+    /** Returns the group of a thread by the thread's name in the kernel. */
     static Group of(String name) {
       for (Group group : values()) {
         if (group.threadName.equals(name)) {
