--- a/src/test/java/io/cherryspool/recovery/FirstInstallationTest.java
+++ b/src/test/java/io/cherryspool/recovery/FirstInstallationTest.java
@@ -1,7 +1,7 @@
 package io.cherryspool.recovery;
 
 import static io.cherryspool.recovery.RecoveryFixture.JOB;
-import static io.cherryspool.recovery.RecoveryFixture.job;
+import static io.cherryspool.recovery.RecoveryFixture.submissionOf;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -15,12 +15,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a node makes of a store without records, or with those of another cluster. */
+/**
+ * Tests how a node treats a store without an identity record, or with the records of another
+ * cluster.
+ */
 class FirstInstallationTest {
   private final RecoveryFixture fixture = new RecoveryFixture();
 
   @Test
-  void anEmptyStoreThatNoNodeRetainsIsAFirstInstallation() {
+  void anEmptyStoreIsAFirstInstallationIfNoNodeRetainsRecords() {
     Node node = fixture.newNode(RecordsSnapshot.EMPTY);
     fixture.run(8);
     assertTrue(node.recovery().isServing());
@@ -29,10 +32,12 @@
   }
 
   @Test
-  void recordsWithoutAnIdentityAreThoseOfAnEarlierVersion() {
-    fixture.store().handle(StateStoreProtocol.transactionRequest(Map.of(), List.of(job(JOB))));
+  void recordsWithoutAnIdentityRecordAreServed() {
+    fixture
+        .store()
+        .handle(StateStoreProtocol.transactionRequest(Map.of(), List.of(submissionOf(JOB))));
     Node node = fixture.newNode(RecordsSnapshot.EMPTY);
-    node.showWorkerToken();
+    node.reportWorkerToken();
     fixture.run(8);
     assertTrue(node.recovery().isServing());
     assertEquals(0, node.recovery().statistics().losses());
@@ -40,9 +45,9 @@
   }
 
   @Test
-  void anEmptyStoreIsALossWhereWorkersHaveServed() {
+  void anEmptyStoreIsALossIfAWorkerHasReportedAToken() {
     Node node = fixture.newNode(RecordsSnapshot.EMPTY);
-    node.showWorkerToken();
+    node.reportWorkerToken();
     fixture.run(10);
     assertEquals(1, node.recovery().statistics().losses());
     assertTrue(node.recovery().isServing());
@@ -53,7 +58,7 @@
   }
 
   @Test
-  void anotherClustersRecordsAreNeverUsed() {
+  void recordsOfAnotherClusterAreNeitherUsedNorOverwritten() {
     Node node = fixture.newServingNode();
     fixture.store().loseAllData();
     fixture
@@ -68,6 +73,8 @@
     assertFalse(node.recovery().isServing());
     assertTrue(node.recovery().statistics().hasFoundOtherCluster());
     assertEquals(
-        "x", fixture.store().value(Incarnation.KEY).path("cluster").asText(), "nor overwritten");
+        "x",
+        fixture.store().value(Incarnation.KEY).path("cluster").asText(),
+        "the records of the other cluster are not overwritten");
   }
 }
--- a/src/test/java/io/cherryspool/recovery/LossDetectionTest.java
+++ b/src/test/java/io/cherryspool/recovery/LossDetectionTest.java
@@ -19,12 +19,14 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Each sign of a loss alone, and what is no loss. */
+/**
+ * Tests that each kind of evidence alone suffices to detect a loss, and which events are no loss.
+ */
 class LossDetectionTest {
   private final RecoveryFixture fixture = new RecoveryFixture();
 
   @Test
-  void anOutageAndAHistoryTooShortAreNoLoss() {
+  void anOutageAndACompactedHistoryAreNoLoss() {
     Node node = fixture.newServingNode();
     fixture.store().setDown(true);
     fixture.run(20);
@@ -39,8 +41,8 @@
   }
 
   /**
-   * A transaction that is applied in another history must not be acknowledged to its user: what it
-   * was added to is about to be replaced.
+   * A transaction that is applied in another history must not be acknowledged to its user, because
+   * a rebuild will replace that history.
    */
   @Test
   void anAnswerFromAnotherHistoryIsNotPassedToTheUser() {
@@ -51,22 +53,23 @@
     fixture.run(1);
     long before = node.replica().revision();
     fixture.store().loseAllData();
-    // Others have installed anew, with the same identity, by chance at the same version.
+    // Another node has installed the cluster again, and the identity record has by chance the same
+    // content and version.
     Incarnation same = node.client().keySpace().incarnation();
     fixture.replaceIncarnation(same);
     CompletableFuture<Boolean> answer = node.submit("req-000100");
     fixture.run(0.05);
-    assertTrue(answer.isCompletedExceptionally(), "its user is asked to retry");
+    assertTrue(answer.isCompletedExceptionally(), "the request fails, so that its user retries");
     assertTrue(before > 3);
     assertEquals(Optional.of(Loss.REVISION_WENT_BACK), node.recovery().statistics().lastLoss());
   }
 
   /**
-   * Set back by one change, and written on by a node that retains nothing until nothing looks
-   * older.
+   * The store is rolled back by one change. Then a node that retains no records writes until the
+   * revision is higher than before.
    */
   @Test
-  void aRevisionThatHasCaughtUpIsDetectedByTheLastChange() {
+  void aRollbackIsDetectedByTheLastChangeEvenIfTheRevisionHasCaughtUp() {
     Node node = fixture.newServingNode();
     FakeStateStore.Backup saved = fixture.store().backup();
     node.submit("req-000002");
@@ -74,32 +77,37 @@
     assertNotNull(node.replica().job("req-000002"));
     fixture.store().restore(saved);
     for (int i = 0; i < 3; i++) {
-      fixture.writeByOthers("c/x" + i);
+      fixture.writeByAnotherNode("c/x" + i);
     }
     CompletableFuture<Void> reading = node.replica().refresh();
     fixture.run(0.1);
-    assertTrue(reading.isCompletedExceptionally(), "no user is answered from it");
+    assertTrue(
+        reading.isCompletedExceptionally(), "no user is answered from the rolled back records");
     assertEquals(Optional.of(Loss.CHANGE_MISSING), node.recovery().statistics().lastLoss());
     fixture.run(15);
-    assertNotNull(node.replica().job("req-000002"), "it is written back");
+    assertNotNull(node.replica().job("req-000002"), "the rebuild restores the lost job");
   }
 
-  /** As above, while this node reads nothing for so long that its watch is too old. */
+  /**
+   * As above, but this node reads nothing for so long that the store has compacted the changes
+   * since its revision.
+   */
   @Test
-  void missingRecordsAreDetectedWhenAllKeysAreReadAgain() {
+  void missingRecordsAreDetectedWhenAllKeysAreReloaded() {
     Node node = fixture.newServingNode();
     FakeStateStore.Backup saved = fixture.store().backup();
     node.submit("req-000002");
     fixture.run(0.5);
     fixture.store().restore(saved);
     for (int i = 0; i < 3; i++) {
-      fixture.writeByOthers("c/x" + i);
+      fixture.writeByAnotherNode("c/x" + i);
     }
     node.transport().replyNext(ControlledTransport.READ, 410, "{}");
     node.replica().refresh();
     fixture.run(0.01);
     node.transport().release(ControlledTransport.READ);
-    // The first says that the last change is out of reach, the second that all changes are.
+    // The first 410 shows that the last change was compacted, the second one that all changes since
+    // the replica's revision were.
     node.transport().replyNext(ControlledTransport.READ, 410, "{}");
     node.replica().refresh();
     fixture.run(0.01);
@@ -111,7 +119,7 @@
   }
 
   @Test
-  void aRevisionThatAnotherNodeHasSeenIsRequiredHereToo() {
+  void aRevisionLowerThanOneThatAnotherNodeHasSeenIsALoss() {
     Node node = fixture.newServingNode();
     long ahead = node.replica().revision() + 5;
     node.addPeer(
@@ -128,13 +136,13 @@
     node.replica().refresh();
     fixture.run(0.1);
     assertEquals(Optional.of(Loss.REVISION_WENT_BACK), node.recovery().statistics().lastLoss());
-    // That one retains more, so that it rebuilds.
+    // The other node retains more records, so this node does not rebuild.
     fixture.run(3);
     assertEquals(0, node.recovery().statistics().rebuilds());
   }
 
   @Test
-  void aTermThatIsNotRecordedIsALoss() {
+  void aReportedTermThatIsNotRecordedIsALoss() {
     Node node = fixture.newServingNode();
     node.recovery().observeTerm(5);
     fixture.run(0.1);
@@ -142,7 +150,9 @@
     node.learnTerm(5);
     fixture.run(15);
     assertEquals(5, node.replica().term());
-    assertTrue(node.replica().isPartialRebuild(), "its leader may have started anything");
+    assertTrue(
+        node.replica().isPartialRebuild(),
+        "the leader of the lost term may have started any tasks");
   }
 
   @Test
@@ -160,7 +170,9 @@
     assertEquals(0, node.recovery().statistics().losses());
   }
 
-  /** A rebuild that names bundles which are not there is not served, but built again. */
+  /**
+   * A rebuild whose manifest lists missing bundles is not served; the records are rebuilt again.
+   */
   @Test
   void aRebuildWithoutItsBundlesIsALoss() {
     Node node = fixture.newServingNode();
@@ -178,9 +190,12 @@
     assertNotNull(node.replica().job(JOB));
   }
 
-  /** The jobs of a snapshot that the records lack were lost, however new the records look. */
+  /**
+   * Jobs of the node's snapshot that the records lack were lost, even if the records have a higher
+   * revision.
+   */
   @Test
-  void aSnapshotShowsALossToANodeThatHasJustStarted() {
+  void aRestartedNodeDetectsALossByItsSnapshot() {
     Node first = fixture.newServingNode();
     RecordsSnapshot snapshot = first.replica().snapshot();
     first.recovery().stop();
@@ -189,7 +204,7 @@
     Incarnation same = first.client().keySpace().incarnation();
     fixture.replaceIncarnation(same);
     for (int i = 0; i < 9; i++) {
-      fixture.writeByOthers("c/x" + i);
+      fixture.writeByAnotherNode("c/x" + i);
     }
     Node node = fixture.newNode(snapshot);
     fixture.run(2);
--- a/src/test/java/io/cherryspool/recovery/RebuildElectionTest.java
+++ b/src/test/java/io/cherryspool/recovery/RebuildElectionTest.java
@@ -12,11 +12,13 @@
 import org.junit.jupiter.api.Test;
 import org.pcollections.HashTreePMap;
 
-/** Which node rebuilds: the former leader, else the one that retains the latest records. */
+/**
+ * Tests which node rebuilds: the former leader, or else the node that retains the latest records.
+ */
 class RebuildElectionTest {
-  private static final double AFTER_GATHERING_S = 2;
-  private static final double AFTER_TWICE_GATHERING_S = 3.5;
-  private static final double AFTER_MAX_WAIT_S = 5.5;
+  private static final double AFTER_GATHERING_SECONDS = 2;
+  private static final double AFTER_TWICE_GATHERING_SECONDS = 3.5;
+  private static final double AFTER_MAX_WAIT_SECONDS = 5.5;
   private static final long REVISION = 10;
   private static final RecordsSnapshot RETAINED =
       new RecordsSnapshot(
@@ -26,19 +28,19 @@
   private final RecoveryFixture fixture = new RecoveryFixture();
   private final Node node = fixture.newNode(RecordsSnapshot.EMPTY);
 
-  private RecoveryState holding(RecordsSnapshot retained) {
+  private RecoveryState newHoldingState(RecordsSnapshot retained) {
     RecoveryState state =
         new RecoveryState(fixture.time(), fixture.newConnection().newReplica(), node, retained);
     state.hold();
     return state;
   }
 
-  private RebuildElection election(RecoveryState state) {
+  private RebuildElection newElection(RecoveryState state) {
     return new RebuildElection(fixture.time(), RecoveryFixture.TIMINGS, node, state);
   }
 
-  private RebuildElection election() {
-    return election(holding(RETAINED));
+  private RebuildElection newElection() {
+    return newElection(newHoldingState(RETAINED));
   }
 
   private static Peer peer(
@@ -56,26 +58,26 @@
   }
 
   @Test
-  void heartbeatsAreGatheredFirst() {
-    RebuildElection election = election();
+  void noNodeRebuildsBeforeTheGatheringTimeIsOver() {
+    RebuildElection election = newElection();
     assertFalse(election.shouldRebuild(NO_RECORD));
-    fixture.run(AFTER_GATHERING_S);
+    fixture.run(AFTER_GATHERING_SECONDS);
     assertTrue(election.shouldRebuild(NO_RECORD));
   }
 
   @Test
-  void aNodeThatRetainsNothingWaitsForOneThatDoes() {
-    RebuildElection election = election(holding(RecordsSnapshot.EMPTY));
-    fixture.run(AFTER_GATHERING_S);
+  void aNodeThatRetainsNothingRebuildsOnlyAfterTheMaximumWait() {
+    RebuildElection election = newElection(newHoldingState(RecordsSnapshot.EMPTY));
+    fixture.run(AFTER_GATHERING_SECONDS);
     assertFalse(election.shouldRebuild(NO_RECORD));
-    fixture.run(AFTER_MAX_WAIT_S);
+    fixture.run(AFTER_MAX_WAIT_SECONDS);
     assertTrue(election.shouldRebuild(NO_RECORD));
   }
 
   @Test
-  void theNodeThatRetainsTheLatestRecordsGoesFirst() {
-    RebuildElection election = election();
-    fixture.run(AFTER_GATHERING_S);
+  void theNodeThatRetainsTheLatestRecordsIsPreferred() {
+    RebuildElection election = newElection();
+    fixture.run(AFTER_GATHERING_SECONDS);
     node.addPeer(peer("node-1", true, RetainedRecords.Phase.HOLDING, REVISION - 1));
     assertTrue(election.shouldRebuild(NO_RECORD));
     node.addPeer(peer("node-1", true, RetainedRecords.Phase.HOLDING, REVISION));
@@ -85,50 +87,50 @@
   }
 
   @Test
-  void theFormerLeaderGoesBeforeNodesThatRetainLaterRecords() {
-    RecoveryState state = holding(RETAINED);
+  void theFormerLeaderIsPreferredToNodesThatRetainLaterRecords() {
+    RecoveryState state = newHoldingState(RETAINED);
     state.recordLoss(Loss.REVISION_WENT_BACK, Optional.empty(), true);
-    RebuildElection election = election(state);
+    RebuildElection election = newElection(state);
     node.addPeer(peer("node-1", true, RetainedRecords.Phase.HOLDING, REVISION + 1));
-    fixture.run(AFTER_GATHERING_S);
+    fixture.run(AFTER_GATHERING_SECONDS);
     assertTrue(election.shouldRebuild(NO_RECORD));
   }
 
   @Test
-  void aBetterNodeThatDoesNotReachTheStoreIsWaitedForOnlySoLong() {
-    RebuildElection election = election();
+  void aPreferredNodeThatDoesNotReachTheStoreIsAwaitedUntilTheMaximumWait() {
+    RebuildElection election = newElection();
     node.addPeer(peer("node-1", false, RetainedRecords.Phase.HOLDING, REVISION + 1));
-    fixture.run(AFTER_GATHERING_S);
+    fixture.run(AFTER_GATHERING_SECONDS);
     assertFalse(election.shouldRebuild(NO_RECORD));
-    fixture.run(AFTER_MAX_WAIT_S);
+    fixture.run(AFTER_MAX_WAIT_SECONDS);
     assertTrue(election.shouldRebuild(NO_RECORD));
   }
 
   @Test
-  void aBetterNodeThatStillServesIsWaitedForOnlySoLong() {
-    RebuildElection election = election();
+  void aPreferredNodeThatStillServesIsAwaitedForTwiceTheGatheringTime() {
+    RebuildElection election = newElection();
     node.addPeer(peer("node-1", true, RetainedRecords.Phase.SERVING, REVISION + 1));
-    fixture.run(AFTER_GATHERING_S);
+    fixture.run(AFTER_GATHERING_SECONDS);
     assertFalse(election.shouldRebuild(NO_RECORD));
-    fixture.run(AFTER_TWICE_GATHERING_S);
+    fixture.run(AFTER_TWICE_GATHERING_SECONDS);
     assertTrue(election.shouldRebuild(NO_RECORD));
   }
 
   @Test
-  void aRebuildUnderWayIsReplacedOnlyByABetterOne() {
-    RebuildElection election = election();
+  void aRebuildInProgressIsReplacedOnlyFromLaterRecords() {
+    RebuildElection election = newElection();
     node.addPeer(peer("node-1", true, RetainedRecords.Phase.REBUILDING, REVISION - 1));
-    fixture.run(AFTER_GATHERING_S);
+    fixture.run(AFTER_GATHERING_SECONDS);
     assertFalse(election.shouldRebuild(rebuildBy("node-1", REVISION)));
     assertTrue(election.shouldRebuild(rebuildBy("node-1", REVISION - 1)));
   }
 
   @Test
-  void aRebuilderThatSendsNoHeartbeatsGetsSomeTime() {
-    RebuildElection election = election();
-    fixture.run(AFTER_GATHERING_S);
+  void aRebuilderWithoutHeartbeatsIsAwaitedForTwiceTheGatheringTime() {
+    RebuildElection election = newElection();
+    fixture.run(AFTER_GATHERING_SECONDS);
     assertFalse(election.shouldRebuild(rebuildBy("node-2", REVISION)));
-    fixture.run(AFTER_TWICE_GATHERING_S);
+    fixture.run(AFTER_TWICE_GATHERING_SECONDS);
     assertTrue(election.shouldRebuild(rebuildBy("node-2", REVISION)));
   }
 }
--- a/src/test/java/io/cherryspool/recovery/RebuildTest.java
+++ b/src/test/java/io/cherryspool/recovery/RebuildTest.java
@@ -25,7 +25,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** What a rebuild restores, and what of the lost incarnation can no longer interfere. */
+/**
+ * Tests what a rebuild restores, and that transactions and records of earlier incarnations have no
+ * effect.
+ */
 class RebuildTest {
   private final RecoveryFixture fixture = new RecoveryFixture();
 
@@ -49,13 +52,15 @@
     fixture.run(15);
     assertTrue(node.recovery().isServing());
     assertEquals(Outcome.CANCELLED, node.replica().job(JOB).outcome());
-    assertEquals(17, node.replica().term(), "above every known term");
-    assertFalse(node.replica().isPartialRebuild(), "the leader knows of every start");
+    assertEquals(17, node.replica().term(), "the highest known term");
+    assertFalse(node.replica().isPartialRebuild(), "the leader knows every start");
   }
 
-  /** A transaction of the old incarnation that comes after the next one was begun is refused. */
+  /**
+   * A transaction of an incarnation that arrives after the next incarnation has begun is rejected.
+   */
   @Test
-  void theFenceStopsTransactionsOfTheOldIncarnation() {
+  void transactionsOfAnEarlierIncarnationAreRejected() {
     Node node = fixture.newServingNode();
     node.transport().interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
     CompletableFuture<Boolean> late = node.submit("req-000002");
@@ -66,11 +71,11 @@
     fixture.run(0.3);
     assertTrue(late.isCompletedExceptionally());
     assertNull(
-        fixture.store().value(Records.jobKey("req-000002")), "nothing is added behind the fence");
+        fixture.store().value(Records.jobKey("req-000002")), "the late transaction is not applied");
     assertFalse(node.recovery().isServing());
   }
 
-  /** A node that detects no losses would read and change records that are over. */
+  /** A node without recovery would read and change the records of an earlier incarnation. */
   @Test
   void aNodeWithoutRecoveryDoesNotServeRebuiltRecords() {
     Node node = fixture.newServingNode();
@@ -78,7 +83,7 @@
     Replica plain = connection.newReplica();
     plain.start();
     fixture.run(1);
-    assertTrue(plain.isLoaded(), "before any loss both read the same records");
+    assertTrue(plain.isLoaded(), "before any loss, both replicas read the same records");
     assertNotNull(plain.job(JOB));
     fixture.store().loseAllData();
     fixture.run(25);
@@ -91,11 +96,11 @@
   }
 
   /**
-   * Bundles are never rewritten. A progress record that is only in one must not come back when it
-   * was removed and all is read again, nor may one that was changed since.
+   * Bundles are never rewritten. If a progress record that is only in a bundle is removed or
+   * changed, a reload must not restore it from the bundle.
    */
   @Test
-  void whatIsRemovedAfterARebuildStaysRemoved() {
+  void progressRecordsRemovedAfterARebuildStayRemoved() {
     Node node = fixture.newServingNode();
     node.submit("req-000002");
     for (String id : List.of(JOB, "req-000002")) {
@@ -111,7 +116,7 @@
     fixture.store().loseAllData();
     fixture.run(15);
     assertTrue(node.recovery().isServing());
-    assertEquals(0, node.replica().job(JOB).shard(0).version(), "it is in a bundle only");
+    assertEquals(0, node.replica().job(JOB).shard(0).version(), "the record is only in a bundle");
     Shard ended = node.replica().job(JOB).shard(0).shard().edit().release(0, true).build();
     CompletableFuture<StateStoreClient.CommitResult> changes =
         node.client()
@@ -129,14 +134,17 @@
     Node other = fixture.newNode(RecordsSnapshot.EMPTY);
     fixture.run(5);
     assertTrue(other.recovery().isServing());
-    assertEquals(1, other.replica().activeJobs().size(), "the one that has ended has nothing left");
+    assertEquals(1, other.replica().activeJobs().size(), "the ended job has no progress records");
     assertNull(other.replica().job(JOB).shard(0).shard().ownedAttempt(0));
     assertEquals(1, other.replica().job(JOB).shard(0).shard().history(0).failures());
   }
 
-  /** After a loss the terms given out need not all be known, and a name must not be used again. */
+  /**
+   * A name must not be used twice, but after a loss some terms that earlier names contain may be
+   * unknown.
+   */
   @Test
-  void namesOfInstanceRequestsDifferAfterARebuild() {
+  void thePrefixOfInstanceRequestsDiffersAfterEachRebuild() {
     Node node = fixture.newServingNode();
     String before = node.replica().instanceRequestPrefix();
     fixture.store().loseAllData();
--- a/src/test/java/io/cherryspool/recovery/RecoveryFixture.java
+++ b/src/test/java/io/cherryspool/recovery/RecoveryFixture.java
@@ -23,15 +23,18 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 
-/** Nodes that have nothing but their replicas and a recovery, and the store that they share. */
+/**
+ * Simulated nodes that consist only of a replica and a recovery, and the state store that they
+ * share.
+ */
 final class RecoveryFixture {
-  /** The job that a serving node begins with. */
+  /** The id of the job that {@link #newServingNode} submits. */
   static final String JOB = "req-000001";
 
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
   private static final Endpoint STORE_ADDRESS = new Endpoint("127.0.0.1", 1);
 
-  /** Nodes gather heartbeats for 1.5 s, and wait for 5 s at most. */
+  /** The nodes gather heartbeats for 1.5 s and wait for at most 5 s. */
   static final RecoveryTimings TIMINGS =
       new RecoveryTimings(Duration.ofMillis(1500), Duration.ofSeconds(5), 16_384, 12, 100);
 
@@ -48,20 +51,20 @@
     return store;
   }
 
-  /** Runs everything that is due within this time. */
+  /** Runs all events that are due within this time. */
   void run(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
     while (time.runNextEvent(end)) {
-      // Each step may schedule more.
+      // Each event may schedule further events.
     }
   }
 
-  /** A node that starts, with what a snapshot file of an earlier process holds. */
+  /** Starts a node with the records from a snapshot file of an earlier process. */
   Node newNode(RecordsSnapshot snapshot) {
     return new Node(snapshot);
   }
 
-  /** A node that serves the records of a first installation with one job. */
+  /** Starts a node and runs until it serves the records of a first installation with one job. */
   Node newServingNode() {
     Node node = new Node(RecordsSnapshot.EMPTY);
     run(8);
@@ -72,28 +75,28 @@
     return node;
   }
 
-  /** The change that submits a job. */
-  static StateStoreProtocol.Change job(String id) {
+  /** Returns the change that submits a job. */
+  static StateStoreProtocol.Change submissionOf(String id) {
     return new StateStoreProtocol.Change(
         Records.jobKey(id), Records.encodeJob(JobFixture.job(id, Priority.NORMAL, 1, 1), 100), 0);
   }
 
-  /** Some process that retains nothing changes a key. */
-  void writeByOthers(String key) {
-    commitByOthers(new StateStoreProtocol.Change(key, Records.presenceMarker(), 0));
+  /** Writes a key as another node does that retains no records. */
+  void writeByAnotherNode(String key) {
+    commitByAnotherNode(new StateStoreProtocol.Change(key, Records.presenceMarker(), 0));
   }
 
-  /** The same for the incarnation's record. */
+  /** Replaces the identity record as another node does. */
   void replaceIncarnation(Incarnation record) {
-    commitByOthers(new StateStoreProtocol.Change(Incarnation.KEY, record.encode(), 0));
+    commitByAnotherNode(new StateStoreProtocol.Change(Incarnation.KEY, record.encode(), 0));
   }
 
-  /** The same for any change. */
-  void commitByOthers(StateStoreProtocol.Change change) {
+  /** Commits a change as another node does. */
+  void commitByAnotherNode(StateStoreProtocol.Change change) {
     store.handle(StateStoreProtocol.transactionRequest(Map.of(), List.of(change)));
   }
 
-  /** A client of the store for replicas that detect no losses. */
+  /** Creates a client of the store for replicas without rollback detection. */
   Connection newConnection() {
     return new Connection();
   }
@@ -105,14 +108,14 @@
     private final StateStoreClient client =
         new StateStoreClient(time, rateLimiter, transport, STORE_ADDRESS, CALL_TIMEOUT);
 
-    /** A replica that is not started yet. */
+    /** Creates a replica that is not started. */
     Replica newReplica() {
       return new Replica(
           time, client, rateLimiter, Duration.ofMillis(5), CALL_TIMEOUT.dividedBy(2));
     }
   }
 
-  /** A node with nothing but its replica. */
+  /** A node that consists only of a replica and a recovery. */
   final class Node implements ClusterNode {
     private final Connection connection = new Connection();
     private final Replica replica = connection.newReplica();
@@ -120,7 +123,7 @@
     private final List<Peer> peers = new ArrayList<>();
     private boolean isSoleLeader;
     private long highestKnownTerm;
-    private boolean hasWorkerShownToken;
+    private boolean hasWorkerReportedToken;
 
     private Node(RecordsSnapshot snapshot) {
       recovery =
@@ -152,31 +155,31 @@
       return recovery;
     }
 
-    /** The other node's heartbeat arrives, and stays fresh. */
+    /** Adds a heartbeat of another node. It never expires. */
     void addPeer(Peer peer) {
       peers.add(peer);
     }
 
-    /** From now on this node leads by a lease that surely holds. */
+    /** Makes this node the leader with a lease that never expires. */
     void becomeSoleLeader() {
       isSoleLeader = true;
     }
 
-    /** The node learns of a term. */
+    /** Sets the highest term that this node knows. */
     void learnTerm(long term) {
       highestKnownTerm = term;
     }
 
-    /** A worker shows a fencing token. */
-    void showWorkerToken() {
-      hasWorkerShownToken = true;
+    /** Simulates that a worker has reported a fencing token. */
+    void reportWorkerToken() {
+      hasWorkerReportedToken = true;
     }
 
-    /** Submits a job, and returns whether the transaction was applied. */
+    /** Submits a job. The future completes with whether the transaction was applied. */
     CompletableFuture<Boolean> submit(String id) {
       return connection
           .client
-          .commit(Map.of(Records.jobKey(id), 0L), List.of(job(id)))
+          .commit(Map.of(Records.jobKey(id), 0L), List.of(submissionOf(id)))
           .thenApply(StateStoreClient.CommitResult::applied);
     }
 
@@ -207,12 +210,12 @@
 
     @Override
     public boolean hasWorkerReportedToken() {
-      return hasWorkerShownToken;
+      return hasWorkerReportedToken;
     }
 
     @Override
     public void onServingChanged() {
-      // Nothing here leads.
+      // There is no election in this fixture.
     }
   }
 }
--- a/src/test/java/io/cherryspool/recovery/SnapshotFormatTest.java
+++ b/src/test/java/io/cherryspool/recovery/SnapshotFormatTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** That snapshot files are those of version 0.1.0, in what they hold and in how they are named. */
+/** Tests that the content and the names of snapshot files have the format of version 0.1.0. */
 class SnapshotFormatTest {
   private static final String FILE = "records.snapshot";
-  private static final Instant TAKEN = Instant.ofEpochMilli(1_764_693_000_456L);
+  private static final Instant TAKEN_AT = Instant.ofEpochMilli(1_764_693_000_456L);
   private static final RecordsSnapshot RECORDS =
       new RecordsSnapshot(
           "cluster-1",
@@ -31,10 +31,10 @@
           SampleRecords.jobs());
 
   @Test
-  void filesAreReadAndWrittenAgainUnchanged() throws Exception {
-    assertRecorded(FILE, new SnapshotFile(RECORDS, TAKEN).encode());
+  void recordedFilesAreReadAndWrittenUnchanged() throws Exception {
+    assertRecorded(FILE, new SnapshotFile(RECORDS, TAKEN_AT).encode());
     SnapshotFile read = SnapshotFile.decode(RecordedBytes.read(FILE));
-    assertEquals(TAKEN, read.takenAt());
+    assertEquals(TAKEN_AT, read.takenAt());
     assertEquals("cluster-1", read.records().cluster());
     assertEquals("9f3a", read.records().nonce());
     assertEquals(new Incarnation.HistoryPosition(3, 123_456_790), read.records().position());
@@ -45,17 +45,17 @@
   }
 
   @Test
-  void namesSortByIncarnationAndRevision(@TempDir Path folder)
+  void fileNamesSortByIncarnationAndRevision(@TempDir Path folder)
       throws IOException, MalformedMessageException {
     DirectorySnapshotStore directory = new DirectorySnapshotStore(folder);
     assertEquals(
-        Optional.empty(), new SnapshotRepository(directory).write(RECORDS, TAKEN).failure());
+        Optional.empty(), new SnapshotRepository(directory).write(RECORDS, TAKEN_AT).failure());
     assertEquals(List.of("0000000003-0000000123456790-1764693000456.snapshot"), directory.names());
   }
 
-  /** Heartbeats carry the phases by these numbers. */
+  /** Heartbeats carry the ordinals of the phases. */
   @Test
-  void phasesOfARecoveryKeepTheirNumbers() {
+  void recoveryPhasesKeepTheirOrdinals() {
     assertEquals(0, RetainedRecords.Phase.STARTING.ordinal());
     assertEquals(1, RetainedRecords.Phase.SERVING.ordinal());
     assertEquals(2, RetainedRecords.Phase.HOLDING.ordinal());
--- a/src/test/java/io/cherryspool/recovery/SnapshotMergeTest.java
+++ b/src/test/java/io/cherryspool/recovery/SnapshotMergeTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** That joining what several sources know loses nothing, and depends on no order. */
+/** Tests that merging snapshots loses nothing and does not depend on the order of the sources. */
 class SnapshotMergeTest {
   private static final int STEPS = 120;
 
-  private static String join(List<RecordsSnapshot> sources) {
+  private static String mergeAll(List<RecordsSnapshot> sources) {
     RecordsSnapshot all = RecordsSnapshot.EMPTY;
     for (RecordsSnapshot source : sources) {
       all = SnapshotMerge.merge(all, source);
@@ -31,32 +31,33 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-  void theOrderOfSourcesAndReadingThemAgainChangesNothing(long seed) {
+  void theOrderAndRepetitionOfSourcesDoNotChangeTheResult(long seed) {
     List<RecordsSnapshot> history = RecordsSnapshotFixture.history(seed, STEPS);
     Random random = new Random(seed);
     List<RecordsSnapshot> sources = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       sources.add(history.get(random.nextInt(STEPS)));
-      // Another history from the same beginning: a node that retained nothing went on differently.
+      // A second history stands for changes by a node that retained no records.
       sources.add(RecordsSnapshotFixture.history(seed + 100, STEPS).get(random.nextInt(STEPS)));
     }
-    String joined = join(sources);
+    String merged = mergeAll(sources);
     for (int i = 0; i < 20; i++) {
       Collections.shuffle(sources, random);
-      assertEquals(joined, join(sources));
+      assertEquals(merged, mergeAll(sources));
     }
     sources.addAll(List.copyOf(sources));
-    assertEquals(joined, join(sources));
+    assertEquals(merged, mergeAll(sources));
     RecordsSnapshot left = SnapshotMerge.merge(sources.get(0), sources.get(1));
     RecordsSnapshot right = SnapshotMerge.merge(sources.get(2), sources.get(3));
     assertEquals(
-        join(sources.subList(0, 4)), RecordsSnapshotFixture.text(SnapshotMerge.merge(left, right)));
+        mergeAll(sources.subList(0, 4)),
+        RecordsSnapshotFixture.text(SnapshotMerge.merge(left, right)));
   }
 
-  /** Replicas are prefixes of one history: the longest of them contains all the others. */
+  /** Replicas are prefixes of one history, so the longest one contains all others. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-  void theLongestPrefixOfAHistoryContainsTheOthers(long seed) {
+  void mergingAShorterPrefixOfAHistoryAddsNothing(long seed) {
     List<RecordsSnapshot> history = RecordsSnapshotFixture.history(seed, STEPS);
     for (int i = 0; i < STEPS; i += 7) {
       RecordsSnapshot older = history.get(i);
@@ -65,43 +66,47 @@
         assertEquals(
             RecordsSnapshotFixture.text(newer),
             RecordsSnapshotFixture.text(SnapshotMerge.merge(older, newer)));
-        assertSame(newer.jobs(), SnapshotMerge.merge(newer, older).jobs(), "nothing is added");
+        assertSame(
+            newer.jobs(),
+            SnapshotMerge.merge(newer, older).jobs(),
+            "the older snapshot adds nothing");
       }
     }
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void noEndAndNoCompletedTaskIsTakenBack(long seed) {
+  void outcomesAndCompletedTasksAreNeverLost(long seed) {
     List<RecordsSnapshot> history = RecordsSnapshotFixture.history(seed, STEPS);
     List<RecordsSnapshot> other = RecordsSnapshotFixture.history(seed + 50, STEPS);
-    RecordsSnapshot joined = SnapshotMerge.merge(history.get(STEPS - 1), other.get(STEPS / 2));
+    RecordsSnapshot merged = SnapshotMerge.merge(history.get(STEPS - 1), other.get(STEPS / 2));
     for (RecordsSnapshot source : List.of(history.get(STEPS - 1), other.get(STEPS / 2))) {
       source
           .jobs()
           .forEach(
               (id, job) -> {
-                RecordsSnapshot.JobSnapshot all = joined.jobs().get(id);
-                assertNotNull(all, id);
+                RecordsSnapshot.JobSnapshot mergedJob = merged.jobs().get(id);
+                assertNotNull(mergedJob, id);
                 if (job.outcome() == Outcome.DONE) {
-                  assertEquals(Outcome.DONE, all.outcome(), id);
+                  assertEquals(Outcome.DONE, mergedJob.outcome(), id);
                 } else if (job.outcome() != null) {
-                  assertNotNull(all.outcome(), id);
+                  assertNotNull(mergedJob.outcome(), id);
                 }
                 job.shards()
                     .forEach(
                         (index, shard) -> {
                           for (int t = shard.nextDone(0); t >= 0; t = shard.nextDone(t + 1)) {
-                            assertEquals(true, all.shards().get(index).isDone(t), id + "/" + t);
+                            assertEquals(
+                                true, mergedJob.shards().get(index).isDone(t), id + "/" + t);
                           }
                         });
               });
     }
   }
 
-  /** An older copy still has the attempt as owned; that it has ended is later. */
+  /** In an older copy of the records the attempt is still owned. Its end is the later state. */
   @Test
-  void anAttemptThatHasEndedIsNotOwnedAgain() {
+  void anEndedAttemptIsNotOwnedAgain() {
     Shard owned = Shard.EMPTY.edit().assign(0, "host-1", 1, 7).build();
     Shard ended = owned.edit().release(0, true).build();
     Shard again = ended.edit().assign(0, "host-2", 1, 9).build();
--- a/src/test/java/io/cherryspool/recovery/SnapshotRepositoryTest.java
+++ b/src/test/java/io/cherryspool/recovery/SnapshotRepositoryTest.java
@@ -14,15 +14,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Which snapshot files a directory keeps, and which of them is read. */
+/** Tests which snapshot files a directory keeps and which one is read. */
 class SnapshotRepositoryTest {
   private static final Instant NOW = Instant.ofEpochMilli(1_700_000_000_000L);
 
   @Test
-  void aDirectoryKeepsTheNewestAndFallsBackToAnOlderOne(@TempDir Path folder) throws Exception {
+  void theNewestFilesAreKeptAndAnOlderOneReplacesADamagedOne(@TempDir Path folder)
+      throws Exception {
     Path directory = folder.resolve("kept");
     SnapshotRepository repository = new SnapshotRepository(new DirectorySnapshotStore(directory));
-    assertTrue(repository.readNewest().isEmpty(), "there is none yet");
+    assertTrue(repository.readNewest().isEmpty(), "the directory does not exist yet");
     List<RecordsSnapshot> history = RecordsSnapshotFixture.history(5, 200);
     for (int step = 10; step < 200; step += 30) {
       assertEquals(Optional.empty(), repository.write(history.get(step), NOW).failure());
@@ -32,13 +33,13 @@
     assertEquals(191, repository.readNewest().orElseThrow().records().position().revision());
     Path newest = directory.resolve(names.get(0));
     Files.write(newest, Arrays.copyOf(Files.readAllBytes(newest), 300));
-    // Unfinished files of a process that ended are never read.
+    // Unfinished files of an earlier process are never read.
     Files.write(directory.resolve("9999999999-1-1.snapshot.part"), new byte[] {1});
     assertEquals(161, repository.readNewest().orElseThrow().records().position().revision());
   }
 
   @Test
-  void aDirectoryThatCannotBeWrittenIsAFailure(@TempDir Path folder) throws Exception {
+  void aFailedWriteIsReportedInTheResult(@TempDir Path folder) throws Exception {
     Path file = Files.writeString(folder.resolve("file"), "x");
     SnapshotRepository repository =
         new SnapshotRepository(new DirectorySnapshotStore(file.resolve("below")));
--- a/src/test/java/io/cherryspool/store/GroupCommitTest.java
+++ b/src/test/java/io/cherryspool/store/GroupCommitTest.java
@@ -28,15 +28,15 @@
   private final VirtualTime time = new VirtualTime();
   private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
   private final List<Request> droppedRequests = new ArrayList<>();
-  private boolean dropsNext;
+  private boolean isNextRequestDropped;
   private final StateStoreClient client =
       new StateStoreClient(
           time,
           new RateLimiter(time, 1, 1000, 1000),
           (to, request, deadline) -> {
             CompletableFuture<Reply> result = new CompletableFuture<>();
-            if (dropsNext) {
-              dropsNext = false;
+            if (isNextRequestDropped) {
+              isNextRequestDropped = false;
               droppedRequests.add(request);
               return result;
             }
@@ -47,15 +47,17 @@
           new Endpoint("127.0.0.1", 1),
           Duration.ofSeconds(1));
 
-  private GroupCommit commits(double writeRps, int maxQueue) {
+  private GroupCommit newGroupCommit(double writeRps, int maxQueue) {
     RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, writeRps);
     return new GroupCommit(time, client, rateLimiter, 8, maxQueue, Duration.ofSeconds(1));
   }
 
   private final ControlledTransport transport = new ControlledTransport(time, state);
 
-  /** Commits over the transport that holds or replaces single messages. */
-  private GroupCommit commitsOverTransport() {
+  /**
+   * Creates a group commit that uses {@link #transport}, which can hold or replace single messages.
+   */
+  private GroupCommit newGroupCommitOverTransport() {
     RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
     Endpoint service = new Endpoint("127.0.0.1", 1);
     StateStoreClient client =
@@ -67,7 +69,7 @@
     return Stream.of(keys).map(key -> put(commits, key)).toList();
   }
 
-  private static List<Boolean> known(List<CompletableFuture<Boolean>> results) {
+  private static List<Boolean> resultsSoFar(List<CompletableFuture<Boolean>> results) {
     return results.stream().map(result -> result.getNow(null)).toList();
   }
 
@@ -81,13 +83,13 @@
   private void run(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
     while (time.runNextEvent(end)) {
-      // Each step may schedule more.
+      // Each event may schedule further events.
     }
   }
 
   @Test
-  void anExistingKeyDoesNotFailTheOtherChanges() {
-    GroupCommit commits = commits(1000, 100);
+  void aChangeOfAnExistingKeyDoesNotFailTheOtherChanges() {
+    GroupCommit commits = newGroupCommit(1000, 100);
     put(commits, "c/a");
     run(1);
     List<CompletableFuture<Boolean>> results = new ArrayList<>();
@@ -99,26 +101,31 @@
         List.of(true, false, true, false), results.stream().map(f -> f.getNow(null)).toList());
   }
 
-  /** Users are refused early rather than kept waiting until their deadline. */
+  /** A user gets an error early instead of waiting until the deadline of the request. */
   @Test
-  void changesBeyondTheRateLimitAreRefusedWithinASecond() {
-    GroupCommit commits = commits(5, 20);
+  void changesBeyondTheRateLimitAreRejectedWithinTheMaximumWait() {
+    GroupCommit commits = newGroupCommit(5, 20);
     List<CompletableFuture<Boolean>> results = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
       results.add(put(commits, "c/" + i));
     }
-    assertTrue(results.get(99).isCompletedExceptionally(), "the queue is bounded");
+    assertTrue(results.get(99).isCompletedExceptionally(), "the length of the queue is limited");
     run(2);
-    assertTrue(results.stream().allMatch(CompletableFuture::isDone), "nothing waits for long");
-    long taken = results.stream().filter(f -> !f.isCompletedExceptionally()).count();
-    assertTrue(taken >= 4 && taken <= 15, "taken " + taken);
+    assertTrue(
+        results.stream().allMatch(CompletableFuture::isDone),
+        "every change is completed within two seconds");
+    long accepted = results.stream().filter(f -> !f.isCompletedExceptionally()).count();
+    assertTrue(accepted >= 4 && accepted <= 15, "accepted changes: " + accepted);
   }
 
-  /** Without it, transactions that the service delays by seconds cost their users a retry each. */
+  /**
+   * Without the second copy, users would have to retry each request whose transaction the state
+   * store delays by seconds.
+   */
   @Test
   void aDelayedTransactionIsSentAgainAndItsLateCopyChangesNothing() {
-    GroupCommit commits = commits(1000, 100);
-    dropsNext = true;
+    GroupCommit commits = newGroupCommit(1000, 100);
+    isNextRequestDropped = true;
     CompletableFuture<Boolean> result = put(commits, "c/a");
     run(0.3);
     assertEquals(true, result.getNow(null));
@@ -126,24 +133,27 @@
     assertEquals(1, droppedRequests.size());
   }
 
-  /** The second copy conflicts with what the first has written; callers then read the records. */
+  /**
+   * The conditions of the second copy fail because the first copy was applied. Callers then read
+   * the records.
+   */
   @Test
-  void aGroupAppliedWithoutAnAnswerIsAConflictForEachChange() {
-    GroupCommit commits = commitsOverTransport();
+  void aBatchWhoseAnswerIsLostIsReportedAsAConflictForEachChange() {
+    GroupCommit commits = newGroupCommitOverTransport();
     CompletableFuture<Boolean> first = put(commits, "c/first");
     List<CompletableFuture<Boolean>> group = putAll(commits, "c/a", "c/b", "c/c");
     transport.interceptNext(ControlledTransport.COMMIT, Interception.DROP_REPLY);
     run(0.01);
     assertEquals(true, first.getNow(null));
     run(0.5);
-    assertEquals(List.of(false, false, false), known(group));
+    assertEquals(List.of(false, false, false), resultsSoFar(group));
     assertNotNull(state.value("c/c"));
     assertEquals(3, transport.sentCount(ControlledTransport.COMMIT));
   }
 
   @Test
-  void changesBesideConflictsAreCommittedByOneMoreTransaction() {
-    GroupCommit commits = commitsOverTransport();
+  void changesWithoutConflictsAreCommittedByASecondTransaction() {
+    GroupCommit commits = newGroupCommitOverTransport();
     putAll(commits, "c/a", "c/b");
     run(0.1);
     long before = transport.sentCount(ControlledTransport.COMMIT);
@@ -151,30 +161,34 @@
     List<CompletableFuture<Boolean>> group = putAll(commits, "c/a", "c/c", "c/b", "c/d");
     run(0.1);
     assertEquals(true, first.getNow(null));
-    assertEquals(List.of(false, true, false, true), known(group));
+    assertEquals(List.of(false, true, false, true), resultsSoFar(group));
     assertEquals(before + 3, transport.sentCount(ControlledTransport.COMMIT));
   }
 
-  /** Without it, each repetition of a request costs all others one more transaction. */
+  /**
+   * Without sharing, each repetition of a request would fail a transaction, and all other changes
+   * in it would need one more transaction.
+   */
   @Test
-  void duplicatesShareTheTransactionOfTheFirst() {
-    GroupCommit commits = commitsOverTransport();
+  void duplicatesShareTheTransactionOfTheFirstChange() {
+    GroupCommit commits = newGroupCommitOverTransport();
     CompletableFuture<Boolean> first = put(commits, "c/first");
     List<CompletableFuture<Boolean>> group =
         putAll(commits, "c/a", "c/a", "c/b", "c/a", "c/a", "c/a", "c/c", "c/first", "c/a", "c/a");
     run(0.1);
     assertEquals(true, first.getNow(null));
     assertEquals(
-        List.of(true, false, true, false, false, false, true, false, false, false), known(group));
+        List.of(true, false, true, false, false, false, true, false, false, false),
+        resultsSoFar(group));
     assertEquals(
         3,
         transport.sentCount(ControlledTransport.COMMIT),
-        "the first, the group, and the group without what conflicts");
+        "one for the first change, one for the batch, one for the batch without the conflicting changes");
   }
 
   @Test
   void rateLimitedChangesAndTheirDuplicatesAreSentAgain() {
-    GroupCommit commits = commitsOverTransport();
+    GroupCommit commits = newGroupCommitOverTransport();
     CompletableFuture<Boolean> first = put(commits, "c/first");
     transport.replyNext(ControlledTransport.COMMIT, 429, "{}");
     List<CompletableFuture<Boolean>> group = putAll(commits, "c/a", "c/b", "c/a");
@@ -182,14 +196,14 @@
     transport.release(ControlledTransport.COMMIT);
     run(0.3);
     assertEquals(true, first.getNow(null));
-    assertEquals(List.of(true, true, false), known(group));
+    assertEquals(List.of(true, true, false), resultsSoFar(group));
   }
 
-  /** What failed is unknown, and the same transaction would be sent again and again. */
+  /** It is unknown which change failed, so the same transaction would be sent again and again. */
   @ParameterizedTest
   @ValueSource(strings = {"[]", "[\"c/other\"]"})
-  void aConflictThatNamesNoConditionFailsAllChanges(String failed) {
-    GroupCommit commits = commitsOverTransport();
+  void aConflictWithoutAFailedConditionFailsAllChanges(String failed) {
+    GroupCommit commits = newGroupCommitOverTransport();
     transport.replyNext(ControlledTransport.COMMIT, 409, "{\"failed\":" + failed + ",\"epoch\":1}");
     CompletableFuture<Boolean> result = put(commits, "c/a");
     run(0.1);
--- a/src/test/java/io/cherryspool/store/JobRecordFixture.java
+++ b/src/test/java/io/cherryspool/store/JobRecordFixture.java
@@ -4,7 +4,7 @@
 import io.cherryspool.model.Outcome;
 import io.cherryspool.model.Shard;
 
-/** Makes entries for tests outside this package. */
+/** Creates job records for tests outside this package. */
 public final class JobRecordFixture {
   private JobRecordFixture() {}
 
@@ -12,7 +12,10 @@
     return new JobRecord(job, 100);
   }
 
-  /** All tasks up to the given number run on one machine, by a record of version 7. */
+  /**
+   * Creates a job whose first {@code tasks} tasks run on one machine. Its progress record has
+   * version 7.
+   */
   public static JobRecord running(Job job, int tasks, String machine) {
     JobRecord record = accepted(job);
     Shard.Editor editor = Shard.EMPTY.edit();
@@ -23,7 +26,10 @@
     return record;
   }
 
-  /** Tasks that were tried as often as they failed, and wait. */
+  /**
+   * Creates a job whose tasks have failed the given numbers of times and are not owned by a
+   * machine.
+   */
   public static JobRecord failed(Job job, int... failures) {
     JobRecord record = accepted(job);
     Shard.Editor editor = Shard.EMPTY.edit();
--- a/src/test/java/io/cherryspool/store/RateLimiterTest.java
+++ b/src/test/java/io/cherryspool/store/RateLimiterTest.java
@@ -8,7 +8,10 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** Who may write how much, with 60 changes a second for three nodes and 25 for five. */
+/**
+ * Tests the write rates of leaders and followers, with 60 changes per second for three nodes and 25
+ * for five nodes.
+ */
 class RateLimiterTest {
   private final VirtualTime time = new VirtualTime();
 
@@ -18,42 +21,46 @@
     time.runNextEvent(end);
   }
 
-  private RateLimiter rateLimiter(int nodes, double writes, boolean leader) {
-    RateLimiter rateLimiter = new RateLimiter(time, nodes, 200, writes);
-    rateLimiter.setLeader(leader);
+  private RateLimiter newRateLimiter(int nodeCount, double changesPerSecond, boolean isLeader) {
+    RateLimiter rateLimiter = new RateLimiter(time, nodeCount, 200, changesPerSecond);
+    rateLimiter.setLeader(isLeader);
     advance(3000);
     return rateLimiter;
   }
 
-  private int perSecond(RateLimiter rateLimiter, RateLimiter.WriteClass use) {
+  private int measureWritesPerSecond(RateLimiter rateLimiter, RateLimiter.WriteClass writeClass) {
     while (rateLimiter.tryAcquireWrites(RateLimiter.WriteClass.CANCEL, 1)) {}
     int count = 0;
     for (int i = 0; i < 100; i++) {
       advance(100);
-      while (rateLimiter.tryAcquireWrites(use, 1)) {
+      while (rateLimiter.tryAcquireWrites(writeClass, 1)) {
         count++;
       }
     }
     return count / 10;
   }
 
-  /** With five nodes 2.4 a second were left to each, however little the leader wrote. */
+  /**
+   * With fixed shares, each of five nodes could write only 2.4 changes per second, however little
+   * the leader wrote.
+   */
   @Test
-  void theLeaderLeavesTheOthersWhatTheyReport() {
-    assertEquals(4, perSecond(rateLimiter(5, 25, false), RateLimiter.WriteClass.SUBMIT));
-    RateLimiter leader = rateLimiter(5, 25, true);
+  void theLeaderReducesItsRateByTheRatesThatOtherNodesReport() {
+    assertEquals(
+        4, measureWritesPerSecond(newRateLimiter(5, 25, false), RateLimiter.WriteClass.SUBMIT));
+    RateLimiter leader = newRateLimiter(5, 25, true);
     leader.setOtherNodesWriteRates(5, 5, 5, 5);
-    assertEquals(21, perSecond(leader, RateLimiter.WriteClass.CANCEL));
+    assertEquals(21, measureWritesPerSecond(leader, RateLimiter.WriteClass.CANCEL));
     leader.setOtherNodesWriteRates(40, 40, 30, 30);
     assertEquals(
         9,
-        perSecond(leader, RateLimiter.WriteClass.CANCEL),
-        "what is left, and never less than that");
+        measureWritesPerSecond(leader, RateLimiter.WriteClass.CANCEL),
+        "the leader keeps its minimum rate");
   }
 
   @Test
   void recentWritesAreAveragedAndDecay() {
-    RateLimiter rateLimiter = rateLimiter(3, 60, false);
+    RateLimiter rateLimiter = newRateLimiter(3, 60, false);
     for (int i = 0; i < 50; i++) {
       advance(200);
       assertTrue(rateLimiter.tryAcquireWrites(RateLimiter.WriteClass.SUBMIT, 1));
@@ -63,22 +70,27 @@
     assertEquals(0, rateLimiter.recentWritesPerSecond(), 0.1);
   }
 
-  /** A job that ended with more shards than a round is ever left would never have ended. */
+  /**
+   * Otherwise a job that ends with more shards than a scheduling round may ever write could never
+   * end.
+   */
   @Test
-  void noClassAndNoSizeOfTransactionWaitsForever() {
-    RateLimiter leader = rateLimiter(3, 60, true);
-    for (RateLimiter.WriteClass use : RateLimiter.WriteClass.values()) {
+  void everyClassAndSizeOfTransactionIsEventuallyAllowed() {
+    RateLimiter leader = newRateLimiter(3, 60, true);
+    for (RateLimiter.WriteClass writeClass : RateLimiter.WriteClass.values()) {
       for (int count : new int[] {1, 20, 48}) {
         advance(3000);
-        assertTrue(leader.tryAcquireWrites(use, count), use + " " + count);
+        assertTrue(leader.tryAcquireWrites(writeClass, count), writeClass + " " + count);
       }
     }
     advance(3000);
     assertFalse(
-        leader.mayWrite(RateLimiter.WriteClass.IDLE, 20, 10), "nor may it take that bit by bit");
+        leader.mayWrite(RateLimiter.WriteClass.IDLE, 20, 10),
+        "a larger transaction is not allowed in parts");
     leader.forceAcquire(40);
     assertFalse(
-        leader.mayWrite(RateLimiter.WriteClass.IDLE, 0, 1), "idle work leaves room for the others");
+        leader.mayWrite(RateLimiter.WriteClass.IDLE, 0, 1),
+        "idle work leaves writes to the more urgent classes");
     advance(400);
     assertTrue(leader.mayWrite(RateLimiter.WriteClass.ROUND, 0, 1));
     assertFalse(leader.mayWrite(RateLimiter.WriteClass.DEFERRABLE, 0, 1));
--- a/src/test/java/io/cherryspool/store/RecordsSnapshotCodecTest.java
+++ b/src/test/java/io/cherryspool/store/RecordsSnapshotCodecTest.java
@@ -15,11 +15,14 @@
 import org.junit.jupiter.api.Test;
 import org.pcollections.HashTreePMap;
 
-/** Snapshots in chunks: read back unchanged, and refused if a chunk is damaged. */
+/**
+ * Tests that snapshots are read back unchanged from their chunks, and that damaged chunks are
+ * rejected.
+ */
 class RecordsSnapshotCodecTest {
   private static final int VALUE_BYTES = 16 * 1024;
 
-  private static RecordsSnapshot decoded(List<byte[]> chunks) throws MalformedMessageException {
+  private static RecordsSnapshot decode(List<byte[]> chunks) throws MalformedMessageException {
     return RecordsSnapshot.EMPTY.withJobs(RecordsSnapshotCodec.decode(chunks));
   }
 
@@ -31,17 +34,17 @@
       assertTrue(chunks.size() > 1, "several chunks");
       assertTrue(chunks.stream().allMatch(chunk -> chunk.length <= 600));
       assertEquals(
-          RecordsSnapshotFixture.text(snapshot), RecordsSnapshotFixture.text(decoded(chunks)));
+          RecordsSnapshotFixture.text(snapshot), RecordsSnapshotFixture.text(decode(chunks)));
     }
   }
 
-  /** The largest job that may be submitted, all of it running. */
+  /** Encodes the largest job that may be submitted, with all tasks running. */
   @Test
-  void anArrayOfAHundredThousandTasksFitsTheServicesValues() throws MalformedMessageException {
-    int perShard = Records.tasksPerShard(VALUE_BYTES);
+  void aJobOfAHundredThousandTasksFitsIntoValuesOfTheStore() throws MalformedMessageException {
+    int tasksPerShard = Records.tasksPerShard(VALUE_BYTES);
     RecordsSnapshot.JobSnapshot job =
         RecordsSnapshotFixture.running(
-            JobFixture.job("req-000001", Priority.NORMAL, 100_000, 1), perShard);
+            JobFixture.job("req-000001", Priority.NORMAL, 100_000, 1), tasksPerShard);
     RecordsSnapshot snapshot =
         RecordsSnapshot.EMPTY.withJobs(HashTreePMap.singleton("req-000001", job));
     List<byte[]> chunks =
@@ -49,14 +52,14 @@
     for (byte[] chunk : chunks) {
       assertTrue(Json.toBytes(Records.encodeBundle(chunk)).length <= VALUE_BYTES);
     }
-    // At 60 changes a second these are written within a few seconds, of a lease of 16.
+    // At 60 changes per second these are written within a few seconds; a lease lasts 16 s.
     assertTrue(chunks.size() <= 180, chunks.size() + " bundles");
     assertEquals(
-        RecordsSnapshotFixture.text(snapshot), RecordsSnapshotFixture.text(decoded(chunks)));
+        RecordsSnapshotFixture.text(snapshot), RecordsSnapshotFixture.text(decode(chunks)));
   }
 
   @Test
-  void equalSnapshotsHaveEqualDigestsAndChangedOnesHaveOthers() {
+  void equalSnapshotsHaveEqualDigestsAndChangedOnesDifferentDigests() {
     RecordsSnapshot snapshot = RecordsSnapshotFixture.history(3, 200).get(199);
     List<byte[]> chunks = RecordsSnapshotCodec.encode(snapshot.jobs(), 600);
     String digest = RecordsSnapshotCodec.digest(chunks);
@@ -74,7 +77,7 @@
   }
 
   @Test
-  void truncatedChunksAreRefused() {
+  void truncatedChunksAreRejected() {
     RecordsSnapshot snapshot = RecordsSnapshotFixture.history(4, 200).get(199);
     List<byte[]> chunks = RecordsSnapshotCodec.encode(snapshot.jobs(), 100_000);
     byte[] truncated = java.util.Arrays.copyOf(chunks.get(0), chunks.get(0).length / 2);
@@ -86,11 +89,11 @@
   }
 
   @Test
-  void aRecordLargerThanAChunkIsRefusedByItsJobsId() {
+  void aRecordLargerThanAChunkIsRejectedWithTheIdOfItsJob() {
     RecordsSnapshot snapshot = RecordsSnapshotFixture.history(4, 20).get(19);
-    IllegalArgumentException refused =
+    IllegalArgumentException failure =
         assertThrows(
             IllegalArgumentException.class, () -> RecordsSnapshotCodec.encode(snapshot.jobs(), 20));
-    assertTrue(refused.getMessage().contains("req-"), refused.getMessage());
+    assertTrue(failure.getMessage().contains("req-"), failure.getMessage());
   }
 }
--- a/src/test/java/io/cherryspool/store/RecordsSnapshotFixture.java
+++ b/src/test/java/io/cherryspool/store/RecordsSnapshotFixture.java
@@ -14,14 +14,17 @@
 import org.pcollections.PSortedMap;
 import org.pcollections.TreePMap;
 
-/** Snapshots as the nodes of a cluster may retain them. */
+/** Creates snapshots as the nodes of a cluster may retain them. */
 public final class RecordsSnapshotFixture {
   private static final int TASKS_PER_SHARD = 8;
   private static final int MACHINES = 6;
 
   private RecordsSnapshotFixture() {}
 
-  /** A cluster's history of so many steps, with a snapshot after each of them. */
+  /**
+   * Creates a random history of a cluster with the given number of steps, and returns a snapshot
+   * after each step.
+   */
   public static List<RecordsSnapshot> history(long seed, int steps) {
     SplittableRandom random = new SplittableRandom(seed);
     List<RecordsSnapshot> history = new ArrayList<>();
@@ -65,7 +68,7 @@
     return jobs.plus(id, isDone(next) ? next.withOutcome(Outcome.DONE) : next);
   }
 
-  /** One of the changes of a task that records may show. */
+  /** Applies a random change of a task that can occur in the records. */
   private static Shard nextProgress(Shard shard, int task, SplittableRandom random, long token) {
     if (shard.isDone(task)) {
       return shard;
@@ -83,7 +86,7 @@
     return job.shards().values().stream().mapToInt(Shard::doneCount).sum() == job.job().taskCount();
   }
 
-  /** A job of so many tasks, all of them owned: the largest records that there are. */
+  /** Creates a job whose tasks are all owned, which gives the largest records possible. */
   public static RecordsSnapshot.JobSnapshot running(Job job, int tasksPerShard) {
     PSortedMap<Integer, Shard> shards = TreePMap.empty();
     for (int first = 0; first < job.taskCount(); first += tasksPerShard) {
@@ -96,7 +99,7 @@
     return new RecordsSnapshot.JobSnapshot(job, tasksPerShard, null, shards);
   }
 
-  /** The jobs as text, for comparing. */
+  /** Returns the jobs as text, for comparisons. */
   public static String text(RecordsSnapshot snapshot) {
     StringBuilder text = new StringBuilder();
     snapshot.jobs().keySet().stream()
--- a/src/test/java/io/cherryspool/store/RecordsTest.java
+++ b/src/test/java/io/cherryspool/store/RecordsTest.java
@@ -10,7 +10,7 @@
 
 class RecordsTest {
   @Test
-  void randomProgressSurvivesWritingAndReading() throws Exception {
+  void randomProgressIsUnchangedAfterEncodingAndDecoding() throws Exception {
     SplittableRandom random = new SplittableRandom(7);
     for (int run = 0; run < 200; run++) {
       Shard shard = Shard.EMPTY;
@@ -35,9 +35,12 @@
     }
   }
 
-  /** A record that outgrew the service's limit could never be committed, and its job never end. */
+  /**
+   * A record larger than the state store's limit could never be committed, so its job could never
+   * end.
+   */
   @Test
-  void aFullShardKeepsWithinTheLimitOnValues() {
+  void aFullShardStaysWithinTheLimitOnValues() {
     int limit = 8 * 1024;
     int tasks = Records.tasksPerShard(limit);
     Shard.Editor editor = Shard.EMPTY.edit();
--- a/src/test/java/io/cherryspool/store/ReplicaCostTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaCostTest.java
@@ -23,17 +23,20 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** What a follower may allocate for changes of other nodes, and keep of ended jobs, in bytes. */
+/**
+ * Limits the memory that a follower allocates for changes of other nodes and retains for ended
+ * jobs.
+ */
 class ReplicaCostTest {
   private static final String JOB = "req-000001";
   private static final int TASKS = 100;
   private static final int OWNED = 20;
-  private static final Duration CALL = Duration.ofSeconds(1);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
   private static final int WARM_UP = 3000;
   private static final int EVENTS = 1000;
   private static final long MAX_ALLOCATED_BYTES_PER_EVENT = 15_000;
   private static final int JOBS = 20_000;
-  private static final long MAX_KEPT_BYTES_PER_JOB = 900;
+  private static final long MAX_RETAINED_BYTES_PER_JOB = 900;
 
   private final VirtualTime time = new VirtualTime();
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
@@ -43,9 +46,9 @@
           rateLimiter,
           (to, request, deadline) -> send(request),
           new Endpoint("127.0.0.1", 1),
-          CALL);
+          CALL_TIMEOUT);
   private final Replica replica =
-      new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+      new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL_TIMEOUT.dividedBy(2));
   private CompletableFuture<Reply> watch;
   private long revision;
 
@@ -60,15 +63,15 @@
     return CompletableFuture.completedFuture(Reply.json(200, Json.toBytes(empty)));
   }
 
-  /** An answer to the watch with one change. */
-  private Reply put(String key, JsonNode value) {
+  /** Creates an answer to the watch with one change. */
+  private Reply watchReply(String key, JsonNode value) {
     ObjectNode answer = Json.object().put("epoch", ++revision);
     ArrayNode events = answer.putArray("events");
     events.addObject().put("put", key).put("stamp", revision).set("v", value);
     return Reply.json(200, Json.toBytes(answer));
   }
 
-  /** The watch is answered, and opened again. */
+  /** Answers the outstanding watch and waits until the replica has opened it again. */
   private void answerWatch(Reply reply) {
     watch.complete(reply);
     reopen();
@@ -80,25 +83,25 @@
     }
   }
 
-  private Reply accepted(String id) {
-    return put(
+  private Reply jobAccepted(String id) {
+    return watchReply(
         Records.jobKey(id),
         Records.encodeJob(JobFixture.job(id, Priority.NORMAL, TASKS, 1), TASKS));
   }
 
-  /** Some of the tasks are done, the next ones have owners. */
-  private Reply progressed(int done) {
+  /** Creates a change after which the first tasks are done and the next ones are owned. */
+  private Reply progressMade(int done) {
     Shard.Editor editor = Shard.EMPTY.edit().markDone(0, done);
     for (int task = done + 1; task <= done + OWNED; task++) {
       editor.assign(task, "host-" + task, 1, 7);
     }
-    return put(Records.progressKey(JOB, 0), Records.encodeShard(editor.build()));
+    return watchReply(Records.progressKey(JOB, 0), Records.encodeShard(editor.build()));
   }
 
   private List<Reply> progress(int count) {
     List<Reply> result = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      result.add(progressed(i % (TASKS / 2)));
+      result.add(progressMade(i % (TASKS / 2)));
     }
     return result;
   }
@@ -106,7 +109,7 @@
   @Test
   void aChangeOfProgressAllocatesLittle() {
     replica.start();
-    answerWatch(accepted(JOB));
+    answerWatch(jobAccepted(JOB));
     progress(WARM_UP).forEach(this::answerWatch);
     long bytes = 0;
     for (Reply reply : progress(EVENTS)) {
@@ -114,24 +117,24 @@
       reopen();
     }
     assertEquals(OWNED, replica.job(JOB).ownedCount(), "the changes are applied");
-    long each = bytes / EVENTS;
-    assertTrue(each <= MAX_ALLOCATED_BYTES_PER_EVENT, each + " bytes an event");
+    long bytesPerEvent = bytes / EVENTS;
+    assertTrue(bytesPerEvent <= MAX_ALLOCATED_BYTES_PER_EVENT, bytesPerEvent + " bytes per event");
   }
 
   @Test
-  void aJobThatHasEndedKeepsLittle() {
+  void anEndedJobRetainsLittleMemory() {
     replica.start();
-    long bytes = HeapMeter.retainedBytes(this::endedJobs) / JOBS;
+    long bytesPerJob = HeapMeter.retainedBytes(this::replicaWithEndedJobs) / JOBS;
     assertEquals(JOBS, replica.jobCount());
     assertEquals(0, replica.activeJobs().size());
-    assertTrue(bytes <= MAX_KEPT_BYTES_PER_JOB, bytes + " bytes a job");
+    assertTrue(bytesPerJob <= MAX_RETAINED_BYTES_PER_JOB, bytesPerJob + " bytes per job");
   }
 
-  private Object endedJobs() {
+  private Object replicaWithEndedJobs() {
     for (int i = 0; i < JOBS; i++) {
       String id = String.format("req-%06d", i);
-      answerWatch(accepted(id));
-      answerWatch(put(Records.outcomeKey(id), Records.encodeOutcome(Outcome.DONE)));
+      answerWatch(jobAccepted(id));
+      answerWatch(watchReply(Records.outcomeKey(id), Records.encodeOutcome(Outcome.DONE)));
     }
     return replica;
   }
--- a/src/test/java/io/cherryspool/store/ReplicaTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaTest.java
@@ -22,28 +22,29 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** When reads of the copy are linearizable, and when they are refused. */
+/** Tests that reads of the replica are linearizable, and when they are rejected. */
 class ReplicaTest {
   private static final String JOB = "req-000001";
-  private static final Duration CALL = Duration.ofSeconds(1);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
 
   private final VirtualTime time = new VirtualTime();
   private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
   private final ControlledTransport transport = new ControlledTransport(time, state);
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
   private final StateStoreClient client =
-      new StateStoreClient(time, rateLimiter, transport, new Endpoint("127.0.0.1", 1), CALL);
+      new StateStoreClient(
+          time, rateLimiter, transport, new Endpoint("127.0.0.1", 1), CALL_TIMEOUT);
   private final Replica replica =
-      new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL.dividedBy(2));
+      new Replica(time, client, rateLimiter, Duration.ofMillis(5), CALL_TIMEOUT.dividedBy(2));
 
   private void run(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
     while (time.runNextEvent(end)) {
-      // Each step may schedule more.
+      // Each event may schedule further events.
     }
   }
 
-  /** Another node accepts a job. */
+  /** Writes the record of a job as another node does that accepts it. */
   private void accept(String id) {
     var record = Records.encodeJob(JobFixture.job(id, Priority.NORMAL, 1, 1), 100);
     state.handle(
@@ -52,7 +53,7 @@
             List.of(new StateStoreProtocol.Change(Records.jobKey(id), record, 0))));
   }
 
-  /** Another node cancels it. */
+  /** Writes the outcome of a job as another node does that cancels it. */
   private void cancel(String id) {
     state.handle(
         StateStoreProtocol.transactionRequest(
@@ -62,7 +63,7 @@
                     Records.outcomeKey(id), Records.encodeOutcome(Outcome.CANCELLED), 0))));
   }
 
-  /** Loads, with a watch open whose answer will be that the history is gone. */
+  /** Loads the replica. The outstanding watch will be answered with 410, as after compaction. */
   private void load() {
     transport.replyNext(ControlledTransport.WATCH, 410, "{}");
     replica.start();
@@ -86,8 +87,8 @@
     transport.release(ControlledTransport.READ);
     run(0.05);
     assertTrue(succeeded(before));
-    assertNull(replica.job(JOB), "carried out before the job was accepted");
-    assertFalse(after.isDone(), "its own reading is still under way");
+    assertNull(replica.job(JOB), "the read was executed before the job was accepted");
+    assertFalse(after.isDone(), "its own read is still outstanding");
     transport.release(ControlledTransport.READ);
     run(0.05);
     assertTrue(succeeded(after));
@@ -95,19 +96,23 @@
   }
 
   @Test
-  void callersAreRefusedAtOnceDuringAReload() {
+  void callersFailImmediatelyDuringAReload() {
     load();
     transport.interceptNext(ControlledTransport.READ, Interception.HOLD_REPLY);
     CompletableFuture<Void> sent = replica.refresh();
     run(0.05);
-    CompletableFuture<Void> waits = replica.refresh();
+    CompletableFuture<Void> waiting = replica.refresh();
     transport.interceptNext("/keys", Interception.HOLD_REQUEST);
     transport.release(ControlledTransport.WATCH);
     assertFalse(replica.isLoaded());
-    assertTrue(waits.isCompletedExceptionally(), "its reading would have been sent from a gap");
+    assertTrue(
+        waiting.isCompletedExceptionally(),
+        "its read would start at a revision that was compacted");
     assertTrue(replica.refresh().isCompletedExceptionally());
     transport.release(ControlledTransport.READ);
-    assertTrue(succeeded(sent), "what was read before holds in the copy that is still there");
+    assertTrue(
+        succeeded(sent),
+        "a read that was sent before the reload is valid for the records that are still in memory");
     transport.release("/keys");
     run(0.05);
     CompletableFuture<Void> later = replica.refresh();
@@ -115,9 +120,9 @@
     assertTrue(succeeded(later));
   }
 
-  /** Callers may have been answered from a read that was executed after that of the reload. */
+  /** Callers may have been answered from a read that was executed after the read of the reload. */
   @Test
-  void aReloadNeverSetsTheCopyBack() {
+  void aReloadNeverSetsTheReplicaBackToAnOlderRevision() {
     load();
     transport.interceptNext(ControlledTransport.READ, Interception.HOLD_REQUEST);
     CompletableFuture<Void> reading = replica.refresh();
@@ -129,7 +134,7 @@
     transport.release(ControlledTransport.READ);
     run(0.05);
     assertTrue(succeeded(reading));
-    assertNotNull(replica.job(JOB), "a caller may have been answered so");
+    assertNotNull(replica.job(JOB), "a caller may have been answered with the job");
     assertFalse(replica.isLoaded());
     transport.release(ControlledTransport.READ);
     assertNotNull(replica.job(JOB));
@@ -138,9 +143,9 @@
     assertNotNull(replica.job(JOB));
   }
 
-  /** It shows the job without its outcome, which the reload has read already. */
+  /** The answer contains the job without its outcome, which the reload has read already. */
   @Test
-  void aReadThatReturnsAfterAReloadChangesNothing() {
+  void aReadAnsweredAfterAReloadChangesNothing() {
     load();
     accept(JOB);
     transport.interceptNext(ControlledTransport.READ, Interception.HOLD_REPLY);
@@ -154,12 +159,15 @@
     transport.release(ControlledTransport.READ);
     assertTrue(succeeded(reading));
     assertEquals(Outcome.CANCELLED, replica.job(JOB).outcome());
-    assertEquals(confirmed, replica.lastConfirmedAt(), "read earlier than the copy");
+    assertEquals(confirmed, replica.lastConfirmedAt(), "the read was sent earlier than the reload");
   }
 
-  /** A second reload would refuse users again, for a gap that is closed. */
+  /**
+   * The first reload has closed the gap. A second one would only reject the requests of users
+   * again.
+   */
   @Test
-  void aReadFromBeforeAReloadThatFindsTheHistoryGoneStartsNoOther() {
+  void aCompactedReadSentBeforeAReloadStartsNoOtherReload() {
     load();
     accept(JOB);
     transport.replyNext(ControlledTransport.READ, 410, "{}");
--- a/src/test/java/io/cherryspool/store/StoredFormatsTest.java
+++ b/src/test/java/io/cherryspool/store/StoredFormatsTest.java
@@ -23,8 +23,9 @@
 import org.pcollections.PMap;
 
 /**
- * That the records, their keys and the transactions that write them are those of version 0.1.0:
- * each is written as it was then, and what was written then is read and written again unchanged.
+ * Tests that the records, their keys and the transactions that write them have the format of
+ * version 0.1.0: each record is written as in that version, and records written by that version are
+ * read and written again unchanged.
  */
 class StoredFormatsTest {
   private static final Incarnation REBUILDING =
@@ -39,13 +40,15 @@
   private static final Incarnation REBUILT =
       REBUILDING.completed(false, new Incarnation.Manifest(2, "00112233445566778899aabbccddeeff"));
 
-  /** What the bundles of {@link SampleRecords#jobs} hold at most, so that there are several. */
+  /**
+   * The maximum size of a chunk of {@link SampleRecords#jobs}, small enough for several bundles.
+   */
   private static final int CHUNK_BYTES = 420;
 
   private static final int BUNDLES = 2;
 
   @Test
-  void jobs() throws MalformedMessageException {
+  void jobsKeepTheirFormat() throws MalformedMessageException {
     checkJob("job-constrained.json", SampleRecords.CONSTRAINED_JOB);
     checkJob("job-plain.json", SampleRecords.PLAIN_JOB);
   }
@@ -60,7 +63,7 @@
   }
 
   @Test
-  void outcomes() throws MalformedMessageException {
+  void outcomesKeepTheirFormat() throws MalformedMessageException {
     checkOutcome("outcome-done.json", Outcome.DONE);
     checkOutcome("outcome-cancelled.json", Outcome.CANCELLED);
   }
@@ -73,7 +76,7 @@
   }
 
   @Test
-  void progress() throws MalformedMessageException {
+  void progressKeepsItsFormat() throws MalformedMessageException {
     String name = "progress.json";
     assertRecorded(name, Records.encodeShard(SampleRecords.shard()));
     Shard read = Records.decodeShard(readJson(name));
@@ -92,13 +95,13 @@
   }
 
   @Test
-  void terms() throws MalformedMessageException {
+  void termsKeepTheirFormat() throws MalformedMessageException {
     assertRecorded("term.json", Records.encodeTerm(41));
     assertEquals(41, Records.decodeTerm(readJson("term.json")));
   }
 
   @Test
-  void leaders() throws MalformedMessageException {
+  void leadersKeepTheirFormat() throws MalformedMessageException {
     Records.Leader leader = new Records.Leader(41, "node-2", "node-2-life-7", 9_000_000_001L);
     assertRecorded("leader.json", Records.encodeLeader(leader));
     Records.Leader read = Records.decodeLeader(readJson("leader.json"));
@@ -107,7 +110,7 @@
   }
 
   @Test
-  void successors() throws MalformedMessageException {
+  void successorsKeepTheirFormat() throws MalformedMessageException {
     Records.Successor successor = new Records.Successor(41, "node-1", "node-2");
     assertRecorded("successor.json", Records.encodeSuccessor(successor));
     Records.Successor read = Records.decodeSuccessor(readJson("successor.json"));
@@ -116,7 +119,7 @@
   }
 
   @Test
-  void catalogs() throws MalformedMessageException {
+  void catalogsKeepTheirFormat() throws MalformedMessageException {
     assertRecorded("catalog.json", CloudProtocol.encodeCatalog(SampleRecords.CATALOG));
     JsonNode recorded = readJson("catalog.json");
     assertEquals(SampleRecords.CATALOG, CloudProtocol.parseCatalog(recorded));
@@ -125,7 +128,7 @@
   }
 
   @Test
-  void marksOfUnknownAndHeldJobs() throws MalformedMessageException {
+  void markersOfUnknownAndHeldJobsKeepTheirFormat() throws MalformedMessageException {
     assertRecorded("mark.json", Records.presenceMarker());
     assertFalse(Records.isAbandoned(readJson("mark.json")));
     assertRecorded("abandoned.json", Records.abandonedMarker());
@@ -133,7 +136,7 @@
   }
 
   @Test
-  void incarnations() throws MalformedMessageException {
+  void incarnationsKeepTheirFormat() throws MalformedMessageException {
     checkIncarnation("incarnation-first.json", Incarnation.firstInstallation("cluster-1"));
     checkIncarnation("incarnation-rebuilding.json", REBUILDING);
     checkIncarnation("incarnation-rebuilt.json", REBUILT);
@@ -148,7 +151,7 @@
   }
 
   @Test
-  void bundlesOfARebuild() throws MalformedMessageException {
+  void bundlesOfARebuildKeepTheirFormat() throws MalformedMessageException {
     List<byte[]> chunks = RecordsSnapshotCodec.encode(SampleRecords.jobs(), CHUNK_BYTES);
     assertEquals(BUNDLES, chunks.size());
     for (int i = 0; i < BUNDLES; i++) {
@@ -172,9 +175,9 @@
     }
   }
 
-  /** The first incarnation's records and those of a rebuild are under different prefixes. */
+  /** The keys of the first incarnation and those of a rebuild have different prefixes. */
   @Test
-  void keys() {
+  void keysKeepTheirNames() {
     Map<String, String> expected = new LinkedHashMap<>();
     expected.put("c/term", Records.TERM);
     expected.put("c/leader", Records.LEADER);
@@ -196,9 +199,12 @@
     assertEquals("c/jobs/x", space.toLogicalKey("c/@3-9f3a/jobs/x"));
   }
 
-  /** Each names the version of the incarnation's record, and deletes and leases as they are. */
+  /**
+   * Each transaction has the version of the identity record as a condition. Deletions and leases
+   * are written unchanged, except that a record in a bundle is replaced by an empty value.
+   */
   @Test
-  void transactionsUnderTheConditionOfTheIncarnation() {
+  void fencedTransactionsKeepTheirFormat() {
     KeySpace first = new KeySpace();
     first.enter(Incarnation.firstInstallation("cluster-1"), 1);
     assertRecorded("transaction-first.http", first.fencedTransaction(conditions(), changes()));
