--- a/src/main/java/io/cherryspool/recovery/LossDetector.java
+++ b/src/main/java/io/cherryspool/recovery/LossDetector.java
@@ -105,8 +105,7 @@
   @Override
   public void onIncarnationChanged() {
     if (state.isServing()) {
-      LOG.info(
-          "the identity record has changed, the records of the loaded incarnation are no longer served");
+      LOG.info("the identity record has changed; no longer serving the loaded incarnation");
       state.retainReplica();
       state.hold();
     } else {
--- a/src/main/java/io/cherryspool/recovery/RebuildElection.java
+++ b/src/main/java/io/cherryspool/recovery/RebuildElection.java
@@ -17,7 +17,7 @@
   private final ClusterNode node;
   private final RecoveryState state;
 
-  /** The nonce of the rebuild of another node that was seen last. */
+  /** The nonce of the last rebuild by another node that this node has seen. */
   private String observedNonce = "";
 
   /** The time at which the rebuild with {@link #observedNonce} was first seen. */
@@ -64,9 +64,9 @@
   }
 
   private boolean shouldWaitFor(Peer peer, boolean isWithinMaxWait) {
-    // A node that still serves normally detects the loss by this node's revision. If it does not,
-    // only workers have shown the loss. Then everything that the node has acknowledged is still in
-    // the store, and the rebuild reads it from there, so it need not be waited for.
+    // A node that still serves detects the loss by this node's revision, unless only workers have
+    // shown the loss. In that case everything that the other node has acknowledged is still in the
+    // store, where the rebuild reads it, so this node need not wait any longer.
     boolean isServing = peer.retainedRecords().phase() == RetainedRecords.Phase.SERVING;
     return (peer.isStateStoreReachable() || isWithinMaxWait)
         && !(isServing && state.waitingTime().compareTo(timings.twiceGatheringTime()) > 0);
--- a/src/main/java/io/cherryspool/recovery/package-info.java
+++ b/src/main/java/io/cherryspool/recovery/package-info.java
@@ -5,7 +5,7 @@
  *
  * <p>{@link io.cherryspool.recovery.Recovery} is the controller's entry point to the detection and
  * the rebuild. It connects the phase of the node ({@code RecoveryState}), the detection of a loss
- * ({@code LossDetector}), the decision what to do ({@code IncarnationMonitor}, {@code
+ * ({@code LossDetector}), the decision about what to do next ({@code IncarnationMonitor}, {@code
  * RebuildElection}), the rebuild ({@code Rebuilder}) and the contribution of this node's last
  * writes to other nodes' rebuilds ({@code Contributions}). {@link
  * io.cherryspool.recovery.SnapshotWriter} and {@link io.cherryspool.recovery.SnapshotRepository}
--- a/src/main/java/io/cherryspool/store/ClusterRecords.java
+++ b/src/main/java/io/cherryspool/store/ClusterRecords.java
@@ -172,8 +172,8 @@
   RecordsSnapshot snapshot();
 
   /**
-   * Returns changes that write the jobs and outcomes again that were written after a revision.
-   * Empty on a node without rollback detection.
+   * Returns the jobs and outcomes that were written after a revision, as changes that write them
+   * again. Empty on a node without rollback detection.
    */
   List<StateStoreProtocol.Change> immutableRecordsSince(long afterRevision);
 }
--- a/src/main/java/io/cherryspool/store/GroupCommit.java
+++ b/src/main/java/io/cherryspool/store/GroupCommit.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Commits the changes that users request, each a single change, in batches. One transaction is
- * outstanding at a time, and batches stay within the write rate limit. A change that can't be
+ * Commits the changes of users' requests in batches; each request has one change. One transaction
+ * is outstanding at a time, and batches stay within the write rate limit. A change that can't be
  * committed soon is rejected, so that its user can be asked to retry later.
  *
  * <p>Must be used on the event loop.
