--- a/src/test/java/io/cherryspool/controller/rounds/MachineViewCacheTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/MachineViewCacheTest.java
@@ -19,14 +19,14 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Whether planning sees a machine as it is now. */
+/** Tests that cached views show the current state of the machines. */
 class MachineViewCacheTest {
   private static final Duration NOW = Duration.ofSeconds(100);
   private static final Duration MAX_SILENCE = Duration.ofSeconds(5);
   private static final Duration HALF_LEASE = Duration.ofSeconds(8);
 
-  /** A job waits no longer beside a machine that fits. */
-  private static final Duration USERS_WAIT = Duration.ofSeconds(90);
+  /** The longest time that users accept for a job to wait while a suitable machine has room. */
+  private static final Duration MAX_ACCEPTED_WAIT = Duration.ofSeconds(90);
 
   private static final Duration TIME_TO_PLACE = Duration.ofSeconds(10);
 
@@ -62,59 +62,63 @@
         "host-1", "10.0.0.1:1", "box", "a", true, 1, sequence, tokens.current(), null, List.of());
   }
 
-  /** The machine's heartbeat comes and is answered. */
-  private void report(long sequence, Duration now) {
+  /** Accepts a heartbeat of the machine and replies to it. */
+  private void exchangeHeartbeat(long sequence, Duration now) {
     WorkerHeartbeat heartbeat = heartbeat(sequence);
     fleet.accept(heartbeat, now);
     fleet.get("host-1").contact().recordReply(heartbeat, tokens.current(), now);
   }
 
-  private ClusterView.MachineView only(MachineType type) {
-    return only(type, NOW);
+  private ClusterView.MachineView onlyMachine(MachineType type) {
+    return onlyMachine(type, NOW);
   }
 
-  private ClusterView.MachineView only(MachineType type, Duration now) {
+  private ClusterView.MachineView onlyMachine(MachineType type, Duration now) {
     List<ClusterView.MachineView> machines = views.schedulableMachines(List.of(type), now);
     assertEquals(1, machines.size());
     return machines.get(0);
   }
 
-  /** Heartbeats alone do not renew the view of a machine, and prices change all the time. */
+  /**
+   * Calls without a change of the machine return the same view; a new price, which is frequent,
+   * leads to a new view.
+   */
   @Test
-  void aMachinesViewHasTheNewestPriceAndIsOtherwiseKept() {
+  void cachedViewIsRenewedOnlyForANewPrice() {
     fleet.accept(heartbeat(1), NOW);
     MachineType first = box(0.1);
-    ClusterView.MachineView seen = only(first);
+    ClusterView.MachineView seen = onlyMachine(first);
     assertSame(first, seen.type());
-    assertSame(seen, only(first));
+    assertSame(seen, onlyMachine(first));
     MachineType dearer = box(0.2);
-    assertSame(dearer, only(dearer).type());
+    assertSame(dearer, onlyMachine(dearer).type());
   }
 
   /**
-   * A job of which tasks fail now and then once waited for minutes beside the only machines with
-   * room, since each failure kept the whole job from its machine for two more minutes. Seen in seed
-   * 237 of the random faults: tasks of req-000086 failed on each of three machines, two of 64 and
-   * one later, and for 90 s the log said {@code round: job=req-000086 placed=0 over-quota=0
-   * unschedulable=8 cause=excluded-machine}, beside an idle machine. Users accept 90 s.
+   * Guards against a job that waits for minutes although suitable machines have room: each failure
+   * of a task once excluded the whole job from the machine for two more minutes. Observed with seed
+   * 237 of the random faults: tasks of req-000086 failed on each of three machines, two of 64 tasks
+   * and one later, and for 90 s rounds logged {@code round: job=req-000086 placed=0 over-quota=0
+   * unschedulable=8 cause=excluded-machine} although a machine was idle. Users accept waits of 90
+   * s.
    */
   @Test
-  void aFailureKeepsAJobFromAMachineForLessThanUsersWait() {
+  void failureExcludesAJobFromAMachineForLessThanUsersWait() {
     MachineType type = box(0.1);
-    report(1, NOW);
+    exchangeHeartbeat(1, NOW);
     MachineState machine = fleet.get("host-1");
     machine.history().recordJobFailure("req-000001", NOW);
     machine.invalidateView();
-    assertEquals(Set.of("req-000001"), only(type).excludedJobs());
+    assertEquals(Set.of("req-000001"), onlyMachine(type).excludedJobs());
     Duration secondFailure = NOW.plusSeconds(50);
-    report(2, secondFailure);
+    exchangeHeartbeat(2, secondFailure);
     machine.history().recordJobFailure("req-000001", secondFailure);
     machine.invalidateView();
-    Duration beforeUsersComplain = NOW.plus(USERS_WAIT).minus(TIME_TO_PLACE);
-    report(3, beforeUsersComplain);
-    assertEquals(Set.of(), only(type, beforeUsersComplain).excludedJobs());
+    Duration beforeUsersComplain = NOW.plus(MAX_ACCEPTED_WAIT).minus(TIME_TO_PLACE);
+    exchangeHeartbeat(3, beforeUsersComplain);
+    assertEquals(Set.of(), onlyMachine(type, beforeUsersComplain).excludedJobs());
     machine.history().recordJobFailure("req-000001", beforeUsersComplain);
     machine.invalidateView();
-    assertEquals(Set.of("req-000001"), only(type, beforeUsersComplain).excludedJobs());
+    assertEquals(Set.of("req-000001"), onlyMachine(type, beforeUsersComplain).excludedJobs());
   }
 }
--- a/src/test/java/io/cherryspool/controller/rounds/RoundChangeSetBuilderTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/RoundChangeSetBuilderTest.java
@@ -20,7 +20,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a round writes of what it knows: a write for each task's end left none for starts. */
+/**
+ * Tests which changes a round writes. When each end of a task was written separately, no writes
+ * were left for starts.
+ */
 class RoundChangeSetBuilderTest {
   private static final String ID = "req-000001";
   private static final Duration DUE = Duration.ofSeconds(100);
@@ -30,7 +33,7 @@
   private final JobRecord entry = JobRecordFixture.running(job, 3, "host-1");
   private final PendingReleases pendingReleases = new PendingReleases();
 
-  private void ended(int task, TerminationEvidence.Verdict verdict, int at) {
+  private void addRelease(int task, TerminationEvidence.Verdict verdict, int at) {
     Attempt attempt = entry.shard(0).shard().ownedAttempt(task);
     pendingReleases.add(
         new PendingReleases.Release(
@@ -39,51 +42,53 @@
             Duration.ofSeconds(at)));
   }
 
-  private List<ChangeSet> changeSets(RoundChangeSetBuilder transaction) {
-    return transaction.changeSets(List.of(entry), DUE, OVERDUE);
+  private List<ChangeSet> changeSets(RoundChangeSetBuilder builder) {
+    return builder.changeSets(List.of(entry), DUE, OVERDUE);
   }
 
-  private RoundChangeSetBuilder transaction() {
+  private RoundChangeSetBuilder newBuilder() {
     return new RoundChangeSetBuilder(pendingReleases, 8);
   }
 
   @Test
-  void aFreshEndWaitsForAnotherChangeOfItsShard() {
-    ended(0, TerminationEvidence.Verdict.DONE, 101);
-    assertEquals(List.of(), changeSets(transaction()));
-    RoundChangeSetBuilder transaction = transaction();
-    transaction.assign(entry, 3, "host-2", 1, 9);
-    List<ChangeSet> changeSets = changeSets(transaction);
+  void recentReleaseIsWrittenOnlyWithAnotherChangeOfItsShard() {
+    addRelease(0, TerminationEvidence.Verdict.DONE, 101);
+    assertEquals(List.of(), changeSets(newBuilder()));
+    RoundChangeSetBuilder builder = newBuilder();
+    builder.assign(entry, 3, "host-2", 1, 9);
+    List<ChangeSet> changeSets = changeSets(builder);
     assertEquals(1, changeSets.size());
     String value = changeSets.get(0).changes().get(0).value().toString();
     assertTrue(value.contains("\"done\":[0,0]"), value);
     assertTrue(value.contains("[3,\"host-2\",1,1,9]"), value);
     assertEquals(7L, changeSets.get(0).conditions().get(Records.progressKey(ID, 0)));
     assertEquals(
-        0L, changeSets.get(0).conditions().get(Records.outcomeKey(ID)), "not after a cancel");
+        0L,
+        changeSets.get(0).conditions().get(Records.outcomeKey(ID)),
+        "a task must not be started after a cancellation");
   }
 
   @Test
-  void itWaitsAsLongAsWritesAreLimitedButNotForGood() {
-    ended(0, TerminationEvidence.Verdict.DONE, 99);
-    assertEquals(RateLimiter.WriteClass.DEFERRABLE, changeSets(transaction()).get(0).writeClass());
-    ended(1, TerminationEvidence.Verdict.FAILED, 79);
-    assertEquals(RateLimiter.WriteClass.ROUND, changeSets(transaction()).get(0).writeClass());
+  void dueReleaseIsDeferrableUntilItIsOverdue() {
+    addRelease(0, TerminationEvidence.Verdict.DONE, 99);
+    assertEquals(RateLimiter.WriteClass.DEFERRABLE, changeSets(newBuilder()).get(0).writeClass());
+    addRelease(1, TerminationEvidence.Verdict.FAILED, 79);
+    assertEquals(RateLimiter.WriteClass.ROUND, changeSets(newBuilder()).get(0).writeClass());
   }
 
-  /** The freed task is planned again before its release is written. */
+  /** The freed task is assigned again before its release is written. */
   @Test
-  void aReleaseAndTheNextStartOfATaskAreOneWrite() {
-    ended(2, TerminationEvidence.Verdict.LOST, 101);
-    RoundChangeSetBuilder transaction = transaction();
-    transaction.assign(entry, 2, "host-2", 4, 9);
-    String value = changeSets(transaction).get(0).changes().get(0).value().toString();
+  void releaseAndNextStartOfATaskAreOneChange() {
+    addRelease(2, TerminationEvidence.Verdict.LOST, 101);
+    RoundChangeSetBuilder builder = newBuilder();
+    builder.assign(entry, 2, "host-2", 4, 9);
+    String value = changeSets(builder).get(0).changes().get(0).value().toString();
     assertTrue(value.contains("[2,\"host-2\",4,2,9]"), value);
-    assertTrue(value.contains("[2,2,1]"), "the second attempt, and one failure: " + value);
+    assertTrue(value.contains("[2,2,1]"), "expected two attempts and one failure in " + value);
   }
 
   @Test
-  void theLastEndIsWrittenAtOnceAndFirst() {
+  void lastReleaseOfAJobIsWrittenAtOnceAsItsOutcome() {
     JobRecord all =
         JobRecordFixture.running(JobFixture.job(ID, Priority.NORMAL, 2, 1), 2, "host-1");
     for (int task = 0; task < 2; task++) {
@@ -94,14 +99,16 @@
               TerminationEvidence.Verdict.DONE,
               Duration.ofSeconds(101)));
     }
-    List<ChangeSet> changeSets = transaction().changeSets(List.of(all), DUE, OVERDUE);
+    List<ChangeSet> changeSets = newBuilder().changeSets(List.of(all), DUE, OVERDUE);
     assertEquals(1, changeSets.size());
     assertEquals(
         List.of(Records.outcomeKey(ID)),
         changeSets.get(0).changes().stream().map(StateStoreProtocol.Change::key).toList(),
         "one change ends a job");
     assertEquals(
-        0L, changeSets.get(0).conditions().get(Records.outcomeKey(ID)), "unless it is cancelled");
+        0L,
+        changeSets.get(0).conditions().get(Records.outcomeKey(ID)),
+        "a cancelled job must not be recorded as done");
     assertEquals(7L, changeSets.get(0).conditions().get(Records.progressKey(ID, 0)));
     assertEquals(RateLimiter.WriteClass.ROUND, changeSets.get(0).writeClass());
   }
--- a/src/test/java/io/cherryspool/controller/rounds/RoundCommitterTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/RoundCommitterTest.java
@@ -21,24 +21,27 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When a round's outcome is certain: only then may the next one count on the room it sees. */
+/**
+ * Tests when the outcome of a round is reported as known. Before that, the next round must not be
+ * planned, since the records may not show which room is taken.
+ */
 class RoundCommitterTest {
   private static final String SHARD = "c/progress/req-000001/0";
 
   private final VirtualTime time = new VirtualTime();
   private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
-  private final ControlledTransport line = new ControlledTransport(time, state);
+  private final ControlledTransport transport = new ControlledTransport(time, state);
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
   private final StateStoreClient client =
       new StateStoreClient(
-          time, rateLimiter, line, new Endpoint("127.0.0.1", 1), Duration.ofSeconds(1));
+          time, rateLimiter, transport, new Endpoint("127.0.0.1", 1), Duration.ofSeconds(1));
   private final RoundCommitter committer = new RoundCommitter(time, client, rateLimiter, 8, 0);
-  private int certain;
+  private int knownOutcomes;
 
   private void run(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
     while (time.runNextEvent(end)) {
-      // Each step may schedule more.
+      // Each event may schedule more.
     }
   }
 
@@ -47,62 +50,64 @@
         new StateStoreProtocol.Change(SHARD, Json.object().put("x", 1), 0);
     ChangeSet changeSet =
         new ChangeSet(Map.of(SHARD, 0L), List.of(change), 20, RateLimiter.WriteClass.ROUND);
-    committer.commit(List.of(changeSet), () -> certain++);
+    committer.commit(List.of(changeSet), () -> knownOutcomes++);
   }
 
-  /** The second copy meets what the first has written. */
+  /** The second copy conflicts with the change that the first copy has written. */
   @Test
-  void aConflictWithOnesOwnCopyIsCertain() {
-    line.interceptNext(ControlledTransport.COMMIT, Interception.DROP_REPLY);
+  void conflictWithAnEarlierCopyMakesTheOutcomeKnown() {
+    transport.interceptNext(ControlledTransport.COMMIT, Interception.DROP_REPLY);
     commit();
     run(0.2);
     assertNotNull(state.value(SHARD));
-    assertEquals(0, certain);
+    assertEquals(0, knownOutcomes);
     run(0.2);
-    assertEquals(1, certain);
+    assertEquals(1, knownOutcomes);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {429, 503})
-  void whatWasSurelyNotCarriedOutIsCertain(int status) {
-    line.replyNext(ControlledTransport.COMMIT, status, "{}");
+  void refusalOfTheOnlyCopyMakesTheOutcomeKnown(int status) {
+    transport.replyNext(ControlledTransport.COMMIT, status, "{}");
     commit();
     run(0.01);
-    line.release(ControlledTransport.COMMIT);
-    assertEquals(1, certain);
+    transport.release(ControlledTransport.COMMIT);
+    assertEquals(1, knownOutcomes);
     assertNull(state.value(SHARD));
   }
 
   /**
-   * The copies of before may be carried out seconds later. A round planned meanwhile would give the
-   * same room, and the same part of a team's limit, to others.
+   * The earlier copies may still be executed seconds later. A round planned in between would assign
+   * the same room and the same part of a team's quota to other tasks.
    */
   @ParameterizedTest
   @ValueSource(ints = {429, 503})
-  void aCopyThatIsRefusedLeavesTheOnesOfBeforeOpen(int status) {
-    line.interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
-    line.interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
-    line.replyNext(ControlledTransport.COMMIT, status, "{}");
+  void refusalOfALaterCopyLeavesTheOutcomeUnknown(int status) {
+    transport.interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
+    transport.interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
+    transport.replyNext(ControlledTransport.COMMIT, status, "{}");
     commit();
     run(1.7);
     assertEquals(
-        3, line.sentCount(ControlledTransport.COMMIT), "two copies without an answer, and another");
-    line.releaseLast(ControlledTransport.COMMIT);
-    assertEquals(0, certain);
-    line.release(ControlledTransport.COMMIT);
-    assertNotNull(state.value(SHARD), "carried out late");
+        3,
+        transport.sentCount(ControlledTransport.COMMIT),
+        "two copies without an answer, and a refused one");
+    transport.releaseLast(ControlledTransport.COMMIT);
+    assertEquals(0, knownOutcomes);
+    transport.release(ControlledTransport.COMMIT);
+    assertNotNull(state.value(SHARD), "an earlier copy was executed late");
     run(1);
-    assertEquals(1, certain);
+    assertEquals(1, knownOutcomes);
   }
 
   @Test
-  void aStoppedCommitterReportsNothing() {
-    line.interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REPLY);
+  void stoppedCommitterReportsNoOutcome() {
+    transport.interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REPLY);
     commit();
     run(0.01);
     committer.stop();
-    line.release(ControlledTransport.COMMIT);
+    transport.release(ControlledTransport.COMMIT);
     run(5);
-    assertEquals(0, certain);
+    assertEquals(0, knownOutcomes);
   }
 }
--- a/src/test/java/io/cherryspool/model/DurationsTest.java
+++ b/src/test/java/io/cherryspool/model/DurationsTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Durations are multiplied and divided as the JDK does it. */
+/** Tests that durations are multiplied and divided with the same results as in the JDK. */
 class DurationsTest {
   @ParameterizedTest
   @ValueSource(longs = {0, 1, 7, 999_999_999, 1_000_000_001, 86_400_000_000_123L, -5_000_000_000L})
-  void resultsAreThoseOfTheLibrary(long nanos) {
+  void resultsEqualThoseOfTheJdk(long nanos) {
     Duration duration = Duration.ofNanos(nanos);
     for (int factor = 1; factor < 9; factor++) {
       assertEquals(duration.multipliedBy(factor), Durations.multiply(duration, factor));
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void aMultipleOutOfRangeIsRefused() {
+  void multiplyThrowsIfTheResultIsOutOfRange() {
     assertThrows(ArithmeticException.class, () -> Durations.multiply(Duration.ofDays(106_000), 2));
   }
 }
--- a/src/test/java/io/cherryspool/model/JobFixture.java
+++ b/src/test/java/io/cherryspool/model/JobFixture.java
@@ -3,11 +3,14 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** Plain jobs of team red for tests: any machine, no deadline, no checkpoints. */
+/**
+ * Creates simple jobs of team red for tests, which may run on any machine and have no deadline and
+ * no checkpoints.
+ */
 public final class JobFixture {
   private JobFixture() {}
 
-  /** A job that was submitted at the epoch, whose tasks take as many gigabytes as CPUs. */
+  /** Returns a job submitted at the epoch, whose tasks need as many gigabytes of memory as CPUs. */
   public static Job job(String id, Priority priority, int tasks, double cpus) {
     return new Job(
         id,
@@ -30,15 +33,15 @@
         Instant.EPOCH);
   }
 
-  /** A copy of a job in which some components may be changed before it is made. */
-  public static final class Copy {
+  /** Builds a copy of a job in which some components are changed. */
+  public static final class Builder {
     private final Job source;
     private String team;
     private Resources perTask;
     private String requiredZone;
     private boolean requiresSingleZone;
 
-    private Copy(Job source) {
+    private Builder(Job source) {
       this.source = source;
       team = source.team();
       perTask = source.perTask();
@@ -46,22 +49,22 @@
       requiresSingleZone = source.requiresSingleZone();
     }
 
-    public Copy ofTeam(String value) {
+    public Builder withTeam(String value) {
       team = value;
       return this;
     }
 
-    public Copy withResources(Resources value) {
+    public Builder withResources(Resources value) {
       perTask = value;
       return this;
     }
 
-    public Copy boundTo(String zone) {
+    public Builder withRequiredZone(String zone) {
       requiredZone = zone;
       return this;
     }
 
-    public Copy inSingleZone() {
+    public Builder withSingleZoneRequired() {
       requiresSingleZone = true;
       return this;
     }
@@ -89,8 +92,8 @@
     }
   }
 
-  /** A copy of the job. */
-  public static Copy copyOf(Job job) {
-    return new Copy(job);
+  /** Returns a builder of copies of the job. */
+  public static Builder builderFrom(Job job) {
+    return new Builder(job);
   }
 }
--- a/src/test/java/io/cherryspool/model/RecordEqualityTest.java
+++ b/src/test/java/io/cherryspool/model/RecordEqualityTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Records with hand-written equality compare every component, also one that is added later. */
+/**
+ * Tests that records with a hand-written {@code equals} compare every component. The test fails if
+ * a component is added to a record without a variant that differs in it.
+ */
 class RecordEqualityTest {
   private static final TaskId TASK = new TaskId("req-000001", 3);
   private static final Resources SIZE = new Resources(4, 0, 8);
@@ -88,7 +91,7 @@
 
   @ParameterizedTest
   @MethodSource({"tasksAndCommands", "machinesAndAddresses"})
-  void comparesEveryComponent(Supplier<Record> original, List<Record> variants) {
+  void equalsComparesEveryComponent(Supplier<Record> original, List<Record> variants) {
     Record first = original.get();
     assertEquals(first, original.get());
     assertEquals(first.hashCode(), original.get().hashCode());
--- a/src/test/java/io/cherryspool/scheduler/ClusterFixture.java
+++ b/src/test/java/io/cherryspool/scheduler/ClusterFixture.java
@@ -16,19 +16,20 @@
 import java.util.Set;
 
 /**
- * Clusters of one team for tests, all of whose use is beyond its guaranteed quota: nothing was
- * unschedulable before, and the service-level objectives measure no multiples of deadlines.
+ * Creates views of clusters with one team for tests. The team is not within its guaranteed quota,
+ * no job was unschedulable in the previous round, and the service-level objectives measure no
+ * multiples of deadlines.
  */
 final class ClusterFixture {
-  /** The team of all jobs, without a quota. */
-  static final Team UNBOUNDED_TEAM = new Team("red", 0, 0, 0, 0);
+  /** The team of all jobs, without a quota limit. */
+  static final Team TEAM_WITHOUT_QUOTA = new Team("red", 0, 0, 0, 0);
 
   private ClusterFixture() {}
 
   /**
-   * A cluster in which both clocks show the same.
+   * Returns a view in which the wall clock and the monotonic clock show the same time.
    *
-   * @param nowSeconds the time of day since the epoch, and the steady clock's time
+   * @param nowSeconds the time of both clocks, in seconds; the wall clock counts from the epoch
    */
   static ClusterView view(
       int nowSeconds,
@@ -53,12 +54,15 @@
         Map.of());
   }
 
-  /** A job of which no task was ever started. */
+  /** Returns a view of a job of which no task was ever started. */
   static JobView notStarted(Job job) {
     return new JobView(job, pendingTasks(0, job.taskCount()), Map.of(), 0, false);
   }
 
-  /** First attempts of the tasks from the first to the last, which is not included. */
+  /**
+   * Returns pending tasks that were never started, with the indices from {@code first} inclusive to
+   * {@code end} exclusive.
+   */
   static List<PendingTask> pendingTasks(int first, int end) {
     List<PendingTask> tasks = new ArrayList<>();
     for (int index = first; index < end; index++) {
@@ -67,7 +71,7 @@
     return tasks;
   }
 
-  /** An ordinary instance in zone a, without images, that runs these tasks alone. */
+  /** Returns an on-demand instance in zone a, without images, that runs only these tasks. */
   static MachineView machine(String name, MachineType type, List<RunningTask> runningTasks) {
     Resources free = type.capacity();
     for (RunningTask task : runningTasks) {
@@ -76,7 +80,7 @@
     return machine(name, type, free, runningTasks);
   }
 
-  /** An ordinary instance in zone a, without images, with these free resources. */
+  /** Returns an on-demand instance in zone a, without images, with these free resources. */
   static MachineView machine(
       String name, MachineType type, Resources free, List<RunningTask> runningTasks) {
     return new MachineView(name, type, "a", false, false, free, Set.of(), Set.of(), runningTasks);
--- a/src/test/java/io/cherryspool/scheduler/HoldCauseTest.java
+++ b/src/test/java/io/cherryspool/scheduler/HoldCauseTest.java
@@ -1,7 +1,7 @@
 package io.cherryspool.scheduler;
 
 import static io.cherryspool.model.JobFixture.job;
-import static io.cherryspool.scheduler.ClusterFixture.UNBOUNDED_TEAM;
+import static io.cherryspool.scheduler.ClusterFixture.TEAM_WITHOUT_QUOTA;
 import static io.cherryspool.scheduler.ClusterFixture.notStarted;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -21,7 +21,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** A plan says of each task that it leaves waiting why it does. */
+/** Tests the cause that a plan reports for each pending task that it does not place. */
 class HoldCauseTest {
   private static final MachineType TYPE =
       new MachineType(
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void theQuota() {
+  void causeIsOverQuotaForTasksBeyondTheTeamsQuota() {
     Job job = job("req-000001", Priority.NORMAL, 5, 2);
     assertEquals(
         Map.of(HoldCause.OVER_QUOTA, 3),
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void noMachineWithRoom() {
+  void causeIsNoMachineIfNoMachineHasRoom() {
     Job job = job("req-000001", Priority.NORMAL, 2, 4);
     Job smaller = job("req-000002", Priority.LOW, 2, 4);
     assertEquals(
@@ -78,11 +78,11 @@
         heldTasks(
             List.of(started(job), started(smaller)),
             List.of(machine("a", 4, Set.of())),
-            UNBOUNDED_TEAM));
+            TEAM_WITHOUT_QUOTA));
   }
 
   @Test
-  void aMachineThatIsReserved() {
+  void causeIsReservedMachineIfTheMachineWithRoomIsReserved() {
     Job large = job("req-000001", Priority.NORMAL, 1, 8);
     Job small = job("req-000002", Priority.HIGH, 3, 2);
     assertEquals(
@@ -90,27 +90,31 @@
         heldTasks(
             List.of(notStarted(large), started(small)),
             List.of(machine("a", 7, Set.of())),
-            UNBOUNDED_TEAM));
+            TEAM_WITHOUT_QUOTA));
   }
 
   @Test
-  void aMachineOnWhichTheJobFailed() {
+  void causeIsExcludedMachineIfTheJobFailedOnTheMachineWithRoom() {
     Job job = job("req-000001", Priority.NORMAL, 2, 2);
     assertEquals(
         Map.of(HoldCause.EXCLUDED_MACHINE, 2),
         heldTasks(
-            List.of(started(job)), List.of(machine("a", 8, Set.of("req-000001"))), UNBOUNDED_TEAM));
+            List.of(started(job)),
+            List.of(machine("a", 8, Set.of("req-000001"))),
+            TEAM_WITHOUT_QUOTA));
   }
 
   @Test
-  void theZoneOfTheOtherTasks() {
+  void causeIsZoneConstraintIfTheZoneOfTheOtherTasksIsFull() {
     Job sameZone =
-        JobFixture.copyOf(job("req-000001", Priority.NORMAL, 4, 4)).inSingleZone().build();
+        JobFixture.builderFrom(job("req-000001", Priority.NORMAL, 4, 4))
+            .withSingleZoneRequired()
+            .build();
     assertEquals(
         Map.of(HoldCause.ZONE_CONSTRAINT, 2),
         heldTasks(
             List.of(started(sameZone)),
             List.of(machine("a", 8, Set.of()), machine("b", 8, Set.of())),
-            UNBOUNDED_TEAM));
+            TEAM_WITHOUT_QUOTA));
   }
 }
--- a/src/test/java/io/cherryspool/scheduler/ManySmallJobsTest.java
+++ b/src/test/java/io/cherryspool/scheduler/ManySmallJobsTest.java
@@ -1,6 +1,6 @@
 package io.cherryspool.scheduler;
 
-import static io.cherryspool.scheduler.ClusterFixture.UNBOUNDED_TEAM;
+import static io.cherryspool.scheduler.ClusterFixture.TEAM_WITHOUT_QUOTA;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -19,7 +19,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Hundreds of jobs with one task each neither make a plan expensive nor hold up urgent work. */
+/**
+ * Tests that hundreds of jobs with one task each neither make planning expensive nor delay urgent
+ * work.
+ */
 class ManySmallJobsTest {
   private static final int SMALL_JOBS = 700;
   private static final Duration MAX_START_DELAY = Duration.ofSeconds(150);
@@ -51,15 +54,16 @@
 
   private RoundPlan plan(int now) {
     return PlacementPlanner.plan(
-        ClusterFixture.view(now, MAX_START_DELAY, jobs, machines, UNBOUNDED_TEAM, Map.of(), TYPE));
+        ClusterFixture.view(
+            now, MAX_START_DELAY, jobs, machines, TEAM_WITHOUT_QUOTA, Map.of(), TYPE));
   }
 
   /**
-   * Each of 700 jobs once examined each of 400 machines, 220,057 times in all, and a round took 140
-   * ms of a quarter of a core.
+   * Guards against examining all machines for each job. A round with 700 jobs and 400 machines once
+   * made 220,057 examinations and took 140 ms on a quarter of a core.
    */
   @Test
-  void aPlanCostsWhatIsPlacedAndNotWhatWaits() {
+  void planningCostDependsOnPlacedTasksNotOnWaitingJobs() {
     addSmallJobs();
     Job array = smallTasks("req-900000", 25_000);
     jobs.add(new JobView(array, ClusterFixture.pendingTasks(0, 512), Map.of(), 0, true));
@@ -68,12 +72,15 @@
     }
     RoundPlan plan = plan(20);
     assertEquals(1212, plan.assignments().size());
-    assertTrue(plan.machinesExamined() < 4_000, "examined " + plan.machinesExamined());
+    assertTrue(plan.machinesExamined() < 4_000, "machines examined: " + plan.machinesExamined());
   }
 
-  /** All once exceeded the start delay in the same minute, and came before all urgent work. */
+  /**
+   * Hundreds of small jobs once exceeded the maximum start delay in the same minute, and were all
+   * placed before urgent work.
+   */
   @Test
-  void jobsThatAgeTogetherArePromotedOneAtATime() {
+  void onlyOneOfManyEqualLateJobsIsPromoted() {
     addSmallJobs();
     Job urgent = JobFixture.job("req-900000", Priority.HIGH, 40, 1);
     jobs.add(ClusterFixture.notStarted(urgent));
@@ -81,7 +88,10 @@
     RoundPlan plan = plan(160);
     long urgentTasks =
         plan.assignments().stream().filter(item -> item.jobId().equals(urgent.id())).count();
-    assertEquals("req-000000", plan.assignments().get(0).jobId(), "one aged job is promoted");
-    assertEquals(15, urgentTasks, "urgent work has all 16 CPUs but that of the promoted task");
+    assertEquals("req-000000", plan.assignments().get(0).jobId(), "one late job is promoted");
+    assertEquals(
+        15,
+        urgentTasks,
+        "urgent work gets all 16 CPUs except the one that the promoted task is on");
   }
 }
--- a/src/test/java/io/cherryspool/scheduler/PlacementPlannerTest.java
+++ b/src/test/java/io/cherryspool/scheduler/PlacementPlannerTest.java
@@ -25,7 +25,9 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Assignments follow the queue's order, and keep to quotas, free resources and constraints. */
+/**
+ * Tests that assignments follow the queue order and respect quotas, free resources and constraints.
+ */
 class PlacementPlannerTest {
   private static final List<String> ZONES = List.of("a", "b", "c");
   private static final MachineType SMALL = type("small", 4);
@@ -51,7 +53,7 @@
   }
 
   @Test
-  void higherPriorityIsPlacedFirstAndTheQuotaHolds() {
+  void higherPriorityIsPlacedFirstWithinTheQuota() {
     Job normal = job("req-000001", Priority.NORMAL, 4, 4);
     Job high = job("req-000002", Priority.HIGH, 2, 4);
     RoundPlan plan =
@@ -66,7 +68,7 @@
   }
 
   @Test
-  void randomPlansKeepToEveryConstraint() {
+  void randomPlansSatisfyAllConstraints() {
     for (int seed = 0; seed < RANDOM_CLUSTERS; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       Map<String, JobView> jobs = new HashMap<>();
@@ -135,22 +137,29 @@
     for (RoundPlan.Assignment item : plan.assignments()) {
       Job job = jobs.get(item.jobId()).job();
       MachineView machine = machines.get(item.machine());
-      assertTrue(placed.add(new TaskId(item.jobId(), item.taskIndex())), "twice, " + cluster);
+      assertTrue(
+          placed.add(new TaskId(item.jobId(), item.taskIndex())), "task placed twice, " + cluster);
       assertTrue(
           PlacementConstraints.allows(job, machine.type(), machine.zone(), machine.isSpot()),
           "machine not allowed, " + cluster);
       usageByMachine.merge(machine.name(), job.perTask(), Resources::plus);
-      assertTrue(usageByMachine.get(machine.name()).fitsIn(machine.free()), "too full, " + cluster);
+      assertTrue(
+          usageByMachine.get(machine.name()).fitsIn(machine.free()),
+          "free resources exceeded, " + cluster);
       Map<String, Integer> byZone = tasksByZone.computeIfAbsent(job.id(), key -> new HashMap<>());
       byZone.merge(machine.zone(), 1, Integer::sum);
-      assertTrue(byZone.get(machine.zone()) <= job.maxTasksPerZone(), "not spread, " + cluster);
-      assertTrue(!job.requiresSingleZone() || byZone.size() == 1, "several zones, " + cluster);
+      assertTrue(
+          byZone.get(machine.zone()) <= job.maxTasksPerZone(),
+          "too many tasks in one zone, " + cluster);
+      assertTrue(
+          !job.requiresSingleZone() || byZone.size() == 1,
+          "tasks of a single-zone job in several zones, " + cluster);
       total = total.plus(job.perTask());
     }
-    assertTrue(team.isWithinQuota(total), "beyond the quota, " + cluster);
+    assertTrue(team.isWithinQuota(total), "team quota exceeded, " + cluster);
   }
 
-  /** The cost of a plan once was the product of all machines and all tasks. */
+  /** Guards against a planning cost that is the product of the numbers of machines and tasks. */
   @Test
   void machinesWithRoomAreExaminedOnceForAllEqualTasks() {
     List<MachineView> machines = new ArrayList<>();
@@ -162,8 +171,8 @@
     for (int i = 0; i < 50; i++) {
       jobs.add(notStarted(job(String.format("req-%06d", i), Priority.NORMAL, 60, 4)));
     }
-    RoundPlan plan = plan(jobs, machines, ClusterFixture.UNBOUNDED_TEAM);
+    RoundPlan plan = plan(jobs, machines, ClusterFixture.TEAM_WITHOUT_QUOTA);
     assertEquals(10, plan.assignments().size());
-    assertTrue(plan.machinesExamined() <= 20, "examined " + plan.machinesExamined());
+    assertTrue(plan.machinesExamined() <= 20, "machines examined: " + plan.machinesExamined());
   }
 }
--- a/src/test/java/io/cherryspool/scheduler/PreemptionTest.java
+++ b/src/test/java/io/cherryspool/scheduler/PreemptionTest.java
@@ -1,7 +1,7 @@
 package io.cherryspool.scheduler;
 
 import static io.cherryspool.model.JobFixture.job;
-import static io.cherryspool.scheduler.ClusterFixture.UNBOUNDED_TEAM;
+import static io.cherryspool.scheduler.ClusterFixture.TEAM_WITHOUT_QUOTA;
 import static io.cherryspool.scheduler.ClusterFixture.machine;
 import static io.cherryspool.scheduler.ClusterFixture.notStarted;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -24,7 +24,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Only work of lower priority is preempted, where that lets a pending task in and loses least. */
+/**
+ * Tests that only tasks of lower priority are preempted, only if a pending task then has room, and
+ * where the loss is least.
+ */
 class PreemptionTest {
   private static final int NOW_SECONDS = 100;
   private static final MachineType TYPE =
@@ -39,7 +42,7 @@
           List.of("a", "b", "c"));
 
   private static RoundPlan plan(Job pending, List<MachineView> machines) {
-    return plan(pending, machines, UNBOUNDED_TEAM, Map.of());
+    return plan(pending, machines, TEAM_WITHOUT_QUOTA, Map.of());
   }
 
   private static RoundPlan plan(
@@ -60,7 +63,10 @@
         new TaskId(job.id(), index), job, Duration.ofSeconds(NOW_SECONDS - forSeconds), false);
   }
 
-  /** Three tasks of normal priority, and one of high priority that has run for longest. */
+  /**
+   * Returns a machine with three tasks of normal priority, and one of high priority that has run
+   * the longest.
+   */
   private static MachineView fullMachine() {
     Job normal = job("req-000001", Priority.NORMAL, 4, 4);
     Job high = job("req-000003", Priority.HIGH, 4, 4);
@@ -75,7 +81,7 @@
   }
 
   @Test
-  void theTasksOfLowerPriorityThatHaveRunLeastAreVictims() {
+  void lowerPriorityTasksWithTheShortestRunsArePreempted() {
     RoundPlan plan = plan(job("req-000002", Priority.HIGH, 1, 8), List.of(fullMachine()));
     assertEquals(
         Set.of(new TaskId("req-000001", 1), new TaskId("req-000001", 2)),
@@ -83,17 +89,17 @@
   }
 
   @Test
-  void nothingIsPreemptedIfAllLowerWorkWouldNotMakeEnoughRoom() {
+  void nothingIsPreemptedIfAllLowerPriorityTasksMakeTooLittleRoom() {
     RoundPlan plan = plan(job("req-000004", Priority.HIGH, 1, 16), List.of(fullMachine()));
     assertEquals(List.of(), plan.victims());
   }
 
   /**
-   * Urgent tasks once preempted where that lost a little less, and then fetched their image for
-   * longer than they ran.
+   * Urgent tasks were once placed where preemption lost slightly less work, and then took longer to
+   * fetch their image than to run.
    */
   @Test
-  void aMachineWithTheImageIsPreferredToALittleLessLoss() {
+  void machineWithTheImageIsPreferredToSlightlySmallerLoss() {
     List<MachineView> machines = new ArrayList<>();
     for (String image : List.of("img", "other")) {
       Job normal = job("req-00001" + machines.size(), Priority.NORMAL, 2, 8);
@@ -116,9 +122,9 @@
         plan.victims().stream().map(victim -> victim.task().jobId()).toList());
   }
 
-  /** An urgent job once waited for its own team's long tasks, which used up the team's quota. */
+  /** An urgent job once waited for long tasks of its own team, which used up the team's quota. */
   @Test
-  void aTeamsOwnLowerWorkIsPreemptedAtTheTeamsQuota() {
+  void lowerPriorityTasksOfTheTeamArePreemptedWhenItsQuotaIsUsedUp() {
     Job normal = job("req-000001", Priority.NORMAL, 2, 4);
     RoundPlan plan =
         plan(
@@ -126,7 +132,7 @@
             List.of(machine("m", TYPE, List.of(running(normal, 0, 5), running(normal, 1, 6)))),
             new Team("red", 0, 10, 0, 0),
             Map.of("red", normal.perTask().times(2)));
-    assertEquals(1, plan.assignments().size(), "what the quota still allows");
+    assertEquals(1, plan.assignments().size(), "the quota allows one task without preemption");
     assertEquals(
         List.of(new TaskId("req-000001", 0)),
         plan.victims().stream().map(RoundPlan.Victim::task).toList(),
@@ -134,13 +140,15 @@
   }
 
   /**
-   * A task that is being stopped was added to its team's use, where the view named no use of the
-   * team, and so made the team look as if it had borrowed. Found by reading; the program's own
-   * views name the use of each team whose tasks they show.
+   * A task that is being stopped was once added to its team's usage if the view contained no usage
+   * of the team, so that the team seemed to exceed its guaranteed quota. The fault was found by
+   * code review; the views that the leader builds contain the usage of each team with running
+   * tasks.
    */
   @Test
-  void aTaskThatIsBeingStoppedNeverAddsToItsTeamsUse() {
-    Job blue = JobFixture.copyOf(job("req-000001", Priority.HIGH, 2, 4)).ofTeam("blue").build();
+  void stoppingTaskDoesNotAddToItsTeamsUsage() {
+    Job blue =
+        JobFixture.builderFrom(job("req-000001", Priority.HIGH, 2, 4)).withTeam("blue").build();
     RunningTask stopping =
         new RunningTask(new TaskId(blue.id(), 0), blue, Duration.ZERO, /* isStopping= */ true);
     MachineView machine =
--- a/src/test/java/io/cherryspool/scheduler/QuotaFixture.java
+++ b/src/test/java/io/cherryspool/scheduler/QuotaFixture.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Plans of one team with a quota, on machines of two zones. */
+/** Creates plans for one team with a quota, on machines in two zones. */
 final class QuotaFixture {
   static final MachineType TYPE =
       new MachineType(
@@ -32,9 +32,9 @@
   static final int BEFORE_PROMOTION_S = 100;
   static final int AFTER_PROMOTION_S = 200;
 
-  /** A job that may run in one zone only. */
-  static Job boundTo(String zone, Job job) {
-    return JobFixture.copyOf(job).boundTo(zone).build();
+  /** Returns a copy of the job that may run only in this zone. */
+  static Job withRequiredZone(String zone, Job job) {
+    return JobFixture.builderFrom(job).withRequiredZone(zone).build();
   }
 
   static Job job(String id, Priority priority, int tasks, double cpus) {
@@ -64,12 +64,12 @@
         ClusterFixture.view(nowSeconds, MAX_START_DELAY, jobs, machines, team, usage, TYPE));
   }
 
-  static long placed(RoundPlan plan, Job job) {
+  static long placedCount(RoundPlan plan, Job job) {
     return plan.assignments().stream().filter(item -> item.jobId().equals(job.id())).count();
   }
 
   static Job withResources(Job job, Resources perTask) {
-    return JobFixture.copyOf(job).withResources(perTask).build();
+    return JobFixture.builderFrom(job).withResources(perTask).build();
   }
 
   static ClusterView withLentUsage(ClusterView view, Resources lent) {
--- a/src/test/java/io/cherryspool/scheduler/QuotaPreemptionTest.java
+++ b/src/test/java/io/cherryspool/scheduler/QuotaPreemptionTest.java
@@ -3,13 +3,13 @@
 import static io.cherryspool.scheduler.ClusterFixture.notStarted;
 import static io.cherryspool.scheduler.QuotaFixture.BEFORE_PROMOTION_S;
 import static io.cherryspool.scheduler.QuotaFixture.TYPE;
-import static io.cherryspool.scheduler.QuotaFixture.boundTo;
 import static io.cherryspool.scheduler.QuotaFixture.idleMachine;
 import static io.cherryspool.scheduler.QuotaFixture.job;
 import static io.cherryspool.scheduler.QuotaFixture.machine;
-import static io.cherryspool.scheduler.QuotaFixture.placed;
+import static io.cherryspool.scheduler.QuotaFixture.placedCount;
 import static io.cherryspool.scheduler.QuotaFixture.plan;
 import static io.cherryspool.scheduler.QuotaFixture.running;
+import static io.cherryspool.scheduler.QuotaFixture.withRequiredZone;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -25,12 +25,12 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Tasks are preempted for a team's quota only where the pending one then runs. */
+/** Tests that tasks are preempted for lack of team quota only if the pending task can run then. */
 class QuotaPreemptionTest {
-  /** An urgent task that is about to get a machine must not find its quota used up. */
+  /** The quota of an urgent task must not be used up by others while its machine is made free. */
   @Test
-  void aTaskForWhichOthersArePreemptedKeepsItsQuota() {
-    Job urgent = boundTo("b", job("req-000001", Priority.HIGH, 1, 16));
+  void taskKeepsItsQuotaWhileOthersArePreemptedForIt() {
+    Job urgent = withRequiredZone("b", job("req-000001", Priority.HIGH, 1, 16));
     Job low = job("req-000002", Priority.LOW, 1, 16);
     Job normal = job("req-000003", Priority.NORMAL, 1, 16);
     RoundPlan plan =
@@ -43,13 +43,15 @@
             new Team("red", 0, 32, 0, 0),
             Map.of("red", low.perTask()));
     assertEquals(1, plan.victims().size());
-    assertEquals(0, placed(plan, normal));
+    assertEquals(0, placedCount(plan, normal));
   }
 
-  /** Its team's task would be stopped, and the urgent one would still lack a machine. */
+  /**
+   * Otherwise a task of the team would be stopped, and the urgent task would still lack a machine.
+   */
   @Test
-  void noTaskIsPreemptedForQuotaThatCannotBeUsed() {
-    Job urgent = boundTo("b", job("req-000001", Priority.HIGH, 1, 8));
+  void nothingIsPreemptedForQuotaIfThePendingTaskHasNoRoom() {
+    Job urgent = withRequiredZone("b", job("req-000001", Priority.HIGH, 1, 8));
     Job other = job("req-000002", Priority.HIGH, 1, 14);
     Job normal = job("req-000003", Priority.NORMAL, 1, 2);
     RoundPlan plan =
@@ -63,10 +65,10 @@
     assertEquals(List.of(), plan.victims());
   }
 
-  /** Room alone does not help an urgent task if its team's quota is used up in another zone. */
+  /** An urgent task with room on a machine needs quota that its team uses in another zone. */
   @Test
-  void quotaIsFreedOnAnyMachineWhereTheUrgentTaskHasRoom() {
-    Job urgent = boundTo("b", job("req-000001", Priority.HIGH, 1, 8));
+  void taskIsPreemptedForQuotaInAnotherZoneThanThePendingTasks() {
+    Job urgent = withRequiredZone("b", job("req-000001", Priority.HIGH, 1, 8));
     Job normal = job("req-000002", Priority.NORMAL, 1, 8);
     RoundPlan plan =
         plan(
@@ -83,13 +85,13 @@
   }
 
   /**
-   * An urgent job that no preemption helps must not have its team's other work stopped and started
-   * by turns.
+   * An urgent job for which preemption cannot make room must not cause other work of its team to be
+   * stopped and restarted again and again.
    */
   @Test
-  void jobsDoNotPreemptEachOtherByTurns() {
-    Job urgent = boundTo("b", job("req-000001", Priority.HIGH, 1, 12));
-    Job normal = boundTo("b", job("req-000002", Priority.NORMAL, 1, 4));
+  void jobWithoutAchievableRoomDoesNotPreemptInEveryOtherRound() {
+    Job urgent = withRequiredZone("b", job("req-000001", Priority.HIGH, 1, 12));
+    Job normal = withRequiredZone("b", job("req-000002", Priority.NORMAL, 1, 4));
     Job other = job("req-000003", Priority.HIGH, 1, 12);
     boolean isRunning = false;
     int victims = 0;
@@ -109,10 +111,10 @@
               List.of(machine("m1", "b", TYPE.capacity().minus(used), runningTasks)),
               new Team("red", 0, 26, 0, 0),
               Map.of("red", used));
-      isRunning = (isRunning || placed(plan, normal) == 1) && plan.victims().isEmpty();
+      isRunning = (isRunning || placedCount(plan, normal) == 1) && plan.victims().isEmpty();
       victims += plan.victims().size();
     }
     assertEquals(0, victims);
-    assertTrue(isRunning, "the normal task runs in the room that the urgent one can't use");
+    assertTrue(isRunning, "the normal task runs in the room that is too small for the urgent task");
   }
 }
--- a/src/test/java/io/cherryspool/scheduler/ScalingPlannerTest.java
+++ b/src/test/java/io/cherryspool/scheduler/ScalingPlannerTest.java
@@ -21,16 +21,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The fleet follows the demand: the cheapest machines that it needs, and none beyond. */
+/**
+ * Tests that the fleet follows the demand: the cheapest sufficient machines, and none beyond the
+ * demand.
+ */
 class ScalingPlannerTest {
   private static final MachineType SMALL = type("small", 4);
   private static final MachineType LARGE = type("large", 16);
   private static final Offering SMALL_SPOT = new Offering(SMALL, "a", true);
   private static final Offering LARGE_SPOT = new Offering(LARGE, "a", true);
-  private static final Offering LARGE_ORDINARY = new Offering(LARGE, "a", false);
+  private static final Offering LARGE_ON_DEMAND = new Offering(LARGE, "a", false);
   private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
 
-  /** Boots in 30 s; an ordinary CPU costs 1 and a spot CPU a half, less in the larger type. */
+  /**
+   * Returns a machine type that boots in 30 s. An on-demand CPU costs 1 and a spot CPU 0.5, and
+   * slightly less in the larger type.
+   */
   private static MachineType type(String name, double cpus) {
     double price = cpus == 16 ? 15 : cpus;
     return new MachineType(
@@ -44,7 +50,7 @@
         List.of("a"));
   }
 
-  /** Twenty tasks of four CPUs each. */
+  /** Returns a job of twenty tasks with four CPUs each. */
   private static Job job() {
     return JobFixture.job("req-000001", Priority.NORMAL, 20, 4);
   }
@@ -77,15 +83,16 @@
         .scaleOut();
   }
 
-  /** Machines of 16 CPUs that complete the work in the backlog time of 45 s. */
+  /** Expects as many machines of 16 CPUs as complete the work in the backlog drain time of 45 s. */
   @ParameterizedTest
   @CsvSource({"45, 1", "720, 1", "721, 2", "1440, 2", "1441, 3", "10000, 5"})
-  void machinesAreRequestedForWhatWouldWaitTooLong(double cpuSeconds, int machines) {
+  void machinesAreRequestedForWorkThatWouldExceedTheBacklogDrainTime(
+      double cpuSeconds, int machines) {
     assertEquals(Map.of(LARGE_SPOT, machines), scaleOutForTasks(cpuSeconds));
   }
 
   @Test
-  void theNextCheapestOfferingIsRequestedWhenOneIsUnavailable() {
+  void nextCheapestOfferingIsRequestedWhenTheCheapestIsUnavailable() {
     assertEquals(Map.of(SMALL_SPOT, 1), scaleOutForTasks(45, LARGE_SPOT));
   }
 
@@ -94,15 +101,15 @@
     assertEquals(
         Map.of(),
         scaleOutForTasks(
-            45, SMALL_SPOT, LARGE_SPOT, LARGE_ORDINARY, new Offering(SMALL, "a", false)));
+            45, SMALL_SPOT, LARGE_SPOT, LARGE_ON_DEMAND, new Offering(SMALL, "a", false)));
   }
 
   @Test
-  void oneSpotInstanceAtATimeReplacesOrdinaryOnesThatAreNeeded() {
+  void oneSpotInstanceAtATimeReplacesNeededOnDemandInstances() {
     List<ActiveMachine> machines =
         List.of(
-            new ActiveMachine("host-1", LARGE_ORDINARY, 16, null),
-            new ActiveMachine("host-2", LARGE_ORDINARY, 16, null));
+            new ActiveMachine("host-1", LARGE_ON_DEMAND, 16, null),
+            new ActiveMachine("host-2", LARGE_ON_DEMAND, 16, null));
     Decision decision =
         ScalingPlanner.decide(
             view(List.of(), machines, List.of(new JobDemand(job(), 30, 0, 0)), Set.of()));
@@ -110,19 +117,21 @@
   }
 
   @Test
-  void theMostExpensiveMachinesBeyondTheDemandAreDrained() {
+  void mostExpensiveMachinesBeyondTheDemandAreDrained() {
     List<ActiveMachine> machines =
         List.of(
             new ActiveMachine("host-1", LARGE_SPOT, 16, null),
-            new ActiveMachine("host-2", LARGE_ORDINARY, 16, null),
-            new ActiveMachine("host-3", LARGE_ORDINARY, 4, null));
+            new ActiveMachine("host-2", LARGE_ON_DEMAND, 16, null),
+            new ActiveMachine("host-3", LARGE_ON_DEMAND, 4, null));
     Decision decision =
         ScalingPlanner.decide(
             view(List.of(), machines, List.of(new JobDemand(job(), 24, 0, 0)), Set.of()));
     assertEquals(Set.of("host-3"), decision.draining());
   }
 
-  /** A machine is drained if there is no demand for it. */
+  /**
+   * Without demand the machine is draining, which shortens the idle time after which it is deleted.
+   */
   @ParameterizedTest
   @CsvSource({
     "true,  false, false, 119, false",
@@ -134,13 +143,13 @@
     "true,  true,  true,  59,  false",
     "true,  true,  true,  60,  true"
   })
-  void anIdleMachineIsDeletedAfterATimeThatDependsOnItsUse(
+  void idleTimeBeforeDeletionDependsOnSpotAndDemand(
       boolean isSpot,
       boolean isNeeded,
       boolean isWorkUnschedulable,
       int idleSeconds,
       boolean isDeleted) {
-    Offering offering = isSpot ? LARGE_SPOT : LARGE_ORDINARY;
+    Offering offering = isSpot ? LARGE_SPOT : LARGE_ON_DEMAND;
     List<RoundPlan.TaskGroup> unschedulable =
         isWorkUnschedulable ? List.of(new RoundPlan.TaskGroup(job(), 1)) : List.of();
     Decision decision =
@@ -154,12 +163,12 @@
   }
 
   /**
-   * A job that fits no machine type, accepted before the types were known or when there were
-   * others, once made instances be requested for tasks that run well where they are. Found by
-   * reading.
+   * A job that fits no machine type may have been accepted before the types were known or when
+   * there were other types. Such a job once caused requests of instances for running tasks that did
+   * not need them. Found by code review.
    */
   @Test
-  void aJobThatFitsNoMachineTypeMovesNoOthers() {
+  void jobThatFitsNoMachineTypeCausesNoRequestsForRunningTasks() {
     Job impossible = JobFixture.job("req-000002", Priority.NORMAL, 1, 100);
     Job running = JobFixture.job("req-000003", Priority.NORMAL, 4, 1);
     FleetView view =
--- a/src/test/java/io/cherryspool/scheduler/StarvationTest.java
+++ b/src/test/java/io/cherryspool/scheduler/StarvationTest.java
@@ -1,7 +1,7 @@
 package io.cherryspool.scheduler;
 
 import static io.cherryspool.model.JobFixture.job;
-import static io.cherryspool.scheduler.ClusterFixture.UNBOUNDED_TEAM;
+import static io.cherryspool.scheduler.ClusterFixture.TEAM_WITHOUT_QUOTA;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -27,7 +27,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** No job starves while more urgent and smaller work keeps arriving, second by second. */
+/** Tests that no job starves while more urgent and smaller jobs arrive every second. */
 class StarvationTest {
   private static final MachineType TYPE =
       new MachineType(
@@ -37,7 +37,7 @@
   private static final int RUN_SECONDS = 12;
   private static final int JOBS_PER_SECOND = 3;
 
-  /** A task that was placed and has not ended. */
+  /** The placement of a task that has not ended. */
   private record Placed(String machine, int startedAt) {}
 
   private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -73,7 +73,7 @@
     return job;
   }
 
-  /** Submits small jobs in each second, and plans a round. */
+  /** Submits small jobs and plans a round in each second. */
   private void run(int seconds, Team team, SplittableRandom random) {
     for (int now = 0; now < seconds; now++) {
       for (int i = 0; i < JOBS_PER_SECOND; i++) {
@@ -159,31 +159,35 @@
   }
 
   /**
-   * Large work once waited for as long as small work arrived: each part that fell free was small.
+   * Large jobs once waited as long as small jobs kept arriving, since each part of a machine that
+   * became free was too small for them.
    */
   @Test
-  void theLargestJobStartsWithinFourMinutes() {
+  void largestJobStartsWithinFourMinutes() {
     for (int seed = 0; seed < 4; seed++) {
       StarvationTest cluster = new StarvationTest();
       Job large = cluster.submitAtStart(Priority.NORMAL, 6, 16);
-      cluster.run(240, UNBOUNDED_TEAM, new SplittableRandom(seed));
+      cluster.run(240, TEAM_WITHOUT_QUOTA, new SplittableRandom(seed));
       assertTrue(cluster.startedTasks.containsKey(large.id()), "not started, seed " + seed);
     }
   }
 
-  /** Smaller work would otherwise always use up the team's quota. */
+  /** Otherwise smaller jobs would always use up the team's quota. */
   @Test
-  void theLargestJobStartsAtItsTeamsQuota() {
+  void largestJobStartsAlthoughItsTeamIsAtItsQuota() {
     Job large = submitAtStart(Priority.NORMAL, 2, 14);
     run(240, new Team("red", 0, 20, 0, 0), new SplittableRandom(7));
     assertTrue(startedTasks.containsKey(large.id()));
   }
 
-  /** Jobs that had missed their deadlines once came after all others for good. */
+  /**
+   * Jobs that had missed their deadlines were once placed after all others for as long as those
+   * kept arriving.
+   */
   @Test
-  void aJobThatMissedItsDeadlinesIsPlacedInTheEnd() {
+  void jobThatMissedItsDeadlinesIsEventuallyPlaced() {
     Job late = submitAtStart(Priority.HIGH, 40, 2);
-    run(700, UNBOUNDED_TEAM, new SplittableRandom(3));
+    run(700, TEAM_WITHOUT_QUOTA, new SplittableRandom(3));
     assertEquals(40, startedTasks.get(late.id()));
   }
 }
