--- a/src/main/java/io/cherryspool/controller/leader/HistoryCheck.java
+++ b/src/main/java/io/cherryspool/controller/leader/ConsistencyCheck.java
@@ -13,13 +13,13 @@
  *
  * <p>Used on the event loop only.
  */
-final class HistoryCheck {
+final class ConsistencyCheck {
   private final ClusterRecords records;
   private final FencingTokenSource tokens;
   private final long term;
   private final LeaderTerm.ContradictionListeners listeners;
 
-  HistoryCheck(
+  ConsistencyCheck(
       ClusterRecords records,
       FencingTokenSource tokens,
       long term,
--- a/src/main/java/io/cherryspool/controller/leader/HeartbeatHandler.java
+++ b/src/main/java/io/cherryspool/controller/leader/HeartbeatHandler.java
@@ -27,7 +27,7 @@
   private final TermState state;
   private final SchedulingLoop rounds;
   private final CommandDispatcher dispatcher;
-  private final HistoryCheck historyCheck;
+  private final ConsistencyCheck consistencyCheck;
   private boolean stopped;
 
   HeartbeatHandler(
@@ -35,12 +35,12 @@
       TermState state,
       SchedulingLoop rounds,
       CommandDispatcher dispatcher,
-      HistoryCheck historyCheck) {
+      ConsistencyCheck consistencyCheck) {
     this.loop = loop;
     this.state = state;
     this.rounds = rounds;
     this.dispatcher = dispatcher;
-    this.historyCheck = historyCheck;
+    this.consistencyCheck = consistencyCheck;
   }
 
   /** Ignores all further heartbeats, since the term has ended. */
@@ -80,7 +80,7 @@
     }
     MachineState known = state.fleet().get(heartbeat.machine());
     WorkerHeartbeat previous = known == null ? null : known.latestHeartbeat();
-    if (historyCheck.isContradictedBy(heartbeat, previous)) {
+    if (consistencyCheck.isContradictedBy(heartbeat, previous)) {
       return;
     }
     MachineEligibility eligibilityBefore = rounds.eligibility(known);
--- a/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
@@ -142,9 +142,9 @@
             new WorkerCommandPlanner(state.tokens(), state.tasks()),
             sender,
             authority.mayCommandWorkers());
-    HistoryCheck historyCheck =
-        new HistoryCheck(services.records(), state.tokens(), term, contradictionListeners);
-    heartbeats = new HeartbeatHandler(loop, state, rounds, dispatcher, historyCheck);
+    ConsistencyCheck consistencyCheck =
+        new ConsistencyCheck(services.records(), state.tokens(), term, contradictionListeners);
+    heartbeats = new HeartbeatHandler(loop, state, rounds, dispatcher, consistencyCheck);
     prober = new MachineProber(loop, state, services.workers(), timings, lag, this::onProbeReply);
     Duration listLag = settings.provisioning().listLag();
     failover =
