--- a/src/main/java/io/cherryspool/controller/fleet/MachineContact.java
+++ b/src/main/java/io/cherryspool/controller/fleet/MachineContact.java
@@ -38,8 +38,8 @@
   private Duration lastReplyAt;
 
   /**
-   * The epoch and, below, the sequence number of the newest answered heartbeat, to recognise late
-   * copies.
+   * The agent epoch of the newest answered heartbeat. Late copies are recognised by it and by the
+   * sequence number.
    */
   private long repliedEpoch;
 
@@ -176,9 +176,9 @@
   }
 
   /**
-   * Returns when the lease of the current agent epoch was last renewed, as far as this leader
-   * knows: by its last reply, or by the start of the epoch if that is later. Null before the first
-   * heartbeat.
+   * Returns when the worker's lease was last renewed, as far as this leader knows: when the leader
+   * last replied, or when it first saw the current agent epoch if that was later. Null before the
+   * first heartbeat.
    */
   public Duration lastLeaseRenewalAt() {
     boolean isEpochNewer =
--- a/src/main/java/io/cherryspool/controller/fleet/PlacementHistory.java
+++ b/src/main/java/io/cherryspool/controller/fleet/PlacementHistory.java
@@ -51,7 +51,7 @@
       runningSince.clear();
       return;
     }
-    // The start time of an exited task is kept as well, since it is needed when the end is
+    // The start time of an exited task is kept too: its run time is needed when its end is
     // recorded.
     Set<TaskId> present = new HashSet<>();
     for (WorkerHeartbeat.TaskStatus status : heartbeat.tasks()) {
--- a/src/main/java/io/cherryspool/controller/leader/MachineProber.java
+++ b/src/main/java/io/cherryspool/controller/leader/MachineProber.java
@@ -105,9 +105,10 @@
   }
 
   /**
-   * Calls each machine that owns tasks and whose heartbeat is late, once until its next heartbeat.
-   * A dead or hung machine is detected in half the time that missing heartbeats alone would take,
-   * and a live machine whose heartbeats are lost is not treated as dead.
+   * Calls each machine that owns tasks and whose heartbeat is late. A machine is called only once
+   * until its next heartbeat. A dead or hung machine is detected in half the time that missing
+   * heartbeats alone would take, and a live machine whose heartbeats are lost is not treated as
+   * dead.
    */
   void probeLateMachines() {
     Duration lateCutoff = loop.now().minus(timings.heartbeatLateAfter());
--- a/src/main/java/io/cherryspool/controller/leader/WorkerCommandPlanner.java
+++ b/src/main/java/io/cherryspool/controller/leader/WorkerCommandPlanner.java
@@ -57,7 +57,8 @@
   }
 
   /**
-   * Adds a stop command for a task that the machine owns if a stop was requested and has not begun.
+   * Adds a stop command for a task that the machine owns if a stop is requested. While the task
+   * already saves a checkpoint, the command is added only to cut the grace period to zero.
    */
   private void addStopIfRequested(
       List<WorkerCommand> commands, WorkerHeartbeat.TaskStatus status, Ownership.OwnedTask owned) {
--- a/src/main/java/io/cherryspool/controller/ownership/StopRequests.java
+++ b/src/main/java/io/cherryspool/controller/ownership/StopRequests.java
@@ -33,7 +33,10 @@
     return gracePeriodFor(owned).isPresent();
   }
 
-  /** Returns the grace period of the stop requested for the attempt, empty if none is requested. */
+  /**
+   * Returns the grace period of the stop requested for the attempt, which is zero if its job was
+   * cancelled; empty if no stop is requested.
+   */
   public Optional<Duration> gracePeriodFor(Ownership.OwnedTask owned) {
     if (owned.jobRecord().outcome() == Outcome.CANCELLED) {
       return Optional.of(Duration.ZERO);
--- a/src/main/java/io/cherryspool/controller/provisioning/InstanceRequests.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/InstanceRequests.java
@@ -36,7 +36,7 @@
   private final Duration unlistedLimit;
   private final Map<String, ExpectedInstance> expected = new HashMap<>();
   private final Map<ScalingPlanner.Offering, Duration> unavailableSince = new HashMap<>();
-  private Request unanswered;
+  private Request unansweredRequest;
   private int requestCount;
 
   /** An instance requested in this term that has sent no heartbeat yet. */
@@ -61,16 +61,16 @@
   }
 
   /** Whether the outcome of a request is unknown, so that the request must be repeated. */
-  boolean hasUnanswered() {
-    return unanswered != null;
+  boolean hasUnansweredRequest() {
+    return unansweredRequest != null;
   }
 
   /**
    * Repeats the request whose outcome is unknown. The cloud recognises it by its name and does not
    * provide the instances twice.
    */
-  void repeatUnanswered() {
-    send(unanswered);
+  void repeatUnansweredRequest() {
+    send(unansweredRequest);
   }
 
   /** Requests instances, at most {@link #MAX_INSTANCES_PER_REQUEST}. */
@@ -98,7 +98,7 @@
    */
   List<ScalingPlanner.Offering> provisioningOfferings(
       InstanceList list, Map<String, MachineType> types) {
-    removeArrived(list, loop.now());
+    removeNoLongerExpected(list, loop.now());
     List<ScalingPlanner.Offering> result = new ArrayList<>();
     for (ExpectedInstance instance : expected.values()) {
       result.add(instance.offering);
@@ -121,21 +121,21 @@
    * Stops expecting instances that have sent a heartbeat, are deleted, or are still missing from
    * the list although it should show them by now.
    */
-  private void removeArrived(InstanceList list, Duration now) {
+  private void removeNoLongerExpected(InstanceList list, Duration now) {
     expected
         .entrySet()
         .removeIf(
             entry -> {
               String name = entry.getKey();
-              boolean isOverdueInList =
+              boolean isMissingTooLong =
                   !list.contains(name)
                       && now.minus(entry.getValue().requestedAt).compareTo(unlistedLimit) > 0;
-              return fleet.hasSentHeartbeat(name) || isOverdueInList || fleet.isDeleted(name);
+              return fleet.hasSentHeartbeat(name) || isMissingTooLong || fleet.isDeleted(name);
             });
   }
 
   private void send(Request request) {
-    unanswered = request;
+    unansweredRequest = request;
     ScalingPlanner.Offering offering = request.offering;
     calls
         .acquire()
@@ -145,11 +145,11 @@
             (names, failure) -> {
               calls.release();
               if (failure == null) {
-                unanswered = null;
+                unansweredRequest = null;
                 recordProvided(request, names);
               } else if (unwrap(failure) instanceof CloudClient.RefusedException refused
                   && refused.isOutOfCapacity()) {
-                unanswered = null;
+                unansweredRequest = null;
                 unavailableSince.put(offering, loop.now());
                 LOG.info(
                     "scale out: no capacity, type={} zone={} spot={}",
--- a/src/main/java/io/cherryspool/controller/provisioning/MachineRemoval.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/MachineRemoval.java
@@ -101,16 +101,16 @@
             machine.contact().isUnresponsive(),
             list.contains(machine.name())
                 && permissions.isZoneEvictionSuspended().test(machine.zone()));
-    Optional<MachineEvictionRule.EvictionReason> fault =
+    Optional<MachineEvictionRule.EvictionReason> evictionReason =
         permissions.evictionRule().evaluate(observation, healthyFor);
-    if (fault.isPresent()) {
+    if (evictionReason.isPresent()) {
       markForDeletion(
           machine.name(),
-          fault.get() == MachineEvictionRule.EvictionReason.NOT_RECEIVING
+          evictionReason.get() == MachineEvictionRule.EvictionReason.NOT_RECEIVING
               ? "it sends heartbeats and does not receive the replies"
               : "it has been silent for " + silentFor.toSeconds() + " s");
     } else if (machine.history().isFaulty()) {
-      markForDeletion(machine.name(), "tasks of several attempts failed on it");
+      markForDeletion(machine.name(), "several consecutive task failures were attributed to it");
     }
   }
 
--- a/src/main/java/io/cherryspool/controller/provisioning/Provisioner.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/Provisioner.java
@@ -24,9 +24,9 @@
 import java.util.function.Supplier;
 
 /**
- * Adjusts the size of the fleet during one term of the leader. Each step starts at most one action
- * at the cloud, the first that is due of: reading the instance list, deleting machines, repeating a
- * request for instances, and scaling the fleet to the demand. Used on the event loop only.
+ * Adjusts the size of the fleet during one term of the leader. Each step calls the cloud for at
+ * most one action. In order of precedence, it reads the instance list, deletes machines, repeats a
+ * request for instances, or scales the fleet to the demand. Used on the event loop only.
  */
 public final class Provisioner implements Lifecycle {
   /**
@@ -184,8 +184,8 @@
     removal.markFailedMachines(now, health.healthyFor(now));
     if (removal.hasMarkedMachines()) {
       removal.deleteMarkedMachines();
-    } else if (requests.hasUnanswered()) {
-      requests.repeatUnanswered();
+    } else if (requests.hasUnansweredRequest()) {
+      requests.repeatUnansweredRequest();
     } else if (!cluster.adoption().isInProgress() && permissions.mayScale().getAsBoolean()) {
       // While tasks may run that no record holds, the demand for machines is not known.
       scale(now);
--- a/src/main/java/io/cherryspool/controller/release/CrashLoopBackoff.java
+++ b/src/main/java/io/cherryspool/controller/release/CrashLoopBackoff.java
@@ -63,7 +63,9 @@
       if (!isLogged) {
         isLogged = true;
         LOG.warn(
-            "crash loop: job={} fails on {} machines and has succeeded on none, last machine={}; at most {} of its tasks are retried at a time until one succeeds or the job is cancelled",
+            "crash loop: job={} fails on {} machines and has succeeded on none, last machine={}; at"
+                + " most {} of its tasks are retried at a time until one succeeds or the job is"
+                + " cancelled",
             job,
             machines.size(),
             machine,
--- a/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
+++ b/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
@@ -79,11 +79,11 @@
     assertFalse(calls.isFree(), "one call at a time");
     failLast();
     assertTrue(calls.isFree());
-    assertTrue(requests.hasUnanswered());
-    requests.repeatUnanswered();
+    assertTrue(requests.hasUnansweredRequest());
+    requests.repeatUnansweredRequest();
     assertArrayEquals(sent.get(0).body(), sent.get(1).body(), "the same name and size");
     answerLast(200, "{\"spindles\":[\"host-1\",\"host-2\",\"host-3\"]}");
-    assertFalse(requests.hasUnanswered());
+    assertFalse(requests.hasUnansweredRequest());
     assertEquals(3, requests.provisioningOfferings(list, TYPES).size());
   }
 
@@ -91,7 +91,7 @@
   void aRequestIsToBeRepeatedAfterAnOutageOfTheCloud() {
     requests.request(OFFERING, 3);
     answerLast(503, "{\"error\":\"later\"}");
-    assertTrue(requests.hasUnanswered());
+    assertTrue(requests.hasUnansweredRequest());
     assertEquals(Set.of(), requests.unavailableOfferings(time.now()));
   }
 
@@ -99,7 +99,7 @@
   void anOfferingWithoutCapacityIsTemporarilyUnavailable() {
     requests.request(OFFERING, 3);
     answerLast(503, "{\"error\":\"no capacity\"}");
-    assertFalse(requests.hasUnanswered());
+    assertFalse(requests.hasUnansweredRequest());
     assertEquals(Set.of(OFFERING), requests.unavailableOfferings(time.now()));
     Duration later = time.now().plusSeconds(16);
     assertEquals(Set.of(), requests.unavailableOfferings(later));
