--- a/src/main/java/io/cherryspool/controller/rounds/RoundChangeSetBuilder.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundChangeSetBuilder.java
@@ -91,7 +91,7 @@
    *
    * @param due releases learned up to this time are written even if nothing else changes their
    *     shard
-   * @param overdue releases learned up to this time are written as urgently as starts of tasks
+   * @param overdue releases learned up to this time get the write class of starts of tasks
    */
   List<ChangeSet> changeSets(Collection<JobRecord> activeJobs, Duration due, Duration overdue) {
     Set<String> endingJobs = addReleases(due, overdue);
--- a/src/main/java/io/cherryspool/controller/rounds/RoundPlanner.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundPlanner.java
@@ -27,14 +27,14 @@
   private static final Logger LOG = LoggerFactory.getLogger(RoundPlanner.class);
 
   /**
-   * How long a release waits for another change of its shard with which it can be written, unless
-   * it completes the job.
+   * How long a release waits to be written together with another change of its shard. A release
+   * that completes its job does not wait.
    */
   private static final Duration RELEASE_DELAY = Duration.ofSeconds(4);
 
   /**
-   * Age from which a release is written as urgently as starts of tasks. Until it is written, users
-   * see an outdated count of completed tasks.
+   * Age from which the rate limiter admits a release like the starts of tasks. Until the release is
+   * written, users see an outdated count of completed tasks.
    */
   private static final Duration MAX_RELEASE_DELAY = Duration.ofSeconds(25);
 
--- a/src/main/java/io/cherryspool/controller/rounds/TaskAdoption.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TaskAdoption.java
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Whether tasks may run without a record. This does not change, since a leader's term ends when
-   * the incarnation of its records does.
+   * Whether tasks may run without a record. The answer is the same for a whole term, since a
+   * leader's term ends when the incarnation of its records ends.
    */
   private boolean isNeeded() {
     return this != NONE;
@@ -130,9 +130,8 @@
   }
 
   /**
-   * Adds the tasks that machines report and no record contains to the changes of the round. Only
-   * heartbeats with a fencing token of this term are considered, since one with an older token may
-   * be a delayed copy.
+   * Adds reported tasks that no record contains to the changes of the round. Only heartbeats with a
+   * fencing token of this term are considered, since one with an older token may be a delayed copy.
    *
    * @return the changes of records other than progress records, which are the markers of unknown
    *     jobs
--- a/src/main/java/io/cherryspool/scheduler/FleetDemand.java
+++ b/src/main/java/io/cherryspool/scheduler/FleetDemand.java
@@ -13,7 +13,7 @@
 /** Computes how many CPUs the work needs, for each set of machines that jobs can use. */
 final class FleetDemand {
   /** Maximum utilization of the fleet by arriving work. */
-  private static final double MAX_UTILISATION = 0.9;
+  private static final double MAX_UTILIZATION = 0.9;
 
   /**
    * Headroom of the fleet in standard deviations of the CPUs in use. The CPUs used by a few large
@@ -128,7 +128,7 @@
       }
     }
     double spare =
-        Math.max(arriving / MAX_UTILISATION - arriving, HEADROOM_DEVIATIONS * Math.sqrt(variance));
+        Math.max(arriving / MAX_UTILIZATION - arriving, HEADROOM_DEVIATIONS * Math.sqrt(variance));
     return new CpuDemand(arriving, spare + waiting / backlogDrainTime(selector).toMillis() * 1000);
   }
 
--- a/src/main/java/io/cherryspool/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/PlacementPlanner.java
@@ -62,11 +62,11 @@
 
   /** Returns the plan for the view, and passes the decision on each queue entry to the listener. */
   public static RoundPlan plan(ClusterView view, EntryDecision.Listener listener) {
-    PlacementPlanner placement = new PlacementPlanner(view);
+    PlacementPlanner planner = new PlacementPlanner(view);
     for (QueueOrder.Entry entry : QueueOrder.sortedEntries(view)) {
-      placement.place(entry);
+      planner.place(entry);
     }
-    return placement.finish(listener);
+    return planner.finish(listener);
   }
 
   private RoundPlan finish(EntryDecision.Listener listener) {
--- a/src/main/java/io/cherryspool/scheduler/Preemption.java
+++ b/src/main/java/io/cherryspool/scheduler/Preemption.java
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Returns the names of the machines with room that is reserved for a pending task, since tasks
-   * are stopped for it.
+   * Returns the names of the machines on which room is reserved for pending tasks until the tasks
+   * that are being stopped there have ended.
    */
   Set<String> reservedMachines() {
     return reservedMachines;
--- a/src/main/java/io/cherryspool/scheduler/QueueOrder.java
+++ b/src/main/java/io/cherryspool/scheduler/QueueOrder.java
@@ -18,10 +18,10 @@
 /**
  * Defines the order of the queue: higher priority first, then the earliest deadline that can still
  * be met, then smaller jobs, first attempts before retries, fewer failures, and the earliest end of
- * the last attempt. The criteria after the deadline follow the order of compaction jobs in the
- * scheduler that this design is based on, where a lower level comes first; the deadline is an
- * exception to that order, see docs/design.md. A compaction job's level separates small work from
- * large. Here it is replaced by the size of the whole job, in powers of four.
+ * the last attempt. The criteria after the deadline are those by which the source of the design
+ * orders compaction jobs, with the job's size level in place of the compaction level; ordering by
+ * deadline is an exception to the source, see docs/design.md. Both levels separate small work from
+ * large. The size level is computed from the work of the whole job, in powers of four.
  *
  * <p>Teams whose whole unfinished work fits into their guaranteed quota need not wait for other
  * teams: their work comes before that of teams with more work.
--- a/src/main/java/io/cherryspool/scheduler/RelocatableTasks.java
+++ b/src/main/java/io/cherryspool/scheduler/RelocatableTasks.java
@@ -21,17 +21,17 @@
    * Returns the relocatable tasks grouped by job, in the order of the machines on which they run.
    */
   static List<RoundPlan.TaskGroup> find(ClusterView view, List<RoundPlan.TaskGroup> unschedulable) {
-    List<MachineType> contended = new ArrayList<>();
-    List<MachineType> others = new ArrayList<>();
+    List<MachineType> contendedTypes = new ArrayList<>();
+    List<MachineType> otherTypes = new ArrayList<>();
     for (MachineType type : view.catalog()) {
-      (isUsableForAny(type, unschedulable) ? contended : others).add(type);
+      (isUsableForAny(type, unschedulable) ? contendedTypes : otherTypes).add(type);
     }
-    if (contended.isEmpty() || others.isEmpty()) {
+    if (contendedTypes.isEmpty() || otherTypes.isEmpty()) {
       return List.of();
     }
     Map<Job, Integer> counts = new LinkedHashMap<>();
     for (MachineView machine : view.machines()) {
-      if (contended.contains(machine.type())) {
+      if (contendedTypes.contains(machine.type())) {
         for (RunningTask task : machine.runningTasks()) {
           counts.merge(task.job(), 1, Integer::sum);
         }
@@ -39,7 +39,7 @@
     }
     List<RoundPlan.TaskGroup> result = new ArrayList<>();
     for (Map.Entry<Job, Integer> entry : counts.entrySet()) {
-      if (allowsAny(entry.getKey(), others)) {
+      if (allowsAny(entry.getKey(), otherTypes)) {
         result.add(new RoundPlan.TaskGroup(entry.getKey(), entry.getValue()));
       }
     }
--- a/src/test/java/io/cherryspool/scheduler/LentQuotaTest.java
+++ b/src/test/java/io/cherryspool/scheduler/LentQuotaTest.java
@@ -1,8 +1,8 @@
 package io.cherryspool.scheduler;
 
 import static io.cherryspool.scheduler.ClusterFixture.notStarted;
-import static io.cherryspool.scheduler.QuotaFixture.AFTER_PROMOTION_S;
-import static io.cherryspool.scheduler.QuotaFixture.BEFORE_PROMOTION_S;
+import static io.cherryspool.scheduler.QuotaFixture.AFTER_PROMOTION_SECONDS;
+import static io.cherryspool.scheduler.QuotaFixture.BEFORE_PROMOTION_SECONDS;
 import static io.cherryspool.scheduler.QuotaFixture.MAX_START_DELAY;
 import static io.cherryspool.scheduler.QuotaFixture.TYPE;
 import static io.cherryspool.scheduler.QuotaFixture.idleMachine;
@@ -45,7 +45,7 @@
     Resources used = borrower.perTask().times(6);
     ClusterView withoutLending =
         ClusterFixture.view(
-            BEFORE_PROMOTION_S,
+            BEFORE_PROMOTION_SECONDS,
             MAX_START_DELAY,
             List.of(notStarted(zoneBound)),
             List.of(idleMachine("m1", "a")),
@@ -71,7 +71,7 @@
     Job later = job("req-000002", Priority.NORMAL, 9, 4);
     RoundPlan plan =
         plan(
-            BEFORE_PROMOTION_S,
+            BEFORE_PROMOTION_SECONDS,
             List.of(notStarted(zoneBound), notStarted(later)),
             List.of(idleMachine("m1", "a"), idleMachine("m2", "a"), idleMachine("m3", "a")),
             new Team("red", 0, 24, 0, 0),
@@ -104,7 +104,7 @@
       ClusterView view =
           withLentUsage(
               ClusterFixture.view(
-                  random.nextBoolean() ? BEFORE_PROMOTION_S : AFTER_PROMOTION_S,
+                  random.nextBoolean() ? BEFORE_PROMOTION_SECONDS : AFTER_PROMOTION_SECONDS,
                   MAX_START_DELAY,
                   jobs,
                   List.of(idleMachine("m1", "a"), idleMachine("m2", "a"), idleMachine("m3", "a")),
--- a/src/test/java/io/cherryspool/scheduler/QuotaFixture.java
+++ b/src/test/java/io/cherryspool/scheduler/QuotaFixture.java
@@ -29,8 +29,8 @@
           List.of("a", "b"));
 
   static final Duration MAX_START_DELAY = Duration.ofSeconds(150);
-  static final int BEFORE_PROMOTION_S = 100;
-  static final int AFTER_PROMOTION_S = 200;
+  static final int BEFORE_PROMOTION_SECONDS = 100;
+  static final int AFTER_PROMOTION_SECONDS = 200;
 
   /** Returns a copy of the job that may run only in this zone. */
   static Job withRequiredZone(String zone, Job job) {
--- a/src/test/java/io/cherryspool/scheduler/QuotaPreemptionTest.java
+++ b/src/test/java/io/cherryspool/scheduler/QuotaPreemptionTest.java
@@ -1,7 +1,7 @@
 package io.cherryspool.scheduler;
 
 import static io.cherryspool.scheduler.ClusterFixture.notStarted;
-import static io.cherryspool.scheduler.QuotaFixture.BEFORE_PROMOTION_S;
+import static io.cherryspool.scheduler.QuotaFixture.BEFORE_PROMOTION_SECONDS;
 import static io.cherryspool.scheduler.QuotaFixture.TYPE;
 import static io.cherryspool.scheduler.QuotaFixture.idleMachine;
 import static io.cherryspool.scheduler.QuotaFixture.job;
@@ -35,7 +35,7 @@
     Job normal = job("req-000003", Priority.NORMAL, 1, 16);
     RoundPlan plan =
         plan(
-            BEFORE_PROMOTION_S,
+            BEFORE_PROMOTION_SECONDS,
             List.of(notStarted(urgent), notStarted(normal)),
             List.of(
                 machine("m1", "b", Resources.NONE, List.of(running(low, 0))),
@@ -56,7 +56,7 @@
     Job normal = job("req-000003", Priority.NORMAL, 1, 2);
     RoundPlan plan =
         plan(
-            BEFORE_PROMOTION_S,
+            BEFORE_PROMOTION_SECONDS,
             List.of(notStarted(urgent)),
             List.of(
                 machine("m1", "b", Resources.NONE, List.of(running(other, 0), running(normal, 0)))),
@@ -72,7 +72,7 @@
     Job normal = job("req-000002", Priority.NORMAL, 1, 8);
     RoundPlan plan =
         plan(
-            BEFORE_PROMOTION_S,
+            BEFORE_PROMOTION_SECONDS,
             List.of(notStarted(urgent)),
             List.of(
                 machine("m1", "a", new Resources(8, 2, 56), List.of(running(normal, 0))),
@@ -106,7 +106,7 @@
       Resources used = other.perTask().plus(isRunning ? normal.perTask() : Resources.NONE);
       RoundPlan plan =
           plan(
-              BEFORE_PROMOTION_S,
+              BEFORE_PROMOTION_SECONDS,
               waiting,
               List.of(machine("m1", "b", TYPE.capacity().minus(used), runningTasks)),
               new Team("red", 0, 26, 0, 0),
--- a/src/test/java/io/cherryspool/scheduler/QuotaReservationTest.java
+++ b/src/test/java/io/cherryspool/scheduler/QuotaReservationTest.java
@@ -1,8 +1,8 @@
 package io.cherryspool.scheduler;
 
 import static io.cherryspool.scheduler.ClusterFixture.notStarted;
-import static io.cherryspool.scheduler.QuotaFixture.AFTER_PROMOTION_S;
-import static io.cherryspool.scheduler.QuotaFixture.BEFORE_PROMOTION_S;
+import static io.cherryspool.scheduler.QuotaFixture.AFTER_PROMOTION_SECONDS;
+import static io.cherryspool.scheduler.QuotaFixture.BEFORE_PROMOTION_SECONDS;
 import static io.cherryspool.scheduler.QuotaFixture.idleMachine;
 import static io.cherryspool.scheduler.QuotaFixture.job;
 import static io.cherryspool.scheduler.QuotaFixture.machine;
@@ -40,7 +40,7 @@
     Job later = job("req-000002", Priority.NORMAL, 5, 4);
     RoundPlan plan =
         plan(
-            BEFORE_PROMOTION_S,
+            BEFORE_PROMOTION_SECONDS,
             List.of(notStarted(zoneBound), notStarted(later)),
             List.of(idleMachine("m1", "a"), idleMachine("m2", "a")),
             new Team("red", 0, 24, 0, 0),
@@ -56,7 +56,7 @@
     Job later = withResources(job("req-000002", Priority.NORMAL, 1, 1), gpus);
     RoundPlan plan =
         plan(
-            BEFORE_PROMOTION_S,
+            BEFORE_PROMOTION_SECONDS,
             List.of(notStarted(zoneBound), notStarted(later)),
             List.of(idleMachine("m1", "a")),
             new Team("red", 0, 0, 0, 2),
@@ -71,7 +71,7 @@
     Job later = withRequiredZone("a", job("req-000002", Priority.NORMAL, 2, 4));
     RoundPlan plan =
         plan(
-            AFTER_PROMOTION_S,
+            AFTER_PROMOTION_SECONDS,
             List.of(
                 notStarted(zoneBound),
                 new JobView(later, ClusterFixture.pendingTasks(0, 2), Map.of(), 0, true)),
@@ -90,7 +90,7 @@
     Job later = withRequiredZone("a", job("req-000002", Priority.NORMAL, 2, 4));
     RoundPlan plan =
         plan(
-            AFTER_PROMOTION_S,
+            AFTER_PROMOTION_SECONDS,
             List.of(
                 notStarted(zoneBound),
                 new JobView(later, ClusterFixture.pendingTasks(0, 2), Map.of(), 0, true)),
@@ -113,7 +113,7 @@
         machine("m1", "a", new Resources(14, 2, 62), List.of(running(filler, 0)));
     RoundPlan plan =
         plan(
-            AFTER_PROMOTION_S,
+            AFTER_PROMOTION_SECONDS,
             List.of(
                 notStarted(large),
                 new JobView(small, ClusterFixture.pendingTasks(0, 8), Map.of(), 0, true)),
--- a/src/test/java/io/cherryspool/scheduler/StarvationTest.java
+++ b/src/test/java/io/cherryspool/scheduler/StarvationTest.java
@@ -38,10 +38,10 @@
   private static final int JOBS_PER_SECOND = 3;
 
   /** The placement of a task that has not ended. */
-  private record Placed(String machine, int startedAt) {}
+  private record PlacedTask(String machine, int startedAt) {}
 
   private final Map<String, Job> jobs = new LinkedHashMap<>();
-  private final Map<TaskId, Placed> running = new HashMap<>();
+  private final Map<TaskId, PlacedTask> running = new HashMap<>();
   private final Set<TaskId> victims = new HashSet<>();
   private final Map<String, Integer> startedTasks = new HashMap<>();
 
@@ -87,12 +87,13 @@
   }
 
   private void endTasks(int now) {
-    for (Iterator<Map.Entry<TaskId, Placed>> all = running.entrySet().iterator(); all.hasNext(); ) {
-      Map.Entry<TaskId, Placed> entry = all.next();
+    for (Iterator<Map.Entry<TaskId, PlacedTask>> iterator = running.entrySet().iterator();
+        iterator.hasNext(); ) {
+      Map.Entry<TaskId, PlacedTask> entry = iterator.next();
       boolean isVictim = victims.contains(entry.getKey());
       if (isVictim || now - entry.getValue().startedAt >= RUN_SECONDS) {
         victims.remove(entry.getKey());
-        all.remove();
+        iterator.remove();
       }
     }
   }
@@ -152,7 +153,7 @@
   private void applyPlan(int now, RoundPlan plan) {
     for (RoundPlan.Assignment item : plan.assignments()) {
       TaskId task = new TaskId(item.jobId(), item.taskIndex());
-      running.put(task, new Placed(item.machine(), now));
+      running.put(task, new PlacedTask(item.machine(), now));
       startedTasks.merge(item.jobId(), item.taskIndex() + 1, Math::max);
     }
     plan.victims().forEach(victim -> victims.add(victim.task()));
