--- a/src/main/java/io/cherryspool/cli/ClassDataTraining.java
+++ b/src/main/java/io/cherryspool/cli/ClassDataTraining.java
@@ -98,16 +98,16 @@
   }
 
   private Reply send(Request request) throws Exception {
-    CompletableFuture<Reply> answer = new CompletableFuture<>();
+    CompletableFuture<Reply> result = new CompletableFuture<>();
     loop.execute(
         () ->
             client
                 .send(node, request, REQUEST_TIMEOUT)
                 .whenComplete(
                     (reply, failure) ->
-                        answer.complete(
+                        result.complete(
                             reply == null ? Reply.json(NO_ANSWER, new byte[0]) : reply)));
-    return answer.get(2 * REQUEST_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+    return result.get(2 * REQUEST_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
   }
 
   /** Submits a job, completes it and queries it; submits and cancels another. */
--- a/src/main/java/io/cherryspool/cli/LinksCommand.java
+++ b/src/main/java/io/cherryspool/cli/LinksCommand.java
@@ -37,19 +37,19 @@
 
   @Override
   public Integer call() throws InterruptedException {
-    Optional<NodeClient.Answer> received =
+    Optional<NodeClient.NodeResponse> received =
         NodeClient.send(spec.commandLine(), node, HttpRequest.newBuilder().GET(), "/links");
     if (received.isEmpty()) {
       return NodeClient.REQUEST_FAILED;
     }
-    NodeClient.Answer answer = received.get();
-    if (answer.status() != NodeClient.OK) {
-      System.err.println("cherryspool: " + answer.address() + " does not tell of its links");
+    NodeClient.NodeResponse response = received.get();
+    if (response.status() != NodeClient.OK) {
+      System.err.println("cherryspool: " + response.address() + " does not tell of its links");
       return NodeClient.REQUEST_FAILED;
     }
-    JsonNode root = JsonText.parse(answer.body());
+    JsonNode root = JsonText.parse(response.body());
     if (printsJson) {
-      System.out.println(JsonText.indented(answer.body()));
+      System.out.println(JsonText.indented(response.body()));
     } else {
       describe(root).forEach(System.out::println);
     }
--- a/src/main/java/io/cherryspool/cli/NodeClient.java
+++ b/src/main/java/io/cherryspool/cli/NodeClient.java
@@ -32,7 +32,7 @@
    * @param address the address of the node, as HOST:PORT
    * @param status the HTTP status
    */
-  record Answer(String address, int status, String body) {}
+  record NodeResponse(String address, int status, String body) {}
 
   /**
    * Sends the request and waits for the response. If there is none, prints the reason to standard
@@ -42,7 +42,7 @@
    * @return the response with any status; empty if there is none
    * @throws ParameterException if the address, or the settings file that contains it, is invalid
    */
-  static Optional<Answer> send(
+  static Optional<NodeResponse> send(
       CommandLine command, NodeAddress node, HttpRequest.Builder request, String path)
       throws InterruptedException {
     String address = resolve(command, node);
@@ -52,12 +52,12 @@
       throw new ParameterException(command, "not an address: " + address);
     }
     try {
-      HttpResponse<String> answer =
+      HttpResponse<String> response =
           HttpClient.newBuilder()
               .connectTimeout(TIMEOUT)
               .build()
               .send(request.build(), HttpResponse.BodyHandlers.ofString());
-      return Optional.of(new Answer(address, answer.statusCode(), answer.body()));
+      return Optional.of(new NodeResponse(address, response.statusCode(), response.body()));
     } catch (IOException e) {
       System.err.println("cherryspool: " + address + " can't be reached: " + e);
       return Optional.empty();
--- a/src/main/java/io/cherryspool/cli/RecoveryCommand.java
+++ b/src/main/java/io/cherryspool/cli/RecoveryCommand.java
@@ -35,20 +35,20 @@
    */
   int send(NodeAddress node, HttpRequest.Builder request, String resource)
       throws InterruptedException {
-    Optional<NodeClient.Answer> received =
+    Optional<NodeClient.NodeResponse> received =
         NodeClient.send(spec.commandLine(), node, request, "/recovery/" + resource);
     if (received.isEmpty()) {
       return NodeClient.REQUEST_FAILED;
     }
-    NodeClient.Answer answer = received.get();
-    if (answer.status() == NodeClient.OK) {
-      System.out.println(JsonText.indented(answer.body()));
+    NodeClient.NodeResponse response = received.get();
+    if (response.status() == NodeClient.OK) {
+      System.out.println(JsonText.indented(response.body()));
       return 0;
     }
     String reason =
-        answer.status() == NodeClient.NOT_FOUND
-            ? answer.address() + " does not look for losses (recovery is off)"
-            : JsonText.field(answer.body(), "error");
+        response.status() == NodeClient.NOT_FOUND
+            ? response.address() + " does not look for losses (recovery is off)"
+            : JsonText.field(response.body(), "error");
     System.err.println("cherryspool: " + reason);
     return NodeClient.REQUEST_FAILED;
   }
--- a/src/main/java/io/cherryspool/cli/TrainingServices.java
+++ b/src/main/java/io/cherryspool/cli/TrainingServices.java
@@ -80,8 +80,8 @@
   }
 
   /** Stores the fencing token of a message to the worker, unless the worker has a later one. */
-  void receiveToken(JsonNode answer) {
-    token = Math.max(token, answer.path("baton").longValue());
+  void receiveToken(JsonNode message) {
+    token = Math.max(token, message.path("baton").longValue());
   }
 
   /** Marks all tasks of the worker as completed; returns false if the worker has none yet. */
--- a/src/main/java/io/cherryspool/config/Settings.java
+++ b/src/main/java/io/cherryspool/config/Settings.java
@@ -87,9 +87,9 @@
    * sent the last successful requests that renewed its own lease and read the state store.
    *
    * <p>A cancelled task must have ended within the maximum cancellation time, even on a machine
-   * that only a partitioned leader still reaches. Authority, worker lease and the margins for the
-   * two therefore add up to that time. The margins cover clock drift, and messages that arrive late
-   * but within their deadlines.
+   * that only a partitioned leader still reaches. Authority, worker lease and a margin for each of
+   * them therefore add up to that time. The margins cover clock drift, and messages that arrive
+   * late but within their deadlines.
    */
   public Duration authority() {
     return authority(workerLease, maxCancellationTime);
--- a/src/main/java/io/cherryspool/http/AbandonedRequestFilter.java
+++ b/src/main/java/io/cherryspool/http/AbandonedRequestFilter.java
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Schedules the check for after this call: if Netty has read the end of the connection, it closes
-   * the channel only then.
+   * Schedules the check to run after this call, since only then Netty closes the channel if it has
+   * read the end of the connection.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
--- a/src/main/java/io/cherryspool/http/NettyHttpServer.java
+++ b/src/main/java/io/cherryspool/http/NettyHttpServer.java
@@ -156,7 +156,7 @@
     /** The connection is counted and has no request; it may be evicted. */
     IDLE,
     /** The connection is counted and its request is being handled. */
-    ANSWERING
+    HANDLING
   }
 
   /** An incoming connection. */
@@ -203,7 +203,7 @@
       if (!ctx.channel().isActive()) {
         return;
       }
-      if (phase != Phase.ANSWERING && System.nanoTime() - lastUseNanos > timeout.toNanos()) {
+      if (phase != Phase.HANDLING && System.nanoTime() - lastUseNanos > timeout.toNanos()) {
         ctx.close();
       } else {
         scheduleTimeoutCheck(ctx);
@@ -227,9 +227,9 @@
       Request request =
           new Request(
               message.method().name(), message.uri(), ByteBufUtil.getBytes(message.content()));
-      setPhase(Phase.ANSWERING);
+      setPhase(Phase.HANDLING);
       handle(request)
-          .whenComplete((reply, failure) -> answer(ctx, isPersistent, request, reply, failure));
+          .whenComplete((reply, failure) -> respond(ctx, isPersistent, request, reply, failure));
     }
 
     /** Sets the phase, unless the connection is no longer counted. */
@@ -252,7 +252,7 @@
       }
     }
 
-    private void answer(
+    private void respond(
         ChannelHandlerContext ctx,
         boolean isPersistent,
         Request request,
--- a/src/main/java/io/cherryspool/http/ObservedTransport.java
+++ b/src/main/java/io/cherryspool/http/ObservedTransport.java
@@ -50,12 +50,12 @@
 
   @Override
   public CompletableFuture<Reply> send(Endpoint to, Request request, Duration deadline) {
-    CompletableFuture<Reply> answer = transport.send(to, request, deadline);
+    CompletableFuture<Reply> result = transport.send(to, request, deadline);
     if (!isObserved.test(request)) {
-      return answer;
+      return result;
     }
     Duration sent = loop.now();
-    return answer.whenComplete(
+    return result.whenComplete(
         (reply, failure) -> {
           if (failure != null || isRefusal.test(reply)) {
             observer.onFailure(sent, loop.now());
--- a/src/main/java/io/cherryspool/wire/Json.java
+++ b/src/main/java/io/cherryspool/wire/Json.java
@@ -17,10 +17,7 @@
  * range.
  */
 public final class Json {
-  /**
-   * Upper bound on amounts, and on durations in seconds, whose nanoseconds then fit into a {@code
-   * long}.
-   */
+  /** The maximum amount or number of seconds; the nanoseconds of a duration fit into a long. */
   private static final double MAX_AMOUNT = 1e9;
 
   private static final double NANOS_PER_SECOND = 1e9;
--- a/src/test/java/io/cherryspool/cli/CommandFixture.java
+++ b/src/test/java/io/cherryspool/cli/CommandFixture.java
@@ -26,7 +26,7 @@
   void startNode() throws InterruptedException {
     NettyHttpServer server =
         new NettyHttpServer(
-            loop, request -> CompletableFuture.completedFuture(answer(request)), MAX_CONNECTIONS);
+            loop, request -> CompletableFuture.completedFuture(respond(request)), MAX_CONNECTIONS);
     server.bind(new Endpoint("127.0.0.1", 0));
     node = "127.0.0.1:" + server.port();
   }
@@ -38,7 +38,7 @@
   }
 
   /** Returns the node's response to a request. Called on the node's event loop. */
-  abstract Reply answer(Request request);
+  abstract Reply respond(Request request);
 
   static Reply json(int status, String text) {
     return Reply.json(status, text.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/io/cherryspool/cli/LinksCommandTest.java
+++ b/src/test/java/io/cherryspool/cli/LinksCommandTest.java
@@ -14,7 +14,7 @@
   private volatile boolean isAllUp;
 
   @Override
-  Reply answer(Request request) {
+  Reply respond(Request request) {
     return json(200, links());
   }
 
--- a/src/test/java/io/cherryspool/cli/RecoveryCommandTest.java
+++ b/src/test/java/io/cherryspool/cli/RecoveryCommandTest.java
@@ -13,7 +13,7 @@
   private volatile Request lastRequest;
 
   @Override
-  Reply answer(Request request) {
+  Reply respond(Request request) {
     lastRequest = request;
     return switch (request.path()) {
       case "/recovery/status" -> json(200, "{\"phase\":\"serving\",\"losses\":1}");
--- a/src/test/java/io/cherryspool/sim/driver/CostReport.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostReport.java
@@ -19,9 +19,9 @@
 
   /** How the report evaluates a window. */
   enum Kind {
-    /** Only periodic work happened; the costs of the other kinds are compared with these. */
+    /** Only periodic work happened; the costs per event are computed beyond the costs of these. */
     IDLE,
-    /** The costs are reported per second, without a comparison. */
+    /** The costs are reported per second, including those of periodic work. */
     WHOLE,
     /** A known number of events happened, and the costs are reported per event. */
     EVENTS,
--- a/src/test/java/io/cherryspool/sim/driver/LinkFlapDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/LinkFlapDriver.java
@@ -3,7 +3,9 @@
 import io.cherryspool.sim.partition.LinkFlapRun;
 import java.time.Duration;
 
-/** Prints the costs of flapping links in simulated time, as the table in docs/partitions.md. */
+/**
+ * Measures the costs of flapping links in simulated time; prints the table of docs/partitions.md.
+ */
 public final class LinkFlapDriver {
   private static final double[] SECONDS = {0.5, 1, 2, 3, 5, 10};
   private static final int SEEDS = 4;
