--- a/src/main/java/io/cherryspool/controller/rounds/RoundTransaction.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundChangeSetBuilder.java
@@ -20,62 +20,65 @@
 import java.util.TreeMap;
 
 /**
- * Turns a round's assignments and the pending releases into change sets, the pressing ones first:
- * ends of jobs, then starts, each taking the releases of its shard along, then releases that have
- * waited long enough, then records of ended jobs. Low-priority work comes after all other, or its
- * ends would go before the starts of those it waits for.
+ * Converts a round's assignments and the pending releases into change sets, the most urgent first:
+ * ends of jobs, then starts of tasks, which include the releases of the same shard, then releases
+ * that have waited long enough, then removals of ended jobs' records. Ends and starts of
+ * low-priority jobs come after those of all other jobs, since otherwise the ends of low-priority
+ * jobs would delay the starts of more urgent tasks.
  *
- * <p>Made for one round; {@link #changeSets} is called once, at its end.
+ * <p>Each instance serves one round; {@link #changeSets} is called once, at its end.
  */
-final class RoundTransaction {
+final class RoundChangeSetBuilder {
   private final PendingReleases pendingReleases;
   private final int maxChanges;
   private final Map<String, JobEdit> edits = new LinkedHashMap<>();
 
-  /** Ends of jobs and starts, of work other than low-priority work. */
-  private final Urgent regular = new Urgent();
+  /** Ends and starts of jobs other than low-priority jobs. */
+  private final UrgentChanges regularPriority = new UrgentChanges();
 
-  private final Urgent lowPriority = new Urgent();
+  private final UrgentChanges lowPriority = new UrgentChanges();
 
-  /** What can wait for a later round. */
+  /** Changes that may be delayed to a later round. */
   private final List<ChangeSet> deferrable = new ArrayList<>();
 
   /**
-   * Creates a transaction without changes.
+   * Creates a builder without changes.
    *
-   * @param maxChanges the most changes in a transaction of the state store
+   * @param maxChanges the maximum number of changes in a transaction of the state store
    */
-  RoundTransaction(PendingReleases pendingReleases, int maxChanges) {
+  RoundChangeSetBuilder(PendingReleases pendingReleases, int maxChanges) {
     this.pendingReleases = pendingReleases;
     this.maxChanges = maxChanges;
   }
 
-  /** Change sets of like importance, ends of jobs before starts. */
-  private static final class Urgent {
+  /**
+   * Urgent change sets of one priority group, in which ends of jobs come before starts of tasks.
+   */
+  private static final class UrgentChanges {
     private final List<ChangeSet> ends = new ArrayList<>();
     private final List<ChangeSet> starts = new ArrayList<>();
   }
 
-  /** Gives the free task to the machine, as its next attempt. */
+  /** Assigns the free task to the machine, as the next attempt of the task. */
   void assign(JobRecord job, int task, String machine, long agentEpoch, long token) {
     JobEdit edit = edit(job);
     int shard = job.shardIndexOf(task);
-    edit.shard(shard).assign(task, machine, agentEpoch, token);
+    edit.shardEditor(shard).assign(task, machine, agentEpoch, token);
     edit.assignedShards.add(shard);
   }
 
-  /** Records that the attempt runs, although no record says that it was started. */
+  /** Records a running attempt whose start was not recorded. */
   void adopt(JobRecord job, Attempt attempt) {
     JobEdit edit = edit(job);
     int shard = job.shardIndexOf(attempt.taskIndex());
-    edit.shard(shard).adopt(attempt);
+    edit.shardEditor(shard).adopt(attempt);
     edit.assignedShards.add(shard);
   }
 
-  /** Records that the task has completed, although no record says that it was started. */
+  /** Records the completion of a task whose start was not recorded. */
   void complete(JobRecord job, int task) {
     JobEdit edit = edit(job);
-    edit.shard(job.shardIndexOf(task)).complete(task);
+    edit.shardEditor(job.shardIndexOf(task)).complete(task);
     edit.isOverdue = true;
   }
 
@@ -84,33 +87,37 @@
   }
 
   /**
-   * The changes to commit, the pressing ones first.
+   * Returns the changes to commit, the most urgent first.
    *
-   * @param due releases learnt until then are written even if nothing else needs their shard
-   * @param overdue those learnt until then press as much as anything
+   * @param due releases learned up to this time are written even if nothing else changes their
+   *     shard
+   * @param overdue releases learned up to this time are written as urgently as starts of tasks
    */
   List<ChangeSet> changeSets(Collection<JobRecord> activeJobs, Duration due, Duration overdue) {
-    Set<String> ending = addReleases(due, overdue);
-    edits.forEach((id, edit) -> addShards(edit, ending.contains(id)));
-    addCleanUp(activeJobs);
-    List<ChangeSet> all = new ArrayList<>(regular.ends);
-    all.addAll(regular.starts);
+    Set<String> endingJobs = addReleases(due, overdue);
+    edits.forEach((id, edit) -> addShards(edit, endingJobs.contains(id)));
+    addCleanup(activeJobs);
+    List<ChangeSet> all = new ArrayList<>(regularPriority.ends);
+    all.addAll(regularPriority.starts);
     all.addAll(lowPriority.ends);
     all.addAll(lowPriority.starts);
     all.addAll(deferrable);
     return all;
   }
 
-  /** Adds the releases that are due to the edits; returns the ids of the jobs that end. */
+  /**
+   * Adds the releases that are due to the edits, and returns the ids of the jobs that end with
+   * them.
+   */
   private Set<String> addReleases(Duration due, Duration overdue) {
-    Set<String> ending = new HashSet<>();
+    Set<String> endingJobs = new HashSet<>();
     for (String id : pendingReleases.jobIds()) {
       Collection<PendingReleases.Release> releases = pendingReleases.releasesOf(id).values();
       JobRecord job = releases.iterator().next().owned().jobRecord();
-      boolean ends =
+      boolean isEnding =
           job.outcome() == null
               && job.doneCount() + PendingReleases.countDone(releases) == job.job().taskCount();
-      boolean isDue = ends;
+      boolean isDue = isEnding;
       boolean isOverdue = false;
       for (PendingReleases.Release release : releases) {
         isDue |= release.learnedAt().compareTo(due) <= 0;
@@ -120,42 +127,42 @@
         JobEdit edit = edit(job);
         edit.isOverdue = isOverdue;
         for (PendingReleases.Release release : releases) {
-          edit.shard(job.shardIndexOf(release.owned().taskId().index()));
+          edit.shardEditor(job.shardIndexOf(release.owned().taskId().index()));
         }
       }
-      if (ends) {
-        ending.add(id);
+      if (isEnding) {
+        endingJobs.add(id);
       }
     }
-    return ending;
+    return endingJobs;
   }
 
-  private void addShards(JobEdit edit, boolean ending) {
+  private void addShards(JobEdit edit, boolean isEnding) {
     JobRecord job = edit.job;
-    Urgent urgent = isLowPriority(job) ? lowPriority : regular;
+    UrgentChanges urgent = isLowPriority(job) ? lowPriority : regularPriority;
     Map<Integer, Shard> shards = edit.build();
     int conditions = shards.size() + 1 + RoundCommitter.RESERVED_CONDITIONS;
-    if (ending && conditions <= RoundCommitter.MAX_CONDITIONS_PER_CHANGE * maxChanges) {
-      urgent.ends.add(endOf(job, shards.keySet()));
+    if (isEnding && conditions <= RoundCommitter.MAX_CONDITIONS_PER_CHANGE * maxChanges) {
+      urgent.ends.add(jobEndChange(job, shards.keySet()));
       return;
     }
-    boolean isUrgent = ending || edit.isOverdue;
+    boolean isUrgent = isEnding || edit.isOverdue;
     shards.forEach(
         (index, shard) -> {
-          boolean assigns = edit.assignedShards.contains(index);
-          ChangeSet change = shardChange(job, index, shard, assigns, isUrgent);
-          (assigns ? urgent.starts : ending ? urgent.ends : deferrable).add(change);
+          boolean hasAssignments = edit.assignedShards.contains(index);
+          ChangeSet change = shardChange(job, index, shard, hasAssignments, isUrgent);
+          (hasAssignments ? urgent.starts : isEnding ? urgent.ends : deferrable).add(change);
         });
   }
 
   private static ChangeSet shardChange(
-      JobRecord job, int index, Shard shard, boolean assigns, boolean isUrgent) {
+      JobRecord job, int index, Shard shard, boolean hasAssignments, boolean isUrgent) {
     String id = job.job().id();
     String key = Records.progressKey(id, index);
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put(key, job.shard(index).version());
-    if (assigns) {
-      // After a cancel is committed nothing of the job may be assigned.
+    if (hasAssignments) {
+      // No task of the job may be assigned after its cancellation is committed.
       conditions.put(Records.outcomeKey(id), 0L);
     }
     boolean isOver = job.outcome() != null && shard.ownedAttempts().isEmpty();
@@ -163,16 +170,17 @@
         conditions,
         List.of(new StateStoreProtocol.Change(key, isOver ? null : Records.encodeShard(shard), 0)),
         Records.maxEncodedBytes(shard),
-        assigns || isUrgent ? writeClass(job) : RateLimiter.WriteClass.DEFERRABLE);
+        hasAssignments || isUrgent ? writeClass(job) : RateLimiter.WriteClass.DEFERRABLE);
   }
 
   /**
-   * The job's outcome, which rests on the ends that are proved and not written yet. They need not
-   * be: what is done of a job that has ended is of no interest, so that one change ends it. Its
-   * progress records go when there is room. With four changes for each single task, of 25 a second,
-   * low-priority work alone took them all.
+   * Returns the change that records the job's outcome. The proved ends of the job's last tasks need
+   * not be written, since nobody needs the progress of an ended job; one change therefore suffices.
+   * The progress records are removed later, when the write rate allows it. When each single-task
+   * job took four changes, low-priority jobs alone used up the 25 changes a second that the state
+   * store accepted.
    */
-  private static ChangeSet endOf(JobRecord job, Set<Integer> shards) {
+  private static ChangeSet jobEndChange(JobRecord job, Set<Integer> shards) {
     String id = job.job().id();
     Map<String, Long> conditions = new LinkedHashMap<>();
     conditions.put(Records.outcomeKey(id), 0L);
@@ -196,21 +204,24 @@
     return isLowPriority(job) ? RateLimiter.WriteClass.IDLE : RateLimiter.WriteClass.ROUND;
   }
 
-  /** Ends jobs whose last shards were committed apart, and removes records of ended jobs. */
-  private void addCleanUp(Collection<JobRecord> activeJobs) {
+  /**
+   * Adds the outcomes of jobs whose last shards were committed separately, and the removals of the
+   * records of ended jobs.
+   */
+  private void addCleanup(Collection<JobRecord> activeJobs) {
     for (JobRecord job : activeJobs) {
       if (edits.containsKey(job.job().id())) {
         continue;
       }
       if (job.outcome() != null) {
-        addRemovals(job);
+        addRecordRemovals(job);
       } else if (job.doneCount() == job.job().taskCount()) {
-        deferrable.add(endOf(job, Set.of()));
+        deferrable.add(jobEndChange(job, Set.of()));
       }
     }
   }
 
-  private void addRemovals(JobRecord job) {
+  private void addRecordRemovals(JobRecord job) {
     for (int index : job.shards().keySet()) {
       JobRecord.VersionedShard item = job.shard(index);
       if (job.outcome() == Outcome.DONE || item.shard().ownedAttempts().isEmpty()) {
@@ -236,11 +247,14 @@
       this.job = job;
     }
 
-    /** The next version of a shard; what is proved of it goes along with any other change. */
-    Shard.Editor shard(int index) {
-      Shard.Editor known = shards.get(index);
-      if (known != null) {
-        return known;
+    /**
+     * Returns the editor of the shard's next version, which includes all pending releases of the
+     * shard.
+     */
+    Shard.Editor shardEditor(int index) {
+      Shard.Editor existing = shards.get(index);
+      if (existing != null) {
+        return existing;
       }
       Shard.Editor editor = job.shard(index).shard().edit();
       for (PendingReleases.Release release : pendingReleases.releasesOf(job.job().id()).values()) {
--- a/src/main/java/io/cherryspool/controller/rounds/RoundDecisionLog.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundDecisionLog.java
@@ -12,50 +12,53 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes at debug level what rounds decide on each job, and why tasks wait: a line for each job of
- * which the decision has changed since the round before, so that a job that waits has one line.
+ * Logs at debug level what rounds decide on each job, and why its tasks wait. A job's decisions are
+ * logged only if they have changed since the previous round, so that they are not repeated while
+ * the job waits.
  *
  * <p>Used on the event loop only.
  */
 final class RoundDecisionLog {
   private static final Logger LOG = LoggerFactory.getLogger(RoundDecisionLog.class);
 
-  private Map<String, List<EntryDecision>> lastByJob = Map.of();
+  private Map<String, List<EntryDecision>> lastDecisionsByJob = Map.of();
 
-  /** Whether decisions are to be recorded; otherwise nothing is kept and nothing written. */
+  /** Whether decisions are logged. */
   boolean isEnabled() {
     return LOG.isDebugEnabled();
   }
 
-  /** The decisions of one round, while it is planned. */
+  /** Collects the decisions of one round while it is planned. */
   final class Round implements EntryDecision.Listener {
-    private final Map<String, List<EntryDecision>> byJob = new HashMap<>();
+    private final Map<String, List<EntryDecision>> decisionsByJob = new HashMap<>();
 
     @Override
-    public void entryPlanned(EntryDecision decision) {
-      byJob.computeIfAbsent(decision.jobId(), key -> new ArrayList<>(2)).add(decision);
+    public void onDecision(EntryDecision decision) {
+      decisionsByJob.computeIfAbsent(decision.jobId(), key -> new ArrayList<>(2)).add(decision);
     }
 
-    /** Writes what has changed since the round before. */
+    /**
+     * Logs a summary of the round, and the decisions that have changed since the previous round.
+     */
     void write(ClusterView view, Map<HoldCause, Integer> heldTasks) {
-      int freeMachines = 0;
+      int idleMachines = 0;
       for (ClusterView.MachineView machine : view.machines()) {
-        freeMachines += machine.runningTasks().isEmpty() ? 1 : 0;
+        idleMachines += machine.runningTasks().isEmpty() ? 1 : 0;
       }
       LOG.debug(
           "round: jobs={} machines={} idle={} usage={} held={}",
           view.jobs().size(),
           view.machines().size(),
-          freeMachines,
+          idleMachines,
           new TreeMap<>(view.usageByTeam()),
           heldTasks);
-      byJob.forEach(
+      decisionsByJob.forEach(
           (job, decisions) -> {
-            if (!decisions.equals(lastByJob.get(job))) {
+            if (!decisions.equals(lastDecisionsByJob.get(job))) {
               decisions.forEach(Round::writeDecision);
             }
           });
-      lastByJob = byJob;
+      lastDecisionsByJob = decisionsByJob;
     }
 
     private static void writeDecision(EntryDecision decision) {
@@ -66,7 +69,7 @@
           decision.placed(),
           decision.overQuota(),
           decision.unschedulable(),
-          decision.machineCause().map(HoldCause::label).orElse("none"));
+          decision.unschedulableCause().map(HoldCause::label).orElse("none"));
     }
   }
 }
--- a/src/main/java/io/cherryspool/reachability/PartitionRule.java
+++ b/src/main/java/io/cherryspool/reachability/PartitionRule.java
@@ -8,36 +8,50 @@
 import java.util.Optional;
 
 /**
- * The rule by which nodes judge their links. Immutable.
+ * The rule that controllers follow in a network partition. Immutable.
  *
- * <p>A leader that loses its workers, but neither the state store nor the other nodes, would stay
- * leader while its workers try the nodes in turn, are redirected to it each time, and lose all
- * their tasks when their leases expire. The others count those workers in their heartbeats. Both
- * must agree: many machines have stopped reporting here, and about as many come to the others.
- * Machines that died, hang or are cut off with their zone come to no node.
+ * <p>A leader whose workers can't reach it, but which reaches the state store and the other nodes,
+ * would remain leader. Its workers would try the other nodes in turn, be redirected to it each
+ * time, and lose all their tasks when their leases expire. The other nodes therefore count the
+ * workers that they redirect and send the counts in their heartbeats. The leader hands leadership
+ * over only if both observations agree: many machines have stopped sending it heartbeats, and about
+ * as many workers come to the other nodes. Machines that have died, hang or are cut off together
+ * with their zone come to no node. A leader that receives no heartbeats from other nodes decides by
+ * the first observation alone.
  */
 public final class PartitionRule implements VerdictRule {
-  /** Fewer missing machines are worth no change of the leader. */
+  /** The smallest number of missing machines for which a leader hands leadership over. */
   private static final int MIN_MISSING_MACHINES = 3;
 
-  /** With fewer than one machine of so many missing, neither. */
-  private static final int MISSING_FRACTION = 6;
+  /**
+   * A leader hands leadership over only if at least the known machines divided by this are missing.
+   */
+  private static final int MIN_MISSING_DIVISOR = 6;
 
-  /** Each recent change of the leader doubles what a further one must be worth. */
-  private static final int COST_GROWTH = 2;
+  /**
+   * After recent changes of the leader, the part of the machines that must be missing is multiplied
+   * by this.
+   */
+  private static final int RECENT_CHANGES_THRESHOLD_FACTOR = 2;
 
-  /** Penalties below this are a single change some time ago. */
+  /**
+   * From this penalty on, changes of the leader count as recent. A lower penalty results from at
+   * most one change, or from changes some time ago.
+   */
   private static final double RECENT_CHANGES_PENALTY = 1.5;
 
-  /** A node that flaps stands after this part of a lease. */
+  /** A node whose link to the state store flaps delays its candidacy by a lease divided by this. */
   private static final int FLAPPING_DELAY_DIVISOR = 2;
 
-  /** A node that is not the successor stands after this part of a lease. */
+  /**
+   * After a handover, a node that is not the successor delays its candidacy by a lease divided by
+   * this.
+   */
   private static final int NOT_SUCCESSOR_DELAY_DIVISOR = 4;
 
   private final ReachabilityTimings timings;
 
-  /** A rule with the deployment's times. */
+  /** Creates a rule with the deployment's timings. */
   public PartitionRule(ReachabilityTimings timings) {
     this.timings = timings;
   }
@@ -45,19 +59,19 @@
   @Override
   public Verdict evaluate(NodeView view) {
     return switch (view.leadership().role()) {
-      case LEADER -> judgeLeader(view);
-      case CANDIDATE -> judgeCandidate(view);
-      case FOLLOWER -> judgeFollower(view);
+      case LEADER -> evaluateLeader(view);
+      case CANDIDATE -> evaluateCandidate(view);
+      case FOLLOWER -> evaluateFollower(view);
     };
   }
 
-  private static Verdict judgeFollower(NodeView view) {
+  private static Verdict evaluateFollower(NodeView view) {
     return view.stateStoreLink().state() == LinkState.DOWN
         ? new Verdict.ForwardRequests(Reason.STATE_UNREACHABLE)
         : new Verdict.Serve();
   }
 
-  private Verdict judgeLeader(NodeView view) {
+  private Verdict evaluateLeader(NodeView view) {
     if (isHandoverWorthwhile(view)) {
       Optional<Verdict> handover = handOver(view);
       if (handover.isPresent()) {
@@ -78,8 +92,9 @@
   }
 
   /**
-   * Whether much of the fleet is unreachable, for no longer than its tasks' leases last. Later what
-   * it ran is free for other machines, so that the fleet may have to grow.
+   * Whether much of the fleet is unreachable, but for less time than the leases of its tasks take
+   * to expire. After that, its tasks may be placed on other machines, and the fleet may have to
+   * grow for them.
    */
   private boolean mayMachinesStillOwnTasks(NodeView view) {
     Optional<Duration> unreachableFor = view.fleet().unreachableFor();
@@ -88,30 +103,36 @@
   }
 
   /**
-   * Whether enough machines are missing. Heartbeats that were late because this node stood still,
-   * or is behind, are nobody's absence, nor are those that it could not answer: after an outage of
-   * the state store all workers come from the other nodes at once.
+   * Whether enough machines are missing for a handover. Missing machines don't count if this node
+   * was recently stalled, behind, or unable to answer workers. Heartbeats were then late because of
+   * this node, and after an outage of the state store all workers come back from the other nodes at
+   * once.
    *
-   * <p>Nor are those that a busy node answers too late, so that their workers try the others. The
-   * next leader is no larger, and has the failover to pay besides: three controllers with 7.6% of a
-   * core handed leadership over every 10 to 20 s and lost thousands of tasks. A leader that its
-   * workers do not reach has little to do.
+   * <p>For the same reason a leader that is too busy to answer workers in time does not hand over,
+   * although its workers try the other nodes. Its successor would have no more capacity, and the
+   * work of a failover in addition: three controllers with 7.6% of a core handed leadership over
+   * every 10 to 20 s and lost thousands of tasks. A leader that its workers can't reach, by
+   * contrast, has little work and runs on time.
    */
   private boolean isHandoverWorthwhile(NodeView view) {
     int missing = view.fleet().machines().missing();
-    if (missing < MIN_MISSING_MACHINES || !isSteady(view)) {
+    if (missing < MIN_MISSING_MACHINES || !hasBeenHealthyLongEnough(view)) {
       return false;
     }
-    int cost = view.leadership().penalty() < RECENT_CHANGES_PENALTY ? 1 : COST_GROWTH;
-    return missing * MISSING_FRACTION >= view.fleet().machines().known() * cost;
+    int thresholdFactor =
+        view.leadership().penalty() < RECENT_CHANGES_PENALTY ? 1 : RECENT_CHANGES_THRESHOLD_FACTOR;
+    return missing * MIN_MISSING_DIVISOR >= view.fleet().machines().known() * thresholdFactor;
   }
 
-  private boolean isSteady(NodeView view) {
+  private boolean hasBeenHealthyLongEnough(NodeView view) {
     Duration required = Durations.multiply(timings.workerHeartbeatOverdueAfter(), 2);
     return view.leadership().healthyFor().compareTo(required) >= 0;
   }
 
-  /** The handover to the node to which most of the missing workers come; empty if to none. */
+  /**
+   * Returns the handover to the node to which most of the missing workers come; empty if there is
+   * no such node.
+   */
   private Optional<Verdict> handOver(NodeView view) {
     List<Mesh.PeerHeartbeat> heartbeats =
         view.matrix().freshHeartbeats(timings.peerHeartbeatTimeout(), view.now());
@@ -119,8 +140,9 @@
   }
 
   /**
-   * A leader that receives no heartbeats can't know where its workers are; if it misses half of
-   * them, any other node is the better guess.
+   * Returns the handover of a leader that receives no heartbeats from other nodes, and so can't
+   * know to which node its workers come. If half of its machines are missing, any other node is
+   * probably the better leader. A leader that has never received a heartbeat does not hand over.
    */
   private static Optional<Verdict> handOverWithoutPeers(NodeView view) {
     boolean isHalfMissing =
@@ -154,10 +176,10 @@
   }
 
   /**
-   * The successor stands first, and the former leader last; a node whose link to the state store
-   * flaps stands after the others.
+   * Orders the candidacies. After a handover the successor runs first and the former leader last.
+   * Any other node whose link to the state store flaps runs after the nodes whose links do not.
    */
-  private Verdict judgeCandidate(NodeView view) {
+  private Verdict evaluateCandidate(NodeView view) {
     Duration lease = timings.leaderLease();
     NodeView.Handover handover = view.leadership().handover().orElse(null);
     if (handover != null && handover.successor().equals(view.node())) {
--- a/src/main/java/io/cherryspool/scheduler/BinPool.java
+++ b/src/main/java/io/cherryspool/scheduler/BinPool.java
@@ -15,35 +15,41 @@
 import java.util.Set;
 
 /**
- * The machines with free resources while a round's plan fills them, and their ranking for a job: a
- * machine that has the job's image or is fetching it is preferred, then the tightest fit and the
- * lower price, so that expensive machines become idle first and can be deleted.
+ * The machines with free resources during a round's planning, and their ranking for a job. The
+ * ranking prefers machines that have the job's image or are fetching it, then the tightest fit and
+ * the lower price. Expensive machines therefore become idle first and can be deleted.
  */
 final class BinPool {
-  /** Weight of a second of image fetch, in free CPUs. */
+  /** Score of each second of image fetch time, expressed in free CPUs. */
   private static final double CPUS_PER_FETCH_SECOND = 10;
 
-  /** Gigabytes of free memory that weigh as much as a free CPU. */
+  /** Gigabytes of free memory that score as much as one free CPU. */
   private static final double MEMORY_GB_PER_CPU = 8;
 
-  /** Weight of the hourly price of one CPU, in free CPUs. */
+  /** Score of each unit of a CPU's hourly price, expressed in free CPUs. */
   private static final double CPUS_PER_PRICE = 100;
 
-  /** Weight of each CPU of the slots taken from jobs without machines, in free CPUs. */
+  /**
+   * Score of each CPU in slots that the placement takes from a job without machines, expressed in
+   * free CPUs.
+   */
   private static final double CPUS_PER_CONTENDED_CPU = 3;
 
-  /** Bound on the jobs without machines whose slots are considered; it bounds a plan's cost. */
+  /**
+   * Maximum number of jobs without machines whose slots are considered, which limits the planning
+   * cost.
+   */
   private static final int MAX_CONTENDING_JOBS = 3;
 
-  /** Bound on the slots of a job that are counted on one machine. */
-  private static final int MAX_SLOTS = 1000;
+  /** Maximum number of a job's task slots that are counted on one machine. */
+  private static final int MAX_SLOTS_PER_MACHINE = 1000;
 
   private final ClusterView view;
   private final List<Bin> bins = new ArrayList<>();
   private final List<Bin> reserved = new ArrayList<>();
   private final Map<Demand, List<Bin>> rankings = new HashMap<>();
   private final List<Job> contendingJobs;
-  private int examined;
+  private int machinesExamined;
 
   BinPool(ClusterView view) {
     this.view = view;
@@ -56,7 +62,7 @@
     }
   }
 
-  /** What distinguishes the tasks of two jobs in a ranking of the machines. */
+  /** The properties of a job on which its ranking of the machines depends. */
   private record Demand(
       Resources perTask,
       List<String> allowedTypes,
@@ -68,7 +74,8 @@
           job.perTask(), job.allowedTypes(), job.requiredZone(), job.allowsSpot(), job.image());
     }
 
-    // Generated record methods are linked at run time; see "Start-up" in docs/design.md.
+    // Written by hand, since generated record methods are linked at run time; see "Start-up" in
+    // docs/design.md.
     @Override
     public boolean equals(Object object) {
       return object instanceof Demand other
@@ -85,38 +92,39 @@
     }
   }
 
-  /** How often a machine was examined for a ranking. */
-  int examined() {
-    return examined;
+  /** Returns the number of times that a machine was examined for a ranking. */
+  int machinesExamined() {
+    return machinesExamined;
   }
 
   /**
-   * The ranking for the job, shared by all jobs of equal demand: hundreds of jobs with one task
-   * must not examine each machine again. A bin only gets better for a demand while it is filled, so
-   * that the ranking stays valid.
+   * Returns the ranking for the job, computed once for all jobs with equal demand. Without this,
+   * every machine would be examined again for each of hundreds of single-task jobs. The ranking may
+   * be reused because a machine's score only improves while it is filled.
    *
-   * @return the machines that have, or had, room for a task, the best first; the caller may remove
-   *     those without
+   * @return the machines that have room for a task, or had it when the ranking was computed, best
+   *     first; the caller may remove those without room
    */
   List<Bin> sharedRanking(Job job) {
     return rankings.computeIfAbsent(Demand.of(job), key -> rank(job));
   }
 
-  /** The machines with room for a task of the job, the best first. */
+  /** Returns the machines with room for a task of the job, best first. */
   List<Bin> rank(Job job) {
     return rank(job, null);
   }
 
   /**
-   * The machines of one zone with room for a task of the job, the best first.
+   * Returns the machines of one zone with room for a task of the job, best first.
    *
    * @param zone the zone, null for all zones
    */
-  @SuppressWarnings("JdkObsolete") // callers remove bins from its middle while they iterate
+  @SuppressWarnings(
+      "JdkObsolete") // callers remove elements from the middle of the list while they iterate
   List<Bin> rank(Job job, String zone) {
     List<Bin> result = new ArrayList<>();
     for (Bin bin : bins) {
-      examined++;
+      machinesExamined++;
       if (bin.accepts(job) && (zone == null || zone.equals(bin.machine().zone()))) {
         bin.setScore(score(job, bin));
         result.add(bin);
@@ -126,7 +134,9 @@
     return new LinkedList<>(result);
   }
 
-  /** The bin's cost for a task of the job, in free CPUs; the lowest is the best. */
+  /**
+   * Returns the score of placing a task of the job on the machine, in free CPUs; lower is better.
+   */
   private double score(Job job, Bin bin) {
     MachineView machine = bin.machine();
     MachineType type = machine.type();
@@ -139,14 +149,18 @@
         + CPUS_PER_CONTENDED_CPU * contendedCpus(job, bin, left);
   }
 
-  /** The most CPUs in slots that a job without machines would lose to a task of this job. */
+  /**
+   * Returns the CPUs of the task slots that jobs without machines would lose if a task of this job
+   * were placed on the machine, for the job that would lose most.
+   */
   private double contendedCpus(Job job, Bin bin, Resources left) {
     double most = 0;
     for (Job other : contendingJobs) {
       if (other != job && bin.isAllowedFor(other)) {
         Resources perTask = other.perTask();
         int slots =
-            perTask.countFittingIn(bin.free(), MAX_SLOTS) - perTask.countFittingIn(left, MAX_SLOTS);
+            perTask.countFittingIn(bin.free(), MAX_SLOTS_PER_MACHINE)
+                - perTask.countFittingIn(left, MAX_SLOTS_PER_MACHINE);
         most = Math.max(most, slots * perTask.cpus());
       }
     }
@@ -154,12 +168,13 @@
   }
 
   /**
-   * The zone with room for most tasks of the job, the first by name of several.
+   * Returns the zone with room for the most tasks of the job. If several zones have equal room,
+   * returns the first by name.
    *
-   * @param wanted the number of tasks, beyond which room on one machine does not count
-   * @return empty if no machine has room for a task
+   * @param wanted the number of tasks to place, which caps the room counted on each machine
+   * @return the zone, or empty if no machine has room for a task
    */
-  Optional<String> roomiestZone(Job job, int wanted) {
+  Optional<String> zoneWithMostRoom(Job job, int wanted) {
     Map<String, Integer> roomByZone = new HashMap<>();
     for (Bin bin : bins) {
       if (bin.accepts(job) && !bin.excludes(job)) {
@@ -182,8 +197,8 @@
   }
 
   /**
-   * Reserves the machine that is nearest to having room for a task of the job. Smaller tasks would
-   * otherwise take each part of the machine as it becomes free.
+   * Reserves the allowed machine with the most free CPUs for a task of the job. Otherwise smaller
+   * tasks would take each part of the machine as it becomes free.
    */
   void reserve(Job job) {
     Bin nearest = null;
@@ -201,7 +216,7 @@
     }
   }
 
-  /** Leaves the machines to others from now on. */
+  /** Reserves the machines with these names, so that later placements leave them out. */
   void reserve(Set<String> machines) {
     for (Bin bin : bins) {
       if (machines.contains(bin.machine().name())) {
@@ -212,8 +227,8 @@
     bins.removeIf(Bin::isReserved);
   }
 
-  /** Whether a task of the job fits on some machine once that is idle. */
-  boolean mayFallFree(Job job) {
+  /** Whether some machine could run a task of the job if it were idle. */
+  boolean hasEligibleMachine(Job job) {
     for (MachineView machine : view.machines()) {
       if (PlacementConstraints.allows(job, machine.type(), machine.zone(), machine.isSpot())
           && !machine.excludedJobs().contains(job.id())) {
@@ -223,12 +238,12 @@
     return false;
   }
 
-  /** Whether a machine that is reserved for another job has room for a task of this one. */
+  /** Whether a reserved machine has room for a task of the job. */
   boolean hasReservedRoom(Job job) {
     return hasRoom(reserved, job);
   }
 
-  /** Whether a machine of any zone, which is not reserved, has room for a task of the job. */
+  /** Whether an unreserved machine in any zone has room for a task of the job. */
   boolean hasRoom(Job job) {
     return hasRoom(bins, job);
   }
@@ -242,8 +257,8 @@
     return false;
   }
 
-  /** Leaves the machines without free resources out of later rankings. */
-  void removeFull() {
+  /** Removes the full machines, so that later rankings do not examine them. */
+  void removeFullMachines() {
     bins.removeIf(Bin::isFull);
   }
 }
--- a/src/main/java/io/cherryspool/scheduler/EntryPlan.java
+++ b/src/main/java/io/cherryspool/scheduler/EntryPlan.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a plan has decided so far on an entry of the queue. */
+/** The state of a plan for one queue entry, updated while the plan is made. */
 final class EntryPlan {
   private final QueueOrder.Entry entry;
-  private int tried;
-  private int placed;
-  private int charged;
-  private int unschedulable;
-  private HoldCause machineCause = HoldCause.NO_MACHINE;
+  private int triedCount;
+  private int placedCount;
+  private int reservedCount;
+  private int scaleOutCount;
+  private HoldCause unschedulableCause = HoldCause.NO_MACHINE;
 
   EntryPlan(QueueOrder.Entry entry) {
     this.entry = entry;
@@ -30,66 +30,72 @@
     return job().team();
   }
 
-  /** The tasks that the quota did not allow so far. */
-  List<Integer> overQuota() {
-    return entry.tasks().subList(tried, entry.tasks().size());
+  /** The tasks that the team's quota has not allowed so far. */
+  List<Integer> overQuotaTasks() {
+    return entry.tasks().subList(triedCount, entry.tasks().size());
   }
 
   int overQuotaCount() {
-    return entry.tasks().size() - tried;
+    return entry.tasks().size() - triedCount;
   }
 
-  /** How many tasks are assigned to machines. */
-  int placed() {
-    return placed;
+  /** The number of tasks that are assigned to machines. */
+  int placedCount() {
+    return placedCount;
   }
 
-  /** How many tasks the quota allows, and no machine has room for. */
-  int lackingMachine() {
-    return tried - placed;
+  /** The number of tasks that the quota allows but for which no machine has room. */
+  int withoutMachineCount() {
+    return triedCount - placedCount;
   }
 
-  /** Takes in what became of the next tasks that the quota allows. */
-  void tried(int count, TaskAssigner.Result result) {
-    tried += count;
-    placed += result.placed();
+  /** Records the result of assigning the next {@code count} tasks, which the quota allows. */
+  void recordResult(int count, TaskAssigner.Result result) {
+    triedCount += count;
+    placedCount += result.placed();
     if (result.placed() < count) {
-      machineCause = result.causeOfRest();
+      unschedulableCause = result.unplacedCause();
     }
   }
 
-  /** The quota that is kept for tasks which are not placed. */
-  Resources chargedQuota() {
-    return job().perTask().times(charged);
+  /** The quota that is reserved for tasks which are not placed. */
+  Resources reservedQuota() {
+    return job().perTask().times(reservedCount);
   }
 
-  /** As above, as far as the quota is kept for a promoted task that it does not allow yet. */
-  Resources chargedQuotaOverQuota() {
-    return entry.isPromoted() && overQuotaCount() > 0 ? chargedQuota() : Resources.NONE;
+  /**
+   * The reserved quota if it is reserved for a promoted task that is still over quota, otherwise
+   * none.
+   */
+  Resources reservedQuotaOfPromotedTask() {
+    return entry.isPromoted() && overQuotaCount() > 0 ? reservedQuota() : Resources.NONE;
   }
 
-  /** Keeps the team's quota for so many tasks that are not placed, in place of those before. */
-  void charge(int tasks) {
-    charged = tasks;
+  /** Sets the number of tasks that are not placed and for which the team's quota is reserved. */
+  void reserveQuota(int tasks) {
+    reservedCount = tasks;
   }
 
-  /** How many tasks the fleet lacks machines for, as far as the team's quota could hold them. */
-  int unschedulable() {
-    return unschedulable;
+  /**
+   * The number of tasks that count towards a scale-out: no machine has room for them, and the
+   * team's quota would allow them if none of it were lent.
+   */
+  int scaleOutCount() {
+    return scaleOutCount;
   }
 
-  void setUnschedulable(int tasks) {
-    unschedulable = tasks;
+  void setScaleOutCount(int tasks) {
+    scaleOutCount = tasks;
   }
 
-  /** The decision as it stands. */
+  /** Returns the decision on the entry according to the results recorded so far. */
   EntryDecision decision() {
     return new EntryDecision(
         job().id(),
         entry.isPromoted(),
-        placed,
+        placedCount,
         overQuotaCount(),
-        lackingMachine(),
-        lackingMachine() > 0 ? Optional.of(machineCause) : Optional.empty());
+        withoutMachineCount(),
+        withoutMachineCount() > 0 ? Optional.of(unschedulableCause) : Optional.empty());
   }
 }
--- a/src/main/java/io/cherryspool/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/PlacementPlanner.java
@@ -10,26 +10,34 @@
 import java.util.Set;
 
 /**
- * Plans a round: takes the queue in its order and places each task on the best machine with room.
+ * Plans a round: goes through the queue in order and places each task on the best machine with
+ * room.
  *
- * <p>A task that its team's quota allows and no machine has room for is charged to the quota at
- * first, so that later work does not use up what preemption makes room for. Once it is known that
- * preemption makes none, the charge is lent: tasks further back in the queue that have a machine
- * run in its place. Two kinds of tasks are not placed and keep a charge: those that preemption
- * makes room for, and one task of each promoted job for which some machine may fall free.
+ * <p>If a team's quota allows a task but no machine has room for it, the planner first reserves
+ * quota for the task. Otherwise later work would use up the quota that the task needs once
+ * preemption has made room. If preemption makes no room, the quota is lent: later tasks in the
+ * queue that have a machine may use it. Quota stays reserved for two kinds of tasks that are not
+ * placed: tasks for which preemption makes room, and one task of each promoted job that some
+ * machine could run once it is idle.
  *
- * <p>The cost of a plan follows what can be placed, not what waits: full machines are left out, the
- * equal tasks of a job are placed together, and a demand that no machine can satisfy is not tried
- * again for jobs that need at least as much.
+ * <p>The cost of a plan depends on the number of tasks that can be placed, not on the number that
+ * wait: full machines are left out, the equal tasks of a job are placed together, and once no
+ * machine has room for a demand, jobs that need at least as much are not tried.
  */
 public final class PlacementPlanner {
   private final ClusterView view;
 
-  /** What each team uses, what was placed, and the charges for tasks that are not. */
+  /**
+   * The quota that each team uses: for its owned tasks, for tasks placed in this round, and for
+   * reservations.
+   */
   private final TeamUsage usage;
 
-  /** As above, as if no quota had been lent: what machines are needed for. */
-  private final TeamUsage demand;
+  /**
+   * The quota that each team would use if none were lent. It limits the tasks for which machines
+   * are requested.
+   */
+  private final TeamUsage usageWithoutLending;
 
   private final BinPool bins;
   private final TaskAssigner assigner;
@@ -41,18 +49,18 @@
   private PlacementPlanner(ClusterView view) {
     this.view = view;
     this.usage = new TeamUsage(view.usageByTeam());
-    this.demand = new TeamUsage(view.usageByTeam());
-    view.lentUsageByTeam().forEach(demand::subtract);
+    this.usageWithoutLending = new TeamUsage(view.usageByTeam());
+    view.lentUsageByTeam().forEach(usageWithoutLending::subtract);
     this.bins = new BinPool(view);
     this.assigner = new TaskAssigner(bins);
   }
 
-  /** The plan for the view. Equal views give equal plans. */
+  /** Returns the plan for the view. Equal views give equal plans. */
   public static RoundPlan plan(ClusterView view) {
     return plan(view, EntryDecision.Listener.NONE);
   }
 
-  /** As above; the listener receives the decision on each entry of the queue. */
+  /** Returns the plan for the view, and passes the decision on each queue entry to the listener. */
   public static RoundPlan plan(ClusterView view, EntryDecision.Listener listener) {
     PlacementPlanner placement = new PlacementPlanner(view);
     for (QueueOrder.Entry entry : QueueOrder.sortedEntries(view)) {
@@ -72,7 +80,7 @@
       preemption.addAssignments(all.subList(placedBefore, all.size()));
       for (EntryPlan plan : overQuota) {
         if (plan.overQuotaCount() > 0) {
-          preemption.freeQuotaFor(plan.job(), plan.overQuotaCount());
+          preemption.preemptForQuota(plan.job(), plan.overQuotaCount());
         }
       }
       victims = preemption.victims();
@@ -84,28 +92,28 @@
         unschedulable,
         RelocatableTasks.find(view, unschedulable),
         countHeldTasks(listener),
-        assigner.examined());
+        assigner.machinesExamined());
   }
 
-  /** Places the entry's tasks as far as the team's quota and the machines allow. */
+  /** Places as many of the entry's tasks as the team's quota and the machines allow. */
   private void place(QueueOrder.Entry entry) {
     EntryPlan plan = new EntryPlan(entry);
     entryPlans.add(plan);
-    int allowedIfNoneLent = countAllowed(demand, plan);
+    int allowedWithoutLending = countAllowed(usageWithoutLending, plan);
     int allowed = countAllowed(usage, plan);
     if (allowed > 0) {
-      tryTasks(plan, allowed, false);
-      plan.charge(plan.lackingMachine());
-      usage.add(plan.team(), plan.chargedQuota());
+      assignTasks(plan, allowed, false);
+      plan.reserveQuota(plan.withoutMachineCount());
+      usage.add(plan.team(), plan.reservedQuota());
       reserveMachineIfPromoted(plan);
-    } else if (entry.isPromoted() && bins.mayFallFree(plan.job())) {
-      // The quota that the team's other tasks free next is kept for this one.
-      plan.charge(1);
-      usage.add(plan.team(), plan.chargedQuota());
-      demand.add(plan.team(), plan.chargedQuota());
+    } else if (entry.isPromoted() && bins.hasEligibleMachine(plan.job())) {
+      // Reserves the quota that the team's other tasks free next.
+      plan.reserveQuota(1);
+      usage.add(plan.team(), plan.reservedQuota());
+      usageWithoutLending.add(plan.team(), plan.reservedQuota());
     }
-    noteDemand(plan, allowedIfNoneLent);
-    if (plan.lackingMachine() > 0) {
+    recordScaleOutCount(plan, allowedWithoutLending);
+    if (plan.withoutMachineCount() > 0) {
       withoutMachine.add(plan);
     }
     if (plan.overQuotaCount() > 0) {
@@ -114,30 +122,33 @@
   }
 
   private void reserveMachineIfPromoted(EntryPlan plan) {
-    if (plan.entry().isPromoted() && plan.lackingMachine() > 0) {
+    if (plan.entry().isPromoted() && plan.withoutMachineCount() > 0) {
       bins.reserve(plan.job());
     }
   }
 
-  /** Tries to place the next tasks, and charges those that are placed to the team's quota. */
-  private void tryTasks(EntryPlan plan, int count, boolean usesLentQuota) {
-    List<Integer> tasks = plan.overQuota().subList(0, count);
+  /**
+   * Assigns the entry's next tasks to machines, and adds those that were placed to the team's
+   * usage.
+   */
+  private void assignTasks(EntryPlan plan, int count, boolean usesLentQuota) {
+    List<Integer> tasks = plan.overQuotaTasks().subList(0, count);
     TaskAssigner.Result result = assigner.assign(plan.entry().view(), tasks, usesLentQuota);
-    plan.tried(count, result);
+    plan.recordResult(count, result);
     usage.add(plan.team(), plan.job().perTask().times(result.placed()));
-    demand.add(plan.team(), plan.job().perTask().times(result.placed()));
+    usageWithoutLending.add(plan.team(), plan.job().perTask().times(result.placed()));
   }
 
   /**
-   * Notes the tasks that need machines: those that the quota allows, and those that it would allow
-   * if none had been lent. What the team uses, less what was lent, and all that needs machines stay
-   * within its quota together.
+   * Records how many tasks of the entry need additional machines: those that the quota allows, and
+   * those that it would allow if none were lent. The team's usage without lending, and all its
+   * tasks that need machines, stay within its quota together.
    */
-  private void noteDemand(EntryPlan plan, int allowedIfNoneLent) {
-    int wanted = allowedIfNoneLent - plan.placed();
-    if (wanted > 0 && (plan.lackingMachine() > 0 || !bins.hasRoom(plan.job()))) {
-      plan.setUnschedulable(wanted);
-      demand.add(plan.team(), plan.job().perTask().times(wanted));
+  private void recordScaleOutCount(EntryPlan plan, int allowedWithoutLending) {
+    int wanted = allowedWithoutLending - plan.placedCount();
+    if (wanted > 0 && (plan.withoutMachineCount() > 0 || !bins.hasRoom(plan.job()))) {
+      plan.setScaleOutCount(wanted);
+      usageWithoutLending.add(plan.team(), plan.job().perTask().times(wanted));
     }
   }
 
@@ -149,23 +160,26 @@
             counted.of(plan.team()), plan.job().perTask(), plan.overQuotaCount());
   }
 
-  /** Takes back the charges for tasks that will have no machine in the rounds to come. */
+  /**
+   * Cancels the reservations of tasks for which no machine will become free, so that their quota is
+   * lent.
+   */
   private void lendUnusableQuota(Preemption preemption) {
     for (EntryPlan plan : withoutMachine) {
-      int usable = preemption.freeMachinesFor(plan.job(), plan.lackingMachine());
-      if (usable == 0 && plan.entry().isPromoted() && bins.mayFallFree(plan.job())) {
-        usable = 1;
+      int reservedCount = preemption.preemptForRoom(plan.job(), plan.withoutMachineCount());
+      if (reservedCount == 0 && plan.entry().isPromoted() && bins.hasEligibleMachine(plan.job())) {
+        reservedCount = 1;
       }
-      if (usable < plan.lackingMachine()) {
-        usage.subtract(plan.team(), plan.chargedQuota());
-        plan.charge(usable);
-        usage.add(plan.team(), plan.chargedQuota());
+      if (reservedCount < plan.withoutMachineCount()) {
+        usage.subtract(plan.team(), plan.reservedQuota());
+        plan.reserveQuota(reservedCount);
+        usage.add(plan.team(), plan.reservedQuota());
         teamsWithLentQuota.add(plan.team());
       }
     }
   }
 
-  /** Places tasks that were over their teams' quotas as far as quota was lent. */
+  /** Places tasks that were over their team's quota and now fit into it because quota was lent. */
   private void placeOnLentQuota(Preemption preemption) {
     if (teamsWithLentQuota.isEmpty() || overQuota.isEmpty()) {
       return;
@@ -179,22 +193,22 @@
   }
 
   private void placeOnLentQuota(EntryPlan plan) {
-    Resources kept = plan.chargedQuotaOverQuota();
-    usage.subtract(plan.team(), kept);
+    Resources reserved = plan.reservedQuotaOfPromotedTask();
+    usage.subtract(plan.team(), reserved);
     int allowed = countAllowed(usage, plan);
     if (allowed > 0) {
-      tryTasks(plan, allowed, true);
+      assignTasks(plan, allowed, true);
       reserveMachineIfPromoted(plan);
     }
-    boolean isPlaced = plan.overQuotaCount() == 0 && plan.lackingMachine() == 0;
-    usage.add(plan.team(), isPlaced ? Resources.NONE : kept);
+    boolean isFullyPlaced = plan.overQuotaCount() == 0 && plan.withoutMachineCount() == 0;
+    usage.add(plan.team(), isFullyPlaced ? Resources.NONE : reserved);
   }
 
   private List<RoundPlan.TaskGroup> unschedulable() {
     List<RoundPlan.TaskGroup> result = new ArrayList<>();
     for (EntryPlan plan : entryPlans) {
-      if (plan.unschedulable() > 0) {
-        result.add(new RoundPlan.TaskGroup(plan.job(), plan.unschedulable()));
+      if (plan.scaleOutCount() > 0) {
+        result.add(new RoundPlan.TaskGroup(plan.job(), plan.scaleOutCount()));
       }
     }
     return result;
@@ -205,12 +219,12 @@
     for (EntryPlan plan : entryPlans) {
       EntryDecision decision = plan.decision();
       decision
-          .machineCause()
+          .unschedulableCause()
           .ifPresent(cause -> result.merge(cause, decision.unschedulable(), Integer::sum));
       if (decision.overQuota() > 0) {
         result.merge(HoldCause.OVER_QUOTA, decision.overQuota(), Integer::sum);
       }
-      listener.entryPlanned(decision);
+      listener.onDecision(decision);
     }
     return result;
   }
--- a/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
+++ b/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of requests for instances, by the cloud's answers to them. */
+/** Handling of the cloud's answers to requests for instances. */
 class InstanceRequestsTest {
   private static final Duration LIST_LAG = Duration.ofSeconds(6);
   private static final MachineType BOX =
@@ -66,40 +66,40 @@
     answers.get(answers.size() - 1).completeExceptionally(new IOException("no answer"));
   }
 
-  private void pass(Duration length) {
+  private void advance(Duration length) {
     Duration end = time.now().plus(length);
     while (time.runNextEvent(end)) {
-      // Only the time moves.
+      // Each event advances the time.
     }
   }
 
   @Test
-  void aRequestWithoutAnswerIsRepeatedAsItWas() {
+  void anUnansweredRequestIsRepeatedUnchanged() {
     requests.request(OFFERING, 3);
     assertFalse(calls.isFree(), "one call at a time");
     failLast();
     assertTrue(calls.isFree());
-    assertTrue(requests.hasUnanswered());
-    requests.repeatUnanswered();
+    assertTrue(requests.hasUnansweredRequest());
+    requests.repeatUnansweredRequest();
     assertArrayEquals(sent.get(0).body(), sent.get(1).body(), "the same name and size");
     answerLast(200, "{\"spindles\":[\"host-1\",\"host-2\",\"host-3\"]}");
-    assertFalse(requests.hasUnanswered());
-    assertEquals(3, requests.provisioning(list, TYPES).size());
+    assertFalse(requests.hasUnansweredRequest());
+    assertEquals(3, requests.provisioningOfferings(list, TYPES).size());
   }
 
   @Test
-  void anOutageOfTheCloudLeavesTheRequestToBeRepeated() {
+  void aRequestIsToBeRepeatedAfterAnOutageOfTheCloud() {
     requests.request(OFFERING, 3);
     answerLast(503, "{\"error\":\"later\"}");
-    assertTrue(requests.hasUnanswered());
+    assertTrue(requests.hasUnansweredRequest());
     assertEquals(Set.of(), requests.unavailableOfferings(time.now()));
   }
 
   @Test
-  void anOfferingWithoutCapacityIsUnavailableForAWhile() {
+  void anOfferingWithoutCapacityIsTemporarilyUnavailable() {
     requests.request(OFFERING, 3);
     answerLast(503, "{\"error\":\"no capacity\"}");
-    assertFalse(requests.hasUnanswered());
+    assertFalse(requests.hasUnansweredRequest());
     assertEquals(Set.of(OFFERING), requests.unavailableOfferings(time.now()));
     Duration later = time.now().plusSeconds(16);
     assertEquals(Set.of(), requests.unavailableOfferings(later));
@@ -110,7 +110,7 @@
     requests.request(OFFERING, 3);
     answerLast(200, "{\"spindles\":[\"host-1\"]}");
     assertEquals(Set.of(OFFERING), requests.unavailableOfferings(time.now()));
-    assertEquals(List.of(OFFERING), requests.provisioning(list, TYPES));
+    assertEquals(List.of(OFFERING), requests.provisioningOfferings(list, TYPES));
   }
 
   @Test
@@ -120,17 +120,18 @@
     fleet.accept(
         new WorkerHeartbeat("host-1", "127.0.0.1:1", "box", "a", true, 1, 1, 0, null, List.of()),
         time.now());
-    assertEquals(List.of(), requests.provisioning(list, TYPES));
+    assertEquals(List.of(), requests.provisioningOfferings(list, TYPES));
   }
 
   @Test
-  void anInstanceThatTheListNeverShowsIsGivenUp() {
+  void anInstanceThatTheListNeverShowsIsNoLongerExpected() {
     requests.request(OFFERING, 1);
     answerLast(200, "{\"spindles\":[\"host-1\"]}");
-    pass(LIST_LAG.multipliedBy(4));
-    assertEquals(1, requests.provisioning(list, TYPES).size(), "the list may be that late");
-    pass(Duration.ofSeconds(1));
-    assertEquals(List.of(), requests.provisioning(list, TYPES));
+    advance(LIST_LAG.multipliedBy(4));
+    assertEquals(
+        1, requests.provisioningOfferings(list, TYPES).size(), "the list may still lag behind");
+    advance(Duration.ofSeconds(1));
+    assertEquals(List.of(), requests.provisioningOfferings(list, TYPES));
   }
 
   @Test
