--- a/src/main/java/io/cherryspool/config/OperatorSettingsParser.java
+++ b/src/main/java/io/cherryspool/config/OperatorSettingsParser.java
@@ -63,10 +63,10 @@
     }
     return Optional.of(
         new RecoverySettings(
-            gatherDuration, directory.map(Path::of), snapshotInterval, heldClasses()));
+            gatherDuration, directory.map(Path::of), snapshotInterval, heldJobClasses()));
   }
 
-  private Set<String> heldClasses() {
+  private Set<String> heldJobClasses() {
     String names = reader.takeText("recovery-hold").orElse("");
     return names.isEmpty() ? Set.of() : Set.of(names.split("\\s+"));
   }
--- a/src/main/java/io/cherryspool/config/Settings.java
+++ b/src/main/java/io/cherryspool/config/Settings.java
@@ -95,9 +95,9 @@
     return authority(workerLease, maxCancellationTime);
   }
 
-  static Duration authority(Duration workerLease, Duration cancelLimit) {
-    Duration margin = cancelLimit.dividedBy(20).plusSeconds(1);
-    return cancelLimit.minus(workerLease).minus(margin.multipliedBy(2));
+  static Duration authority(Duration workerLease, Duration maxCancellationTime) {
+    Duration margin = maxCancellationTime.dividedBy(20).plusSeconds(1);
+    return maxCancellationTime.minus(workerLease).minus(margin.multipliedBy(2));
   }
 
   /**
--- a/src/main/java/io/cherryspool/config/SettingsParser.java
+++ b/src/main/java/io/cherryspool/config/SettingsParser.java
@@ -48,11 +48,11 @@
     List<Team> teams = teams();
     Map<String, List<Double>> deadlineMultiples = deadlineMultiples();
     Duration workerLease = workers.seconds("lease_s");
-    Duration cancelLimit = workers.seconds("cancel_s");
-    checkAuthority(workerLease, cancelLimit);
+    Duration maxCancellationTime = workers.seconds("cancel_s");
+    checkAuthority(workerLease, maxCancellationTime);
     Duration heartbeatInterval = workers.seconds("report_s");
     checkHeartbeats(workerLease, heartbeatInterval);
-    int fdLimit = fdLimit();
+    int fileDescriptorLimit = fileDescriptorLimit();
     return new Settings(
         root.text("host_name"),
         root.text("site"),
@@ -65,11 +65,11 @@
         deadlineMultiples,
         heartbeatInterval,
         workerLease,
-        cancelLimit,
+        maxCancellationTime,
         stateStoreLimits(),
         cloud.positiveNumber("rps"),
         cloud.seconds("list_lag_s"),
-        fdLimit);
+        fileDescriptorLimit);
   }
 
   private List<Settings.Peer> peers() throws ConfigException {
@@ -107,8 +107,9 @@
     return multiples;
   }
 
-  private void checkAuthority(Duration workerLease, Duration cancelLimit) throws ConfigException {
-    if (Settings.authority(workerLease, cancelLimit).compareTo(MIN_AUTHORITY) < 0) {
+  private void checkAuthority(Duration workerLease, Duration maxCancellationTime)
+      throws ConfigException {
+    if (Settings.authority(workerLease, maxCancellationTime).compareTo(MIN_AUTHORITY) < 0) {
       throw workers.unusable(
           "cancel_s",
           "is too short for facts.workers.lease_s: a cancelled task that only a cut-off leader"
@@ -123,7 +124,7 @@
     }
   }
 
-  private int fdLimit() throws ConfigException {
+  private int fileDescriptorLimit() throws ConfigException {
     JsonSettingsReader resources = facts.object("resources");
     int limit = (int) resources.positiveNumber("fd_limit");
     if (limit < MIN_SOCKETS) {
