--- a/src/test/java/io/cherryspool/sim/check/RuleChecker.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleChecker.java
@@ -213,7 +213,7 @@
   }
 
   /** Notes a violation that a user has seen; {@link #check} throws it. */
-  public void noteViolationIf(boolean isViolated, String rule, String details) {
+  public void recordViolationIf(boolean isViolated, String rule, String details) {
     violation.noteIf(isViolated, rule, details);
   }
 
@@ -228,7 +228,7 @@
   }
 
   /** Checks at the end of a run that all work has ended, and the largest jobs began in time. */
-  public void checkAllServed() {
+  public void checkEndOfRun() {
     progressRules.checkAllServed(startCount);
   }
 }
--- a/src/test/java/io/cherryspool/sim/check/RuleCheckerTest.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleCheckerTest.java
@@ -105,7 +105,7 @@
   void anAcceptedJobWithoutAnEnd() {
     Job other = accepted(1);
     rules.taskCompleted(other.id() + "/0");
-    rules.checkAllServed();
+    rules.checkEndOfRun();
     breaks("nothing_ran");
   }
 
@@ -129,7 +129,7 @@
       }
       receive(job, "done");
     }
-    rules.checkAllServed();
+    rules.checkEndOfRun();
     breaks("largest_late");
   }
 
--- a/src/test/java/io/cherryspool/sim/cluster/DirectedFaultsFixture.java
+++ b/src/test/java/io/cherryspool/sim/cluster/DirectedFaultsFixture.java
@@ -18,7 +18,9 @@
   private static final double SETTLE_TIME_S = 25;
   private static final int RUNNING_TIMEOUT_S = 60;
 
-  /** The cluster of the present run; set by {@link #settle}, or by a test that needs another. */
+  /**
+   * The cluster of the present run; set by {@link #startCluster}, or by a test that needs another.
+   */
   protected SimulatedCluster cluster;
 
   /** A job that is to end and one that the test cancels. */
@@ -29,7 +31,7 @@
   }
 
   /** Starts a cluster and lets it settle, so that it has a leader and machines. */
-  protected void settle(long seed, int controllers) {
+  protected void startCluster(long seed, int controllers) {
     cluster = SimulatedCluster.of(seed, controllers);
     cluster.run(SETTLE_TIME_S);
   }
@@ -41,16 +43,16 @@
   }
 
   /** Settles a cluster of three and submits a job of many tasks; so many of them run then. */
-  protected Job settleWithJob(long seed, int tasks, Duration runTime, int running) {
-    settle(seed, 3);
+  protected Job startClusterWithJob(long seed, int tasks, Duration runTime, int running) {
+    startCluster(seed, 3);
     Job job = submit("blue", tasks, 4, runTime);
     awaitRunning(job, running);
     return job;
   }
 
   /** As above, with a second job of eight long tasks that the test is to cancel. */
-  protected TwoJobs settleWithTwoJobs(long seed, int tasks, Duration runTime, int running) {
-    settle(seed, 3);
+  protected TwoJobs startClusterWithTwoJobs(long seed, int tasks, Duration runTime, int running) {
+    startCluster(seed, 3);
     Job kept = submit("blue", tasks, 4, runTime);
     Job cancelled = submit("red", 8, 4, LONG_RUN_TIME);
     awaitRunning(kept, running);
--- a/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
@@ -34,7 +34,7 @@
 
   void begin() {
     cluster.schedule(20, this::next);
-    cluster.state().onPut(this::put);
+    cluster.stateStore().onPut(this::put);
   }
 
   private void next() {
@@ -119,14 +119,14 @@
       }
       case 4 -> node.cutFromStateStore(length);
       case 18 -> {
-        cluster.state().delayCommits(0.1 + random.nextDouble() / 2);
-        later(length, () -> cluster.state().delayCommits(0));
+        cluster.stateStore().delayCommits(0.1 + random.nextDouble() / 2);
+        later(length, () -> cluster.stateStore().delayCommits(0));
       }
-      case 19 -> node.refuseByStateStore(length);
-      case 20 -> leader.refuseByStateStore(length);
+      case 19 -> node.rejectStateStoreRequests(length);
+      case 20 -> leader.rejectStateStoreRequests(length);
       case 25 -> {
-        cluster.state().loseReplies(0.1 + random.nextDouble() / 2);
-        later(length, () -> cluster.state().loseReplies(0));
+        cluster.stateStore().loseReplies(0.1 + random.nextDouble() / 2);
+        later(length, () -> cluster.stateStore().loseReplies(0));
       }
       case 32 -> gap(leader);
       case 33 -> {
@@ -134,8 +134,8 @@
         later(length.multipliedBy(2), () -> cluster.cloud().setFastBoot(false));
       }
       case 34 -> {
-        cluster.state().delayReplies(1500);
-        later(length, () -> cluster.state().delayReplies(0));
+        cluster.stateStore().delayReplies(1500);
+        later(length, () -> cluster.stateStore().delayReplies(0));
       }
       default -> {
         // A fault of another group.
@@ -213,8 +213,8 @@
         later(length, () -> cluster.users().setCancelAtEndShare(0));
       }
       case 31 -> {
-        cluster.users().setCloseWatch(true);
-        later(length, () -> cluster.users().setCloseWatch(false));
+        cluster.users().setBurstAfterStatusChange(true);
+        later(length, () -> cluster.users().setBurstAfterStatusChange(false));
       }
       default -> {
         // A fault of another group.
@@ -224,7 +224,7 @@
 
   /** The leader alone loses the state store, jobs are cancelled, then all lose it for long. */
   private void gap(SimulatedController leader) {
-    leader.refuseByStateStore(Duration.ofSeconds(14));
+    leader.rejectStateStoreRequests(Duration.ofSeconds(14));
     double pause = 0.2 + random.nextDouble() * 6;
     cluster.schedule(random.nextDouble() * pause, this::cancelRunning);
     cluster.schedule(
--- a/src/test/java/io/cherryspool/sim/cluster/JobFactory.java
+++ b/src/test/java/io/cherryspool/sim/cluster/JobFactory.java
@@ -19,7 +19,7 @@
   }
 
   /** A job that goes before others. */
-  public Job createUrgent(String team, int tasks, double cpus, Duration runTime) {
+  public Job createHighPriority(String team, int tasks, double cpus, Duration runTime) {
     return create(team, Priority.HIGH, tasks, cpus, runTime, null, false);
   }
 
--- a/src/test/java/io/cherryspool/sim/cluster/RandomizedRun.java
+++ b/src/test/java/io/cherryspool/sim/cluster/RandomizedRun.java
@@ -54,7 +54,7 @@
     cluster.rules().setFaultsEndedAt(cluster.time().now());
     checkProgress();
     cluster.run(quietSeconds - SimulatedCluster.CANCEL_LIMIT.toSeconds());
-    cluster.rules().checkAllServed();
+    cluster.rules().checkEndOfRun();
     cluster.rules().check(cluster.workers());
   }
 
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
@@ -56,7 +56,7 @@
   private final SplittableRandom random;
   private final ClusterSettings settings;
   private final SimulatedNetwork network;
-  private final FakeStateStore state;
+  private final FakeStateStore stateStore;
   private final FakeCloud cloud;
   private final SimulatedFleet fleet;
   private final RuleChecker rules;
@@ -77,7 +77,7 @@
   }
 
   /** A random cluster with small quotas, and no capacity in one zone but the first machines. */
-  public static SimulatedCluster shortOfRoom(long seed) {
+  public static SimulatedCluster withScarceCapacity(long seed) {
     SimulatedCluster cluster = random(seed, Optional.empty(), ClusterSettings.TIGHT_TEAMS);
     cluster.cloud.exhaustZone(ZONES.get((int) (seed % ZONES.size())));
     return cluster;
@@ -114,12 +114,13 @@
   }
 
   /** As {@link #of(long, int)}, with controllers that rebuild lost records. */
-  public static SimulatedCluster recovering(long seed, int controllers) {
-    return recovering(seed, controllers, RecoverySettings.DEFAULTS);
+  public static SimulatedCluster withRecovery(long seed, int controllers) {
+    return withRecovery(seed, controllers, RecoverySettings.DEFAULTS);
   }
 
   /** As above; with a directory for snapshots each node has a disk that outlives its processes. */
-  public static SimulatedCluster recovering(long seed, int controllers, RecoverySettings recovery) {
+  public static SimulatedCluster withRecovery(
+      long seed, int controllers, RecoverySettings recovery) {
     return new SimulatedCluster(
         new SplittableRandom(seed),
         new ClusterSettings(
@@ -141,7 +142,7 @@
     // Each split of the random numbers must stay in its place, or all seeds play other runs.
     network = new SimulatedNetwork(time, random.split(), host -> zoneByHost.getOrDefault(host, ""));
     rules = new RuleChecker(time, settings.teams(), CANCEL_LIMIT);
-    state = new FakeStateStore(time, random.split(), unansweredShare);
+    stateStore = new FakeStateStore(time, random.split(), unansweredShare);
     fleet =
         new SimulatedFleet(
             time,
@@ -159,8 +160,8 @@
             FakeCloud.DEFAULT_NETWORK,
             this::boot,
             fleet::end);
-    state.limitWriteRate(settings.stateWritesPerS());
-    network.listen(ClusterSettings.STATE, state);
+    stateStore.limitWriteRate(settings.stateWritesPerS());
+    network.listen(ClusterSettings.STATE, stateStore);
     network.listen(ClusterSettings.CLOUD, cloud);
     for (int i = 0; i < settings.addresses().size(); i++) {
       addController(i);
@@ -221,8 +222,8 @@
     return network;
   }
 
-  public FakeStateStore state() {
-    return state;
+  public FakeStateStore stateStore() {
+    return stateStore;
   }
 
   public FakeCloud cloud() {
@@ -316,8 +317,8 @@
 
   /** Takes the state store down for so long. */
   public void stateStoreOutage(Duration length) {
-    state.setDown(true);
-    time.schedule(length, () -> state.setDown(false));
+    stateStore.setDown(true);
+    time.schedule(length, () -> stateStore.setDown(false));
   }
 
   /** Cuts the leader off from all machines, and from nothing else; returns its name. */
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
@@ -51,7 +51,7 @@
                     cluster.time().eventLoopOf(own),
                     () -> Instant.EPOCH.plus(cluster.time().now()),
                     new SplittableRandom(random.nextLong())),
-                cluster.network().from(address.host(), own),
+                cluster.network().transportFrom(address.host(), own),
                 heartbeat -> broadcast(own, heartbeat),
                 name() + "-life-" + processCount,
                 () -> "",
@@ -140,8 +140,8 @@
   }
 
   /** The state store answers 503 to this node alone, for so long. */
-  public void refuseByStateStore(Duration length) {
-    cluster.network().refuseRequests(address.host(), ClusterSettings.STATE.host(), length);
+  public void rejectStateStoreRequests(Duration length) {
+    cluster.network().rejectRequests(address.host(), ClusterSettings.STATE.host(), length);
   }
 
   /** The process does nothing for so long, while its clock goes on. */
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedFleet.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedFleet.java
@@ -54,7 +54,7 @@
         new FakeWorker(
             time,
             random.split(),
-            network.from(machine.host(), ProcessInbox.alwaysOpen()),
+            network.transportFrom(machine.host(), ProcessInbox.alwaysOpen()),
             machine,
             controllers,
             settings,
@@ -98,7 +98,7 @@
   }
 
   /** Kills the machine with most running tasks; the cloud lists it as running. Returns its name. */
-  public String killBusiest() {
+  public String killBusiestMachine() {
     FakeWorker victim =
         workers.values().stream()
             .max(Comparator.comparingInt(worker -> worker.runningTasks().size()))
@@ -108,7 +108,7 @@
   }
 
   /** How many leases have expired on the machines that are up. */
-  public long expiredLeases() {
+  public long expiredLeaseCount() {
     return workers.values().stream().mapToLong(worker -> worker.agentEpoch() - 1).sum();
   }
 }
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
@@ -64,7 +64,7 @@
    * Whether users ask all nodes, within milliseconds and several times, right after a job was
    * accepted, ended or confirmed as cancelled, and submit it again.
    */
-  public void setCloseWatch(boolean value) {
+  public void setBurstAfterStatusChange(boolean value) {
     closeWatch = value;
   }
 
@@ -105,7 +105,7 @@
             }
           } else if (status == 400 || status == 422) {
             rules.jobRejected(job.id());
-            rules.noteViolationIf(true, "refused", job.id() + " with " + status + ": " + body);
+            rules.recordViolationIf(true, "refused", job.id() + " with " + status + ": " + body);
           } else if (tries < MAX_TRIES) {
             after(1, () -> submit(job, anyNode(), tries + 1));
           }
@@ -130,7 +130,7 @@
         Request.post("/api/jobs", Json.toBytes(body)),
         5,
         (status, answer, sent) -> {
-          rules.noteViolationIf(
+          rules.recordViolationIf(
               status == 200 || status == 201, "accepted what can't run", body.toString());
           if (status != 400 && status != 422 && tries < MAX_TRIES) {
             after(1, () -> submitInvalid(body, tries + 1));
@@ -139,7 +139,7 @@
   }
 
   /** Users stop polling a job, as after an operator has abandoned it. */
-  public void stopAsking(String id) {
+  public void stopPolling(String id) {
     notAskedAbout.add(id);
   }
 
@@ -173,7 +173,7 @@
         anyNode(),
         Request.post("/api/jobs/" + id + "/withdraw", new byte[0]),
         5,
-        (status, body, sent) -> rules.noteViolationIf(status == 200, "invented", id));
+        (status, body, sent) -> rules.recordViolationIf(status == 200, "invented", id));
   }
 
   /** Cancels through a random node, until it is confirmed. */
@@ -258,7 +258,7 @@
   private void send(Endpoint node, Request request, int limit, Answer answer) {
     Duration sent = time.now();
     network
-        .from("user", ProcessInbox.alwaysOpen())
+        .transportFrom("user", ProcessInbox.alwaysOpen())
         .send(node, request, Duration.ofSeconds(limit))
         .whenComplete(
             (reply, failure) -> {
--- a/src/test/java/io/cherryspool/sim/cluster/StateLossInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/StateLossInjector.java
@@ -41,7 +41,7 @@
   }
 
   private void save() {
-    saved.addFirst(cluster.state().backup());
+    saved.addFirst(cluster.stateStore().backup());
     if (saved.size() > SAVED) {
       saved.removeLast();
     }
@@ -65,10 +65,10 @@
   private void lose() {
     List<FakeStateStore.Backup> all = new ArrayList<>(saved);
     if (random.nextBoolean() || all.isEmpty()) {
-      cluster.state().loseAllData();
+      cluster.stateStore().loseAllData();
     } else {
       int back = random.nextBoolean() ? random.nextInt(Math.min(4, all.size())) : 0;
-      cluster.state().restore(all.get(back == 0 ? random.nextInt(all.size()) : back));
+      cluster.stateStore().restore(all.get(back == 0 ? random.nextInt(all.size()) : back));
     }
     // What was saved is of a history that is over.
     saved.clear();
@@ -89,7 +89,7 @@
       int kind, SimulatedController node, SimulatedController leader, Duration length) {
     switch (kind) {
       case 1 -> node.cutFromStateStore(length);
-      case 2 -> leader.refuseByStateStore(length);
+      case 2 -> leader.rejectStateStoreRequests(length);
       case 3 -> node.isolate(length);
       case 4 -> node.freeze(length);
       case 5 -> leader.freeze(Duration.ofMillis(300 + random.nextLong(5000)));
@@ -109,16 +109,16 @@
     switch (kind) {
       case 0 -> cluster.stateStoreOutage(length);
       case 8 -> {
-        cluster.state().delayCommits(0.3 + random.nextDouble() / 2);
-        cluster.time().schedule(length, () -> cluster.state().delayCommits(0));
+        cluster.stateStore().delayCommits(0.3 + random.nextDouble() / 2);
+        cluster.time().schedule(length, () -> cluster.stateStore().delayCommits(0));
       }
       case 9 -> {
-        cluster.state().loseReplies(0.3 + random.nextDouble() / 2);
-        cluster.time().schedule(length, () -> cluster.state().loseReplies(0));
+        cluster.stateStore().loseReplies(0.3 + random.nextDouble() / 2);
+        cluster.time().schedule(length, () -> cluster.stateStore().loseReplies(0));
       }
       case 10 -> {
-        cluster.state().delayReplies(900);
-        cluster.time().schedule(length, () -> cluster.state().delayReplies(0));
+        cluster.stateStore().delayReplies(900);
+        cluster.time().schedule(length, () -> cluster.stateStore().delayReplies(0));
       }
       case 11 ->
           cluster.workers().stream()
@@ -131,8 +131,8 @@
               .findFirst()
               .ifPresent(worker -> cluster.network().dropInbound(worker.machine().host(), length));
       case 13 -> {
-        cluster.users().setCloseWatch(true);
-        cluster.time().schedule(length, () -> cluster.users().setCloseWatch(false));
+        cluster.users().setBurstAfterStatusChange(true);
+        cluster.time().schedule(length, () -> cluster.users().setBurstAfterStatusChange(false));
       }
       default -> {
         // A fault of another group.
--- a/src/test/java/io/cherryspool/sim/driver/WaitingJobsDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/WaitingJobsDriver.java
@@ -63,7 +63,7 @@
     return switch (kind) {
       case "faults" -> new RandomizedRun(seed);
       case "verdicts" -> new RandomizedRun(SimulatedCluster.withVerdicts(seed, verdicts(seed)));
-      case "tight" -> new RandomizedRun(SimulatedCluster.shortOfRoom(seed));
+      case "tight" -> new RandomizedRun(SimulatedCluster.withScarceCapacity(seed));
       default -> throw new IllegalArgumentException(kind);
     };
   }
--- a/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
@@ -40,7 +40,7 @@
   }
 
   private void begin(long seed, int tasks) {
-    settle(seed, 3);
+    startCluster(seed, 3);
     old = cluster.leader();
     job = submit("blue", tasks, 4, Duration.ofSeconds(150));
   }
@@ -89,7 +89,7 @@
   })
   void cancelledTasksAreGoneInTimeThoughTheirLeaderCannotKnow(long seed, double apart) {
     runTasks(seed);
-    old.refuseByStateStore(Duration.ofSeconds(14));
+    old.rejectStateStoreRequests(Duration.ofSeconds(14));
     cluster.run(apart / 2);
     cancelPastTheLeader();
     assertTrue(old.isLeader(), "nobody has replaced the leader");
@@ -106,10 +106,10 @@
   @CsvSource({"1,3.1", "2,3.5", "3,3.9", "4,4.2", "5,4.5", "6,5", "7,6", "8,9", "9,12", "10,20"})
   void soTheyAreWhenANewLeaderIsElectedFirst(long seed, double apart) {
     runTasks(seed);
-    old.refuseByStateStore(Duration.ofSeconds(14));
+    old.rejectStateStoreRequests(Duration.ofSeconds(14));
     cluster.run(apart);
     SimulatedController next = cluster.leaderOtherThan(old).orElse(cluster.nodeAfter(old));
-    next.refuseByStateStore(Duration.ofSeconds(14));
+    next.rejectStateStoreRequests(Duration.ofSeconds(14));
     cancelThrough(
         cluster.nodes().stream()
             .filter(node -> node != old && node != next)
@@ -169,7 +169,7 @@
               cluster.fleet().workersRunning(job).stream()
                   .limit(2)
                   .forEach(worker -> middle.strike.accept(this, worker)));
-      old.refuseByStateStore(Duration.ofSeconds(14));
+      old.rejectStateStoreRequests(Duration.ofSeconds(14));
       cluster.run(0.5);
       cancelPastTheLeader();
       cluster.run(0.5);
@@ -186,7 +186,7 @@
     cluster.cloud().setFastBoot(true);
     // Within two seconds some tasks run, some fetch, and most wait for machines that boot.
     cluster.run(0.2 + 0.3 * seed);
-    old.refuseByStateStore(Duration.ofSeconds(14));
+    old.rejectStateStoreRequests(Duration.ofSeconds(14));
     cluster.run(0.1);
     cluster.users().cancel(job.id(), cluster.nodeAfter(old).address());
     cluster.run(0.15);
--- a/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
@@ -27,14 +27,14 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void allTransactionsAreCarriedOutAndTheirAnswersLost(long seed) {
-    settle(seed, 3);
+    startCluster(seed, 3);
     List<Job> jobs = new ArrayList<>();
-    cluster.users().setCloseWatch(true);
+    cluster.users().setBurstAfterStatusChange(true);
     jobs.add(submit("red", 4, 4, Duration.ofSeconds(6)));
     Job cancelled = submit("blue", 6, 4, LONG_RUN_TIME);
     jobs.add(cancelled);
     cluster.run(8);
-    cluster.state().loseReplies(1);
+    cluster.stateStore().loseReplies(1);
     jobs.add(submit("red", 3, 2, Duration.ofSeconds(3)));
     cluster.users().cancel(cancelled.id());
     cluster.run(2);
@@ -43,9 +43,9 @@
     cluster.run(9);
     assertNotEquals(old.name(), cluster.leader().name(), "elected though no answer said so");
     assertNotNull(
-        cluster.state().value("c/outcomes/" + cancelled.id()), "the cancel was carried out");
+        cluster.stateStore().value("c/outcomes/" + cancelled.id()), "the cancel was carried out");
     cluster.run(6);
-    cluster.state().loseReplies(0);
+    cluster.stateStore().loseReplies(0);
     cluster.run(60);
     assertAllEnded(jobs);
     assertTrue(cluster.rules().isCancelConfirmed(cancelled.id()));
@@ -59,7 +59,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void aTeamAtItsLimitLosesMachinesAndItsLeaderAsItsJobsAreCancelled(long seed) {
-    settle(seed, 3);
+    startCluster(seed, 3);
     // The limit of red is 64 processors.
     Job first = submit("red", 16, 4, LONG_RUN_TIME);
     for (int i = 0; i < 60 && cluster.fleet().runningTaskCount(first) < 16; i++) {
@@ -94,7 +94,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void jobsAreCancelledWhileOneControllersWorkChangesHands(long seed) {
-    settle(seed, 3 + (int) seed % 3);
+    startCluster(seed, 3 + (int) seed % 3);
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       jobs.add(submit(i % 2 == 0 ? "red" : "blue", 2, 3, LONG_RUN_TIME));
@@ -128,7 +128,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void machinesThatAreNotListedYetRunWorkThatLagsAsTheLeaderEnds(long seed) {
-    settle(seed, 3);
+    startCluster(seed, 3);
     cluster.cloud().setFastBoot(true);
     int before = cluster.workers().size();
     List<Job> jobs =
@@ -136,13 +136,13 @@
             submit("blue", 24, 4, Duration.ofSeconds(8)),
             submit("red", 16, 4, Duration.ofSeconds(8)));
     cluster.run(0.3);
-    cluster.state().delayCommits(0.4);
+    cluster.stateStore().delayCommits(0.4);
     double wait = 1 + 0.4 * seed;
     cluster.run(wait);
     assertTrue(cluster.workers().size() > before, "new machines are up");
     cluster.leader().crash(Duration.ofMillis(150 * seed));
     cluster.run(15);
-    cluster.state().delayCommits(0);
+    cluster.stateStore().delayCommits(0);
     cluster.run(75);
     assertAllEnded(jobs);
   }
@@ -151,7 +151,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void oldHeartbeatsReachEveryControllerJustAsANewLeaderBegins(long seed) {
-    settle(seed, 3);
+    startCluster(seed, 3);
     List<Job> jobs = new ArrayList<>();
     jobs.add(submit("red", 8, 4, Duration.ofSeconds(4)));
     cluster.run(2 + 0.3 * seed);
@@ -161,7 +161,7 @@
     cluster.run(8);
     int[] copies = {0};
     cluster
-        .state()
+        .stateStore()
         .onPut(
             key -> {
               if (key.equals("c/leader")) {
@@ -214,7 +214,7 @@
     cluster.rules().setFaultsEndedAt(cluster.time().now());
     assertEquals(480, jobs.size());
     assertAllEnded(jobs);
-    cluster.rules().checkAllServed();
+    cluster.rules().checkEndOfRun();
     cluster.run(1);
   }
 
@@ -224,7 +224,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void tasksOfOneJobEndFarApartAcrossChangesOfLeader(long seed) {
-    settle(seed, 3);
+    startCluster(seed, 3);
     Job job = cluster.jobs().create("blue", 3, 8, Duration.ofSeconds(20));
     cluster.users().submit(job);
     cluster.run(16);
--- a/src/test/java/io/cherryspool/sim/faults/DeadMachineTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/DeadMachineTest.java
@@ -18,7 +18,7 @@
   void aMachineThatDoesNotAnswerWhenAskedIsGivenUpSoon(long seed) {
     RandomizedRun run = new RandomizedRun(seed);
     run.runWithoutFaults(60);
-    String machine = run.cluster().fleet().killBusiest();
+    String machine = run.cluster().fleet().killBusiestMachine();
     run.runWithoutFaults(1);
     assertTrue(run.cluster().cloud().isRunning(machine));
     run.runWithoutFaults(5.8);
--- a/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
@@ -22,7 +22,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void jobsAreCancelledThroughTheNextLeaderWhileTheOldOneIsStillReached(long seed) {
-    settle(seed, 3 + (int) seed % 3);
+    startCluster(seed, 3 + (int) seed % 3);
     Job job = submit("blue", 12, 4, LONG_RUN_TIME);
     awaitRunning(job, 12);
     SimulatedController old = cluster.leader();
@@ -41,7 +41,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void aLeaderEndsWhileMachinesWithLongTasksCannotBeAsked(long seed) {
-    Job job = settleWithJob(seed, 16, Duration.ofSeconds(40), 16);
+    Job job = startClusterWithJob(seed, 16, Duration.ofSeconds(40), 16);
     List<FakeWorker> lost = cluster.fleet().workersRunning(job).stream().limit(3).toList();
     Duration length = Duration.ofSeconds(8 + 4 * seed);
     cluster.network().dropInbound(host(lost.get(0)), length);
@@ -62,7 +62,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void controllersHandOverAndBackThenAllEndAndOneReturns(long seed) {
-    TwoJobs jobs = settleWithTwoJobs(seed, 16, Duration.ofSeconds(60), 16);
+    TwoJobs jobs = startClusterWithTwoJobs(seed, 16, Duration.ofSeconds(60), 16);
     cluster.run(10);
     SimulatedController first = cluster.leader();
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(14));
@@ -84,7 +84,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void leadersChangeTenTimesInTwoMinutes(long seed) {
-    TwoJobs jobs = settleWithTwoJobs(seed, 24, Duration.ofSeconds(35), 8);
+    TwoJobs jobs = startClusterWithTwoJobs(seed, 24, Duration.ofSeconds(35), 8);
     cluster.schedule(40 + seed, () -> cluster.stateStoreOutage(Duration.ofSeconds(15)));
     cluster.schedule(45, () -> cluster.users().cancel(jobs.cancelled().id()));
     for (int i = 0; i < 10; i++) {
@@ -105,13 +105,13 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void allControllersAreAwayForLongerThanALease(long seed) {
-    Job job = settleWithJob(seed, 16, Duration.ofSeconds(30), 16);
-    long before = cluster.fleet().expiredLeases();
+    Job job = startClusterWithJob(seed, 16, Duration.ofSeconds(30), 16);
+    long before = cluster.fleet().expiredLeaseCount();
     cluster
         .nodes()
         .forEach(node -> node.crash(SimulatedCluster.LEASE.plusSeconds(4).plusMillis(300 * seed)));
     cluster.run(SimulatedCluster.LEASE.plusSeconds(3));
-    assertTrue(cluster.fleet().expiredLeases() > before, "their tasks are gone");
+    assertTrue(cluster.fleet().expiredLeaseCount() > before, "their tasks are gone");
     assertFalse(cluster.rules().hasEnded(job.id()));
     cluster.run(100);
     assertAllEnded(List.of(job));
@@ -121,7 +121,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void aZoneIsCutOffForLongerThanALease(long seed) {
-    TwoJobs jobs = settleWithTwoJobs(seed, 16, Duration.ofSeconds(40), 8);
+    TwoJobs jobs = startClusterWithTwoJobs(seed, 16, Duration.ofSeconds(40), 8);
     awaitRunning(jobs.cancelled(), 4);
     String zone =
         seed % 2 == 0 ? cluster.leader().zone() : SimulatedCluster.ZONES.get((int) seed % 3);
@@ -141,7 +141,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void jobsBoundToOneZoneLoseMachines(long seed) {
-    settle(seed, 3);
+    startCluster(seed, 3);
     String zone = SimulatedCluster.ZONES.get((int) seed % 3);
     Job bound = cluster.jobs().createZoneBound("blue", 6, 4, Duration.ofSeconds(15), zone, false);
     Job together = cluster.jobs().createZoneBound("red", 6, 4, Duration.ofSeconds(15), null, true);
@@ -164,7 +164,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void aCutOffLeaderKeepsItsZoneAliveWhileTheCloudIsOut(long seed) {
-    Job job = settleWithJob(seed, 20, LONG_RUN_TIME, 18);
+    Job job = startClusterWithJob(seed, 20, LONG_RUN_TIME, 18);
     SimulatedController old = cluster.leader();
     cluster.network().cutZone(old.zone(), Duration.ofSeconds(60));
     awaitLeaderOtherThan(old, 0.01);
--- a/src/test/java/io/cherryspool/sim/faults/LostWorkersTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LostWorkersTest.java
@@ -24,14 +24,14 @@
     if (!mesh) {
       run.cluster().setMeshDown(true);
     }
-    long before = run.cluster().fleet().expiredLeases();
+    long before = run.cluster().fleet().expiredLeaseCount();
     String cut = run.cluster().cutLeaderFromWorkers(Duration.ofSeconds(60));
     run.runWithoutFaults(14);
     String next = run.cluster().leader().name();
     assertNotNull(next);
     assertNotEquals(cut, next);
     run.runWithoutFaults(60);
-    assertEquals(before, run.cluster().fleet().expiredLeases());
+    assertEquals(before, run.cluster().fleet().expiredLeaseCount());
     assertEquals(next, run.cluster().leader().name(), "once is enough");
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
@@ -21,9 +21,9 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void cancelsAndQuestionsMeetTheEndOfTheLastTask(long seed) {
-    settle(seed, 3);
+    startCluster(seed, 3);
     cluster.users().setCancelAtEndShare(1);
-    cluster.users().setCloseWatch(true);
+    cluster.users().setBurstAfterStatusChange(true);
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       jobs.add(submit(i % 2 == 0 ? "red" : "blue", 1 + i % 3, 2, Duration.ofSeconds(3)));
@@ -37,8 +37,8 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void transactionsAreCarriedOutAfterNewerOnes(long seed) {
-    settle(seed, 3);
-    cluster.state().delayCommits(0.6);
+    startCluster(seed, 3);
+    cluster.stateStore().delayCommits(0.6);
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       Job job = submit(i % 2 == 0 ? "red" : "blue", 4, 2, Duration.ofSeconds(4));
@@ -50,7 +50,7 @@
     }
     cluster.leader().crash(Duration.ofMillis(300));
     cluster.run(12);
-    cluster.state().delayCommits(0);
+    cluster.stateStore().delayCommits(0);
     cluster.run(75);
     assertAllEnded(jobs);
   }
@@ -59,10 +59,10 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void heartbeatsOfEarlierEpochsAndAttemptsArriveAfterNewerOnes(long seed) {
-    Job job = settleWithJob(seed, 16, Duration.ofSeconds(25), 12);
+    Job job = startClusterWithJob(seed, 16, Duration.ofSeconds(25), 12);
     cluster.network().recordHeartbeats();
     cluster.run(3);
-    long before = cluster.fleet().expiredLeases();
+    long before = cluster.fleet().expiredLeaseCount();
     cluster.fleet().workersRunning(job).stream()
         .limit(2)
         .forEach(
@@ -75,7 +75,7 @@
       cluster.network().replayHeartbeats(controllerAddresses());
       cluster.run(0.5);
     }
-    assertTrue(cluster.fleet().expiredLeases() >= before);
+    assertTrue(cluster.fleet().expiredLeaseCount() >= before);
     cluster.run(90);
     assertAllEnded(List.of(job));
   }
@@ -84,7 +84,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void machinesOpenNoConnectionsWhileCommandsReachThem(long seed) {
-    TwoJobs jobs = settleWithTwoJobs(seed, 16, Duration.ofSeconds(30), 12);
+    TwoJobs jobs = startClusterWithTwoJobs(seed, 16, Duration.ofSeconds(30), 12);
     awaitRunning(jobs.cancelled(), 4);
     for (FakeWorker worker : List.copyOf(cluster.workers())) {
       if (worker.machine().name().hashCode() % 2 == 0) {
@@ -104,7 +104,7 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void commandsAreHeldUpAndTheMachinesGoOn(long seed) {
     List<Job> jobs = new ArrayList<>();
-    jobs.add(settleWithJob(seed, 8, Duration.ofSeconds(40), 8));
+    jobs.add(startClusterWithJob(seed, 8, Duration.ofSeconds(40), 8));
     for (int i = 0; i < 8; i++) {
       jobs.add(submit(i % 2 == 0 ? "red" : "blue", 4, 2, Duration.ofSeconds(12)));
       SimulatedController leader = cluster.leader();
@@ -134,20 +134,20 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void theStateServiceIsSlowAndThenDownWhileUsersCancelAndAsk(long seed) {
-    Job job = settleWithJob(seed, 12, LONG_RUN_TIME, 12);
+    Job job = startClusterWithJob(seed, 12, LONG_RUN_TIME, 12);
     cluster.users().setPollingFactor(8);
-    cluster.users().setCloseWatch(true);
-    cluster.state().delayReplies(1600);
+    cluster.users().setBurstAfterStatusChange(true);
+    cluster.stateStore().delayReplies(1600);
     cluster.run(3);
     SimulatedController leader = cluster.leader();
-    leader.refuseByStateStore(Duration.ofSeconds(14));
+    leader.rejectStateStoreRequests(Duration.ofSeconds(14));
     cluster.run(0.1);
     cluster.users().cancel(job.id(), cluster.nodeAfter(leader).address());
     awaitCancelConfirmed(job, 0.1, 400);
     cluster.stateStoreOutage(SimulatedCluster.CANCEL_LIMIT.plusSeconds(10));
     cluster.run(SimulatedCluster.CANCEL_LIMIT.plusMillis(100));
     assertEquals(0, cluster.fleet().runningTaskCount(job));
-    cluster.state().delayReplies(0);
+    cluster.stateStore().delayReplies(0);
     cluster.run(60);
   }
 
@@ -155,13 +155,13 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void thereIsMoreWorkThanRoomOverSlowLinks(long seed) {
-    settle(seed, 3);
+    startCluster(seed, 3);
     cluster.network().setMaxExtraDelay(500);
     List<Job> jobs = new ArrayList<>();
     jobs.add(submit("blue", 60, 4, Duration.ofSeconds(10)));
     jobs.add(submit("red", 40, 4, Duration.ofSeconds(10)));
     cluster.run(20);
-    Job urgent = cluster.jobs().createUrgent("red", 4, 4, Duration.ofSeconds(5));
+    Job urgent = cluster.jobs().createHighPriority("red", 4, 4, Duration.ofSeconds(5));
     cluster.users().submit(urgent);
     cluster.run(25);
     assertTrue(
--- a/src/test/java/io/cherryspool/sim/faults/UnchangedHeartbeatTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/UnchangedHeartbeatTest.java
@@ -26,7 +26,7 @@
 
   @Test
   void aNewerTokenAloneIsNoReasonToPlan() {
-    settle(1, 3);
+    startCluster(1, 3);
     Job waiting = submit("red", 80, 1, Duration.ofMinutes(5));
     awaitRunning(waiting, 60);
     cluster.run(60);
--- a/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
@@ -25,7 +25,7 @@
 
   /** A cluster with work of every state: done, cancelled, running, waiting, just submitted. */
   private List<Job> busyCluster(long seed, int controllers) {
-    cluster = SimulatedCluster.recovering(seed, controllers);
+    cluster = SimulatedCluster.withRecovery(seed, controllers);
     cluster.run(25);
     return busyWork(seed);
   }
@@ -58,14 +58,14 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void allDataIsLost(long seed) {
     List<Job> jobs = busyCluster(seed, 3 + (int) seed % 3);
-    cluster.state().loseAllData();
+    cluster.stateStore().loseAllData();
     cluster.run(12);
-    assertNotNull(cluster.state().value("c/incarnation"));
-    assertEquals(1, cluster.state().value("c/incarnation").path("number").intValue());
+    assertNotNull(cluster.stateStore().value("c/incarnation"));
+    assertEquals(1, cluster.stateStore().value("c/incarnation").path("number").intValue());
     assertTrue(cluster.currentLeader().isPresent(), "somebody leads again");
-    assertEquals(0, cluster.fleet().expiredLeases(), "no worker lost its tasks meanwhile");
+    assertEquals(0, cluster.fleet().expiredLeaseCount(), "no worker lost its tasks meanwhile");
     assertTrue(
-        cluster.state().value("c/incarnation").path("complete").asBoolean(),
+        cluster.stateStore().value("c/incarnation").path("complete").asBoolean(),
         "the one that led rebuilds, so that nothing has to be waited for");
     allIsWell(jobs);
   }
@@ -75,13 +75,13 @@
   @ValueSource(doubles = {0.1, 0.5, 1, 3, 8, 14, 30})
   void theServiceIsSetBack(double seconds) {
     for (long seed = 1; seed <= 4; seed++) {
-      cluster = SimulatedCluster.recovering(seed, 3 + (int) seed % 3);
+      cluster = SimulatedCluster.withRecovery(seed, 3 + (int) seed % 3);
       cluster.run(25);
       List<FakeStateStore.Backup> saved = new ArrayList<>();
-      cluster.schedule(20 - Math.min(20, seconds), () -> saved.add(cluster.state().backup()));
+      cluster.schedule(20 - Math.min(20, seconds), () -> saved.add(cluster.stateStore().backup()));
       List<Job> jobs = busyWork(seed);
       cluster.run(45 - cluster.time().seconds());
-      cluster.state().restore(saved.get(0));
+      cluster.stateStore().restore(saved.get(0));
       allIsWell(jobs);
     }
   }
@@ -91,7 +91,7 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void theLeaderIsLostWithTheData(long seed) {
     List<Job> jobs = busyCluster(seed, 3 + (int) seed % 3);
-    cluster.state().loseAllData();
+    cluster.stateStore().loseAllData();
     cluster.leader().crash(Duration.ofSeconds(seed % 3 == 0 ? 0 : 30).plusMillis(200));
     allIsWell(jobs);
   }
@@ -116,17 +116,17 @@
       cluster.run(2.2);
       int running = cluster.fleet().runningTaskCount(lost);
       assertTrue(running > 0, "its tasks run");
-      cluster.state().loseAllData();
+      cluster.stateStore().loseAllData();
       leader.crash(Duration.ofSeconds(30));
       if (seed % 2 == 0) {
         // Once more, while the next leader takes in what runs, or while the job waits for its user.
         cluster.run(seed % 4 == 0 ? 7 : 22);
         assertTrue(cluster.currentLeader().isPresent(), "somebody leads in between");
-        cluster.state().loseAllData();
+        cluster.stateStore().loseAllData();
       }
       cluster.run(15);
       assertTrue(cluster.fleet().runningTaskCount(lost) >= running, "its tasks run on");
-      unknown += cluster.state().hasKeyEndingWith("/unknown/" + lost.id()) ? 1 : 0;
+      unknown += cluster.stateStore().hasKeyEndingWith("/unknown/" + lost.id()) ? 1 : 0;
       jobs.add(lost);
       // Another job may have been accepted through the leader alone: a cut-off node passes it on.
       cluster.schedule(5 + seed, () -> jobs.forEach(cluster.users()::resubmit));
@@ -141,9 +141,9 @@
   void dataIsLostOnceMore(double seconds) {
     for (long seed = 1; seed <= 3; seed++) {
       List<Job> jobs = busyCluster(seed, 3);
-      cluster.state().loseAllData();
+      cluster.stateStore().loseAllData();
       cluster.run(seconds);
-      cluster.state().loseAllData();
+      cluster.stateStore().loseAllData();
       allIsWell(jobs);
     }
   }
@@ -154,7 +154,7 @@
   void theRebuilderEnds(double seconds) {
     for (long seed = 1; seed <= 3; seed++) {
       List<Job> jobs = busyCluster(seed, 3);
-      cluster.state().loseAllData();
+      cluster.stateStore().loseAllData();
       cluster.run(seconds);
       for (SimulatedController node : cluster.nodes()) {
         if (node.isRebuilding()) {
@@ -173,7 +173,7 @@
     cluster.stateStoreOutage(Duration.ofSeconds(3 + 2 * seed));
     cluster.run(1);
     jobs.add(submit("red", 2, 2, Duration.ofSeconds(3)));
-    cluster.state().loseAllData();
+    cluster.stateStore().loseAllData();
     cluster.run(3 + 2 * seed);
     jobs.add(submit("blue", 2, 2, Duration.ofSeconds(3)));
     allIsWell(jobs);
@@ -184,14 +184,14 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void transactionsOfTheLostHistoryComeLate(long seed) {
     List<Job> jobs = busyCluster(seed, 3);
-    cluster.state().delayCommits(0.7);
+    cluster.stateStore().delayCommits(0.7);
     jobs.add(submit("red", 6, 2, Duration.ofSeconds(4)));
     jobs.add(submit("blue", 6, 2, Duration.ofSeconds(4)));
     cluster.run(1.5);
-    cluster.state().loseAllData();
-    cluster.state().delayCommits(seed % 2 == 0 ? 0 : 0.3);
+    cluster.stateStore().loseAllData();
+    cluster.stateStore().delayCommits(seed % 2 == 0 ? 0 : 0.3);
     cluster.run(8);
-    cluster.state().delayCommits(0);
+    cluster.stateStore().delayCommits(0);
     allIsWell(jobs);
   }
 
@@ -217,7 +217,7 @@
       all = last.stream().allMatch(job -> cluster.rules().isAccepted(job.id()));
     }
     assertTrue(all, "all of them are accepted");
-    cluster.state().loseAllData();
+    cluster.stateStore().loseAllData();
     jobs.addAll(last);
     allIsWell(jobs);
   }
@@ -229,15 +229,15 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void onlyWorkersKnowThatTheServiceWasSetBack(long seed) {
-    cluster = SimulatedCluster.recovering(seed, 3 + (int) seed % 3);
+    cluster = SimulatedCluster.withRecovery(seed, 3 + (int) seed % 3);
     cluster.run(25);
     Job job = submit("blue", 60, 4, Duration.ofSeconds(6 + seed % 5));
     cluster.run(6);
-    FakeStateStore.Backup saved = cluster.state().backup();
+    FakeStateStore.Backup saved = cluster.stateStore().backup();
     int started = cluster.rules().startCount();
     cluster.run(4 + seed % 6);
     assertTrue(cluster.rules().startCount() > started, "tasks were started meanwhile");
-    cluster.state().restore(saved);
+    cluster.stateStore().restore(saved);
     for (SimulatedController node : cluster.nodes()) {
       node.crash(Duration.ofMillis(200 + 300 * (seed % 4)));
     }
--- a/src/test/java/io/cherryspool/sim/loststate/RepeatedStateLossTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/RepeatedStateLossTest.java
@@ -12,7 +12,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void theRulesHoldAndEverythingEnds(long seed) {
-    new RandomizedRun(SimulatedCluster.recovering(seed, 3 + (int) seed % 3))
+    new RandomizedRun(SimulatedCluster.withRecovery(seed, 3 + (int) seed % 3))
         .runWithStateLosses(240, 240);
   }
 
@@ -20,8 +20,8 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void noOtherFaultIsTakenForALoss(long seed) {
-    SimulatedCluster cluster = SimulatedCluster.recovering(seed, 3 + (int) seed % 3);
+    SimulatedCluster cluster = SimulatedCluster.withRecovery(seed, 3 + (int) seed % 3);
     new RandomizedRun(cluster).run(240, 240);
-    assertEquals(0, cluster.state().value("c/incarnation").path("number").intValue());
+    assertEquals(0, cluster.stateStore().value("c/incarnation").path("number").intValue());
   }
 }
--- a/src/test/java/io/cherryspool/sim/loststate/SnapshotRecoveryTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/SnapshotRecoveryTest.java
@@ -31,7 +31,7 @@
 
   private void begin(long seed, Set<String> heldClasses) {
     cluster =
-        SimulatedCluster.recovering(
+        SimulatedCluster.withRecovery(
             seed,
             3,
             new RecoverySettings(
@@ -41,7 +41,7 @@
 
   /** All processes end and the data is gone; the processes are back within a few seconds. */
   private void loseEverything(long seed) {
-    cluster.state().loseAllData();
+    cluster.stateStore().loseAllData();
     for (SimulatedController node : cluster.nodes()) {
       node.crash(Duration.ofMillis(300 + 900 * (seed % 4)));
     }
@@ -65,7 +65,7 @@
     loseEverything(seed);
     cluster.run(110);
     assertAllEnded(jobs);
-    assertEquals(0, cluster.fleet().expiredLeases(), "what ran went on running");
+    assertEquals(0, cluster.fleet().expiredLeaseCount(), "what ran went on running");
   }
 
   /** Tasks begin and end after the newest snapshot; what runs is adopted, what is done counts. */
@@ -133,13 +133,13 @@
       node.snapshotStore().dropWrites();
     }
     // One machine dies with what it runs; whether that had ended, no heartbeat will show.
-    cluster.fleet().killBusiest();
+    cluster.fleet().killBusiestMachine();
     cluster.run(0.2);
     int left = cluster.fleet().runningTaskCount(job);
     assertTrue(left < 6, "some of them are gone");
     loseEverything(1);
     cluster.run(70);
-    assertTrue(cluster.state().hasKeyEndingWith("/held/" + job.id()), "the job is held");
+    assertTrue(cluster.stateStore().hasKeyEndingWith("/held/" + job.id()), "the job is held");
     assertFalse(cluster.rules().hasEnded(job.id()), "nothing of it was run again");
     assertEquals(
         409, postRecoveryCommand("resolve", "{\"job\":\"req-999998\",\"decision\":\"repeat\"}"));
@@ -179,7 +179,7 @@
     String repeat = "{\"job\":\"" + job.id() + "\",\"decision\":\"repeat\"}";
     assertEquals(409, postRecoveryCommand("resolve", repeat), "nobody has described it");
     String abandon = "{\"job\":\"" + job.id() + "\",\"decision\":\"abandon\"}";
-    cluster.users().stopAsking(job.id());
+    cluster.users().stopPolling(job.id());
     assertEquals(200, postRecoveryCommand("resolve", abandon));
     cluster.run(8);
     assertEquals(0, cluster.fleet().runningTaskCount(job), "its tasks are stopped");
@@ -190,7 +190,7 @@
     int[] status = {0};
     cluster
         .network()
-        .from("operator", ProcessInbox.alwaysOpen())
+        .transportFrom("operator", ProcessInbox.alwaysOpen())
         .send(
             cluster.nodes().get(0).address(),
             Request.post("/recovery/" + command, body.getBytes(StandardCharsets.UTF_8)),
--- a/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
+++ b/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
@@ -88,7 +88,7 @@
   }
 
   /** Requests of the one host to the other are answered 503 for so long; open watches wait. */
-  public void refuseRequests(String from, String to, Duration duration) {
+  public void rejectRequests(String from, String to, Duration duration) {
     String way = from + ">" + to;
     if (refused.add(way)) {
       time.schedule(duration, () -> release(refused, way));
@@ -202,7 +202,7 @@
   }
 
   /** The sockets of a process on one host; replies reach it through its inbox. */
-  public Transport from(String host, ProcessInbox inbox) {
+  public Transport transportFrom(String host, ProcessInbox inbox) {
     return (to, request, deadline) -> {
       CompletableFuture<Reply> result = new CompletableFuture<>();
       time.schedule(deadline, () -> fail(result, inbox, "no answer from " + to));
--- a/src/test/java/io/cherryspool/sim/partition/LinkCut.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkCut.java
@@ -61,7 +61,7 @@
   void apply(
       SimulatedCluster cluster, SimulatedController node, LinkFaults.Mode mode, Duration length) {
     switch (state) {
-      case REFUSED -> node.refuseByStateStore(length);
+      case REFUSED -> node.rejectStateStoreRequests(length);
       case SILENT -> node.cutFromStateStore(length);
       default -> {
         // Nothing of it fails.
--- a/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
@@ -118,7 +118,7 @@
 
   private void fail(SimulatedController leader) {
     switch (link) {
-      case STATE_REFUSED -> leader.refuseByStateStore(length);
+      case STATE_REFUSED -> leader.rejectStateStoreRequests(length);
       case STATE_SILENT -> leader.cutFromStateStore(length);
       case PEERS -> {
         cluster.setMeshDown(true);
@@ -131,7 +131,7 @@
   }
 
   private long term() {
-    return cluster.state().value("c/term").path("term").longValue();
+    return cluster.stateStore().value("c/term").path("term").longValue();
   }
 
   private void watch() {
--- a/src/test/java/io/cherryspool/sim/partition/NodeWithoutStateStoreTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/NodeWithoutStateStoreTest.java
@@ -24,10 +24,10 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void itForwardsUsersToANodeThatReachesTheStateStore(long seed) {
-    settle(seed, 3);
+    startCluster(seed, 3);
     SimulatedController node =
         seed % 2 == 0 ? cluster.leader() : cluster.nodeAfter(cluster.leader());
-    node.refuseByStateStore(CUT);
+    node.rejectStateStoreRequests(CUT);
     cluster.run(0.5 * seed);
     int unserved = cluster.users().unservedRequests();
     List<Job> jobs = new ArrayList<>();
@@ -37,7 +37,7 @@
       jobs.add(job);
       cluster.run(0.3);
       assertTrue(
-          cluster.state().hasKeyEndingWith("c/jobs/" + job.id()),
+          cluster.stateStore().hasKeyEndingWith("c/jobs/" + job.id()),
           job.id() + " is accepted at once");
     }
     cluster.users().cancel(jobs.get(7).id(), node.address());
@@ -53,7 +53,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void itRedirectsWorkersToTheLeaderThatItsPeersName(long seed) {
-    settle(seed, 3);
+    startCluster(seed, 3);
     SimulatedController leader = cluster.leader();
     SimulatedController node = cluster.nodeAfter(leader);
     node.cutFromStateStore(CUT);
@@ -62,7 +62,7 @@
     List<String> answers = new ArrayList<>();
     cluster
         .network()
-        .from(worker.machine().host(), ProcessInbox.alwaysOpen())
+        .transportFrom(worker.machine().host(), ProcessInbox.alwaysOpen())
         .send(node.address(), Request.post("/v1/report", worker.heartbeatBody()), CUT)
         .thenAccept(reply -> answers.add(new String(reply.body(), StandardCharsets.UTF_8)));
     cluster.run(0.5);
@@ -74,16 +74,16 @@
   @ParameterizedTest
   @ValueSource(strings = {"", "?forwarded"})
   void aForwardedRequestIsNotForwardedAgain(String mark) {
-    settle(1, 3);
+    startCluster(1, 3);
     Job job = submit("red", 1, 1, LONG_RUN_TIME);
     awaitRunning(job, 1);
     SimulatedController node = cluster.leader();
-    node.refuseByStateStore(CUT);
+    node.rejectStateStoreRequests(CUT);
     cluster.run(4);
     List<Integer> answers = new ArrayList<>();
     cluster
         .network()
-        .from("user", ProcessInbox.alwaysOpen())
+        .transportFrom("user", ProcessInbox.alwaysOpen())
         .send(node.address(), Request.get("/api/jobs/" + job.id() + mark), CUT)
         .thenAccept(reply -> answers.add(reply.status()));
     cluster.run(2);
--- a/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
@@ -45,11 +45,11 @@
   }
 
   private void play(LinkCut cut, long seed, int controllers, boolean leader, int failing) {
-    settle(seed, controllers);
+    startCluster(seed, controllers);
     List<Job> jobs = work();
     SimulatedController leading = cluster.leader();
     SimulatedController node = leader ? leading : cluster.nodeAfter(leading);
-    long terms = cluster.state().value("c/term").path("term").longValue();
+    long terms = cluster.stateStore().value("c/term").path("term").longValue();
     cut.apply(cluster, node, MODES[(int) (seed % MODES.length)], CUT);
     cluster.schedule(2, () -> cluster.users().cancel(jobs.get(1).id()));
     for (int i = 0; i < failing; i++) {
@@ -60,7 +60,7 @@
     cluster.schedule(3, () -> jobs.add(submit("red", 4, 2, Duration.ofSeconds(4))));
     cluster.run(100);
     assertAllEnded(jobs);
-    long changes = cluster.state().value("c/term").path("term").longValue() - terms;
+    long changes = cluster.stateStore().value("c/term").path("term").longValue() - terms;
     assertTrue(changes <= FOR_THE_CUT + failing, changes + " changes of leader");
     assertTrue(cluster.currentLeader().isPresent(), "somebody leads");
   }
@@ -87,7 +87,7 @@
   void twoOfFiveControllersLoseLinks(long seed) {
     List<LinkCut> all = LinkCut.all();
     for (int i = 0; i < 4; i++) {
-      settle(seed, 5);
+      startCluster(seed, 5);
       List<Job> jobs = work();
       SimulatedController leader = cluster.leader();
       LinkCut first = all.get(cluster.random().nextInt(all.size()));
@@ -111,7 +111,7 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void aCutMeetsAnOutageAndLateCopies(long seed) {
     List<LinkCut> all = LinkCut.all();
-    settle(seed, 3);
+    startCluster(seed, 3);
     cluster.network().setDuplicatingHeartbeats(true);
     List<Job> jobs = work();
     for (int i = 0; i < 3; i++) {
@@ -135,7 +135,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void aLeaderDeletesAndAddsNoMachineOnItsOwnSilence(long seed) {
-    settle(seed, 3);
+    startCluster(seed, 3);
     List<Job> jobs = work();
     // Nothing waits, so that no machine is to be added.
     awaitRunning(jobs.get(0), 12);
@@ -146,7 +146,7 @@
             .map(worker -> worker.machine().name())
             .toList();
     int added = cluster.cloud().addedMachineCount();
-    long leases = cluster.fleet().expiredLeases();
+    long leases = cluster.fleet().expiredLeaseCount();
     SimulatedController node = cluster.leader();
     new LinkCut(LinkCut.StateLink.UP, false, LinkCut.Workers.ALL, LinkCut.Way.BOTH)
         .apply(cluster, node, LinkFaults.Mode.HOLD, CUT);
@@ -158,7 +158,7 @@
       assertTrue(cluster.cloud().isRunning(machine), machine + " is deleted");
     }
     assertEquals(added, cluster.cloud().addedMachineCount(), "machines are added");
-    assertEquals(leases, cluster.fleet().expiredLeases(), "leases");
+    assertEquals(leases, cluster.fleet().expiredLeaseCount(), "leases");
     cluster.users().cancel(jobs.get(1).id());
     cluster.run(90);
     assertAllEnded(jobs);
@@ -168,7 +168,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void aLeaderWithoutTheStateServiceHoldsPlacing(long seed) {
-    settle(seed, 3);
+    startCluster(seed, 3);
     work();
     SimulatedController node = cluster.leader();
     new LinkCut(LinkCut.StateLink.REFUSED, true, LinkCut.Workers.NONE, LinkCut.Way.BOTH)
@@ -187,7 +187,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void aZoneWithoutHeartbeatsIsHeld(long seed) {
-    settle(seed, 3);
+    startCluster(seed, 3);
     List<Job> jobs = new ArrayList<>();
     jobs.add(submit("blue", 20, 4, LONG_RUN_TIME));
     awaitRunning(jobs.get(0), 16);
@@ -220,16 +220,16 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void aLeaderCutOffAsItIsElectedHandsLeadershipOver(long seed) {
-    settle(seed, 3);
+    startCluster(seed, 3);
     List<Job> jobs = work();
-    long leases = cluster.fleet().expiredLeases();
+    long leases = cluster.fleet().expiredLeaseCount();
     SimulatedController old = cluster.leader();
     old.crash(Duration.ofMillis(500));
     SimulatedController next = awaitLeaderOtherThan(old, 0.01);
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(40));
     cluster.run(14);
     assertTrue(cluster.leaderOtherThan(next).isPresent(), "another leads");
-    assertEquals(leases, cluster.fleet().expiredLeases(), "leases");
+    assertEquals(leases, cluster.fleet().expiredLeaseCount(), "leases");
     cluster.users().cancel(jobs.get(1).id());
     cluster.run(90);
     assertAllEnded(jobs);
