--- a/src/test/java/io/cherryspool/sim/driver/LinkFlapDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/LinkFlapDriver.java
@@ -29,12 +29,12 @@
     int deleted = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
       LinkFlapRun.Cost cost =
-          LinkFlapRun.play(seed, link, Duration.ofMillis((long) (seconds * 1000)));
-      changes += cost.changes();
-      repeated += cost.repeated();
-      unserved += cost.unserved();
-      added += cost.added();
-      deleted += cost.deleted();
+          LinkFlapRun.run(seed, link, Duration.ofMillis((long) (seconds * 1000)));
+      changes += cost.leaderChanges();
+      repeated += cost.repeatedTaskStarts();
+      unserved += cost.unservedRequests();
+      added += cost.addedMachines();
+      deleted += cost.deletedMachines();
     }
     String name = seconds == 0 ? "none" : link.name().toLowerCase(java.util.Locale.ROOT);
     System.out.printf(
--- a/src/test/java/io/cherryspool/sim/partition/FlappingLinksTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/FlappingLinksTest.java
@@ -23,9 +23,9 @@
     for (double seconds : new double[] {0.5, 1, 2, 3, 5, 10}) {
       seed++;
       LinkFlapRun.Cost cost =
-          LinkFlapRun.play(seed, link, Duration.ofMillis((long) (seconds * 1000)));
+          LinkFlapRun.run(seed, link, Duration.ofMillis((long) (seconds * 1000)));
       String what = link + " for " + seconds + " s, seed " + seed + ": " + cost;
-      assertTrue(cost.mostInAMinute() <= MOST_CHANGES, what);
+      assertTrue(cost.maxLeaderChangesPerMinute() <= MOST_CHANGES, what);
     }
   }
 
@@ -41,8 +41,8 @@
   void aShortFlapCostsNoLeadership(LinkFlapRun.Link link, double seconds) {
     for (long seed = 1; seed <= 3; seed++) {
       LinkFlapRun.Cost cost =
-          LinkFlapRun.play(seed, link, Duration.ofMillis((long) (seconds * 1000)));
-      assertEquals(0, cost.changes(), link + " for " + seconds + " s, seed " + seed);
+          LinkFlapRun.run(seed, link, Duration.ofMillis((long) (seconds * 1000)));
+      assertEquals(0, cost.leaderChanges(), link + " for " + seconds + " s, seed " + seed);
     }
   }
 
@@ -56,8 +56,10 @@
   void usersHardlyNoticeAFlap(LinkFlapRun.Link link, double seconds) {
     for (long seed = 1; seed <= 2; seed++) {
       LinkFlapRun.Cost cost =
-          LinkFlapRun.play(seed, link, Duration.ofMillis((long) (seconds * 1000)));
-      assertTrue(cost.unserved() <= 5, link + " for " + seconds + " s, seed " + seed + ": " + cost);
+          LinkFlapRun.run(seed, link, Duration.ofMillis((long) (seconds * 1000)));
+      assertTrue(
+          cost.unservedRequests() <= 5,
+          link + " for " + seconds + " s, seed " + seed + ": " + cost);
     }
   }
 }
--- a/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
@@ -43,13 +43,18 @@
   /**
    * What the flaps cost.
    *
-   * @param changes of the leader, in all
-   * @param mostInAMinute of them
-   * @param repeated tasks that were started once more
-   * @param unserved users' requests that were answered 503, or not at all
+   * @param leaderChanges of the leader, in all
+   * @param maxLeaderChangesPerMinute of them
+   * @param repeatedTaskStarts tasks that were started once more
+   * @param unservedRequests users' requests that were answered 503, or not at all
    */
   public record Cost(
-      int changes, int mostInAMinute, int repeated, int unserved, int added, int deleted) {}
+      int leaderChanges,
+      int maxLeaderChangesPerMinute,
+      int repeatedTaskStarts,
+      int unservedRequests,
+      int addedMachines,
+      int deletedMachines) {}
 
   private LinkFlapRun(long seed, Link link, Duration length) {
     this.cluster = SimulatedCluster.of(seed, 3);
@@ -58,11 +63,11 @@
   }
 
   /** Plays a day on which the link fails for this long, and is well as long; zero for never. */
-  public static Cost play(long seed, Link link, Duration length) {
-    return new LinkFlapRun(seed, link, length).play();
+  public static Cost run(long seed, Link link, Duration length) {
+    return new LinkFlapRun(seed, link, length).run();
   }
 
-  private Cost play() {
+  private Cost run() {
     cluster.schedule(1, this::arrive);
     cluster.run(SETTLE);
     term = term();
@@ -89,12 +94,12 @@
       }
     }
     return new Cost(
-        cost.changes,
-        cost.mostInAMinute,
+        cost.leaderChanges,
+        cost.maxLeaderChangesPerMinute,
         cluster.rules().startCount() - tasks,
-        cost.unserved,
-        cost.added,
-        cost.deleted);
+        cost.unservedRequests,
+        cost.addedMachines,
+        cost.deletedMachines);
   }
 
   private void arrive() {
