--- a/src/main/java/io/cherryspool/config/Settings.java
+++ b/src/main/java/io/cherryspool/config/Settings.java
@@ -87,17 +87,17 @@
    * sent the last successful requests that renewed its own lease and read the state store.
    *
    * <p>A cancelled task must have ended within the maximum cancellation time, even on a machine
-   * that only a partitioned leader still reaches. Authority, worker lease and the margins for the
-   * two therefore add up to that time. The margins cover clock drift, and messages that arrive late
-   * but within their deadlines.
+   * that only a partitioned leader still reaches. Authority, worker lease and a margin for each of
+   * them therefore add up to that time. The margins cover clock drift, and messages that arrive
+   * late but within their deadlines.
    */
   public Duration authority() {
     return authority(workerLease, maxCancellationTime);
   }
 
-  static Duration authority(Duration workerLease, Duration cancelLimit) {
-    Duration margin = cancelLimit.dividedBy(20).plusSeconds(1);
-    return cancelLimit.minus(workerLease).minus(margin.multipliedBy(2));
+  static Duration authority(Duration workerLease, Duration maxCancellationTime) {
+    Duration margin = maxCancellationTime.dividedBy(20).plusSeconds(1);
+    return maxCancellationTime.minus(workerLease).minus(margin.multipliedBy(2));
   }
 
   /**
--- a/src/test/java/io/cherryspool/sim/driver/LinkFlapDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/LinkFlapDriver.java
@@ -3,7 +3,9 @@
 import io.cherryspool.sim.partition.LinkFlapRun;
 import java.time.Duration;
 
-/** Prints the costs of flapping links in simulated time, as the table in docs/partitions.md. */
+/**
+ * Measures the costs of flapping links in simulated time; prints the table of docs/partitions.md.
+ */
 public final class LinkFlapDriver {
   private static final double[] SECONDS = {0.5, 1, 2, 3, 5, 10};
   private static final int SEEDS = 4;
@@ -29,12 +31,12 @@
     int deleted = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
       LinkFlapRun.Cost cost =
-          LinkFlapRun.play(seed, link, Duration.ofMillis((long) (seconds * 1000)));
-      changes += cost.changes();
-      repeated += cost.repeated();
-      unserved += cost.unserved();
-      added += cost.added();
-      deleted += cost.deleted();
+          LinkFlapRun.run(seed, link, Duration.ofMillis((long) (seconds * 1000)));
+      changes += cost.leaderChanges();
+      repeated += cost.repeatedTaskStarts();
+      unserved += cost.unservedRequests();
+      added += cost.addedMachines();
+      deleted += cost.deletedMachines();
     }
     String name = seconds == 0 ? "none" : link.name().toLowerCase(java.util.Locale.ROOT);
     System.out.printf(
