--- a/src/test/java/io/cherryspool/sim/check/FirstViolation.java
+++ b/src/test/java/io/cherryspool/sim/check/FirstViolation.java
@@ -3,8 +3,8 @@
 import io.cherryspool.sim.time.VirtualTime;
 
 /**
- * Keeps the first violation of a rule until it is thrown: an error thrown inside a future's
- * callback would only fail that future.
+ * Records the first violation of a rule, to be thrown later from the loop that runs the simulation.
+ * An error that is thrown in the callback of a future would only fail that future, not the test.
  */
 final class FirstViolation {
   private final VirtualTime time;
@@ -14,14 +14,14 @@
     this.time = time;
   }
 
-  /** Notes a violation, if it is one and the first. */
-  void noteIf(boolean isViolated, String rule, String details) {
+  /** Records a violation if the condition is true and no violation was recorded before. */
+  void recordIf(boolean isViolated, String rule, String details) {
     if (isViolated && message == null) {
       message = String.format("%s: %s at %.3f s", rule, details, time.seconds());
     }
   }
 
-  /** Throws the violation that was noted, if there was one. */
+  /** Throws the recorded violation, if there is one. */
   void throwIfAny() {
     if (message != null) {
       throw new AssertionError(message);
--- a/src/test/java/io/cherryspool/sim/check/JobObservations.java
+++ b/src/test/java/io/cherryspool/sim/check/JobObservations.java
@@ -6,7 +6,10 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What was observed of one job: what users sent and received, and what became of its tasks. */
+/**
+ * The observations about one job: the requests that users sent, the replies that they received, and
+ * the starts and completions of its tasks.
+ */
 final class JobObservations {
   private Job job;
   private Duration submittedAt;
@@ -19,7 +22,7 @@
   private Duration endReportedAt;
   private final Set<Integer> completedTasks = new HashSet<>();
 
-  void submitted(Job submitted, Duration now) {
+  void recordSubmission(Job submitted, Duration now) {
     job = submitted;
     submittedAt = now;
   }
@@ -28,7 +31,7 @@
     return job != null;
   }
 
-  /** The job as it was submitted; null before. */
+  /** Returns the job as it was submitted; null if it has not been submitted yet. */
   Job job() {
     return job;
   }
@@ -37,8 +40,11 @@
     return submittedAt;
   }
 
-  /** Notes that the job was accepted; true the first time. */
-  boolean accepted(Duration now) {
+  /**
+   * Records that a user received the acceptance of the job. Returns whether this was the first
+   * time.
+   */
+  boolean recordAcceptance(Duration now) {
     lastAnswerAt = lastAnswerAt == null ? now : lastAnswerAt;
     boolean isFirst = acceptedAt == null;
     acceptedAt = isFirst ? now : acceptedAt;
@@ -49,21 +55,21 @@
     return acceptedAt != null;
   }
 
-  /** Whether the job had been accepted by this moment. */
+  /** Whether a user had received the acceptance of the job at or before the given time. */
   boolean wasAcceptedBy(Duration moment) {
     return acceptedAt != null && moment.compareTo(acceptedAt) >= 0;
   }
 
-  void answered(Duration now) {
+  void recordAnswer(Duration now) {
     lastAnswerAt = now;
   }
 
-  /** When a user last received an answer about the job. */
+  /** Returns the time at which a user last received a reply about the job. */
   Duration lastAnswerAt() {
     return lastAnswerAt;
   }
 
-  void cancelRequested(Duration now) {
+  void recordCancelRequest(Duration now) {
     cancelRequestedAt = cancelRequestedAt == null ? now : cancelRequestedAt;
   }
 
@@ -71,34 +77,34 @@
     return cancelRequestedAt != null;
   }
 
-  void cancelConfirmed(Duration now) {
+  void recordCancelConfirmation(Duration now) {
     cancelConfirmedAt = cancelConfirmedAt == null ? now : cancelConfirmedAt;
   }
 
-  /** When a user first received that the job is cancelled. */
+  /** Returns the time at which a user first received a reply with the status cancelled. */
   Optional<Duration> cancelConfirmedAt() {
     return Optional.ofNullable(cancelConfirmedAt);
   }
 
-  /** Whether the cancel was confirmed longer ago than the limit. */
+  /** Whether more time than the limit has passed since the cancel was confirmed. */
   boolean isCancelOverdue(Duration now, Duration limit) {
     return cancelConfirmedAt != null && now.minus(cancelConfirmedAt).compareTo(limit) > 0;
   }
 
-  void taskStarted(Duration now) {
+  void recordTaskStart(Duration now) {
     firstStartAt = firstStartAt == null ? now : firstStartAt;
   }
 
-  /** Whether a task of the job started within this time after the job was submitted. */
+  /** Whether a task of the job started within the limit after the job was submitted. */
   boolean startedWithin(Duration limit) {
     return firstStartAt != null && firstStartAt.minus(submittedAt).compareTo(limit) <= 0;
   }
 
-  void taskCompleted(int task) {
+  void recordTaskCompletion(int task) {
     completedTasks.add(task);
   }
 
-  boolean isCompleted(int task) {
+  boolean isTaskCompleted(int task) {
     return completedTasks.contains(task);
   }
 
@@ -106,7 +112,7 @@
     return completedTasks.size();
   }
 
-  void ended(String status, Duration now) {
+  void recordEnd(String status, Duration now) {
     endStatus = status;
     endReportedAt = endReportedAt == null ? now : endReportedAt;
   }
@@ -116,8 +122,8 @@
   }
 
   /**
-   * Whether this status contradicts the end that was reported. An answer to a question from before
-   * that report may still be from before the end.
+   * Whether a status contradicts the final status that a user has received. A reply to a request
+   * that was sent before the user received it may still contain a status that is not final.
    */
   boolean contradictsEnd(String status, boolean isEnd, Duration askedAt) {
     return endStatus != null
--- a/src/test/java/io/cherryspool/sim/check/ProgressRules.java
+++ b/src/test/java/io/cherryspool/sim/check/ProgressRules.java
@@ -17,22 +17,32 @@
 import java.util.Set;
 
 /**
- * The rules that work goes on once all faults are over: {@code forgotten} for a job about which no
- * user is answered, {@code left_waiting} for one that waits although there is room, {@code
- * nothing_ran}, {@code unserved} and {@code largest_late} at the end of a run.
+ * Checks that the cluster makes progress after all faults have ended. Reports these violations:
+ *
+ * <ul>
+ *   <li>{@code forgotten}: requests about an accepted job get no reply
+ *   <li>{@code left_waiting}: a job waits although a machine has room for one of its tasks
+ *   <li>{@code nothing_ran}, at the end of a run: no task was started
+ *   <li>{@code unserved}, at the end of a run: an accepted job has not ended
+ *   <li>{@code largest_late}, at the end of a run: most of the largest jobs of a class started late
+ * </ul>
  */
 final class ProgressRules {
-  /** A job about which no question is answered for so long counts as forgotten. */
+  /** The maximum time without a reply about a job that has not ended. */
   private static final Duration ANSWER_LIMIT = Duration.ofSeconds(75);
 
-  /** So long a job may wait although a machine that fits has room and its team may use it. */
+  /**
+   * The maximum time that a job may wait while a suitable machine has room and its team has quota.
+   */
   private static final Duration WAITING_LIMIT = Duration.ofSeconds(90);
 
-  /** Within this time at least half of a class's largest jobs begin. */
-  private static final Duration START_LIMIT = Duration.ofMinutes(4);
+  /** At least half of the largest jobs of a class must start within this time after submission. */
+  private static final Duration LARGEST_JOBS_START_LIMIT = Duration.ofMinutes(4);
 
-  /** One in so many jobs of a class counts as one of its largest. */
-  private static final int LARGEST_ONE_IN = 10;
+  /**
+   * The largest {@code 1 + n / LARGEST_JOBS_DIVISOR} of the n jobs of a class count as its largest.
+   */
+  private static final int LARGEST_JOBS_DIVISOR = 10;
 
   private final VirtualTime time;
   private final Map<String, Team> teams;
@@ -52,7 +62,10 @@
     this.violation = violation;
   }
 
-  /** What the fleet has assigned: by team, free by worker, and the tasks. */
+  /**
+   * The tasks assigned to all workers, the resources that they use by team, and the resources that
+   * remain free by worker.
+   */
   private static final class Assignments {
     private final Map<String, Resources> useByTeam = new HashMap<>();
     private final Map<FakeWorker, Resources> freeByWorker = new HashMap<>();
@@ -63,8 +76,8 @@
     faultsEndedAt = moment;
   }
 
-  void checkProgress(Collection<FakeWorker> all) {
-    Assignments assignments = assignments(all);
+  void checkProgress(Collection<FakeWorker> workers) {
+    Assignments assignments = assignments(workers);
     for (Map.Entry<String, JobObservations> entry : jobs.entrySet()) {
       if (entry.getValue().isAccepted()) {
         checkAnswered(entry.getKey(), entry.getValue());
@@ -73,9 +86,9 @@
     }
   }
 
-  private Assignments assignments(Collection<FakeWorker> all) {
+  private Assignments assignments(Collection<FakeWorker> workers) {
     Assignments result = new Assignments();
-    for (FakeWorker worker : all) {
+    for (FakeWorker worker : workers) {
       Resources free = worker.machine().type().capacity();
       for (String task : worker.assignedTasks()) {
         Job job = jobs.get(TaskId.parse(task).jobId()).job();
@@ -91,21 +104,27 @@
   private void checkAnswered(String id, JobObservations job) {
     Duration answeredAt = job.lastAnswerAt();
     Duration since = answeredAt.compareTo(faultsEndedAt) > 0 ? answeredAt : faultsEndedAt;
-    violation.noteIf(
-        !job.hasEnded() && isLongerAgo(since, ANSWER_LIMIT), "forgotten", id + " unanswered");
+    violation.recordIf(
+        !job.hasEnded() && isLongerAgo(since, ANSWER_LIMIT),
+        "forgotten",
+        id + " got no reply within the limit");
   }
 
   private void checkWaiting(String id, JobObservations observations, Assignments assignments) {
-    if (mayBePlaced(observations) && couldRun(observations, assignments)) {
+    if (isWaitingTimeLimited(observations) && canRunNow(observations, assignments)) {
       Duration since = waitingSince.computeIfAbsent(id, key -> time.now());
-      violation.noteIf(isLongerAgo(since, WAITING_LIMIT), "left_waiting", id);
+      violation.recordIf(isLongerAgo(since, WAITING_LIMIT), "left_waiting", id);
     } else {
       waitingSince.remove(id);
     }
   }
 
-  /** Of jobs bound to zones, where their other tasks are decides where the next may run. */
-  private static boolean mayBePlaced(JobObservations observations) {
+  /**
+   * Whether the waiting time of the job is limited. Jobs that must run in a single zone or spread
+   * over zones are excluded, since the zones in which their next task may run depend on where their
+   * other tasks run.
+   */
+  private static boolean isWaitingTimeLimited(JobObservations observations) {
     Job job = observations.job();
     return !observations.hasEnded()
         && !observations.isCancelRequested()
@@ -114,7 +133,7 @@
         && !job.requiresZoneSpread();
   }
 
-  private boolean couldRun(JobObservations observations, Assignments assignments) {
+  private boolean canRunNow(JobObservations observations, Assignments assignments) {
     Job job = observations.job();
     Resources use = assignments.useByTeam.getOrDefault(job.team(), Resources.NONE);
     return hasWaitingTask(observations, assignments.tasks)
@@ -129,34 +148,36 @@
   private static boolean hasWaitingTask(JobObservations observations, Set<String> assigned) {
     Job job = observations.job();
     for (int i = 0; i < job.taskCount(); i++) {
-      if (!observations.isCompleted(i) && !assigned.contains(job.id() + "/" + i)) {
+      if (!observations.isTaskCompleted(i) && !assigned.contains(job.id() + "/" + i)) {
         return true;
       }
     }
     return false;
   }
 
-  void checkAllServed(int startCount) {
-    violation.noteIf(startCount == 0, "nothing_ran", "");
+  void checkEndOfRun(int startCount) {
+    violation.recordIf(startCount == 0, "nothing_ran", "");
     Map<String, List<JobObservations>> classes = new HashMap<>();
     for (JobObservations each : jobs.values()) {
       if (each.isAccepted()) {
-        violation.noteIf(!each.hasEnded(), "unserved", each.job().id() + " unfinished at the end");
+        violation.recordIf(
+            !each.hasEnded(), "unserved", each.job().id() + " unfinished at the end");
         if (!each.isCancelRequested()) {
           classes.computeIfAbsent(each.job().jobClass(), key -> new ArrayList<>()).add(each);
         }
       }
     }
-    classes.values().forEach(this::checkLargestBegan);
+    classes.values().forEach(this::checkLargestJobsStarted);
   }
 
-  private void checkLargestBegan(List<JobObservations> ofOneClass) {
-    ofOneClass.sort(
+  private void checkLargestJobsStarted(List<JobObservations> jobsOfClass) {
+    jobsOfClass.sort(
         Comparator.comparingInt((JobObservations each) -> each.job().taskCount()).reversed());
-    int count = Math.min(ofOneClass.size(), 1 + ofOneClass.size() / LARGEST_ONE_IN);
-    List<JobObservations> largest = ofOneClass.subList(0, count);
-    long inTime = largest.stream().filter(each -> each.startedWithin(START_LIMIT)).count();
-    violation.noteIf(2 * inTime < count, "largest_late", largest.get(0).job().id());
+    int count = Math.min(jobsOfClass.size(), 1 + jobsOfClass.size() / LARGEST_JOBS_DIVISOR);
+    List<JobObservations> largest = jobsOfClass.subList(0, count);
+    long inTime =
+        largest.stream().filter(each -> each.startedWithin(LARGEST_JOBS_START_LIMIT)).count();
+    violation.recordIf(2 * inTime < count, "largest_late", largest.get(0).job().id());
   }
 
   private boolean isLongerAgo(Duration since, Duration limit) {
--- a/src/test/java/io/cherryspool/sim/check/RuleChecker.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleChecker.java
@@ -17,8 +17,9 @@
 import java.util.Set;
 
 /**
- * The rules that users rely on, checked against what the fake workers run and what users receive.
- * The cluster reports what happens and calls {@link #check} after each event.
+ * Checks the rules that users rely on, against the tasks that the fake workers run and the replies
+ * that users receive. The cluster reports submissions, replies and task changes to it, and calls
+ * {@link #check} after each event.
  *
  * <p>A violation is named by its rule: {@code ran_twice}, {@code wrong_place}, {@code
  * ran_cancelled}, {@code quota}, {@code invented}, {@code forgotten}, {@code not_done}, {@code
@@ -37,7 +38,8 @@
   /**
    * Creates the rule checker.
    *
-   * @param cancelLimit the tasks of a cancelled job are gone so long after the confirmation
+   * @param cancelLimit the maximum time from the confirmation of a cancel to the end of all tasks
+   *     of the job
    */
   public RuleChecker(VirtualTime time, Collection<Team> teams, Duration cancelLimit) {
     this.time = time;
@@ -51,101 +53,110 @@
     return jobs.computeIfAbsent(id, key -> new JobObservations());
   }
 
-  private Optional<JobObservations> known(String id) {
+  private Optional<JobObservations> findObservations(String id) {
     return Optional.ofNullable(jobs.get(id));
   }
 
-  /** A user submits the job; called before the request is sent. */
+  /** Records that a user submits the job. Must be called before the request is sent. */
   public void jobSubmitted(Job job) {
-    observations(job.id()).submitted(job, time.now());
+    observations(job.id()).recordSubmission(job, time.now());
   }
 
-  /** The job with this id as it was submitted; null if none was. */
+  /** Returns the job with this id as it was submitted; null if no such job was submitted. */
   public Job job(String id) {
-    return known(id).map(JobObservations::job).orElse(null);
+    return findObservations(id).map(JobObservations::job).orElse(null);
   }
 
-  /** A user receives that the job is accepted; true the first time. */
+  /**
+   * Records that a user received the acceptance of the job. Returns whether this was the first
+   * time.
+   */
   public boolean jobAccepted(String id) {
-    return observations(id).accepted(time.now());
+    return observations(id).recordAcceptance(time.now());
   }
 
   public boolean isAccepted(String id) {
-    return known(id).filter(JobObservations::isAccepted).isPresent();
+    return findObservations(id).filter(JobObservations::isAccepted).isPresent();
   }
 
-  /** A user receives that the job is invalid, which must not follow its acceptance. */
+  /**
+   * Records that a user received a rejection of the job as invalid. A rejection after the
+   * acceptance is a violation.
+   */
   public void jobRejected(String id) {
-    violation.noteIf(isAccepted(id), "forgotten", id);
+    violation.recordIf(isAccepted(id), "forgotten", id);
   }
 
-  /** A user asks for the job to be cancelled; called before the request is sent. */
+  /** Records that a user requests to cancel the job. Must be called before the request is sent. */
   public void cancelRequested(String id) {
-    observations(id).cancelRequested(time.now());
+    observations(id).recordCancelRequest(time.now());
   }
 
   public boolean isCancelRequested(String id) {
-    return known(id).filter(JobObservations::isCancelRequested).isPresent();
+    return findObservations(id).filter(JobObservations::isCancelRequested).isPresent();
   }
 
-  /** When a user first received that the job is cancelled. */
+  /** Returns the time at which a user first received a reply with the status cancelled. */
   public Optional<Duration> cancelConfirmedAt(String id) {
-    return known(id).flatMap(JobObservations::cancelConfirmedAt);
+    return findObservations(id).flatMap(JobObservations::cancelConfirmedAt);
   }
 
   public boolean isCancelConfirmed(String id) {
     return cancelConfirmedAt(id).isPresent();
   }
 
-  /** Whether a user has received that the job is done or cancelled. */
+  /** Whether a user has received a reply with the status done or cancelled. */
   public boolean hasEnded(String id) {
-    return known(id).filter(JobObservations::hasEnded).isPresent();
+    return findObservations(id).filter(JobObservations::hasEnded).isPresent();
   }
 
-  /** How many tasks were started, restarts included. */
+  /** Returns the number of task starts, including restarts. */
   public int startCount() {
     return startCount;
   }
 
-  /** How many tasks were started after the cancel was confirmed, by commands under way then. */
+  /**
+   * Returns the number of task starts after the cancel of the job was confirmed. Commands that were
+   * in transit at the confirmation cause them.
+   */
   int startCountAfterCancel() {
     return startCountAfterCancel;
   }
 
-  /** How many tasks of the job have completed. */
+  /** Returns the number of completed tasks of the job. */
   public int completedTaskCount(String id) {
-    return known(id).map(JobObservations::completedTaskCount).orElse(0);
+    return findObservations(id).map(JobObservations::completedTaskCount).orElse(0);
   }
 
   /**
-   * A task starts to run.
+   * Records that a task started, and checks that it runs only once and on an allowed machine.
    *
-   * @param all the workers of the machines that are up, {@code on} among them
+   * @param workers the workers of all machines that are up, including {@code startedOn}
    */
-  public void taskStarted(FakeWorker on, String task, Collection<FakeWorker> all) {
+  public void taskStarted(FakeWorker startedOn, String task, Collection<FakeWorker> workers) {
     startCount++;
     String id = TaskId.parse(task).jobId();
     JobObservations observations = observations(id);
-    observations.taskStarted(time.now());
+    observations.recordTaskStart(time.now());
     startCountAfterCancel += observations.cancelConfirmedAt().isPresent() ? 1 : 0;
-    int copies = 0;
-    int inZone = 0;
+    int runningCopies = 0;
+    int tasksInZone = 0;
     Set<String> zones = new HashSet<>();
-    for (FakeWorker worker : all) {
+    for (FakeWorker worker : workers) {
       for (String other : worker.runningTasks()) {
-        copies += other.equals(task) ? 1 : 0;
+        runningCopies += other.equals(task) ? 1 : 0;
         if (other.startsWith(id + "/")) {
           zones.add(worker.machine().zone());
-          inZone += worker.machine().zone().equals(on.machine().zone()) ? 1 : 0;
+          tasksInZone += worker.machine().zone().equals(startedOn.machine().zone()) ? 1 : 0;
         }
       }
     }
-    violation.noteIf(copies > 1, "ran_twice", task);
+    violation.recordIf(runningCopies > 1, "ran_twice", task);
     Job job = observations.job();
-    violation.noteIf(
-        !isAllowedOn(job, on.machine())
+    violation.recordIf(
+        !isAllowedOn(job, startedOn.machine())
             || (job.requiresSingleZone() && zones.size() > 1)
-            || (job.requiresZoneSpread() && inZone > job.maxTasksPerZone()),
+            || (job.requiresZoneSpread() && tasksInZone > job.maxTasksPerZone()),
         "wrong_place",
         task);
   }
@@ -154,81 +165,92 @@
     return PlacementConstraints.allows(job, machine.type(), machine.zone(), machine.isSpot());
   }
 
-  /** A task has run to its end without a failure. */
+  /** Records that a task ran to its end without a failure. */
   public void taskCompleted(String task) {
     TaskId id = TaskId.parse(task);
-    observations(id.jobId()).taskCompleted(id.index());
+    observations(id.jobId()).recordTaskCompletion(id.index());
   }
 
   /**
-   * Checks the rules on what runs now.
+   * Checks the tasks that run now: none may belong to a job whose cancel was confirmed longer ago
+   * than the limit, and the tasks of each team must be within its quota.
    *
-   * @throws AssertionError naming the first violation, of whatever rule, that was noted
+   * @throws AssertionError if a violation of any rule has been recorded; names the first one
    */
-  public void check(Collection<FakeWorker> all) {
+  public void check(Collection<FakeWorker> workers) {
     Map<String, Resources> use = new HashMap<>();
-    for (FakeWorker worker : all) {
+    for (FakeWorker worker : workers) {
       for (String task : worker.runningTasks()) {
         JobObservations observations = jobs.get(TaskId.parse(task).jobId());
         Job job = observations.job();
         use.merge(job.team(), job.perTask(), Resources::plus);
-        violation.noteIf(
+        violation.recordIf(
             observations.isCancelOverdue(time.now(), cancelLimit), "ran_cancelled", task);
       }
     }
     use.forEach(
-        (team, sum) -> violation.noteIf(!teams.get(team).isWithinQuota(sum), "quota", team));
+        (team, sum) -> violation.recordIf(!teams.get(team).isWithinQuota(sum), "quota", team));
     violation.throwIfAny();
   }
 
   /**
-   * A user receives the status of a job.
+   * Records that a user received the status of a job, and checks it against earlier replies.
    *
-   * @param status the protocol's word, or 404 for a job that is not known
-   * @param askedAt when the user sent the request
+   * @param status the status as written in the protocol, or 404 if the job was not found
+   * @param askedAt the time at which the user sent the request
    */
   public void statusReceived(String id, String status, Duration askedAt) {
     JobObservations observations = observations(id);
-    observations.answered(time.now());
+    observations.recordAnswer(time.now());
     if (status.equals("404")) {
-      violation.noteIf(observations.wasAcceptedBy(askedAt), "forgotten", id);
+      violation.recordIf(observations.wasAcceptedBy(askedAt), "forgotten", id);
       return;
     }
-    violation.noteIf(!observations.isSubmitted(), "invented", id);
+    violation.recordIf(!observations.isSubmitted(), "invented", id);
     boolean isDone = status.equals("done");
     boolean isCancelled = status.equals("withdrawn");
-    violation.noteIf(
+    violation.recordIf(
         observations.contradictsEnd(status, isDone || isCancelled, askedAt),
         "went_back",
         id + " to " + status);
     if (isDone) {
       int missing = observations.job().taskCount() - observations.completedTaskCount();
-      violation.noteIf(missing > 0, "not_done", id);
-      observations.ended(status, time.now());
+      violation.recordIf(missing > 0, "not_done", id);
+      observations.recordEnd(status, time.now());
     } else if (isCancelled) {
-      violation.noteIf(!observations.isCancelRequested(), "went_back", id + " cancelled unasked");
-      observations.cancelConfirmed(time.now());
-      observations.ended(status, time.now());
+      violation.recordIf(
+          !observations.isCancelRequested(), "went_back", id + " cancelled without a request");
+      observations.recordCancelConfirmation(time.now());
+      observations.recordEnd(status, time.now());
     }
   }
 
-  /** Notes a violation that a user has seen; {@link #check} throws it. */
+  /**
+   * Records a violation found by the simulated users, if the condition is true. {@link #check}
+   * throws it.
+   */
   public void recordViolationIf(boolean isViolated, String rule, String details) {
-    violation.noteIf(isViolated, rule, details);
+    violation.recordIf(isViolated, rule, details);
   }
 
-  /** No fault is injected after this moment. */
+  /** Sets the time at which the last fault ended. Must be called before {@link #checkProgress}. */
   public void setFaultsEndedAt(Duration moment) {
     progressRules.setFaultsEndedAt(moment);
   }
 
-  /** Checks that work goes on once all faults are over; called once a second. */
-  public void checkProgress(Collection<FakeWorker> all) {
-    progressRules.checkProgress(all);
+  /**
+   * Checks that no job is forgotten or left waiting after all faults have ended. Must be called
+   * once a second of simulated time.
+   */
+  public void checkProgress(Collection<FakeWorker> workers) {
+    progressRules.checkProgress(workers);
   }
 
-  /** Checks at the end of a run that all work has ended, and the largest jobs began in time. */
+  /**
+   * Checks at the end of a run that tasks were started, that all accepted jobs have ended, and that
+   * the largest jobs started in time.
+   */
   public void checkEndOfRun() {
-    progressRules.checkAllServed(startCount);
+    progressRules.checkEndOfRun(startCount);
   }
 }
--- a/src/test/java/io/cherryspool/sim/check/RuleCheckerTest.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleCheckerTest.java
@@ -12,67 +12,69 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** That each check of the simulation can fail: it receives what it must not let pass. */
+/**
+ * Checks that the rule checker reports violations, by passing it observations that break a rule.
+ */
 class RuleCheckerTest {
   private final SimulatedCluster cluster = SimulatedCluster.of(1, 3);
   private final RuleChecker rules = cluster.rules();
 
-  private Job accepted(int tasks) {
+  private Job submitAcceptedJob(int tasks) {
     Job job = cluster.jobs().create("blue", tasks, 4, Duration.ofSeconds(20));
     rules.jobSubmitted(job);
     rules.jobAccepted(job.id());
     return job;
   }
 
-  private void breaks(String rule) {
+  private void assertViolation(String rule) {
     AssertionError error = assertThrows(AssertionError.class, () -> rules.check(cluster.workers()));
     assertTrue(error.getMessage().startsWith(rule + ":"), error.getMessage());
   }
 
-  private void receive(Job job, String status) {
+  private void receiveStatus(Job job, String status) {
     rules.statusReceived(job.id(), status, cluster.time().now());
   }
 
   @Test
-  void anEndThatIsTakenBackOrWasNeverReached() {
-    receive(accepted(1), "done");
-    breaks("not_done");
+  void doneStatusBeforeAllTasksCompletedViolatesNotDone() {
+    receiveStatus(submitAcceptedJob(1), "done");
+    assertViolation("not_done");
   }
 
   @Test
-  void aDoneJobThatRunsAgain() {
-    Job job = accepted(1);
+  void runningStatusAfterDoneViolatesWentBack() {
+    Job job = submitAcceptedJob(1);
     rules.taskCompleted(job.id() + "/0");
-    receive(job, "done");
-    receive(job, "running");
-    breaks("went_back");
+    receiveStatus(job, "done");
+    receiveStatus(job, "running");
+    assertViolation("went_back");
   }
 
   @Test
-  void aCancelThatNobodyAskedFor() {
-    receive(accepted(1), "withdrawn");
-    breaks("went_back");
+  void cancelledStatusWithoutCancelRequestViolatesWentBack() {
+    receiveStatus(submitAcceptedJob(1), "withdrawn");
+    assertViolation("went_back");
   }
 
   @Test
-  void anAcceptedJobThatIsNotFound() {
-    receive(accepted(1), "404");
-    breaks("forgotten");
+  void notFoundAfterAcceptanceViolatesForgotten() {
+    receiveStatus(submitAcceptedJob(1), "404");
+    assertViolation("forgotten");
   }
 
   @Test
-  void aQuestionThatWasAskedBeforeTheJobWasAcceptedMayFindNothing() {
+  void notFoundIsAllowedForRequestSentBeforeAcceptance() {
     Duration asked = cluster.time().now();
     cluster.run(1);
-    Job job = accepted(1);
+    Job job = submitAcceptedJob(1);
     rules.statusReceived(job.id(), "404", asked);
     rules.check(cluster.workers());
   }
 
-  /** Unanswered for 75 s after the faults, and not a second less. */
+  /** 75 s without a reply are allowed; 0.1 s more is a violation. */
   @Test
-  void aJobThatNobodyAnswersForAfterTheFaults() {
-    accepted(1);
+  void noAnswerForMoreThan75SecondsAfterFaultsViolatesForgotten() {
+    submitAcceptedJob(1);
     cluster.run(200);
     rules.setFaultsEndedAt(cluster.time().now());
     cluster.run(75);
@@ -80,70 +82,74 @@
     rules.check(cluster.workers());
     cluster.run(0.1);
     rules.checkProgress(cluster.workers());
-    breaks("forgotten");
+    assertViolation("forgotten");
   }
 
-  /** Room for 90 s, on a machine that fits, for a job of a team below its limit. */
+  /**
+   * A suitable machine has room for the job for more than 90 s, and its team is below its quota.
+   */
   @Test
-  void aJobThatIsLeftWaitingAlthoughThereIsRoom() {
+  void waitingMoreThan90SecondsWithRoomViolatesLeftWaiting() {
     cluster.run(25);
-    Job keeps = cluster.jobs().create("red", 1, 4, Duration.ofSeconds(400));
-    cluster.users().submit(keeps);
-    Job left = accepted(1);
+    Job running = cluster.jobs().create("red", 1, 4, Duration.ofSeconds(400));
+    cluster.users().submit(running);
+    Job waiting = submitAcceptedJob(1);
     rules.setFaultsEndedAt(cluster.time().now());
     for (int i = 0; i <= 90; i++) {
-      receive(left, "pending");
+      receiveStatus(waiting, "pending");
       rules.checkProgress(cluster.workers());
       cluster.run(1);
     }
     rules.checkProgress(cluster.workers());
-    assertEquals(1, cluster.workers().size(), "one machine, with room for three more");
-    breaks("left_waiting");
+    assertEquals(1, cluster.workers().size(), "one machine is up, with room for three more tasks");
+    assertViolation("left_waiting");
   }
 
   @Test
-  void anAcceptedJobWithoutAnEnd() {
-    Job other = accepted(1);
+  void acceptedJobWithoutAnyTaskStartViolatesNothingRan() {
+    Job other = submitAcceptedJob(1);
     rules.taskCompleted(other.id() + "/0");
     rules.checkEndOfRun();
-    breaks("nothing_ran");
+    assertViolation("nothing_ran");
   }
 
-  /** More than half of a class's largest jobs began later than four minutes after they came. */
+  /**
+   * More than half of the largest jobs of a class start later than 4 min after their submission.
+   */
   @Test
-  void theLargestOfAClassThatBeginTooLate() {
+  void largestJobsStartingAfterFourMinutesViolateLargestLate() {
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 11; i++) {
-      jobs.add(accepted(i < 2 ? 50 : 1));
+      jobs.add(submitAcceptedJob(i < 2 ? 50 : 1));
     }
     cluster.run(30);
-    FakeWorker machine = anyMachine();
+    FakeWorker worker = anyWorker();
     for (Job job : jobs.subList(2, 11)) {
-      rules.taskStarted(machine, job.id() + "/0", List.of());
+      rules.taskStarted(worker, job.id() + "/0", List.of());
     }
     cluster.run(220);
-    jobs.subList(0, 2).forEach(job -> rules.taskStarted(machine, job.id() + "/0", List.of()));
+    jobs.subList(0, 2).forEach(job -> rules.taskStarted(worker, job.id() + "/0", List.of()));
     for (Job job : jobs) {
       for (int i = 0; i < job.taskCount(); i++) {
         rules.taskCompleted(job.id() + "/" + i);
       }
-      receive(job, "done");
+      receiveStatus(job, "done");
     }
     rules.checkEndOfRun();
-    breaks("largest_late");
+    assertViolation("largest_late");
   }
 
   @Test
-  void startsAfterACancelAreCounted() {
-    Job job = accepted(1);
+  void countsTaskStartsAfterConfirmedCancel() {
+    Job job = submitAcceptedJob(1);
     rules.cancelRequested(job.id());
-    receive(job, "withdrawn");
+    receiveStatus(job, "withdrawn");
     cluster.run(5);
-    rules.taskStarted(anyMachine(), job.id() + "/0", List.of());
+    rules.taskStarted(anyWorker(), job.id() + "/0", List.of());
     assertEquals(1, rules.startCountAfterCancel());
   }
 
-  private FakeWorker anyMachine() {
+  private FakeWorker anyWorker() {
     return cluster.workers().iterator().next();
   }
 }
--- a/src/test/java/io/cherryspool/sim/cluster/ClusterSettings.java
+++ b/src/test/java/io/cherryspool/sim/cluster/ClusterSettings.java
@@ -14,17 +14,20 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Addresses, machine types, teams and the settings of each node of a {@link SimulatedCluster}. */
+/**
+ * The addresses, machine types and teams of a {@link SimulatedCluster}, and the settings of each of
+ * its nodes.
+ */
 final class ClusterSettings {
-  static final Endpoint STATE = new Endpoint("10.2.0.1", 2379);
+  static final Endpoint STATE_STORE = new Endpoint("10.2.0.1", 2379);
   static final Endpoint CLOUD = new Endpoint("10.2.0.2", 8443);
   static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(2500);
 
-  private static final double STATE_REQUESTS_PER_S = 150;
+  private static final double STATE_STORE_REQUESTS_PER_S = 150;
   private static final int USER_PORT = 8080;
   private static final int MESH_PORT = 8081;
 
-  private static final MachineType BOX =
+  private static final MachineType LARGE_TYPE =
       new MachineType(
           "box",
           new Resources(16, 0, 64),
@@ -35,8 +38,8 @@
           Duration.ofSeconds(8),
           SimulatedCluster.ZONES);
 
-  /** Too small for the larger tasks, and not on offer in each zone. */
-  private static final MachineType CRATE =
+  /** A type that is too small for the larger tasks, and is not available in every zone. */
+  private static final MachineType SMALL_TYPE =
       new MachineType(
           "crate",
           new Resources(4, 0, 16),
@@ -47,7 +50,7 @@
           Duration.ofSeconds(5),
           SimulatedCluster.ZONES.subList(0, 2));
 
-  static final List<MachineType> MACHINE_TYPES = List.of(BOX, CRATE);
+  static final List<MachineType> MACHINE_TYPES = List.of(LARGE_TYPE, SMALL_TYPE);
 
   static final List<Team> TEAMS =
       List.of(
@@ -55,7 +58,7 @@
           new Team("blue", 40, 96, 0, 0),
           new Team("guest", 0, 0, 0, 0));
 
-  /** Quotas that two jobs of usual size use up. */
+  /** Teams whose quotas are used up by two jobs of typical size. */
   static final List<Team> TIGHT_TEAMS =
       List.of(
           new Team("red", 16, 24, 0, 0),
@@ -70,7 +73,7 @@
   /**
    * Creates the cluster settings.
    *
-   * @param recovery how nodes rebuild lost records; empty if they don't
+   * @param recovery the settings for rebuilding lost records; empty if nodes do not rebuild them
    */
   ClusterSettings(
       int controllers,
@@ -81,7 +84,7 @@
     this.stateWritesPerS = stateWritesPerS;
     this.operatorSettings = operatorSettings(recovery);
     for (int i = 0; i < controllers; i++) {
-      addresses.put(name(i), new Endpoint("10.0.0." + (i + 1), USER_PORT));
+      addresses.put(nodeName(i), new Endpoint("10.0.0." + (i + 1), USER_PORT));
     }
   }
 
@@ -97,11 +100,11 @@
         defaults.partitions());
   }
 
-  static String name(int index) {
+  static String nodeName(int index) {
     return "node-" + index;
   }
 
-  static String zone(int index) {
+  static String nodeZone(int index) {
     return SimulatedCluster.ZONES.get(index % SimulatedCluster.ZONES.size());
   }
 
@@ -109,13 +112,16 @@
     return teams;
   }
 
-  /** Where users and workers reach each node, by name, in the order of the nodes. */
+  /**
+   * Returns the addresses of the nodes for users and workers, by node name and in the order of the
+   * nodes.
+   */
   Map<String, Endpoint> addresses() {
     return addresses;
   }
 
   Endpoint address(int index) {
-    return addresses.get(name(index));
+    return addresses.get(nodeName(index));
   }
 
   double stateWritesPerS() {
@@ -126,34 +132,34 @@
     return operatorSettings;
   }
 
-  /** The settings of one node. */
+  /** Returns the settings of one node. */
   Settings settings(int index) {
     List<Settings.Peer> peers = new ArrayList<>();
     for (int i = 0; i < addresses.size(); i++) {
       if (i != index) {
-        peers.add(new Settings.Peer(name(i), mesh(i)));
+        peers.add(new Settings.Peer(nodeName(i), meshAddress(i)));
       }
     }
     return new Settings(
-        name(index),
-        zone(index),
+        nodeName(index),
+        nodeZone(index),
         address(index),
-        mesh(index),
+        meshAddress(index),
         peers,
         CLOUD,
-        STATE,
+        STATE_STORE,
         teams,
         Map.of(),
         HEARTBEAT_INTERVAL,
         SimulatedCluster.LEASE,
         SimulatedCluster.CANCEL_LIMIT,
-        new Settings.StateStoreLimits(STATE_REQUESTS_PER_S, stateWritesPerS, 2048, 12),
+        new Settings.StateStoreLimits(STATE_STORE_REQUESTS_PER_S, stateWritesPerS, 2048, 12),
         6,
         Duration.ofSeconds(6),
         1000);
   }
 
-  private Endpoint mesh(int index) {
+  private Endpoint meshAddress(int index) {
     return new Endpoint(address(index).host(), MESH_PORT);
   }
 }
--- a/src/test/java/io/cherryspool/sim/cluster/DirectedFaultsFixture.java
+++ b/src/test/java/io/cherryspool/sim/cluster/DirectedFaultsFixture.java
@@ -10,27 +10,31 @@
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 
-/** What tests share that inject chosen faults into a simulated cluster. */
+/** The base class of tests that inject specific faults into a simulated cluster at chosen times. */
 public abstract class DirectedFaultsFixture {
-  /** Of tasks that outlast the faults. */
+  /** The run time of tasks that run for longer than the faults last. */
   protected static final Duration LONG_RUN_TIME = Duration.ofMinutes(2);
 
   private static final double SETTLE_TIME_S = 25;
   private static final int RUNNING_TIMEOUT_S = 60;
 
   /**
-   * The cluster of the present run; set by {@link #startCluster}, or by a test that needs another.
+   * The cluster under test. Set by {@link #startCluster}, or by a test that needs a different
+   * cluster.
    */
   protected SimulatedCluster cluster;
 
-  /** A job that is to end and one that the test cancels. */
+  /** A job that is expected to complete, and a job that the test cancels. */
   protected record TwoJobs(Job kept, Job cancelled) {
     public List<Job> all() {
       return List.of(kept, cancelled);
     }
   }
 
-  /** Starts a cluster and lets it settle, so that it has a leader and machines. */
+  /**
+   * Starts a cluster and runs it for {@value #SETTLE_TIME_S} s, so that it has a leader and
+   * machines.
+   */
   protected void startCluster(long seed, int controllers) {
     cluster = SimulatedCluster.of(seed, controllers);
     cluster.run(SETTLE_TIME_S);
@@ -42,44 +46,63 @@
     return job;
   }
 
-  /** Settles a cluster of three and submits a job of many tasks; so many of them run then. */
-  protected Job startClusterWithJob(long seed, int tasks, Duration runTime, int running) {
+  /**
+   * Starts a cluster of three controllers, submits a job, and waits until at least {@code
+   * minRunning} of its tasks run.
+   */
+  protected Job startClusterWithJob(long seed, int tasks, Duration runTime, int minRunning) {
     startCluster(seed, 3);
     Job job = submit("blue", tasks, 4, runTime);
-    awaitRunning(job, running);
+    awaitRunning(job, minRunning);
     return job;
   }
 
-  /** As above, with a second job of eight long tasks that the test is to cancel. */
-  protected TwoJobs startClusterWithTwoJobs(long seed, int tasks, Duration runTime, int running) {
+  /**
+   * As {@link #startClusterWithJob}, with a second job of eight long-running tasks for the test to
+   * cancel.
+   */
+  protected TwoJobs startClusterWithTwoJobs(
+      long seed, int tasks, Duration runTime, int minRunning) {
     startCluster(seed, 3);
     Job kept = submit("blue", tasks, 4, runTime);
     Job cancelled = submit("red", 8, 4, LONG_RUN_TIME);
-    awaitRunning(kept, running);
+    awaitRunning(kept, minRunning);
     return new TwoJobs(kept, cancelled);
   }
 
-  /** Goes on until so many tasks of the job run; fails after a minute. */
+  /**
+   * Runs the cluster until at least the given number of tasks of the job run. Fails after 60 s of
+   * simulated time.
+   */
   protected void awaitRunning(Job job, int tasks) {
     runUntil(() -> cluster.fleet().runningTaskCount(job) >= tasks, 0.1, 10 * RUNNING_TIMEOUT_S);
-    assertTrue(cluster.fleet().runningTaskCount(job) >= tasks, job.id() + " runs");
+    assertTrue(cluster.fleet().runningTaskCount(job) >= tasks, job.id() + " runs enough tasks");
   }
 
-  /** Goes on until a node leads that is not this one; fails after ten seconds. */
+  /**
+   * Runs the cluster until a node other than the given one is leader. Fails after 10 s of simulated
+   * time.
+   */
   protected SimulatedController awaitLeaderOtherThan(SimulatedController node, double stepS) {
     runUntil(() -> cluster.leaderOtherThan(node).isPresent(), stepS, (int) Math.round(10 / stepS));
     Optional<SimulatedController> next = cluster.leaderOtherThan(node);
-    assertTrue(next.isPresent(), "another is elected");
+    assertTrue(next.isPresent(), "another node is elected");
     return next.orElseThrow();
   }
 
-  /** Goes on until a user has received that the job is cancelled; fails after so many steps. */
+  /**
+   * Runs the cluster until a user has received the confirmation of the cancel. Fails after {@code
+   * maxSteps} steps.
+   */
   protected void awaitCancelConfirmed(Job job, double stepS, int maxSteps) {
     runUntil(() -> cluster.rules().isCancelConfirmed(job.id()), stepS, maxSteps);
     assertTrue(cluster.rules().isCancelConfirmed(job.id()), "the cancel is confirmed");
   }
 
-  /** Goes on in steps of simulated time while the condition is false, so many steps at most. */
+  /**
+   * Runs the cluster in steps of {@code stepS} seconds until the condition is true, for at most
+   * {@code maxSteps} steps.
+   */
   protected void runUntil(BooleanSupplier condition, double stepS, int maxSteps) {
     for (int i = 0; i < maxSteps && !condition.getAsBoolean(); i++) {
       cluster.run(stepS);
@@ -88,7 +111,7 @@
 
   protected void assertAllEnded(List<Job> jobs) {
     for (Job job : jobs) {
-      assertTrue(cluster.rules().hasEnded(job.id()), job.id() + " has an end");
+      assertTrue(cluster.rules().hasEnded(job.id()), job.id() + " has ended");
     }
   }
 
--- a/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
@@ -10,62 +10,66 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** Injects faults of every kind, drawn by chance: alone, in pairs and in threes. */
+/** Injects random faults of all kinds into a cluster, one to three at a time. */
 final class FaultInjector {
-  private static final int KINDS = 37;
+  private static final int FAULT_KINDS = 37;
 
   private final SimulatedCluster cluster;
   private final SplittableRandom random;
-  private final double end;
-  private final Runnable guests;
+  private final double endS;
+  private final Runnable submitGuestWork;
 
   /**
    * Creates the fault injector.
    *
-   * @param end when the last may begin, in seconds
-   * @param guests brings work of a team without a guarantee
+   * @param endS the time in seconds after which no new group of faults starts
+   * @param submitGuestWork submits work of a team without a guaranteed quota
    */
-  FaultInjector(SimulatedCluster cluster, double end, Runnable guests) {
+  FaultInjector(SimulatedCluster cluster, double endS, Runnable submitGuestWork) {
     this.cluster = cluster;
     this.random = cluster.random().split();
-    this.end = end;
-    this.guests = guests;
+    this.endS = endS;
+    this.submitGuestWork = submitGuestWork;
   }
 
-  void begin() {
-    cluster.schedule(20, this::next);
-    cluster.stateStore().onPut(this::put);
+  void start() {
+    cluster.schedule(20, this::injectNextFaults);
+    cluster.stateStore().onPut(this::replayHeartbeatsToNewLeader);
   }
 
-  private void next() {
-    if (cluster.time().seconds() > end) {
+  private void injectNextFaults() {
+    if (cluster.time().seconds() > endS) {
       return;
     }
-    cluster.schedule(3 + random.nextDouble() * 20, this::next);
-    // Two or three at once, or in the middle of one another: most rules break where they meet.
-    for (int more = random.nextInt(6); more > 3; more--) {
-      cluster.schedule(random.nextDouble() * 6, this::strike);
+    cluster.schedule(3 + random.nextDouble() * 20, this::injectNextFaults);
+    // In a third of the cases one or two more faults follow within 6 s, since most violations occur
+    // when faults coincide.
+    for (int extra = random.nextInt(6); extra > 3; extra--) {
+      cluster.schedule(random.nextDouble() * 6, this::injectRandomFault);
     }
-    strike();
+    injectRandomFault();
   }
 
-  /** What was kept for the next leader reaches every controller just as that one begins. */
-  private void put(String key) {
+  /** Replays the recorded heartbeats to all controllers when a new leader writes its key. */
+  private void replayHeartbeatsToNewLeader(String key) {
     if (key.equals("c/leader")) {
-      List<Endpoint> all = cluster.nodes().stream().map(SimulatedController::address).toList();
+      List<Endpoint> controllers =
+          cluster.nodes().stream().map(SimulatedController::address).toList();
       List.of(0, 4, 12, 40)
           .forEach(
-              wait -> cluster.schedule(wait / 1e3, () -> cluster.network().replayHeartbeats(all)));
+              delayMs ->
+                  cluster.schedule(
+                      delayMs / 1e3, () -> cluster.network().replayHeartbeats(controllers)));
       cluster.schedule(0.05, cluster.network()::discardRecordedHeartbeats);
     }
   }
 
-  /** One fault of a random kind. The kinds have numbers, which decide what a seed injects. */
-  private void strike() {
+  /** Injects one random fault. Renumbering the kinds would change the faults of each seed. */
+  private void injectRandomFault() {
     Duration length = Duration.ofMillis(2000 + random.nextLong(25_000));
     SimulatedController node = cluster.nodes().get(random.nextInt(cluster.nodes().size()));
     SimulatedController leader = cluster.currentLeader().orElse(node);
-    int kind = random.nextInt(KINDS);
+    int kind = random.nextInt(FAULT_KINDS);
     injectControllerFault(kind, node, leader, length);
     injectServiceFault(kind, node, leader, length);
     injectWorkerFault(kind, node, length);
@@ -73,7 +77,7 @@
     injectLoad(kind, length);
   }
 
-  /** Faults of controllers and of the heartbeats between them. */
+  /** Injects the fault if it is one of controllers or of the heartbeats between them. */
   private void injectControllerFault(
       int kind, SimulatedController node, SimulatedController leader, Duration length) {
     switch (kind) {
@@ -81,10 +85,10 @@
       case 1 ->
           cluster
               .nodes()
-              .forEach(item -> item.crash(Duration.ofMillis(500 + random.nextLong(8000))));
+              .forEach(each -> each.crash(Duration.ofMillis(500 + random.nextLong(8000))));
       case 10 -> node.isolate(length);
       case 11 -> {
-        // Back at once, and maybe gone again in the middle of the election that follows.
+        // Restarts within 0.5 s, then crashes again, possibly during the following election.
         node.crash(Duration.ofMillis(50 + random.nextLong(400)));
         cluster.schedule(0.5 + random.nextDouble(), () -> node.crash(Duration.ofMillis(100)));
       }
@@ -93,7 +97,7 @@
       case 14 -> leader.freeze(Duration.ofMillis(500 + random.nextLong(40_000)));
       case 16 -> {
         cluster.setMeshDown(true);
-        later(length, () -> cluster.setMeshDown(false));
+        scheduleAfter(length, () -> cluster.setMeshDown(false));
       }
       case 17 -> {
         for (int i = 0; i < cluster.nodes().size(); i++) {
@@ -103,47 +107,47 @@
       }
       case 23 -> node.crash(Duration.ofMillis(12_000 + random.nextLong(78_000)));
       default -> {
-        // A fault of another group.
+        // Another method injects this kind.
       }
     }
   }
 
-  /** Faults of the state store and the cloud. */
+  /** Injects the fault if it is one of the state store or the cloud. */
   private void injectServiceFault(
       int kind, SimulatedController node, SimulatedController leader, Duration length) {
     switch (kind) {
       case 2 -> cluster.stateStoreOutage(length);
       case 3 -> {
         cluster.cloud().setDown(true);
-        later(length, () -> cluster.cloud().setDown(false));
+        scheduleAfter(length, () -> cluster.cloud().setDown(false));
       }
       case 4 -> node.cutFromStateStore(length);
       case 18 -> {
         cluster.stateStore().delayCommits(0.1 + random.nextDouble() / 2);
-        later(length, () -> cluster.stateStore().delayCommits(0));
+        scheduleAfter(length, () -> cluster.stateStore().delayCommits(0));
       }
       case 19 -> node.rejectStateStoreRequests(length);
       case 20 -> leader.rejectStateStoreRequests(length);
       case 25 -> {
         cluster.stateStore().loseReplies(0.1 + random.nextDouble() / 2);
-        later(length, () -> cluster.stateStore().loseReplies(0));
+        scheduleAfter(length, () -> cluster.stateStore().loseReplies(0));
       }
-      case 32 -> gap(leader);
+      case 32 -> rejectLeaderThenTakeStateStoreDown(leader);
       case 33 -> {
         cluster.cloud().setFastBoot(true);
-        later(length.multipliedBy(2), () -> cluster.cloud().setFastBoot(false));
+        scheduleAfter(length.multipliedBy(2), () -> cluster.cloud().setFastBoot(false));
       }
       case 34 -> {
         cluster.stateStore().delayReplies(1500);
-        later(length, () -> cluster.stateStore().delayReplies(0));
+        scheduleAfter(length, () -> cluster.stateStore().delayReplies(0));
       }
       default -> {
-        // A fault of another group.
+        // Another method injects this kind.
       }
     }
   }
 
-  /** Faults of machines and of their links. */
+  /** Injects the fault if it is one of machines or of their links. */
   private void injectWorkerFault(int kind, SimulatedController node, Duration length) {
     switch (kind) {
       case 5 -> {
@@ -153,80 +157,85 @@
           }
         }
       }
-      case 6 -> anyWorker().ifPresent(worker -> worker.hang(length));
-      case 7 -> anyWorker().ifPresent(FakeWorker::kill);
+      case 6 -> randomWorker().ifPresent(worker -> worker.hang(length));
+      case 7 -> randomWorker().ifPresent(FakeWorker::kill);
       case 8 ->
-          anyWorker()
+          randomWorker()
               .ifPresent(
                   worker -> {
                     worker.setPreemptionNotice(6);
                     cluster.schedule(6, () -> cluster.cloud().reclaim(worker.machine().name()));
                   });
       case 9 ->
-          anyWorker().ifPresent(worker -> cluster.network().dropInbound(host(worker), length));
-      case 24 -> anyWorker().ifPresent(worker -> worker.failTasksFor(length.multipliedBy(3)));
-      case 27 -> someWorkers(worker -> cluster.network().dropOutbound(host(worker), length));
-      case 28 -> someWorkers(worker -> cluster.network().dropInbound(host(worker), length));
+          randomWorker().ifPresent(worker -> cluster.network().dropInbound(host(worker), length));
+      case 24 -> randomWorker().ifPresent(worker -> worker.failTasksFor(length.multipliedBy(3)));
+      case 27 -> forRandomWorkers(worker -> cluster.network().dropOutbound(host(worker), length));
+      case 28 -> forRandomWorkers(worker -> cluster.network().dropInbound(host(worker), length));
       default -> {
-        // A fault of another group.
+        // Another method injects this kind.
       }
     }
   }
 
-  /** Faults of the network, among them a copy of each heartbeat for the next leader. */
+  /** Injects the fault if it is one of the network; one kind records heartbeats for a replay. */
   private void injectNetworkFault(int kind, Duration length) {
     switch (kind) {
       case 15 ->
-          cluster.network().cutZone(anyZone(), Duration.ofMillis(5000 + random.nextLong(45_000)));
+          cluster
+              .network()
+              .cutZone(randomZone(), Duration.ofMillis(5000 + random.nextLong(45_000)));
       case 26 -> cluster.network().recordHeartbeats();
       case 35 -> {
         cluster.network().setMaxExtraDelay(600);
-        later(length, () -> cluster.network().setMaxExtraDelay(0));
+        scheduleAfter(length, () -> cluster.network().setMaxExtraDelay(0));
       }
       case 36 -> {
-        String zone = anyZone();
-        for (SimulatedController item : cluster.nodes()) {
+        String zone = randomZone();
+        for (SimulatedController controller : cluster.nodes()) {
           for (FakeCloud.Machine machine : cluster.cloud().runningMachines()) {
-            if (machine.zone().equals(zone) != item.zone().equals(zone)) {
-              cluster.network().cut(item.address().host(), machine.host(), length);
+            if (machine.zone().equals(zone) != controller.zone().equals(zone)) {
+              cluster.network().cut(controller.address().host(), machine.host(), length);
             }
           }
         }
       }
       default -> {
-        // A fault of another group.
+        // Another method injects this kind.
       }
     }
   }
 
-  /** Users who do more than usual. */
+  /** Injects the fault if it is unusual load: additional requests, jobs or cancels of users. */
   private void injectLoad(int kind, Duration length) {
     switch (kind) {
       case 21 -> {
         cluster.users().setPollingFactor(8);
-        later(length, () -> cluster.users().setPollingFactor(1));
+        scheduleAfter(length, () -> cluster.users().setPollingFactor(1));
       }
-      case 22 -> guests.run();
-      case 29 -> cancelRunning();
+      case 22 -> submitGuestWork.run();
+      case 29 -> cancelRunningJobs();
       case 30 -> {
         cluster.users().setCancelAtEndShare(0.5);
-        later(length, () -> cluster.users().setCancelAtEndShare(0));
+        scheduleAfter(length, () -> cluster.users().setCancelAtEndShare(0));
       }
       case 31 -> {
         cluster.users().setBurstAfterStatusChange(true);
-        later(length, () -> cluster.users().setBurstAfterStatusChange(false));
+        scheduleAfter(length, () -> cluster.users().setBurstAfterStatusChange(false));
       }
       default -> {
-        // A fault of another group.
+        // Another method injects this kind.
       }
     }
   }
 
-  /** The leader alone loses the state store, jobs are cancelled, then all lose it for long. */
-  private void gap(SimulatedController leader) {
+  /**
+   * Makes the state store reject the requests of the leader only, cancels running jobs, and then
+   * takes the state store down for longer than the cancel limit.
+   */
+  private void rejectLeaderThenTakeStateStoreDown(SimulatedController leader) {
     leader.rejectStateStoreRequests(Duration.ofSeconds(14));
     double pause = 0.2 + random.nextDouble() * 6;
-    cluster.schedule(random.nextDouble() * pause, this::cancelRunning);
+    cluster.schedule(random.nextDouble() * pause, this::cancelRunningJobs);
     cluster.schedule(
         pause,
         () ->
@@ -234,8 +243,11 @@
                 SimulatedCluster.CANCEL_LIMIT.plus(Duration.ofMillis(random.nextLong(15_000)))));
   }
 
-  /** Some jobs that run are called off at once; some of their machines hang meanwhile. */
-  private void cancelRunning() {
+  /**
+   * Cancels some of the running jobs within 0.2 s. With a probability of one half, up to two
+   * machines of each job hang meanwhile.
+   */
+  private void cancelRunningJobs() {
     List<String> ids =
         cluster.workers().stream()
             .flatMap(worker -> worker.runningTasks().stream())
@@ -245,10 +257,10 @@
             .sorted(Comparator.reverseOrder())
             .limit(1 + random.nextInt(4))
             .toList();
-    boolean hang = random.nextBoolean();
+    boolean hangsWorkers = random.nextBoolean();
     for (String id : ids) {
       cluster.schedule(random.nextDouble() / 5, () -> cluster.users().cancel(id));
-      if (hang) {
+      if (hangsWorkers) {
         Duration length = Duration.ofMillis(1000 + random.nextLong(30_000));
         cluster.workers().stream()
             .filter(worker -> worker.runningTasks().stream().anyMatch(task -> task.startsWith(id)))
@@ -258,21 +270,21 @@
     }
   }
 
-  private void someWorkers(Consumer<FakeWorker> what) {
+  private void forRandomWorkers(Consumer<FakeWorker> action) {
     for (FakeWorker worker : List.copyOf(cluster.workers())) {
       if (random.nextInt(3) == 0) {
-        what.accept(worker);
+        action.accept(worker);
       }
     }
   }
 
-  private Optional<FakeWorker> anyWorker() {
+  private Optional<FakeWorker> randomWorker() {
     return cluster.workers().isEmpty()
         ? Optional.empty()
         : cluster.workers().stream().skip(random.nextInt(cluster.workers().size())).findFirst();
   }
 
-  private String anyZone() {
+  private String randomZone() {
     return SimulatedCluster.ZONES.get(random.nextInt(SimulatedCluster.ZONES.size()));
   }
 
@@ -280,7 +292,7 @@
     return worker.machine().host();
   }
 
-  private void later(Duration delay, Runnable task) {
+  private void scheduleAfter(Duration delay, Runnable task) {
     cluster.time().schedule(delay, task);
   }
 }
--- a/src/test/java/io/cherryspool/sim/cluster/JobFactory.java
+++ b/src/test/java/io/cherryspool/sim/cluster/JobFactory.java
@@ -7,31 +7,39 @@
 import java.time.Instant;
 
 /**
- * Makes jobs with ids of their own. Unless a method says otherwise they run on any machine of any
- * zone, spot instances too, at normal priority, and save no checkpoints.
+ * Creates jobs with unique ids. Unless a method states otherwise, the jobs have normal priority,
+ * may run on any machine in any zone, including spot instances, and save no checkpoints.
  */
 public final class JobFactory {
   private int jobCount;
 
-  /** A job of so many tasks, each of which runs for so long and up to 4 s more. */
+  /**
+   * Creates a job with the given number of tasks. Each task runs for the run time and up to 4 s
+   * more.
+   */
   public Job create(String team, int tasks, double cpus, Duration runTime) {
     return create(team, Priority.NORMAL, tasks, cpus, runTime, null, false);
   }
 
-  /** A job that goes before others. */
+  /** Creates a job with high priority. */
   public Job createHighPriority(String team, int tasks, double cpus, Duration runTime) {
     return create(team, Priority.HIGH, tasks, cpus, runTime, null, false);
   }
 
   /**
-   * A job that is bound to a zone.
+   * Creates a job whose tasks must run in a given zone or in the same zone.
    *
-   * @param zone the only zone in which it may run, null for any
-   * @param oneZone whether all its tasks must run in the same zone
+   * @param zone the only zone in which it may run; null for any zone
+   * @param requiresSingleZone whether all its tasks must run in the same zone
    */
   public Job createZoneBound(
-      String team, int tasks, double cpus, Duration runTime, String zone, boolean oneZone) {
-    return create(team, Priority.NORMAL, tasks, cpus, runTime, zone, oneZone);
+      String team,
+      int tasks,
+      double cpus,
+      Duration runTime,
+      String zone,
+      boolean requiresSingleZone) {
+    return create(team, Priority.NORMAL, tasks, cpus, runTime, zone, requiresSingleZone);
   }
 
   private Job create(
@@ -41,7 +49,7 @@
       double cpus,
       Duration runTime,
       String zone,
-      boolean oneZone) {
+      boolean requiresSingleZone) {
     return new Job(
         nextId(),
         "lane",
@@ -53,10 +61,10 @@
         1,
         null,
         zone,
-        oneZone,
+        requiresSingleZone,
         false,
         true,
-        // Fake workers run a task for half of the estimate and up to 4 s more.
+        // Fake workers run a task for half of the estimated run time and up to 4 s more.
         runTime.multipliedBy(2),
         Duration.ZERO,
         Duration.ZERO,
@@ -64,7 +72,7 @@
         Instant.EPOCH);
   }
 
-  /** The id of one more job. */
+  /** Returns an id for a new job. */
   String nextId() {
     return String.format("req-%06d", ++jobCount);
   }
--- a/src/test/java/io/cherryspool/sim/cluster/RandomizedRun.java
+++ b/src/test/java/io/cherryspool/sim/cluster/RandomizedRun.java
@@ -9,8 +9,9 @@
 import java.util.SplittableRandom;
 
 /**
- * A random run: work of every kind arrives at a cluster with random faults. The rules are checked
- * after each event, and at the end every job that nobody cancelled must be done.
+ * A run in which random jobs are submitted to a cluster with random faults. The rules are checked
+ * after each event. At the end of the run all accepted jobs must be done, or cancelled if a user
+ * requested it.
  */
 public final class RandomizedRun {
   private final SimulatedCluster cluster;
@@ -30,27 +31,34 @@
     return cluster;
   }
 
-  /** Runs with faults for so many seconds, then without, until everything has to be over. */
+  /**
+   * Runs with new jobs and random faults for {@code faultSeconds}, and then without both for {@code
+   * quietSeconds}, after which all accepted jobs must have ended.
+   */
   public void run(double faultSeconds, double quietSeconds) {
     run(
         faultSeconds,
         quietSeconds,
-        new FaultInjector(cluster, faultSeconds - 30, this::submitGuestWork)::begin);
+        new FaultInjector(cluster, faultSeconds - 30, this::submitGuestWork)::start);
   }
 
-  /** As above; the faults are losses of the state store's data, and others around them. */
+  /**
+   * As {@link #run(double, double)}, but the faults are losses of the data of the state store,
+   * accompanied by other faults.
+   */
   public void runWithStateLosses(double faultSeconds, double quietSeconds) {
-    run(faultSeconds, quietSeconds, new StateLossInjector(cluster, faultSeconds - 30)::begin);
+    run(faultSeconds, quietSeconds, new StateLossInjector(cluster, faultSeconds - 30)::start);
   }
 
-  private void run(double faultSeconds, double quietSeconds, Runnable faults) {
+  private void run(double faultSeconds, double quietSeconds, Runnable startFaults) {
     lastArrivalS = faultSeconds;
     cluster.network().setDuplicatingHeartbeats(true);
     cluster.schedule(faultSeconds, () -> cluster.network().setDuplicatingHeartbeats(false));
     cluster.schedule(1, this::submitWork);
-    faults.run();
+    startFaults.run();
     cluster.run(faultSeconds + SimulatedCluster.CANCEL_LIMIT.toSeconds());
-    // The last fault is over; from here on nothing excuses silence or idle room.
+    // All faults have ended. From now on missing replies and jobs that wait despite free capacity
+    // are violations.
     cluster.rules().setFaultsEndedAt(cluster.time().now());
     checkProgress();
     cluster.run(quietSeconds - SimulatedCluster.CANCEL_LIMIT.toSeconds());
@@ -58,7 +66,7 @@
     cluster.rules().check(cluster.workers());
   }
 
-  /** Goes on with arriving work and no faults but those that the caller makes. */
+  /** Runs with random jobs for the given time. Injects no faults; the caller may inject its own. */
   public void runWithoutFaults(double seconds) {
     if (lastArrivalS == 0) {
       lastArrivalS = Double.MAX_VALUE;
@@ -78,21 +86,24 @@
     }
     cluster.schedule(0.5 + random.nextDouble() * 6, this::submitWork);
     if (random.nextInt(10) == 0) {
-      cluster.users().submitInvalid(job("lane", "red", Priority.NORMAL, 1, 1));
-      cluster.users().askForUnknownJob();
+      cluster.users().submitInvalid(randomJob("lane", "red", Priority.NORMAL, 1, 1));
+      cluster.users().pollAndCancelUnknownJob();
     }
-    boolean broken = random.nextInt(12) == 0;
+    boolean isFailing = random.nextInt(12) == 0;
     int size = 1 + random.nextInt(random.nextInt(10) == 0 ? 80 : 8);
     submitWork(
-        broken ? FakeWorker.FAILING_JOB_CLASS : "lane",
+        isFailing ? FakeWorker.FAILING_JOB_CLASS : "lane",
         random.nextBoolean() ? "red" : "blue",
         random.nextInt(3) == 0 ? Priority.HIGH : Priority.NORMAL,
         size,
         1 + random.nextInt(8),
-        broken || random.nextInt(6) == 0);
+        isFailing || random.nextInt(6) == 0);
   }
 
-  /** A team without a guarantee brings one array, or many single tasks at once. */
+  /**
+   * Submits work of a team without a guaranteed quota: one job of 400 tasks, or 40 jobs of one
+   * task.
+   */
   private void submitGuestWork() {
     int tasks = random.nextBoolean() ? 1 : 400;
     for (int i = 0; i < 40; i += tasks) {
@@ -101,24 +112,25 @@
   }
 
   private void submitWork(
-      String jobClass, String team, Priority priority, int size, double cpus, boolean cancelled) {
-    Job job = job(jobClass, team, priority, size, cpus);
+      String jobClass, String team, Priority priority, int size, double cpus, boolean isCancelled) {
+    Job job = randomJob(jobClass, team, priority, size, cpus);
     cluster.users().submit(job);
-    if (cancelled) {
+    if (isCancelled) {
       cluster.schedule(random.nextDouble() * 25, () -> cluster.users().cancel(job.id()));
     }
     if (random.nextInt(4) == 0) {
-      // A repeated submission, maybe through another node, maybe after the end.
+      // The job is submitted again, possibly through another node or after its end.
       cluster.schedule(random.nextDouble() * 60, () -> cluster.users().resubmit(job));
     }
     if (random.nextInt(12) == 0) {
-      // A cancel that mostly finds the job done; where it does not, the job counts as cancelled.
+      // Most jobs have completed by the time of this cancel. A job that has not counts as
+      // cancelled.
       cluster.schedule(60 + random.nextDouble() * 60, () -> cluster.users().cancel(job.id()));
     }
   }
 
-  private Job job(String jobClass, String team, Priority priority, int size, double cpus) {
-    boolean saves = random.nextBoolean();
+  private Job randomJob(String jobClass, String team, Priority priority, int size, double cpus) {
+    boolean savesCheckpoints = random.nextBoolean();
     return new Job(
         cluster.jobs().nextId(),
         jobClass,
@@ -133,10 +145,11 @@
         random.nextInt(8) == 0,
         random.nextInt(8) == 0,
         random.nextInt(4) != 0,
-        // Long tasks outlast a gap; large jobs of them would outlast the day.
+        // Long tasks run for longer than an outage. Only small jobs have them, since large jobs of
+        // long tasks would not end within the run.
         Duration.ofSeconds(2 + random.nextInt(size <= 8 && random.nextInt(6) == 0 ? 80 : 10)),
-        saves ? Duration.ofSeconds(4) : Duration.ZERO,
-        saves ? Duration.ofSeconds(1) : Duration.ZERO,
+        savesCheckpoints ? Duration.ofSeconds(4) : Duration.ZERO,
+        savesCheckpoints ? Duration.ofSeconds(1) : Duration.ZERO,
         null,
         Instant.EPOCH);
   }
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
@@ -24,31 +24,38 @@
 import java.util.SplittableRandom;
 
 /**
- * Controllers with a fake state store, cloud and workers in simulated time. The users' rules are
- * checked after each event. It injects no fault by itself: a directed test brings its own, in
- * randomized runs {@link FaultInjector} does.
+ * A cluster in simulated time: controllers with a fake state store, cloud and workers, and
+ * simulated users. The rules that users rely on are checked after each event. Apart from the
+ * unanswered transactions and failing tasks of randomized clusters it injects no faults by itself:
+ * tests inject specific faults, and {@link FaultInjector} injects random ones.
  *
- * <p>All that happens is derived from the seed. Single-threaded.
+ * <p>Each run is determined by its seed. Single-threaded.
  *
- * <p>It is longer than other classes, since tests reach every part of a run through it: each of its
- * methods is a few lines.
+ * <p>This class is longer than others because tests access all parts of a run through it. Each of
+ * its methods has only a few lines.
  */
 public final class SimulatedCluster {
   public static final List<String> ZONES = List.of("a", "b", "c");
 
-  /** After so long without an answered heartbeat workers kill their tasks. */
+  /**
+   * The length of a worker lease. A worker kills its tasks after this time without a reply to a
+   * heartbeat.
+   */
   public static final Duration LEASE = Duration.ofSeconds(16);
 
-  /** Tasks of a cancelled job are gone within this time after the user's confirmation. */
+  /**
+   * All tasks of a cancelled job must end within this time after a user received the confirmation.
+   */
   public static final Duration CANCEL_LIMIT = Duration.ofSeconds(36);
 
-  private static final double STATE_WRITES_PER_S = 60;
+  private static final double STATE_STORE_WRITES_PER_S = 60;
   private static final int CLOUD_CAPACITY = 12;
-  private static final int FIRST_MACHINES = 5;
+  private static final int INITIAL_MACHINES = 5;
 
-  /** The shares of transactions without an answer and of failing tasks in randomized runs. */
+  /** The share of transactions without a reply in randomized clusters. */
   private static final double RANDOM_UNANSWERED_SHARE = 0.01;
 
+  /** The share of failing tasks in randomized clusters. */
   private static final double RANDOM_FAILURE_SHARE = 0.03;
 
   private final VirtualTime time = new VirtualTime();
@@ -66,17 +73,26 @@
   private final Optional<VerdictRule> verdictRule;
   private boolean isMeshDown;
 
-  /** Three to five controllers, with transactions that are not answered and tasks that fail. */
+  /**
+   * Creates a randomized cluster: three to five controllers, a small share of transactions without
+   * a reply, and a small share of failing tasks.
+   */
   static SimulatedCluster random(long seed) {
     return random(seed, Optional.empty());
   }
 
-  /** A random cluster whose nodes obey these verdicts on their links. */
+  /**
+   * Creates a randomized cluster whose nodes determine the verdicts on their links by the given
+   * rule.
+   */
   public static SimulatedCluster withVerdicts(long seed, VerdictRule verdicts) {
     return random(seed, Optional.of(verdicts));
   }
 
-  /** A random cluster with small quotas, and no capacity in one zone but the first machines. */
+  /**
+   * Creates a randomized cluster with small quotas, and with one zone in which the cloud has no
+   * capacity beyond the initial machines.
+   */
   public static SimulatedCluster withScarceCapacity(long seed) {
     SimulatedCluster cluster = random(seed, Optional.empty(), ClusterSettings.TIGHT_TEAMS);
     cluster.cloud.exhaustZone(ZONES.get((int) (seed % ZONES.size())));
@@ -92,18 +108,21 @@
     SplittableRandom random = new SplittableRandom(seed);
     return new SimulatedCluster(
         random,
-        new ClusterSettings(3 + random.nextInt(3), STATE_WRITES_PER_S, Optional.empty(), teams),
+        new ClusterSettings(
+            3 + random.nextInt(3), STATE_STORE_WRITES_PER_S, Optional.empty(), teams),
         RANDOM_UNANSWERED_SHARE,
         RANDOM_FAILURE_SHARE,
         verdicts);
   }
 
-  /** So many controllers, and no fault but those that the test makes. */
+  /** Creates a cluster without any faults other than those that the test injects. */
   public static SimulatedCluster of(long seed, int controllers) {
-    return of(seed, controllers, STATE_WRITES_PER_S);
+    return of(seed, controllers, STATE_STORE_WRITES_PER_S);
   }
 
-  /** As {@link #of(long, int)}, with a state store that takes so many changes a second. */
+  /**
+   * As {@link #of(long, int)}, with a state store that accepts {@code writeRate} changes a second.
+   */
   public static SimulatedCluster of(long seed, int controllers, double writeRate) {
     return new SimulatedCluster(
         new SplittableRandom(seed),
@@ -113,18 +132,24 @@
         Optional.empty());
   }
 
-  /** As {@link #of(long, int)}, with controllers that rebuild lost records. */
+  /**
+   * As {@link #of(long, int)}, with controllers that rebuild lost records with the default
+   * settings.
+   */
   public static SimulatedCluster withRecovery(long seed, int controllers) {
     return withRecovery(seed, controllers, RecoverySettings.DEFAULTS);
   }
 
-  /** As above; with a directory for snapshots each node has a disk that outlives its processes. */
+  /**
+   * As {@link #of(long, int)}, with controllers that rebuild lost records. If the settings have a
+   * directory for snapshots, each node has a disk whose contents survive a restart of its process.
+   */
   public static SimulatedCluster withRecovery(
       long seed, int controllers, RecoverySettings recovery) {
     return new SimulatedCluster(
         new SplittableRandom(seed),
         new ClusterSettings(
-            controllers, STATE_WRITES_PER_S, Optional.of(recovery), ClusterSettings.TEAMS),
+            controllers, STATE_STORE_WRITES_PER_S, Optional.of(recovery), ClusterSettings.TEAMS),
         0,
         0,
         Optional.empty());
@@ -139,7 +164,8 @@
     this.random = random;
     this.settings = settings;
     verdictRule = verdicts;
-    // Each split of the random numbers must stay in its place, or all seeds play other runs.
+    // The order of the splits of the random generator must not change, since all seeds would then
+    // produce different runs.
     network = new SimulatedNetwork(time, random.split(), host -> zoneByHost.getOrDefault(host, ""));
     rules = new RuleChecker(time, settings.teams(), CANCEL_LIMIT);
     stateStore = new FakeStateStore(time, random.split(), unansweredShare);
@@ -159,9 +185,9 @@
             CLOUD_CAPACITY,
             FakeCloud.DEFAULT_NETWORK,
             this::boot,
-            fleet::end);
+            fleet::shutDown);
     stateStore.limitWriteRate(settings.stateWritesPerS());
-    network.listen(ClusterSettings.STATE, stateStore);
+    network.listen(ClusterSettings.STATE_STORE, stateStore);
     network.listen(ClusterSettings.CLOUD, cloud);
     for (int i = 0; i < settings.addresses().size(); i++) {
       addController(i);
@@ -170,14 +196,14 @@
         new SimulatedUsers(
             time, network, random.split(), rules, List.copyOf(settings.addresses().values()));
     nodes.forEach(SimulatedController::start);
-    for (int i = 0; i < FIRST_MACHINES; i++) {
-      cloud.addMachine("box", ClusterSettings.zone(i), i % 2 == 0, Duration.ofSeconds(1));
+    for (int i = 0; i < INITIAL_MACHINES; i++) {
+      cloud.addMachine("box", ClusterSettings.nodeZone(i), i % 2 == 0, Duration.ofSeconds(1));
     }
   }
 
   private void addController(int index) {
     Endpoint address = settings.address(index);
-    zoneByHost.put(address.host(), ClusterSettings.zone(index));
+    zoneByHost.put(address.host(), ClusterSettings.nodeZone(index));
     nodes.add(new SimulatedController(this, random.split(), index, address));
   }
 
@@ -186,7 +212,10 @@
     fleet.boot(machine);
   }
 
-  /** What users have submitted; the rules and the users are sent what becomes of the tasks. */
+  /**
+   * The jobs that users have submitted. Passes task starts and completions to the rule checker and
+   * the users.
+   */
   private final class SubmittedJobs implements Workload {
     @Override
     public Optional<Job> job(String id) {
@@ -201,11 +230,13 @@
     @Override
     public void taskCompleted(String task) {
       rules.taskCompleted(task);
-      users.taskFinished(task);
+      users.taskCompleted(task);
     }
   }
 
-  /** What decides on the nodes' links instead of the program's own rule, if anything does. */
+  /**
+   * Returns the rule that replaces the default verdict rule of the nodes; empty to use the default.
+   */
   Optional<VerdictRule> verdictRule() {
     return verdictRule;
   }
@@ -242,12 +273,15 @@
     return jobs;
   }
 
-  /** The machines that are up. */
+  /** Returns the machines that are up. */
   public SimulatedFleet fleet() {
     return fleet;
   }
 
-  /** The numbers that this run draws from; what a test draws changes the rest of the run. */
+  /**
+   * Returns the random generator of this run. A number that a test draws from it changes the rest
+   * of the run.
+   */
   public SplittableRandom random() {
     return random;
   }
@@ -256,15 +290,15 @@
     return Collections.unmodifiableList(nodes);
   }
 
-  /** The workers of the machines that are up, in the order of the machines' names. */
+  /** Returns the workers of the machines that are up, in the order of their machines' names. */
   public Collection<FakeWorker> workers() {
     return fleet.workers();
   }
 
   /**
-   * Goes on for so long.
+   * Runs all events of the given duration of simulated time, and checks the rules after each.
    *
-   * @throws AssertionError at the first event after which a rule is broken
+   * @throws AssertionError after the first event that breaks a rule
    */
   public void run(Duration length) {
     Duration until = time.now().plus(length);
@@ -277,7 +311,7 @@
     run(toDuration(seconds));
   }
 
-  /** Runs the task in so many seconds, as an event of its own. */
+  /** Schedules the task as an event after the given number of seconds. */
   public void schedule(double seconds, Runnable task) {
     time.schedule(toDuration(seconds), task);
   }
@@ -290,18 +324,22 @@
     return nodes.stream().filter(SimulatedController::isLeader).findFirst();
   }
 
-  /** A leader that is not this node; both may hold leases for a moment. */
+  /**
+   * Returns a leader other than the given node. During an election both can be leaders for a short
+   * time.
+   */
   public Optional<SimulatedController> leaderOtherThan(SimulatedController node) {
     return nodes.stream().filter(other -> other != node && other.isLeader()).findFirst();
   }
 
-  /** The leader; fails the test if there is none. */
+  /** Returns the leader. Fails the test if there is none. */
   public SimulatedController leader() {
     return currentLeader()
-        .orElseThrow(() -> new AssertionError("nobody leads at " + time.seconds()));
+        .orElseThrow(
+            () -> new AssertionError("no controller is leader at second " + time.seconds()));
   }
 
-  /** The controller with the next index, the first one after the last. */
+  /** Returns the controller with the next index; for the last controller, the first one. */
   public SimulatedController nodeAfter(SimulatedController node) {
     return nodes.get((nodes.indexOf(node) + 1) % nodes.size());
   }
@@ -310,18 +348,21 @@
     return isMeshDown;
   }
 
-  /** Whether all heartbeats between controllers are lost. */
+  /** Sets whether all heartbeats between controllers are lost. */
   public void setMeshDown(boolean value) {
     isMeshDown = value;
   }
 
-  /** Takes the state store down for so long. */
+  /** Takes the state store down for the given duration. */
   public void stateStoreOutage(Duration length) {
     stateStore.setDown(true);
     time.schedule(length, () -> stateStore.setDown(false));
   }
 
-  /** Cuts the leader off from all machines, and from nothing else; returns its name. */
+  /**
+   * Cuts the connections between the leader and all machines that are up, and no others. Returns
+   * the name of the leader.
+   */
   public String cutLeaderFromWorkers(Duration length) {
     SimulatedController node = leader();
     fleet
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
@@ -15,7 +15,10 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 
-/** A node of a {@link SimulatedCluster}, on which processes of the controller come and go. */
+/**
+ * A node of a {@link SimulatedCluster}. It runs at most one controller process at a time, which can
+ * crash and is then replaced by a new one.
+ */
 public final class SimulatedController {
   private final SimulatedCluster cluster;
   private final RandomGenerator random;
@@ -23,8 +26,8 @@
   private final Endpoint address;
   private final InMemorySnapshotStore snapshotStore = new InMemorySnapshotStore();
   private ProcessInbox inbox;
-  private boolean frozen;
-  private boolean isolated;
+  private boolean isFrozen;
+  private boolean isIsolated;
   private int processCount;
   private Controller controller;
 
@@ -36,23 +39,26 @@
     this.address = address;
   }
 
-  /** Starts a process, which knows nothing of the one before. */
+  /**
+   * Starts a controller process, which has no state of an earlier process except the snapshots on
+   * disk.
+   */
   void start() {
     processCount++;
-    ProcessInbox own = new ProcessInbox();
-    inbox = own;
-    frozen = false;
+    ProcessInbox processInbox = new ProcessInbox();
+    inbox = processInbox;
+    isFrozen = false;
     controller =
         new Controller(
             cluster.settings().settings(index),
             cluster.settings().operatorSettings(),
             new Controller.Dependencies(
                 new Controller.Environment(
-                    cluster.time().eventLoopOf(own),
+                    cluster.time().eventLoopOf(processInbox),
                     () -> Instant.EPOCH.plus(cluster.time().now()),
                     new SplittableRandom(random.nextLong())),
-                cluster.network().transportFrom(address.host(), own),
-                heartbeat -> broadcast(own, heartbeat),
+                cluster.network().transportFrom(address.host(), processInbox),
+                heartbeat -> broadcast(processInbox, heartbeat),
                 name() + "-life-" + processCount,
                 () -> "",
                 cluster
@@ -62,17 +68,17 @@
                     .flatMap(RecoverySettings::snapshotDirectory)
                     .map(directory -> new SnapshotTarget(snapshotStore, Runnable::run)),
                 cluster.verdictRule()));
-    cluster.network().listen(address, controller, own);
+    cluster.network().listen(address, controller, processInbox);
     controller.start();
   }
 
-  /** Adds the node's meters to the registry. */
+  /** Binds the meters of the running process to the registry. */
   public void bindTo(MeterRegistry registry) {
     controller.bindTo(registry);
   }
 
-  private void broadcast(ProcessInbox own, Mesh.PeerHeartbeat heartbeat) {
-    if (own.isClosed() || isolated || cluster.isMeshDown()) {
+  private void broadcast(ProcessInbox processInbox, Mesh.PeerHeartbeat heartbeat) {
+    if (processInbox.isClosed() || isIsolated || cluster.isMeshDown()) {
       return;
     }
     for (SimulatedController other : cluster.nodes()) {
@@ -88,15 +94,15 @@
   }
 
   private void receive(Mesh.PeerHeartbeat heartbeat) {
-    if (controller != null && !isolated) {
-      Controller live = controller;
-      inbox.deliver(() -> live.receivePeerHeartbeat(heartbeat));
+    if (controller != null && !isIsolated) {
+      Controller current = controller;
+      inbox.deliver(() -> current.receivePeerHeartbeat(heartbeat));
     }
   }
 
-  /** The name in its settings. */
+  /** Returns the name of the node in its settings. */
   public String name() {
-    return ClusterSettings.name(index);
+    return ClusterSettings.nodeName(index);
   }
 
   public Endpoint address() {
@@ -104,67 +110,73 @@
   }
 
   public String zone() {
-    return ClusterSettings.zone(index);
+    return ClusterSettings.nodeZone(index);
   }
 
-  /** The verdict of its process on its links; empty while no process runs. */
+  /** Returns the verdict of the process on the node's links; empty if no process runs. */
   public Optional<Verdict> verdict() {
     return Optional.ofNullable(controller).map(Controller::verdict);
   }
 
-  /** Whether its process leads and may command workers. */
+  /** Whether the process is the leader and may send commands to workers. */
   public boolean isLeader() {
     return controller != null && controller.isLeading();
   }
 
-  /** Its disk, which outlives its processes. */
+  /** Returns the snapshots on the disk of the node, which survive restarts of its process. */
   public InMemorySnapshotStore snapshotStore() {
     return snapshotStore;
   }
 
-  /** Whether its process rebuilds lost records. */
+  /** Whether the process is rebuilding lost records. */
   public boolean isRebuilding() {
     return controller != null && controller.isRebuilding();
   }
 
-  /** Cuts the node off from the state store and the other controllers, but not from workers. */
+  /**
+   * Cuts the connections of the node to the state store and drops its heartbeats to and from other
+   * controllers. Connections to workers and users are not affected.
+   */
   public void isolate(Duration length) {
-    isolated = true;
+    isIsolated = true;
     cutFromStateStore(length);
-    cluster.time().schedule(length, () -> isolated = false);
+    cluster.time().schedule(length, () -> isIsolated = false);
   }
 
-  /** What the node and the state store send each other arrives only after so long. */
+  /** Holds the messages between the node and the state store for the given duration. */
   public void cutFromStateStore(Duration length) {
-    cluster.network().cut(address.host(), ClusterSettings.STATE.host(), length);
+    cluster.network().cut(address.host(), ClusterSettings.STATE_STORE.host(), length);
   }
 
-  /** The state store answers 503 to this node alone, for so long. */
+  /**
+   * Makes the state store reply to the requests of this node, and no others, with status 503 for
+   * the given duration.
+   */
   public void rejectStateStoreRequests(Duration length) {
-    cluster.network().rejectRequests(address.host(), ClusterSettings.STATE.host(), length);
+    cluster.network().rejectRequests(address.host(), ClusterSettings.STATE_STORE.host(), length);
   }
 
-  /** The process does nothing for so long, while its clock goes on. */
+  /** Freezes the process for the given duration, during which its clock continues. */
   public void freeze(Duration length) {
-    if (controller != null && !frozen) {
-      frozen = true;
-      ProcessInbox own = inbox;
-      own.freeze();
+    if (controller != null && !isFrozen) {
+      isFrozen = true;
+      ProcessInbox processInbox = inbox;
+      processInbox.freeze();
       long seed = random.nextLong();
       cluster
           .time()
           .schedule(
               length,
               () -> {
-                if (!own.isClosed()) {
-                  frozen = false;
-                  own.resume(seed);
+                if (!processInbox.isClosed()) {
+                  isFrozen = false;
+                  processInbox.resume(seed);
                 }
               });
     }
   }
 
-  /** Ends the process, and starts another after so long. */
+  /** Ends the process, and starts a new one after the given time. */
   public void crash(Duration down) {
     if (controller != null) {
       inbox.close();
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedFleet.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedFleet.java
@@ -17,7 +17,10 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** The machines of a {@link SimulatedCluster} that are up, each with its worker, by name. */
+/**
+ * The workers of a {@link SimulatedCluster} by the names of their machines. Contains only machines
+ * that are up.
+ */
 public final class SimulatedFleet {
   private final VirtualTime time;
   private final SplittableRandom random;
@@ -30,8 +33,9 @@
   /**
    * Creates the simulated fleet.
    *
-   * @param random from which each worker splits its own as it boots
-   * @param controllers addresses by name; may be filled in later than this, before a machine boots
+   * @param random the generator from which the generator of each worker is split when it boots
+   * @param controllers the addresses of the controllers by name; must be complete before the first
+   *     machine boots
    */
   SimulatedFleet(
       VirtualTime time,
@@ -48,7 +52,7 @@
     this.workload = workload;
   }
 
-  /** Starts the worker of a machine that has booted. */
+  /** Creates and starts the worker of a machine that has booted. */
   void boot(FakeCloud.Machine machine) {
     FakeWorker worker =
         new FakeWorker(
@@ -63,8 +67,8 @@
     network.listen(Endpoint.parse(machine.address()), worker);
   }
 
-  /** Ends a machine that the cloud has deleted or taken away. */
-  void end(FakeCloud.Machine machine) {
+  /** Kills the worker of a machine that the cloud has deleted or reclaimed. */
+  void shutDown(FakeCloud.Machine machine) {
     FakeWorker worker = workers.remove(machine.name());
     if (worker != null) {
       worker.kill();
@@ -72,42 +76,45 @@
     }
   }
 
-  /** The workers in the order of their machines' names. */
+  /** Returns the workers in the order of their machines' names. */
   public Collection<FakeWorker> workers() {
     return Collections.unmodifiableCollection(workers.values());
   }
 
-  /** The workers that run tasks of the job. */
+  /** Returns the workers that run tasks of the job. */
   public List<FakeWorker> workersRunning(Job job) {
     return workers.values().stream()
-        .filter(worker -> worker.runningTasks().stream().anyMatch(task -> isOf(job, task)))
+        .filter(worker -> worker.runningTasks().stream().anyMatch(task -> isTaskOf(job, task)))
         .toList();
   }
 
-  /** How many tasks of the job run. */
+  /** Returns the number of running tasks of the job. */
   public int runningTaskCount(Job job) {
     return (int)
         workers.values().stream()
             .flatMap(worker -> worker.runningTasks().stream())
-            .filter(task -> isOf(job, task))
+            .filter(task -> isTaskOf(job, task))
             .count();
   }
 
-  private static boolean isOf(Job job, String task) {
+  private static boolean isTaskOf(Job job, String task) {
     return task.startsWith(job.id() + "/");
   }
 
-  /** Kills the machine with most running tasks; the cloud lists it as running. Returns its name. */
+  /**
+   * Kills the worker with the most running tasks, while the cloud continues to list its machine as
+   * running. Returns the name of the machine.
+   */
   public String killBusiestMachine() {
-    FakeWorker victim =
+    FakeWorker busiest =
         workers.values().stream()
             .max(Comparator.comparingInt(worker -> worker.runningTasks().size()))
             .orElseThrow();
-    victim.kill();
-    return victim.machine().name();
+    busiest.kill();
+    return busiest.machine().name();
   }
 
-  /** How many leases have expired on the machines that are up. */
+  /** Returns the total number of expired worker leases on the machines that are up. */
   public long expiredLeaseCount() {
     return workers.values().stream().mapToLong(worker -> worker.agentEpoch() - 1).sum();
   }
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
@@ -20,11 +20,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The users: they submit, poll and cancel through any node, retry when a node asks them to, and
- * report all they receive to the {@link RuleChecker}.
+ * Simulated users. They submit, poll and cancel jobs through any node, retry submissions and
+ * cancels without a final reply, and pass all replies to the {@link RuleChecker}.
  */
 public final class SimulatedUsers {
-  private static final int MAX_TRIES = 40;
+  private static final int MAX_ATTEMPTS = 40;
 
   private final VirtualTime time;
   private final SimulatedNetwork network;
@@ -32,9 +32,9 @@
   private final RuleChecker rules;
   private final List<Endpoint> nodes;
   private int pollingFactor = 1;
-  private boolean closeWatch;
+  private boolean isBurstEnabled;
   private double cancelAtEndShare;
-  private final Set<String> notAskedAbout = new HashSet<>();
+  private final Set<String> unpolledJobs = new HashSet<>();
   private int unservedRequests;
 
   SimulatedUsers(
@@ -50,69 +50,73 @@
     this.nodes = nodes;
   }
 
-  /** How many requests were answered 503, or not at all. */
+  /** Returns the number of requests that failed or were answered with status 503. */
   public int unservedRequests() {
     return unservedRequests;
   }
 
-  /** Users poll so many times as often as usual. */
+  /** Sets how many times as often as usual users poll; 1 is the usual rate. */
   public void setPollingFactor(int factor) {
     pollingFactor = factor;
   }
 
   /**
-   * Whether users ask all nodes, within milliseconds and several times, right after a job was
-   * accepted, ended or confirmed as cancelled, and submit it again.
+   * Sets whether users send a burst of requests to all nodes, within 15 ms, as soon as they receive
+   * that a job was accepted, is done or is cancelled. The requests poll the job, submit it again or
+   * cancel it.
    */
   public void setBurstAfterStatusChange(boolean value) {
-    closeWatch = value;
+    isBurstEnabled = value;
   }
 
-  /** This share of the jobs that end is cancelled at the moment of the end. */
+  /** Sets the share of jobs that users cancel within 0.2 s after the last task has completed. */
   public void setCancelAtEndShare(double share) {
     cancelAtEndShare = share;
   }
 
-  /** Submits through a random node. */
+  /** Submits a job through a random node. */
   public void submit(Job job) {
     rules.jobSubmitted(job);
-    submit(job, anyNode(), 0);
+    submit(job, randomNode(), 0);
   }
 
-  /** Submits through this node. */
+  /** Submits a job through the given node. */
   public void submit(Job job, Endpoint node) {
     rules.jobSubmitted(job);
     submit(job, node, 0);
   }
 
-  /** Submits a job once more, unchanged. */
+  /** Submits a job again, unchanged, through a random node. */
   public void resubmit(Job job) {
-    submit(job, anyNode(), 0);
+    submit(job, randomNode(), 0);
   }
 
-  private void submit(Job job, Endpoint node, int tries) {
+  private void submit(Job job, Endpoint node, int attempts) {
     send(
         node,
         Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(job))),
         5,
-        (status, body, sent) -> {
+        (status, body, sentAt) -> {
           if (status == 200 || status == 201) {
-            boolean first = rules.jobAccepted(job.id());
-            statusReceived(job.id(), body.path("status").asText(), sent);
-            if (first) {
+            boolean isFirst = rules.jobAccepted(job.id());
+            statusReceived(job.id(), body.path("status").asText(), sentAt);
+            if (isFirst) {
               poll(job.id());
-              watchClosely(job);
+              sendRequestBurst(job);
             }
           } else if (status == 400 || status == 422) {
             rules.jobRejected(job.id());
             rules.recordViolationIf(true, "refused", job.id() + " with " + status + ": " + body);
-          } else if (tries < MAX_TRIES) {
-            after(1, () -> submit(job, anyNode(), tries + 1));
+          } else if (attempts < MAX_ATTEMPTS) {
+            scheduleAfter(1, () -> submit(job, randomNode(), attempts + 1));
           }
         });
   }
 
-  /** Submits something that lacks a field, or that no machine and no team can run. */
+  /**
+   * Submits an invalid copy of the job: it lacks a field, has an unknown team, or is too large for
+   * any machine.
+   */
   void submitInvalid(Job job) {
     ObjectNode body = UserProtocol.encodeJob(job);
     List<String> fields = List.of("lane", "owner", "shape", "urgency", "pieces", "vcpus", "bundle");
@@ -124,31 +128,31 @@
     submitInvalid(body, 0);
   }
 
-  private void submitInvalid(ObjectNode body, int tries) {
+  private void submitInvalid(ObjectNode body, int attempts) {
     send(
-        anyNode(),
+        randomNode(),
         Request.post("/api/jobs", Json.toBytes(body)),
         5,
-        (status, answer, sent) -> {
+        (status, answer, sentAt) -> {
           rules.recordViolationIf(
               status == 200 || status == 201, "accepted what can't run", body.toString());
-          if (status != 400 && status != 422 && tries < MAX_TRIES) {
-            after(1, () -> submitInvalid(body, tries + 1));
+          if (status != 400 && status != 422 && attempts < MAX_ATTEMPTS) {
+            scheduleAfter(1, () -> submitInvalid(body, attempts + 1));
           }
         });
   }
 
-  /** Users stop polling a job, as after an operator has abandoned it. */
+  /** Stops polling a job, as users do after an operator has abandoned it. */
   public void stopPolling(String id) {
-    notAskedAbout.add(id);
+    unpolledJobs.add(id);
   }
 
   private void poll(String id) {
-    if (notAskedAbout.contains(id)) {
+    if (unpolledJobs.contains(id)) {
       return;
     }
-    send(id, anyNode());
-    after(rules.hasEnded(id) ? 40 : 5.0 / pollingFactor, () -> poll(id));
+    send(id, randomNode());
+    scheduleAfter(rules.hasEnded(id) ? 40 : 5.0 / pollingFactor, () -> poll(id));
   }
 
   private void send(String id, Endpoint node) {
@@ -156,119 +160,122 @@
         node,
         Request.get("/api/jobs/" + id),
         2,
-        (status, body, sent) -> {
+        (status, body, sentAt) -> {
           if (status == 200) {
-            statusReceived(id, body.path("status").asText(), sent);
+            statusReceived(id, body.path("status").asText(), sentAt);
           } else if (status == 404) {
-            statusReceived(id, "404", sent);
+            statusReceived(id, "404", sentAt);
           }
         });
   }
 
-  /** Polls and cancels a job that nobody submitted. */
-  void askForUnknownJob() {
+  /** Polls and cancels a job that was never submitted. */
+  void pollAndCancelUnknownJob() {
     String id = "req-999999";
-    send(id, anyNode());
+    send(id, randomNode());
     send(
-        anyNode(),
+        randomNode(),
         Request.post("/api/jobs/" + id + "/withdraw", new byte[0]),
         5,
-        (status, body, sent) -> rules.recordViolationIf(status == 200, "invented", id));
+        (status, body, sentAt) -> rules.recordViolationIf(status == 200, "invented", id));
   }
 
-  /** Cancels through a random node, until it is confirmed. */
+  /** Cancels a job through a random node, and retries until the cancel is confirmed. */
   public void cancel(String id) {
-    cancel(id, anyNode());
+    cancel(id, randomNode());
   }
 
-  /** Cancels through this node, until it is confirmed. */
+  /** Cancels a job through the given node, and retries until the cancel is confirmed. */
   public void cancel(String id, Endpoint node) {
     rules.cancelRequested(id);
     send(
         node,
         Request.post("/api/jobs/" + id + "/withdraw", new byte[0]),
         5,
-        (status, body, sent) -> {
+        (status, body, sentAt) -> {
           if (status == 200) {
-            statusReceived(id, body.path("status").asText(), sent);
+            statusReceived(id, body.path("status").asText(), sentAt);
           } else {
             if (status == 404) {
-              statusReceived(id, "404", sent);
+              statusReceived(id, "404", sentAt);
             }
-            after(1, () -> cancel(id, node));
+            scheduleAfter(1, () -> cancel(id, node));
           }
         });
   }
 
-  /** A task has completed; some users cancel a job just as its last task completes. */
-  void taskFinished(String task) {
+  /**
+   * Called when a task has completed. If it was the last task of its job, some users cancel the
+   * job.
+   */
+  void taskCompleted(String task) {
     String id = TaskId.parse(task).jobId();
     if (cancelAtEndShare > 0
         && rules.completedTaskCount(id) == rules.job(id).taskCount()
         && random.nextDouble() < cancelAtEndShare) {
-      after(random.nextDouble() / 5, () -> cancel(id));
+      scheduleAfter(random.nextDouble() / 5, () -> cancel(id));
     }
   }
 
-  private void statusReceived(String id, String status, Duration sent) {
-    boolean ended = rules.hasEnded(id);
-    rules.statusReceived(id, status, sent);
-    if (rules.hasEnded(id) && !ended) {
-      watchClosely(rules.job(id));
+  private void statusReceived(String id, String status, Duration sentAt) {
+    boolean hadEnded = rules.hasEnded(id);
+    rules.statusReceived(id, status, sentAt);
+    if (rules.hasEnded(id) && !hadEnded) {
+      sendRequestBurst(rules.job(id));
     }
   }
 
-  private void watchClosely(Job job) {
-    if (!closeWatch) {
+  private void sendRequestBurst(Job job) {
+    if (!isBurstEnabled) {
       return;
     }
-    boolean cancel = !rules.hasEnded(job.id()) && random.nextInt(8) == 0;
+    boolean isCancelSent = !rules.hasEnded(job.id()) && random.nextInt(8) == 0;
     for (Endpoint node : nodes) {
       for (int i = 0; i < 3; i++) {
-        int way = random.nextInt(4);
-        after(
+        int choice = random.nextInt(4);
+        scheduleAfter(
             random.nextInt(15) / 1e3,
             () -> {
-              if (way == 0) {
-                submit(job, node, MAX_TRIES);
+              if (choice == 0) {
+                submit(job, node, MAX_ATTEMPTS);
               } else {
                 send(job.id(), node);
               }
             });
       }
     }
-    if (cancel) {
-      after(random.nextInt(15) / 1e3, () -> cancel(job.id()));
+    if (isCancelSent) {
+      scheduleAfter(random.nextInt(15) / 1e3, () -> cancel(job.id()));
     }
   }
 
-  private Endpoint anyNode() {
+  private Endpoint randomNode() {
     return nodes.get(random.nextInt(nodes.size()));
   }
 
-  private void after(double seconds, Runnable task) {
+  private void scheduleAfter(double seconds, Runnable task) {
     time.schedule(Duration.ofNanos((long) (seconds * 1e9)), task);
   }
 
   @FunctionalInterface
-  private interface Answer {
-    void take(int status, JsonNode body, Duration sent);
+  private interface ResponseHandler {
+    void handle(int status, JsonNode body, Duration sentAt);
   }
 
-  private void send(Endpoint node, Request request, int limit, Answer answer) {
-    Duration sent = time.now();
+  private void send(Endpoint node, Request request, int timeoutS, ResponseHandler handler) {
+    Duration sentAt = time.now();
     network
         .transportFrom("user", ProcessInbox.alwaysOpen())
-        .send(node, request, Duration.ofSeconds(limit))
+        .send(node, request, Duration.ofSeconds(timeoutS))
         .whenComplete(
             (reply, failure) -> {
               try {
-                answer.take(
+                handler.handle(
                     countUnserved(failure == null ? reply.status() : 0),
                     failure == null && reply.body().length > 0
                         ? Json.parseObject(reply.body())
                         : Json.object(),
-                    sent);
+                    sentAt);
               } catch (MalformedMessageException e) {
                 throw new AssertionError(e);
               }
--- a/src/test/java/io/cherryspool/sim/cluster/StateLossInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/StateLossInjector.java
@@ -9,82 +9,87 @@
 import java.util.SplittableRandom;
 
 /**
- * Makes the state store lose its data again and again, each time with one or two other faults
- * around the same moment. No process ends within the last moments before a loss, since it alone may
- * know what it confirmed to its users in them; docs/recovery.md says so.
+ * Makes the state store lose its data repeatedly, each time with up to two other faults at about
+ * the same time. It crashes no processes: if a process ends shortly before a loss, nobody else may
+ * know the changes that it confirmed to users in that time; see docs/recovery.md.
  */
 final class StateLossInjector {
-  /** How far back the service may be set. */
-  private static final int SAVED = 120;
+  /**
+   * The number of backups to keep. One backup is taken each second, so the state store is restored
+   * to at most this many seconds ago.
+   */
+  private static final int MAX_BACKUPS = 120;
 
-  private static final int KINDS = 14;
+  private static final int FAULT_KINDS = 14;
 
   private final SimulatedCluster cluster;
   private final SplittableRandom random;
-  private final double end;
-  private final Deque<FakeStateStore.Backup> saved = new ArrayDeque<>();
+  private final double endS;
+  private final Deque<FakeStateStore.Backup> backups = new ArrayDeque<>();
 
   /**
    * Creates the state loss injector.
    *
-   * @param end when the last may begin, in seconds
+   * @param endS the time in seconds after which no new loss is started
    */
-  StateLossInjector(SimulatedCluster cluster, double end) {
+  StateLossInjector(SimulatedCluster cluster, double endS) {
     this.cluster = cluster;
     this.random = cluster.random().split();
-    this.end = end;
+    this.endS = endS;
   }
 
-  void begin() {
-    cluster.schedule(20, this::save);
-    cluster.schedule(28, this::strike);
+  void start() {
+    cluster.schedule(20, this::takeBackup);
+    cluster.schedule(28, this::injectNextLoss);
   }
 
-  private void save() {
-    saved.addFirst(cluster.stateStore().backup());
-    if (saved.size() > SAVED) {
-      saved.removeLast();
+  private void takeBackup() {
+    backups.addFirst(cluster.stateStore().backup());
+    if (backups.size() > MAX_BACKUPS) {
+      backups.removeLast();
     }
-    cluster.schedule(1, this::save);
+    cluster.schedule(1, this::takeBackup);
   }
 
-  private void strike() {
-    if (cluster.time().seconds() > end) {
+  private void injectNextLoss() {
+    if (cluster.time().seconds() > endS) {
       return;
     }
-    cluster.schedule(25 + random.nextDouble() * 35, this::strike);
+    cluster.schedule(25 + random.nextDouble() * 35, this::injectNextLoss);
     for (int i = random.nextInt(3); i > 0; i--) {
-      cluster.schedule(random.nextDouble() * 4, this::companion);
+      cluster.schedule(random.nextDouble() * 4, this::injectAccompanyingFault);
     }
-    cluster.schedule(random.nextDouble() * 5, this::lose);
+    cluster.schedule(random.nextDouble() * 5, this::injectStateLoss);
     if (random.nextInt(4) == 0) {
-      cluster.schedule(5 + random.nextDouble() * 4, this::lose);
+      cluster.schedule(5 + random.nextDouble() * 4, this::injectStateLoss);
     }
   }
 
-  private void lose() {
-    List<FakeStateStore.Backup> all = new ArrayList<>(saved);
-    if (random.nextBoolean() || all.isEmpty()) {
+  private void injectStateLoss() {
+    List<FakeStateStore.Backup> backupList = new ArrayList<>(backups);
+    if (random.nextBoolean() || backupList.isEmpty()) {
       cluster.stateStore().loseAllData();
     } else {
-      int back = random.nextBoolean() ? random.nextInt(Math.min(4, all.size())) : 0;
-      cluster.stateStore().restore(all.get(back == 0 ? random.nextInt(all.size()) : back));
+      int index = random.nextBoolean() ? random.nextInt(Math.min(4, backupList.size())) : 0;
+      cluster
+          .stateStore()
+          .restore(backupList.get(index == 0 ? random.nextInt(backupList.size()) : index));
     }
-    // What was saved is of a history that is over.
-    saved.clear();
+    // The backups were taken before this loss, and later losses must not restore them.
+    backups.clear();
   }
 
-  /** Another fault of a random kind, around the moment of a loss. */
-  private void companion() {
+  /** Injects another fault of a random kind at about the time of a loss. */
+  private void injectAccompanyingFault() {
     Duration length = Duration.ofMillis(500 + random.nextLong(9000));
     SimulatedController node = cluster.nodes().get(random.nextInt(cluster.nodes().size()));
     SimulatedController leader = cluster.currentLeader().orElse(node);
-    int kind = random.nextInt(KINDS);
+    int kind = random.nextInt(FAULT_KINDS);
     injectNodeFault(kind, node, leader, length);
     injectOtherFault(kind, length);
   }
 
-  /** Faults of controllers, their links and the heartbeats between them. */
+  /** Injects the fault if it is one of controllers, their links or the heartbeats between them. */
   private void injectNodeFault(
       int kind, SimulatedController node, SimulatedController leader, Duration length) {
     switch (kind) {
@@ -99,12 +104,15 @@
       }
       case 7 -> cluster.network().cutZone(node.zone(), length);
       default -> {
-        // A fault of another group.
+        // Another method injects this kind.
       }
     }
   }
 
-  /** Faults of the state store and of machines, and users who look closely. */
+  /**
+   * Injects the fault if it is one of the state store or of machines, or a burst of requests of
+   * users.
+   */
   private void injectOtherFault(int kind, Duration length) {
     switch (kind) {
       case 0 -> cluster.stateStoreOutage(length);
@@ -135,7 +143,7 @@
         cluster.time().schedule(length, () -> cluster.users().setBurstAfterStatusChange(false));
       }
       default -> {
-        // A fault of another group.
+        // Another method injects this kind.
       }
     }
   }
--- a/src/test/java/io/cherryspool/sim/cluster/package-info.java
+++ b/src/test/java/io/cherryspool/sim/cluster/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Whole clusters in simulated time: controllers among fakes, users who watch the rules, and faults
- * injected by chance or by a directed test. Uses {@code sim.check}, {@code sim.fakes}, {@code
- * sim.network} and {@code sim.time}.
+ * Complete clusters in simulated time: controllers with a fake state store, cloud and workers,
+ * simulated users whose observations are checked, and faults that are injected randomly or by a
+ * test. Uses {@code sim.check}, {@code sim.fakes}, {@code sim.network} and {@code sim.time}.
  *
- * <p>Everything that happens follows from a seed. Single-threaded.
+ * <p>Each run is determined by its seed. Single-threaded.
  */
 package io.cherryspool.sim.cluster;
--- a/src/test/java/io/cherryspool/sim/network/LinkFaults.java
+++ b/src/test/java/io/cherryspool/sim/network/LinkFaults.java
@@ -6,52 +6,54 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Faults of single directions between two hosts; the other direction may be well. */
+/** Faults of the messages from one host to another. The opposite direction is not affected. */
 public final class LinkFaults {
-  /** How much longer a delayed message takes. */
+  /** The additional latency of a message in mode {@link Mode#DELAY}. */
   static final Duration DELAY = Duration.ofMillis(700);
 
   private final VirtualTime time;
   private final Map<Direction, Failure> failures = new HashMap<>();
 
-  /** What becomes of a message. */
+  /** What happens to a message. */
   public enum Mode {
-    /** It is lost. */
+    /** The message is lost. */
     DROP,
-    /** The connection is reset, which its sender notices at once. */
+    /** The connection is reset, and the request fails immediately. */
     RESET,
-    /** It arrives when the fault ends. */
+    /** The message arrives when the fault ends. */
     HOLD,
-    /** It takes {@link #DELAY} longer. */
+    /** The message arrives later by {@link LinkFaults#DELAY}. */
     DELAY
   }
 
-  /** From one host to another. */
+  /** The direction of messages between two hosts. */
   record Direction(String from, String to) {}
 
-  /** A failure under way; one that begins later takes its place. */
+  /** A fault of one direction. A new fault of the same direction replaces it. */
   private record Failure(Mode mode, Duration until) {}
 
   LinkFaults(VirtualTime time) {
     this.time = time;
   }
 
-  /** What goes from the one host to the other fails for so long. */
-  public void fail(String from, String to, Mode mode, Duration length) {
-    failures.put(new Direction(from, to), new Failure(mode, time.now().plus(length)));
+  /** Makes messages from one host to the other fail for the given duration. */
+  public void fail(String from, String to, Mode mode, Duration duration) {
+    failures.put(new Direction(from, to), new Failure(mode, time.now().plus(duration)));
   }
 
-  /** How the direction fails now, if it does. */
+  /** Returns the mode of the active fault of the direction; empty if there is none. */
   Optional<Mode> mode(String from, String to) {
-    return current(from, to).map(Failure::mode);
+    return activeFailure(from, to).map(Failure::mode);
   }
 
-  /** In what time the direction's present failure ends. */
+  /** Returns the time until the active fault of the direction ends; zero if there is none. */
   Duration remaining(String from, String to) {
-    return current(from, to).map(failure -> failure.until.minus(time.now())).orElse(Duration.ZERO);
+    return activeFailure(from, to)
+        .map(failure -> failure.until.minus(time.now()))
+        .orElse(Duration.ZERO);
   }
 
-  private Optional<Failure> current(String from, String to) {
+  private Optional<Failure> activeFailure(String from, String to) {
     if (failures.isEmpty()) {
       return Optional.empty();
     }
--- a/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
+++ b/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
@@ -22,38 +22,38 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The simulated network. A cut between two hosts, or around a zone, holds requests and replies and
- * delivers them when it ends, whether or not the sender has given up. Now and then a reply is lost.
- * A host may receive nothing while what it sends arrives, or open no connection while others reach
- * it. Heartbeats of workers may arrive again, late, or be recorded and replayed. Single directions
- * between two hosts fail by {@link #linkFaults}.
+ * Simulates the network between hosts, with random latency and a small share of lost replies. A cut
+ * between two hosts or around a zone holds requests and replies until it ends, even if the sender's
+ * timeout has expired. A host may receive nothing while its own messages arrive, or be unable to
+ * open connections while others can connect to it. Worker heartbeats may arrive again later, or be
+ * recorded and replayed. {@link #linkFaults} affect single directions between two hosts.
  */
 public final class SimulatedNetwork {
-  private static final double LOST_REPLY_SHARE = 0.002;
-  private static final double DUPLICATED_SHARE = 0.02;
+  private static final double LOST_REPLY_PROBABILITY = 0.002;
+  private static final double DUPLICATE_PROBABILITY = 0.02;
   private static final int MAX_DUPLICATE_DELAY_MS = 70_000;
-  private static final int MAX_RECORDED = 200;
+  private static final int MAX_RECORDED_HEARTBEATS = 200;
 
   private final VirtualTime time;
   private final RandomGenerator random;
   private final UnaryOperator<String> zoneOf;
   private final Map<Endpoint, Host> hosts = new HashMap<>();
-  private final Set<String> withoutInbound = new HashSet<>();
-  private final Set<String> withoutOutbound = new HashSet<>();
-  private final Set<String> cuts = new HashSet<>();
-  private final Set<String> refused = new HashSet<>();
+  private final Set<String> hostsWithoutInbound = new HashSet<>();
+  private final Set<String> hostsWithoutOutbound = new HashSet<>();
+  private final Set<String> cutHostPairs = new HashSet<>();
+  private final Set<String> rejectedDirections = new HashSet<>();
   private final Set<String> cutZones = new HashSet<>();
   private final LinkFaults linkFaults;
-  private final List<Request> recorded = new ArrayList<>();
+  private final List<Request> recordedHeartbeats = new ArrayList<>();
   private int maxExtraDelayMs;
-  private boolean duplicating;
-  private boolean recording;
-  private final Map<String, List<Runnable>> held = new HashMap<>();
+  private boolean isDuplicating;
+  private boolean isRecording;
+  private final Map<String, List<Runnable>> heldMessages = new HashMap<>();
 
-  /** What listens at an address, and the inbox of its process. */
+  /** The request handler that listens at an address, and the inbox of its process. */
   private record Host(RequestHandler handler, ProcessInbox inbox) {}
 
-  /** The function answers the zone of a host, empty for what is in none. */
+  /** Creates a network; {@code zoneOf} returns the zone of a host, and "" if it is in no zone. */
   public SimulatedNetwork(VirtualTime time, RandomGenerator random, UnaryOperator<String> zoneOf) {
     this.time = time;
     this.linkFaults = new LinkFaults(time);
@@ -61,126 +61,126 @@
     this.zoneOf = zoneOf;
   }
 
-  public void listen(Endpoint at, RequestHandler handler) {
-    listen(at, handler, ProcessInbox.alwaysOpen());
+  public void listen(Endpoint address, RequestHandler handler) {
+    listen(address, handler, ProcessInbox.alwaysOpen());
   }
 
-  public void listen(Endpoint at, RequestHandler handler, ProcessInbox inbox) {
-    hosts.put(at, new Host(handler, inbox));
+  public void listen(Endpoint address, RequestHandler handler, ProcessInbox inbox) {
+    hosts.put(address, new Host(handler, inbox));
   }
 
-  /** Nothing listens at the address any more; requests to it fail. */
-  public void close(Endpoint at) {
-    hosts.remove(at);
+  /** Stops listening at the address. Requests to it fail. */
+  public void close(Endpoint address) {
+    hosts.remove(address);
   }
 
-  /** Faults of single directions between two hosts. */
+  /** Returns the faults of single directions between two hosts. */
   public LinkFaults linkFaults() {
     return linkFaults;
   }
 
-  /** Holds what the two hosts send each other for so long. */
+  /** Holds the messages between the two hosts for the given duration. */
   public void cut(String a, String b, Duration duration) {
-    String pair = pair(a, b);
-    if (cuts.add(pair)) {
-      time.schedule(duration, () -> release(cuts, pair));
+    String pair = pairKey(a, b);
+    if (cutHostPairs.add(pair)) {
+      time.schedule(duration, () -> release(cutHostPairs, pair));
     }
   }
 
-  /** Requests of the one host to the other are answered 503 for so long; open watches wait. */
+  /** Answers requests from one host to the other with 503; replies to earlier ones are held. */
   public void rejectRequests(String from, String to, Duration duration) {
-    String way = from + ">" + to;
-    if (refused.add(way)) {
-      time.schedule(duration, () -> release(refused, way));
+    String direction = from + ">" + to;
+    if (rejectedDirections.add(direction)) {
+      time.schedule(duration, () -> release(rejectedDirections, direction));
     }
   }
 
-  /** Cuts the zone off from everything outside it for so long. */
+  /** Holds the messages between the zone and all hosts outside it for the given duration. */
   public void cutZone(String zone, Duration duration) {
     if (cutZones.add(zone)) {
       time.schedule(duration, () -> release(cutZones, zone));
     }
   }
 
-  private void release(Set<String> from, String what) {
-    from.remove(what);
-    List<Runnable> late = held.remove(what);
-    if (late != null) {
-      late.forEach(Runnable::run);
+  private void release(Set<String> activeFaults, String key) {
+    activeFaults.remove(key);
+    List<Runnable> messages = heldMessages.remove(key);
+    if (messages != null) {
+      messages.forEach(Runnable::run);
     }
   }
 
-  /** The extra delay of a datagram from host to host; empty if it is lost. */
+  /** Returns the additional latency of a datagram between two hosts; empty if it is lost. */
   public Optional<Duration> datagramDelay(String from, String to) {
     Optional<LinkFaults.Mode> mode = linkFaults.mode(from, to);
-    boolean delayed = mode.filter(LinkFaults.Mode.DELAY::equals).isPresent();
-    if (cutBetween(from, to) != null || (mode.isPresent() && !delayed)) {
+    boolean isDelayed = mode.filter(LinkFaults.Mode.DELAY::equals).isPresent();
+    if (findCut(from, to) != null || (mode.isPresent() && !isDelayed)) {
       return Optional.empty();
     }
-    return Optional.of(delayed ? LinkFaults.DELAY : Duration.ZERO);
+    return Optional.of(isDelayed ? LinkFaults.DELAY : Duration.ZERO);
   }
 
-  /** The cut that holds messages between the two hosts; null if there is none. */
-  private String cutBetween(String a, String b) {
-    String pair = pair(a, b);
-    if (cuts.contains(pair)) {
+  /** Returns the key of the cut between the two hosts; null if there is none. */
+  private String findCut(String a, String b) {
+    String pair = pairKey(a, b);
+    if (cutHostPairs.contains(pair)) {
       return pair;
     }
-    String one = zoneOf.apply(a);
-    String other = zoneOf.apply(b);
-    if (!one.equals(other)) {
-      if (cutZones.contains(one)) {
-        return one;
+    String zoneOfA = zoneOf.apply(a);
+    String zoneOfB = zoneOf.apply(b);
+    if (!zoneOfA.equals(zoneOfB)) {
+      if (cutZones.contains(zoneOfA)) {
+        return zoneOfA;
       }
-      if (cutZones.contains(other)) {
-        return other;
+      if (cutZones.contains(zoneOfB)) {
+        return zoneOfB;
       }
     }
     return null;
   }
 
-  /** Drops what is sent to the host for so long; what it sends arrives. */
+  /** Drops all messages to the host for the given duration. Messages that it sends arrive. */
   public void dropInbound(String host, Duration duration) {
-    if (withoutInbound.add(host)) {
-      time.schedule(duration, () -> withoutInbound.remove(host));
+    if (hostsWithoutInbound.add(host)) {
+      time.schedule(duration, () -> hostsWithoutInbound.remove(host));
     }
   }
 
-  /** The host opens no connection for so long; others reach it. */
+  /** Drops all requests of the host for the given duration. Other hosts can connect to it. */
   public void dropOutbound(String host, Duration duration) {
-    if (withoutOutbound.add(host)) {
-      time.schedule(duration, () -> withoutOutbound.remove(host));
+    if (hostsWithoutOutbound.add(host)) {
+      time.schedule(duration, () -> hostsWithoutOutbound.remove(host));
     }
   }
 
-  /** Each message is delayed by a random time of up to so much more; 0 for none. */
+  /** Sets the maximum of the random additional latency of each message; 0 for none. */
   public void setMaxExtraDelay(int millis) {
     maxExtraDelayMs = millis;
   }
 
-  /** Whether some heartbeats arrive twice, the second time up to well over a lease later. */
+  /** Sets whether some heartbeats arrive again up to 70 s later, which is longer than a lease. */
   public void setDuplicatingHeartbeats(boolean on) {
-    duplicating = on;
+    isDuplicating = on;
   }
 
-  /** From now on heartbeats are recorded for {@link #replayHeartbeats}, up to a limit. */
+  /** Starts to record worker heartbeats, up to a limit, for {@link #replayHeartbeats}. */
   public void recordHeartbeats() {
-    recording = true;
+    isRecording = true;
   }
 
-  /** The recorded heartbeats reach all of these now, before anything sent from now on. */
-  public void replayHeartbeats(Iterable<Endpoint> all) {
-    for (Endpoint each : all) {
-      for (Request request : List.copyOf(recorded)) {
+  /** Delivers the recorded heartbeats to all controllers now, before any later message. */
+  public void replayHeartbeats(Iterable<Endpoint> controllers) {
+    for (Endpoint each : controllers) {
+      for (Request request : List.copyOf(recordedHeartbeats)) {
         redeliver(each, request);
       }
     }
   }
 
-  /** Stops recording, and discards what was recorded. */
+  /** Stops recording and discards the recorded heartbeats. */
   public void discardRecordedHeartbeats() {
-    recorded.clear();
-    recording = false;
+    recordedHeartbeats.clear();
+    isRecording = false;
   }
 
   private void redeliver(Endpoint to, Request request) {
@@ -191,30 +191,30 @@
   }
 
   private void recordOrDuplicate(Endpoint to, Request request) {
-    boolean report = request.path().equals("/v1/report");
-    if (recording && report && recorded.size() < MAX_RECORDED) {
-      recorded.add(request);
+    boolean isHeartbeat = request.path().equals("/v1/report");
+    if (isRecording && isHeartbeat && recordedHeartbeats.size() < MAX_RECORDED_HEARTBEATS) {
+      recordedHeartbeats.add(request);
     }
-    if (duplicating && report && random.nextDouble() < DUPLICATED_SHARE) {
+    if (isDuplicating && isHeartbeat && random.nextDouble() < DUPLICATE_PROBABILITY) {
       time.schedule(
           Duration.ofMillis(random.nextInt(MAX_DUPLICATE_DELAY_MS)), () -> redeliver(to, request));
     }
   }
 
-  /** The sockets of a process on one host; replies reach it through its inbox. */
+  /** Returns the transport of a process on the host; replies arrive through its inbox. */
   public Transport transportFrom(String host, ProcessInbox inbox) {
     return (to, request, deadline) -> {
       CompletableFuture<Reply> result = new CompletableFuture<>();
-      time.schedule(deadline, () -> fail(result, inbox, "no answer from " + to));
-      if (withoutOutbound.contains(host)) {
+      time.schedule(deadline, () -> fail(result, inbox, "no reply within the deadline from " + to));
+      if (hostsWithoutOutbound.contains(host)) {
         return result;
       }
       recordOrDuplicate(to, request);
       if (isReset(host, to.host())) {
-        carry(host, host, () -> fail(result, inbox, "reset by " + to));
+        send(host, host, () -> fail(result, inbox, "connection reset by " + to));
         return result;
       }
-      carry(host, to.host(), () -> deliver(host, to, request, result, inbox));
+      send(host, to.host(), () -> deliver(host, to, request, result, inbox));
       return result;
     };
   }
@@ -227,12 +227,12 @@
       ProcessInbox inbox) {
     Host host = hosts.get(to);
     if (host == null) {
-      fail(result, inbox, "refused by " + to);
+      fail(result, inbox, "connection refused by " + to);
       return;
     }
-    if (refused.contains(from + ">" + to.host())) {
-      Reply trouble = Reply.json(503, "{\"error\":\"trouble\"}".getBytes(StandardCharsets.UTF_8));
-      carry(to.host(), from, () -> inbox.deliver(() -> result.complete(trouble)));
+    if (rejectedDirections.contains(from + ">" + to.host())) {
+      Reply error = Reply.json(503, "{\"error\":\"trouble\"}".getBytes(StandardCharsets.UTF_8));
+      send(to.host(), from, () -> inbox.deliver(() -> result.complete(error)));
       return;
     }
     host.inbox.deliver(
@@ -242,9 +242,9 @@
                 .thenAccept(
                     reply -> {
                       if (isReset(to.host(), from)) {
-                        carry(from, from, () -> fail(result, inbox, "reset by " + to));
-                      } else if (random.nextDouble() >= LOST_REPLY_SHARE) {
-                        answer(from, to.host(), () -> inbox.deliver(() -> result.complete(reply)));
+                        send(from, from, () -> fail(result, inbox, "connection reset by " + to));
+                      } else if (random.nextDouble() >= LOST_REPLY_PROBABILITY) {
+                        respond(from, to.host(), () -> inbox.deliver(() -> result.complete(reply)));
                       }
                     }));
   }
@@ -253,12 +253,13 @@
     return linkFaults.mode(from, to).filter(LinkFaults.Mode.RESET::equals).isPresent();
   }
 
-  private void answer(String from, String to, Runnable arrival) {
-    if (refused.contains(from + ">" + to)) {
-      held.computeIfAbsent(from + ">" + to, key -> new ArrayList<>())
-          .add(() -> carry(to, from, arrival));
+  private void respond(String from, String to, Runnable arrival) {
+    if (rejectedDirections.contains(from + ">" + to)) {
+      heldMessages
+          .computeIfAbsent(from + ">" + to, key -> new ArrayList<>())
+          .add(() -> send(to, from, arrival));
     } else {
-      carry(to, from, arrival);
+      send(to, from, arrival);
     }
   }
 
@@ -266,13 +267,13 @@
     inbox.deliver(() -> result.completeExceptionally(new IOException(why)));
   }
 
-  private void carry(String from, String to, Runnable arrival) {
+  private void send(String from, String to, Runnable arrival) {
     Duration delay =
         Duration.ofNanos(300_000 + random.nextLong(3_000_000 + maxExtraDelayMs * 1_000_000L));
     time.schedule(
         delay,
         () -> {
-          if (withoutInbound.contains(to)) {
+          if (hostsWithoutInbound.contains(to)) {
             return;
           }
           LinkFaults.Mode fault = linkFaults.mode(from, to).orElse(null);
@@ -280,20 +281,20 @@
             return;
           }
           if (fault != null) {
-            boolean held = fault == LinkFaults.Mode.HOLD;
-            time.schedule(held ? linkFaults.remaining(from, to) : LinkFaults.DELAY, arrival);
+            boolean isHeld = fault == LinkFaults.Mode.HOLD;
+            time.schedule(isHeld ? linkFaults.remaining(from, to) : LinkFaults.DELAY, arrival);
             return;
           }
-          String cutBetween = cutBetween(from, to);
-          if (cutBetween != null) {
-            held.computeIfAbsent(cutBetween, key -> new ArrayList<>()).add(arrival);
+          String cut = findCut(from, to);
+          if (cut != null) {
+            heldMessages.computeIfAbsent(cut, key -> new ArrayList<>()).add(arrival);
           } else {
             arrival.run();
           }
         });
   }
 
-  private static String pair(String a, String b) {
+  private static String pairKey(String a, String b) {
     return a.compareTo(b) < 0 ? a + "|" + b : b + "|" + a;
   }
 }
--- a/src/test/java/io/cherryspool/sim/time/ProcessInbox.java
+++ b/src/test/java/io/cherryspool/sim/time/ProcessInbox.java
@@ -6,50 +6,53 @@
 import java.util.Random;
 
 /**
- * The events that reach a simulated process: its timers, messages from the network, answers to its
- * requests. Events of a process that has ended are dropped; those of a frozen one are kept until it
- * is resumed.
+ * Delivers events to a simulated process: its timers, messages from the network, and replies to its
+ * requests. Events for a process that has ended are dropped. Events for a frozen process are held
+ * until it resumes.
  */
 public final class ProcessInbox {
   private final List<Runnable> heldEvents = new ArrayList<>();
-  private boolean frozen;
-  private boolean closed;
+  private boolean isFrozen;
+  private boolean isClosed;
 
-  /** The inbox of a host that the simulation neither ends nor freezes. */
+  /** Returns an inbox for a process that the simulation neither ends nor freezes. */
   public static ProcessInbox alwaysOpen() {
     return new ProcessInbox();
   }
 
   public boolean isClosed() {
-    return closed;
+    return isClosed;
   }
 
-  /** Runs the event now, later or never, as the state of the process demands. */
+  /**
+   * Runs the event if the process runs, holds it if the process is frozen, and drops it if the
+   * process has ended.
+   */
   public void deliver(Runnable event) {
-    if (closed) {
+    if (isClosed) {
       return;
     }
-    if (frozen) {
+    if (isFrozen) {
       heldEvents.add(event);
     } else {
       event.run();
     }
   }
 
-  /** The process ends. */
+  /** Ends the process and drops all held events. */
   public void close() {
-    closed = true;
+    isClosed = true;
     heldEvents.clear();
   }
 
-  /** The process does nothing until {@link #resume}, while time goes on. */
+  /** Freezes the process until {@link #resume}. Simulated time continues. */
   public void freeze() {
-    frozen = true;
+    isFrozen = true;
   }
 
-  /** Runs the events that were kept, in an order that the seed decides. */
+  /** Resumes the process and runs the held events, in an order that depends on the seed. */
   public void resume(long seed) {
-    frozen = false;
+    isFrozen = false;
     List<Runnable> events = new ArrayList<>(heldEvents);
     heldEvents.clear();
     Collections.shuffle(events, new Random(seed));
--- a/src/test/java/io/cherryspool/sim/time/VirtualTime.java
+++ b/src/test/java/io/cherryspool/sim/time/VirtualTime.java
@@ -4,55 +4,64 @@
 import java.time.Duration;
 import java.util.PriorityQueue;
 
-/** Simulated time. Events run in order of their time, and then in that of their scheduling. */
+/**
+ * The event loop of a simulation, which advances the time to that of the next event. Events run in
+ * the order of their times; events with the same time run in the order in which they were
+ * scheduled.
+ */
 public final class VirtualTime implements EventLoop {
   private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private long nanos;
+  private long nowNanos;
   private long scheduledCount;
 
   private static final class Event implements Comparable<Event> {
-    private final long at;
-    private final long number;
+    private final long atNanos;
+    private final long sequenceNumber;
     private Runnable task;
 
-    Event(long at, long number, Runnable task) {
-      this.at = at;
-      this.number = number;
+    Event(long atNanos, long sequenceNumber, Runnable task) {
+      this.atNanos = atNanos;
+      this.sequenceNumber = sequenceNumber;
       this.task = task;
     }
 
     @Override
     public int compareTo(Event other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+      return atNanos != other.atNanos
+          ? Long.compare(atNanos, other.atNanos)
+          : Long.compare(sequenceNumber, other.sequenceNumber);
     }
   }
 
   @Override
   public Duration now() {
-    return Duration.ofNanos(nanos);
+    return Duration.ofNanos(nowNanos);
   }
 
-  /** The time since the start, in seconds. */
+  /** Returns the time since the start in seconds. */
   public double seconds() {
-    return nanos / 1e9;
+    return nowNanos / 1e9;
   }
 
   @Override
   public Timer schedule(Duration delay, Runnable task) {
-    Event event = new Event(nanos + Math.max(0, delay.toNanos()), scheduledCount++, task);
+    Event event = new Event(nowNanos + Math.max(0, delay.toNanos()), scheduledCount++, task);
     events.add(event);
     return () -> event.task = null;
   }
 
-  /** Runs the next event; if there is none by the end, sets the time to the end, and is false. */
+  /**
+   * Runs the next event and returns true. If no event is due at or before {@code end}, sets the
+   * time to {@code end} and returns false.
+   */
   public boolean runNextEvent(Duration end) {
     Event next = events.peek();
-    if (next == null || next.at > end.toNanos()) {
-      nanos = Math.max(nanos, end.toNanos());
+    if (next == null || next.atNanos > end.toNanos()) {
+      nowNanos = Math.max(nowNanos, end.toNanos());
       return false;
     }
     events.poll();
-    nanos = next.at;
+    nowNanos = next.atNanos;
     if (next.task != null) {
       next.task.run();
     }
@@ -60,8 +69,8 @@
   }
 
   /**
-   * The event loop of one process: its timers go through its inbox, so that they end with it and
-   * wait while it is frozen.
+   * Returns an event loop for one process. Its timers are delivered through the inbox, so that they
+   * are dropped after the process has ended and held while it is frozen.
    */
   public EventLoop eventLoopOf(ProcessInbox inbox) {
     return new EventLoop() {
