--- a/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
@@ -18,58 +18,69 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The gap: the state store refuses the leader alone, another node confirms cancels, then the
- * service is down for all for longer than the cancel limit, while workers go on reporting to the
- * old leader, which can't know of the cancels. Their tasks must be gone within the limit of the
- * confirmation; the rule checker looks after each step.
+ * Checks that tasks of cancelled jobs end within the cancel limit if the leader cannot read the
+ * cancel. The state store rejects the requests of the leader only, and another node confirms a
+ * cancel. Then the state store is down for all nodes for longer than the cancel limit, while
+ * workers continue to send heartbeats to the old leader. The rule checker checks the limit after
+ * each event.
  *
- * <p>Each day asserts that the meeting came about: tasks of the jobs ran when another node
- * confirmed, the old leader refused and not yet replaced, and their leases were renewed after that.
+ * <p>All tests assert that another node confirms the cancel, and all but the last that tasks of the
+ * job run at that moment. The first also asserts that the old leader has not been replaced by then,
+ * and renews leases of the workers afterwards.
  */
 class CancelDuringStateOutageTest extends DirectedFaultsFixture {
   private static final Duration OUTAGE = SimulatedCluster.CANCEL_LIMIT.plusSeconds(30);
 
   private Job job;
-  private SimulatedController old;
+  private SimulatedController oldLeader;
 
-  /** Tasks run long, under a leader that is well settled. */
-  private void runTasks(long seed) {
-    begin(seed, 12);
+  /** Starts a cluster with a job of long-running tasks, and lets them run for at least 20 s. */
+  private void startLongRunningTasks(long seed) {
+    startClusterAndSubmit(seed, 12);
     cluster.run(20 + seed % 5);
     assertFalse(cluster.fleet().workersRunning(job).isEmpty(), "tasks run");
   }
 
-  private void begin(long seed, int tasks) {
+  private void startClusterAndSubmit(long seed, int tasks) {
     startCluster(seed, 3);
-    old = cluster.leader();
+    oldLeader = cluster.leader();
     job = submit("blue", tasks, 4, Duration.ofSeconds(150));
   }
 
-  /** Another node confirms the cancel while the leader alone is refused. */
-  private void cancelPastTheLeader() {
-    cancelThrough(cluster.nodeAfter(old));
+  /**
+   * Cancels the job through a node that the state store does not reject, and waits for the
+   * confirmation.
+   */
+  private void cancelThroughAnotherNode() {
+    cancelThrough(cluster.nodeAfter(oldLeader));
   }
 
   private void cancelThrough(SimulatedController node) {
     cluster.users().cancel(job.id(), node.address());
     awaitCancelConfirmed(job, 0.001, 150);
-    assertFalse(cluster.fleet().workersRunning(job).isEmpty(), "its tasks run on");
+    assertFalse(cluster.fleet().workersRunning(job).isEmpty(), "its tasks still run");
   }
 
-  /** The service is silent for all until well after the limit. */
-  private void outage() {
+  /**
+   * Takes the state store down until after the cancel limit. Asserts that the old leader still
+   * renews leases of workers that run the cancelled tasks.
+   */
+  private void startOutage() {
     Duration start = cluster.time().now();
     cluster.stateStoreOutage(OUTAGE);
     cluster.run(10);
-    List<FakeWorker> still = cluster.fleet().workersRunning(job);
-    assertFalse(still.isEmpty(), "its tasks run on");
+    List<FakeWorker> runningWorkers = cluster.fleet().workersRunning(job);
+    assertFalse(runningWorkers.isEmpty(), "its tasks still run");
     assertTrue(
-        still.stream().anyMatch(worker -> worker.leaseRenewedAt().compareTo(start) > 0),
-        "the old leader keeps them alive in the outage");
+        runningWorkers.stream().anyMatch(worker -> worker.leaseRenewedAt().compareTo(start) > 0),
+        "the old leader renews their leases during the outage");
   }
 
-  /** What the rule checker watched to the end, said once more. */
-  private void allGoneInTime() {
+  /**
+   * Asserts that all tasks of the job end within the cancel limit and do not run again after the
+   * outage. The rule checker checks the same after each event.
+   */
+  private void assertTasksEndWithinLimit() {
     Duration limit =
         cluster
             .rules()
@@ -77,124 +88,150 @@
             .orElseThrow()
             .plus(SimulatedCluster.CANCEL_LIMIT);
     cluster.run(limit.minus(cluster.time().now()).plusMillis(100));
-    assertEquals(List.of(), cluster.fleet().workersRunning(job), "gone within the limit");
+    assertEquals(
+        List.of(), cluster.fleet().workersRunning(job), "all tasks ended within the limit");
     cluster.run(OUTAGE.plusSeconds(20));
-    assertEquals(List.of(), cluster.fleet().workersRunning(job), "and not back after the outage");
+    assertEquals(
+        List.of(), cluster.fleet().workersRunning(job), "no task runs again after the outage");
   }
 
-  /** Moments from the refusal to the outage, in seconds; a new leader is elected after about 4. */
+  /**
+   * The second value is the time in seconds from the first rejected request to the outage. A new
+   * leader is elected after about 4 s.
+   */
   @ParameterizedTest
   @CsvSource({
     "1,0.2", "2,0.2", "3,0.5", "4,0.5", "5,1", "6,1.3", "7,1.7", "8,2.1", "9,2.5", "10,2.8"
   })
-  void cancelledTasksAreGoneInTimeThoughTheirLeaderCannotKnow(long seed, double apart) {
-    runTasks(seed);
-    old.rejectStateStoreRequests(Duration.ofSeconds(14));
-    cluster.run(apart / 2);
-    cancelPastTheLeader();
-    assertTrue(old.isLeader(), "nobody has replaced the leader");
-    cluster.run(apart / 2);
-    outage();
-    allGoneInTime();
+  void cancelledTasksEndWithinLimitWhenOldLeaderCannotReadTheCancel(
+      long seed, double secondsToOutage) {
+    startLongRunningTasks(seed);
+    oldLeader.rejectStateStoreRequests(Duration.ofSeconds(14));
+    cluster.run(secondsToOutage / 2);
+    cancelThroughAnotherNode();
+    assertTrue(oldLeader.isLeader(), "the old leader has not been replaced");
+    cluster.run(secondsToOutage / 2);
+    startOutage();
+    assertTasksEndWithinLimit();
   }
 
   /**
-   * As above, with a new leader elected before the outage, or just not. The service refuses that
-   * one too, or it would read of the cancel while it is confirmed.
+   * As the test above, but a new leader is elected before the outage, or is about to be elected.
+   * The state store rejects the requests of the new leader too, since it would otherwise read the
+   * cancel as soon as it is confirmed.
    */
   @ParameterizedTest
   @CsvSource({"1,3.1", "2,3.5", "3,3.9", "4,4.2", "5,4.5", "6,5", "7,6", "8,9", "9,12", "10,20"})
-  void soTheyAreWhenANewLeaderIsElectedFirst(long seed, double apart) {
-    runTasks(seed);
-    old.rejectStateStoreRequests(Duration.ofSeconds(14));
-    cluster.run(apart);
-    SimulatedController next = cluster.leaderOtherThan(old).orElse(cluster.nodeAfter(old));
-    next.rejectStateStoreRequests(Duration.ofSeconds(14));
+  void cancelledTasksEndWithinLimitWhenNewLeaderIsElectedBeforeOutage(
+      long seed, double secondsToOutage) {
+    startLongRunningTasks(seed);
+    oldLeader.rejectStateStoreRequests(Duration.ofSeconds(14));
+    cluster.run(secondsToOutage);
+    SimulatedController newLeader =
+        cluster.leaderOtherThan(oldLeader).orElse(cluster.nodeAfter(oldLeader));
+    newLeader.rejectStateStoreRequests(Duration.ofSeconds(14));
     cancelThrough(
         cluster.nodes().stream()
-            .filter(node -> node != old && node != next)
+            .filter(node -> node != oldLeader && node != newLeader)
             .findFirst()
             .orElseThrow());
     cluster.stateStoreOutage(OUTAGE);
-    allGoneInTime();
+    assertTasksEndWithinLimit();
   }
 
-  /** What else may happen in the middle of the gap, to the cluster and the controller that led. */
-  @SuppressWarnings("ImmutableEnumChecker") // the lambdas hold no state
-  enum Middle {
-    HANG((test, worker) -> worker.hang(Duration.ofSeconds(12))),
-    HANG_PAST_THE_LEASE((test, worker) -> worker.hang(Duration.ofSeconds(30))),
-    NOT_RECEIVING(
+  /**
+   * An additional fault of a worker, a controller or the network at about the time of the cancel.
+   */
+  @SuppressWarnings("ImmutableEnumChecker") // the lambdas have no state
+  enum ConcurrentFault {
+    WORKER_HANGS((test, worker) -> worker.hang(Duration.ofSeconds(12))),
+    WORKER_HANGS_PAST_ITS_LEASE((test, worker) -> worker.hang(Duration.ofSeconds(30))),
+    WORKER_RECEIVES_NOTHING(
         (test, worker) -> test.cluster.network().dropInbound(host(worker), Duration.ofSeconds(20))),
-    UNRESPONSIVE(
+    WORKER_OPENS_NO_CONNECTIONS(
         (test, worker) ->
             test.cluster.network().dropOutbound(host(worker), Duration.ofSeconds(20))),
-    /** Reports, commands and answers between the two wait, and then arrive all the same. */
-    HELD_UP((test, worker) -> test.cluster.network().cut(test.oldHost(), host(worker), HOLD)),
-    HELD_UP_AND_HUNG(
+    /**
+     * Heartbeats, commands and replies between worker and old leader are held, and arrive later.
+     */
+    WORKER_CUT_FROM_OLD_LEADER(
+        (test, worker) ->
+            test.cluster.network().cut(test.oldLeaderHost(), host(worker), LINK_CUT_TIME)),
+    WORKER_CUT_FROM_OLD_LEADER_AND_HANGS(
         (test, worker) -> {
-          test.cluster.network().cut(test.oldHost(), host(worker), HOLD);
-          worker.hang(HOLD.plusSeconds(4));
+          test.cluster.network().cut(test.oldLeaderHost(), host(worker), LINK_CUT_TIME);
+          worker.hang(LINK_CUT_TIME.plusSeconds(4));
         }),
-    BACK_AT_ONCE((test, worker) -> test.old.crash(Duration.ofMillis(200))),
-    OTHER_BACK_AT_ONCE(
+    OLD_LEADER_RESTARTS((test, worker) -> test.oldLeader.crash(Duration.ofMillis(200))),
+    OTHER_NODE_RESTARTS(
         (test, worker) ->
-            test.cluster.nodeAfter(test.cluster.nodeAfter(test.old)).crash(Duration.ofMillis(200))),
-    LEADER_STANDS_STILL((test, worker) -> test.old.freeze(Duration.ofSeconds(9))),
-    ZONE_CUT((test, worker) -> test.cluster.network().cutZone(test.old.zone(), OUTAGE)),
-    PEERS_LOST((test, worker) -> test.cluster.setMeshDown(true));
-
-    private final BiConsumer<CancelDuringStateOutageTest, FakeWorker> strike;
-
-    Middle(BiConsumer<CancelDuringStateOutageTest, FakeWorker> strike) {
-      this.strike = strike;
+            test.cluster
+                .nodeAfter(test.cluster.nodeAfter(test.oldLeader))
+                .crash(Duration.ofMillis(200))),
+    OLD_LEADER_FREEZES((test, worker) -> test.oldLeader.freeze(Duration.ofSeconds(9))),
+    ZONE_OF_OLD_LEADER_CUT_OFF(
+        (test, worker) -> test.cluster.network().cutZone(test.oldLeader.zone(), OUTAGE)),
+    PEER_HEARTBEATS_LOST((test, worker) -> test.cluster.setMeshDown(true));
+
+    private final BiConsumer<CancelDuringStateOutageTest, FakeWorker> injector;
+
+    ConcurrentFault(BiConsumer<CancelDuringStateOutageTest, FakeWorker> injector) {
+      this.injector = injector;
     }
   }
 
-  private static final Duration HOLD = Duration.ofSeconds(9);
+  private static final Duration LINK_CUT_TIME = Duration.ofSeconds(9);
 
-  private String oldHost() {
-    return old.address().host();
+  private String oldLeaderHost() {
+    return oldLeader.address().host();
   }
 
-  /** Each at a moment of the seed's: before the cancel, between it and the outage, or after. */
+  /**
+   * The seed determines whether the fault occurs before the cancel, between the cancel and the
+   * outage, or during the outage.
+   */
   @ParameterizedTest
-  @EnumSource(Middle.class)
-  void soTheyAreWhateverElseHappensInTheMiddle(Middle middle) {
+  @EnumSource(ConcurrentFault.class)
+  void cancelledTasksEndWithinLimitDespiteConcurrentFault(ConcurrentFault fault) {
     for (long seed = 1; seed <= 6; seed++) {
-      runTasks(seed);
+      startLongRunningTasks(seed);
       cluster.schedule(
           0.1 + 0.4 * seed,
           () ->
               cluster.fleet().workersRunning(job).stream()
                   .limit(2)
-                  .forEach(worker -> middle.strike.accept(this, worker)));
-      old.rejectStateStoreRequests(Duration.ofSeconds(14));
+                  .forEach(worker -> fault.injector.accept(this, worker)));
+      oldLeader.rejectStateStoreRequests(Duration.ofSeconds(14));
       cluster.run(0.5);
-      cancelPastTheLeader();
+      cancelThroughAnotherNode();
       cluster.run(0.5);
       cluster.stateStoreOutage(OUTAGE);
-      allGoneInTime();
+      assertTasksEndWithinLimit();
     }
   }
 
-  /** Commands under way, images being fetched, machines that boot: all of it may end in a start. */
+  /**
+   * Cancels the job while start commands are in transit, images are being fetched and machines
+   * boot, each of which may still lead to a task start.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void soAreThoseThatHadNotBegunYet(long seed) {
-    begin(seed, 40);
+  void cancelledTasksEndWithinLimitWhenMostHadNotStarted(long seed) {
+    startClusterAndSubmit(seed, 40);
     cluster.cloud().setFastBoot(true);
-    // Within two seconds some tasks run, some fetch, and most wait for machines that boot.
+    // In the first two seconds some tasks run, some fetch their image, and most wait for machines
+    // that are still booting.
     cluster.run(0.2 + 0.3 * seed);
-    old.rejectStateStoreRequests(Duration.ofSeconds(14));
+    oldLeader.rejectStateStoreRequests(Duration.ofSeconds(14));
     cluster.run(0.1);
-    cluster.users().cancel(job.id(), cluster.nodeAfter(old).address());
+    cluster.users().cancel(job.id(), cluster.nodeAfter(oldLeader).address());
     cluster.run(0.15);
     assertTrue(cluster.rules().isCancelConfirmed(job.id()), "another node confirmed the cancel");
     cluster.stateStoreOutage(OUTAGE);
     cluster.run(4);
     assertFalse(
-        cluster.fleet().workersRunning(job).isEmpty(), "tasks began, or went on, in the gap");
-    allGoneInTime();
+        cluster.fleet().workersRunning(job).isEmpty(),
+        "tasks start or still run during the outage");
+    assertTasksEndWithinLimit();
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
@@ -18,15 +18,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Where two faults meet, each injected on purpose. The rules are checked after every event; each
- * test says besides that the meeting came about, and what users may expect of it.
+ * Checks combinations of specific faults. The rules are checked after each event. Most tests also
+ * assert that the faults coincided, and all assert the result for the users.
  */
 class CombinedFaultsTest extends DirectedFaultsFixture {
 
-  /** Submissions, cancels, ends, rounds and elections are carried out, and no answer says so. */
+  /**
+   * Submissions, cancels, ends of jobs, rounds and elections are committed to the state store, but
+   * the controllers receive no replies to their transactions.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void allTransactionsAreCarriedOutAndTheirAnswersLost(long seed) {
+  void jobsEndWhenTransactionsCommitButAllRepliesAreLost(long seed) {
     startCluster(seed, 3);
     List<Job> jobs = new ArrayList<>();
     cluster.users().setBurstAfterStatusChange(true);
@@ -38,12 +41,15 @@
     jobs.add(submit("red", 3, 2, Duration.ofSeconds(3)));
     cluster.users().cancel(cancelled.id());
     cluster.run(2);
-    SimulatedController old = cluster.leader();
-    old.crash(Duration.ofSeconds(20));
+    SimulatedController oldLeader = cluster.leader();
+    oldLeader.crash(Duration.ofSeconds(20));
     cluster.run(9);
-    assertNotEquals(old.name(), cluster.leader().name(), "elected though no answer said so");
+    assertNotEquals(
+        oldLeader.name(),
+        cluster.leader().name(),
+        "a new leader is elected without a reply to its transaction");
     assertNotNull(
-        cluster.stateStore().value("c/outcomes/" + cancelled.id()), "the cancel was carried out");
+        cluster.stateStore().value("c/outcomes/" + cancelled.id()), "the cancel was committed");
     cluster.run(6);
     cluster.stateStore().loseReplies(0);
     cluster.run(60);
@@ -52,71 +58,73 @@
   }
 
   /**
-   * A team is at its limit; its jobs are cancelled while some of their machines are cut off or
-   * hang, and the leader changes. The next job of the team begins as the proofs come in, and no
-   * sooner: the rule checker counts the limit and looks for tasks that run twice.
+   * A team is at its quota. Its job is cancelled while some of the machines that run it are cut off
+   * or hang, and the leader crashes. The tasks of the team's next job must start only as it is
+   * proven that tasks of the first job have ended: the rule checker checks the quota, and that no
+   * task runs twice.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void aTeamAtItsLimitLosesMachinesAndItsLeaderAsItsJobsAreCancelled(long seed) {
+  void nextJobOfTeamAtItsLimitRunsAfterCancelDespiteLostMachinesAndLeader(long seed) {
     startCluster(seed, 3);
-    // The limit of red is 64 processors.
+    // The quota of team red is 64 CPUs.
     Job first = submit("red", 16, 4, LONG_RUN_TIME);
     for (int i = 0; i < 60 && cluster.fleet().runningTaskCount(first) < 16; i++) {
       cluster.run(1);
     }
-    assertEquals(16, cluster.fleet().runningTaskCount(first), "the team is at its limit");
+    assertEquals(16, cluster.fleet().runningTaskCount(first), "the team is at its quota");
     Job second = submit("red", 8, 4, Duration.ofSeconds(10));
     cluster.run(2);
-    List<FakeWorker> lost = cluster.fleet().workersRunning(first).stream().limit(2).toList();
-    SimulatedController old = cluster.leader();
+    List<FakeWorker> lostWorkers = cluster.fleet().workersRunning(first).stream().limit(2).toList();
+    SimulatedController oldLeader = cluster.leader();
     for (SimulatedController node : cluster.nodes()) {
       cluster
           .network()
-          .cut(node.address().host(), lost.get(0).machine().host(), Duration.ofSeconds(40));
+          .cut(node.address().host(), lostWorkers.get(0).machine().host(), Duration.ofSeconds(40));
     }
-    lost.get(1).hang(Duration.ofSeconds(seed % 2 == 0 ? 10 : 30));
+    lostWorkers.get(1).hang(Duration.ofSeconds(seed % 2 == 0 ? 10 : 30));
     cluster.run(0.2);
-    cluster.users().cancel(first.id(), cluster.nodeAfter(old).address());
+    cluster.users().cancel(first.id(), cluster.nodeAfter(oldLeader).address());
     cluster.run(0.1 * seed);
-    old.crash(Duration.ofMillis(300 + 500 * seed));
+    oldLeader.crash(Duration.ofMillis(300 + 500 * seed));
     cluster.run(16);
     assertTrue(cluster.rules().isCancelConfirmed(first.id()));
     assertTrue(
         cluster.fleet().runningTaskCount(second) + cluster.rules().completedTaskCount(second.id())
             == 8,
-        "what is proved free is used");
+        "the freed quota is used");
     cluster.run(75);
     assertAllEnded(List.of(first, second));
   }
 
-  /** Cancels in the seconds in which the leadership is transferred, through every node. */
+  /** Cancels jobs through all nodes while the leadership changes. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void jobsAreCancelledWhileOneControllersWorkChangesHands(long seed) {
+  void cancelsAreConfirmedAndTasksEndDuringLeadershipChange(long seed) {
     startCluster(seed, 3 + (int) seed % 3);
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       jobs.add(submit(i % 2 == 0 ? "red" : "blue", 2, 3, LONG_RUN_TIME));
     }
     cluster.run(25);
-    SimulatedController old = cluster.leader();
+    SimulatedController oldLeader = cluster.leader();
     if (seed % 2 == 0) {
-      old.crash(Duration.ofMillis(200));
+      oldLeader.crash(Duration.ofMillis(200));
     } else {
       cluster.cutLeaderFromWorkers(Duration.ofSeconds(30));
     }
-    // The leader hands leadership over after about 10 s, and one that ended is replaced after 1 to
-    // 5 s.
-    double from = seed % 2 == 0 ? 0 : 7;
+    // A leader that is cut off from its workers hands over after about 10 s; a crashed leader is
+    // replaced after 1 to 5 s.
+    double firstCancelS = seed % 2 == 0 ? 0 : 7;
     for (int i = 0; i < jobs.size(); i++) {
       Job job = jobs.get(i);
       SimulatedController through = cluster.nodes().get(i % cluster.nodes().size());
-      cluster.schedule(from + 0.5 * i, () -> cluster.users().cancel(job.id(), through.address()));
+      cluster.schedule(
+          firstCancelS + 0.5 * i, () -> cluster.users().cancel(job.id(), through.address()));
     }
     cluster.run(16);
     assertNotEquals(
-        seed % 2 == 0 ? null : old.name(), cluster.leader().name(), "the work changed hands");
+        seed % 2 == 0 ? null : oldLeader.name(), cluster.leader().name(), "the leadership changed");
     cluster.run(40);
     for (Job job : jobs) {
       assertTrue(cluster.rules().isCancelConfirmed(job.id()), "the cancel was confirmed");
@@ -124,22 +132,25 @@
     }
   }
 
-  /** New machines get work within seconds while writes lag, and the leader ends. */
+  /**
+   * Tasks are placed on new machines within seconds while commits are delayed, and then the leader
+   * crashes.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void machinesThatAreNotListedYetRunWorkThatLagsAsTheLeaderEnds(long seed) {
+  void jobsOnNewMachinesEndWhenWritesLagAndLeaderCrashes(long seed) {
     startCluster(seed, 3);
     cluster.cloud().setFastBoot(true);
-    int before = cluster.workers().size();
+    int workersBefore = cluster.workers().size();
     List<Job> jobs =
         List.of(
             submit("blue", 24, 4, Duration.ofSeconds(8)),
             submit("red", 16, 4, Duration.ofSeconds(8)));
     cluster.run(0.3);
     cluster.stateStore().delayCommits(0.4);
-    double wait = 1 + 0.4 * seed;
-    cluster.run(wait);
-    assertTrue(cluster.workers().size() > before, "new machines are up");
+    double secondsToCrash = 1 + 0.4 * seed;
+    cluster.run(secondsToCrash);
+    assertTrue(cluster.workers().size() > workersBefore, "new machines are up");
     cluster.leader().crash(Duration.ofMillis(150 * seed));
     cluster.run(15);
     cluster.stateStore().delayCommits(0);
@@ -147,10 +158,13 @@
     assertAllEnded(jobs);
   }
 
-  /** Old heartbeats, of machines that ran other tasks then, are the first a new leader receives. */
+  /**
+   * The first heartbeats that a new leader receives are old ones, of machines that ran other tasks
+   * when they were sent.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void oldHeartbeatsReachEveryControllerJustAsANewLeaderBegins(long seed) {
+  void jobsEndWhenNewLeaderFirstReceivesOldHeartbeats(long seed) {
     startCluster(seed, 3);
     List<Job> jobs = new ArrayList<>();
     jobs.add(submit("red", 8, 4, Duration.ofSeconds(4)));
@@ -159,35 +173,36 @@
     cluster.run(6);
     jobs.add(submit("blue", 12, 4, Duration.ofSeconds(20)));
     cluster.run(8);
-    int[] copies = {0};
+    int[] elections = {0};
     cluster
         .stateStore()
         .onPut(
             key -> {
               if (key.equals("c/leader")) {
-                copies[0]++;
+                elections[0]++;
                 List.of(1, 3, 8)
                     .forEach(
-                        wait ->
+                        delayMs ->
                             cluster.schedule(
-                                wait / 1e3,
+                                delayMs / 1e3,
                                 () -> cluster.network().replayHeartbeats(controllerAddresses())));
               }
             });
     cluster.leader().crash(Duration.ofMillis(300));
     cluster.run(12);
-    assertTrue(copies[0] > 0, "a new leader began and received them");
+    assertTrue(elections[0] > 0, "a new leader was elected and received old heartbeats");
     cluster.run(80);
     assertAllEnded(jobs);
   }
 
   /**
-   * One-task jobs come four a second for two minutes, a quarter of them cancelled, and the state
-   * service takes 25 changes a second. All are served, or answered when to retry.
+   * Users submit four single-task jobs a second for two minutes and cancel a quarter of them, while
+   * the state store accepts 25 changes a second. Each request is served, or answered with a time at
+   * which to retry.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void oneTaskJobsComeFourASecondForMinutes(long seed) {
+  void allSingleTaskJobsEndAtFourSubmissionsPerSecond(long seed) {
     cluster = SimulatedCluster.of(seed, 5, 25);
     cluster.run(25);
     List<Job> jobs = new ArrayList<>();
@@ -209,7 +224,9 @@
     }
     cluster.run(60);
     int startsMidway = cluster.rules().startCount();
-    assertTrue(startsMidway > 120, "starts are not starved: " + startsMidway);
+    assertTrue(
+        startsMidway > 120,
+        "tasks start during the submissions; task starts so far: " + startsMidway);
     cluster.run(75);
     cluster.rules().setFaultsEndedAt(cluster.time().now());
     assertEquals(480, jobs.size());
@@ -219,11 +236,12 @@
   }
 
   /**
-   * Two tasks end far apart, with another leader each time, and a copy of the first's heartbeat.
+   * The tasks of a job end several seconds apart under different leaders. The second leader also
+   * receives a copy of an earlier heartbeat.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void tasksOfOneJobEndFarApartAcrossChangesOfLeader(long seed) {
+  void jobIsDoneWhenItsTasksEndUnderDifferentLeaders(long seed) {
     startCluster(seed, 3);
     Job job = cluster.jobs().create("blue", 3, 8, Duration.ofSeconds(20));
     cluster.users().submit(job);
@@ -238,7 +256,7 @@
     cluster.leader().crash(Duration.ofMillis(200));
     cluster.run(6);
     cluster.network().replayHeartbeats(controllerAddresses());
-    assertFalse(cluster.rules().completedTaskCount(job.id()) == 3, "one is still to end");
+    assertFalse(cluster.rules().completedTaskCount(job.id()) == 3, "not all tasks have completed");
     cluster.leader().crash(Duration.ofMillis(200));
     cluster.run(60);
     assertTrue(cluster.rules().hasEnded(job.id()));
--- a/src/test/java/io/cherryspool/sim/faults/DeadMachineTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/DeadMachineTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The tasks of dead machines waited for three heartbeat intervals and more, and short urgent jobs
- * lost their deadlines by that alone. With no machine ever taken for unresponsive each seed fails,
- * as the machine still runs.
+ * Checks that a dead machine is detected and deleted soon. The tasks of dead machines used to wait
+ * for at least three heartbeat intervals, which alone made short urgent jobs miss their deadlines.
+ * Without the detection of unresponsive machines each seed fails, since the machine still runs.
  */
 class DeadMachineTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void aMachineThatDoesNotAnswerWhenAskedIsGivenUpSoon(long seed) {
+  void deadMachineIsDeletedWithinSevenSeconds(long seed) {
     RandomizedRun run = new RandomizedRun(seed);
     run.runWithoutFaults(60);
     String machine = run.cluster().fleet().killBusiestMachine();
--- a/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
@@ -15,21 +15,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Combined faults in which leaders come and go; the rules are checked after every step. */
+/**
+ * Checks combinations of faults with changes of the leader. The rules are checked after each event.
+ */
 class LeaderFaultsTest extends DirectedFaultsFixture {
 
-  /** Workers and users still reach the leader that reaches nobody; another is elected. */
+  /**
+   * A leader is cut off from the state store and the other controllers, but not from workers and
+   * users. Another leader is elected, and a user cancels a job through it.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void jobsAreCancelledThroughTheNextLeaderWhileTheOldOneIsStillReached(long seed) {
+  void cancelThroughNewLeaderEndsTasksWhileWorkersStillReachOldLeader(long seed) {
     startCluster(seed, 3 + (int) seed % 3);
     Job job = submit("blue", 12, 4, LONG_RUN_TIME);
     awaitRunning(job, 12);
-    SimulatedController old = cluster.leader();
-    old.isolate(Duration.ofSeconds(45));
-    SimulatedController next = awaitLeaderOtherThan(old, 0.001);
-    assertTrue(old.isLeader(), "the old one still answers its workers");
-    cluster.users().cancel(job.id(), next.address());
+    SimulatedController oldLeader = cluster.leader();
+    oldLeader.isolate(Duration.ofSeconds(45));
+    SimulatedController newLeader = awaitLeaderOtherThan(oldLeader, 0.001);
+    assertTrue(oldLeader.isLeader(), "the old leader still answers its workers");
+    cluster.users().cancel(job.id(), newLeader.address());
     cluster.run(0.2);
     assertTrue(cluster.rules().isCancelConfirmed(job.id()));
     cluster.run(SimulatedCluster.CANCEL_LIMIT.plusMillis(100));
@@ -37,37 +42,43 @@
     cluster.run(40);
   }
 
-  /** Machines with long tasks can't be reached, or don't receive the next leader's answers. */
+  /**
+   * Three machines with long tasks cannot receive, cannot open connections, or are cut off from all
+   * controllers when the leader crashes.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void aLeaderEndsWhileMachinesWithLongTasksCannotBeAsked(long seed) {
+  void jobEndsAfterLeaderCrashWhileSomeOfItsMachinesAreUnreachable(long seed) {
     Job job = startClusterWithJob(seed, 16, Duration.ofSeconds(40), 16);
-    List<FakeWorker> lost = cluster.fleet().workersRunning(job).stream().limit(3).toList();
+    List<FakeWorker> unreachable = cluster.fleet().workersRunning(job).stream().limit(3).toList();
     Duration length = Duration.ofSeconds(8 + 4 * seed);
-    cluster.network().dropInbound(host(lost.get(0)), length);
-    cluster.network().dropOutbound(host(lost.get(1)), length);
+    cluster.network().dropInbound(host(unreachable.get(0)), length);
+    cluster.network().dropOutbound(host(unreachable.get(1)), length);
     for (SimulatedController node : cluster.nodes()) {
-      cluster.network().cut(node.address().host(), host(lost.get(2)), length);
+      cluster.network().cut(node.address().host(), host(unreachable.get(2)), length);
     }
     cluster.run(0.5);
-    SimulatedController old = cluster.leader();
-    old.crash(Duration.ofSeconds(30));
+    SimulatedController oldLeader = cluster.leader();
+    oldLeader.crash(Duration.ofSeconds(30));
     cluster.run(8);
-    assertNotEquals(old.name(), cluster.leader().name());
+    assertNotEquals(oldLeader.name(), cluster.leader().name());
     cluster.run(120);
     assertAllEnded(List.of(job));
   }
 
-  /** Hand over and back, all end, one returns, within a second. */
+  /**
+   * The leader hands over, and its successor is cut off from the workers too. Within a second all
+   * controllers crash, and only the first leader restarts soon.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void controllersHandOverAndBackThenAllEndAndOneReturns(long seed) {
+  void jobsEndAfterHandoverAndCrashOfAllControllers(long seed) {
     TwoJobs jobs = startClusterWithTwoJobs(seed, 16, Duration.ofSeconds(60), 16);
     cluster.run(10);
     SimulatedController first = cluster.leader();
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(14));
     cluster.run(15);
-    assertNotEquals(first.name(), cluster.leader().name(), "handed over");
+    assertNotEquals(first.name(), cluster.leader().name(), "the leadership was handed over");
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(9));
     cluster.users().cancel(jobs.cancelled().id());
     cluster.run(0.1 * seed);
@@ -75,15 +86,15 @@
       node.crash(node == first ? Duration.ofMillis(100 + 130 * seed) : Duration.ofSeconds(20));
     }
     cluster.run(12);
-    assertEquals(first.name(), cluster.leader().name(), "the one that returned");
+    assertEquals(first.name(), cluster.leader().name(), "the restarted controller is leader");
     cluster.run(90);
     assertAllEnded(jobs.all());
   }
 
-  /** Ten in two minutes, some of the changes inside an outage of the state store. */
+  /** Ten crashes of the leader in two minutes, some of them during an outage of the state store. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void leadersChangeTenTimesInTwoMinutes(long seed) {
+  void jobsEndAfterTenLeaderCrashesInTwoMinutes(long seed) {
     TwoJobs jobs = startClusterWithTwoJobs(seed, 24, Duration.ofSeconds(35), 8);
     cluster.schedule(40 + seed, () -> cluster.stateStoreOutage(Duration.ofSeconds(15)));
     cluster.schedule(45, () -> cluster.users().cancel(jobs.cancelled().id()));
@@ -101,26 +112,32 @@
     assertAllEnded(jobs.all());
   }
 
-  /** For longer than a worker's lease nobody answers; then all is taken up again. */
+  /**
+   * All controllers are down for longer than a worker lease. Afterwards the job is resumed and
+   * completes.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void allControllersAreAwayForLongerThanALease(long seed) {
+  void jobEndsAfterAllControllersWereDownForLongerThanALease(long seed) {
     Job job = startClusterWithJob(seed, 16, Duration.ofSeconds(30), 16);
-    long before = cluster.fleet().expiredLeaseCount();
+    long expiredBefore = cluster.fleet().expiredLeaseCount();
     cluster
         .nodes()
         .forEach(node -> node.crash(SimulatedCluster.LEASE.plusSeconds(4).plusMillis(300 * seed)));
     cluster.run(SimulatedCluster.LEASE.plusSeconds(3));
-    assertTrue(cluster.fleet().expiredLeaseCount() > before, "their tasks are gone");
+    assertTrue(cluster.fleet().expiredLeaseCount() > expiredBefore, "worker leases have expired");
     assertFalse(cluster.rules().hasEnded(job.id()));
     cluster.run(100);
     assertAllEnded(List.of(job));
   }
 
-  /** A zone with workers and a controller, the leader in some of the days, is away for long. */
+  /**
+   * A zone with workers and a controller, for some seeds the leader, is cut off for longer than a
+   * worker lease.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void aZoneIsCutOffForLongerThanALease(long seed) {
+  void jobsEndAfterZoneWasCutOffForLongerThanALease(long seed) {
     TwoJobs jobs = startClusterWithTwoJobs(seed, 16, Duration.ofSeconds(40), 8);
     awaitRunning(jobs.cancelled(), 4);
     String zone =
@@ -137,46 +154,52 @@
     assertAllEnded(jobs.all());
   }
 
-  /** Jobs that may run in one zone only, arrays too, lose the machines there with the leader. */
+  /**
+   * Jobs whose tasks must run in a given zone, or all in the same zone, lose machines while the
+   * leader crashes.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void jobsBoundToOneZoneLoseMachines(long seed) {
+  void zoneBoundJobsEndAfterLosingMachinesAndLeader(long seed) {
     startCluster(seed, 3);
     String zone = SimulatedCluster.ZONES.get((int) seed % 3);
-    Job bound = cluster.jobs().createZoneBound("blue", 6, 4, Duration.ofSeconds(15), zone, false);
-    Job together = cluster.jobs().createZoneBound("red", 6, 4, Duration.ofSeconds(15), null, true);
-    cluster.users().submit(bound);
-    cluster.users().submit(together);
-    awaitRunning(bound, 2);
-    awaitRunning(together, 2);
-    cluster.fleet().workersRunning(bound).forEach(FakeWorker::kill);
-    cluster.fleet().workersRunning(together).stream().limit(1).forEach(FakeWorker::kill);
+    Job inGivenZone =
+        cluster.jobs().createZoneBound("blue", 6, 4, Duration.ofSeconds(15), zone, false);
+    Job inSingleZone =
+        cluster.jobs().createZoneBound("red", 6, 4, Duration.ofSeconds(15), null, true);
+    cluster.users().submit(inGivenZone);
+    cluster.users().submit(inSingleZone);
+    awaitRunning(inGivenZone, 2);
+    awaitRunning(inSingleZone, 2);
+    cluster.fleet().workersRunning(inGivenZone).forEach(FakeWorker::kill);
+    cluster.fleet().workersRunning(inSingleZone).stream().limit(1).forEach(FakeWorker::kill);
     cluster.leader().crash(Duration.ofMillis(200 * seed));
     cluster.run(150);
-    assertAllEnded(List.of(bound, together));
+    assertAllEnded(List.of(inGivenZone, inSingleZone));
   }
 
   /**
-   * A leader is cut off with its zone and keeps the machines there alive as long as it may, while
-   * the cloud deletes nothing: only time proves their tasks gone, so the next leader has to wait
-   * for the authority of the first to end, and then for the workers' lease.
+   * A leader is cut off together with its zone and continues to renew the leases of the machines
+   * there, while the cloud cannot delete machines. Only elapsed time then proves that their tasks
+   * have ended: the next leader must wait until the old leader may no longer renew leases, and then
+   * for the length of a worker lease.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void aCutOffLeaderKeepsItsZoneAliveWhileTheCloudIsOut(long seed) {
+  void jobEndsAfterLeaderWasCutOffWithItsZoneDuringCloudOutage(long seed) {
     Job job = startClusterWithJob(seed, 20, LONG_RUN_TIME, 18);
-    SimulatedController old = cluster.leader();
-    cluster.network().cutZone(old.zone(), Duration.ofSeconds(60));
-    awaitLeaderOtherThan(old, 0.01);
-    // It reads the list of machines, and then can delete none.
+    SimulatedController oldLeader = cluster.leader();
+    cluster.network().cutZone(oldLeader.zone(), Duration.ofSeconds(60));
+    awaitLeaderOtherThan(oldLeader, 0.01);
+    // The new leader reads the list of machines, and afterwards cannot delete any.
     cluster.run(0.8 + 0.2 * seed);
     cluster.cloud().setDown(true);
     cluster.run(4);
-    List<FakeWorker> kept =
+    List<FakeWorker> workersInZone =
         cluster.fleet().workersRunning(job).stream()
-            .filter(worker -> worker.machine().zone().equals(old.zone()))
+            .filter(worker -> worker.machine().zone().equals(oldLeader.zone()))
             .toList();
-    assertFalse(kept.isEmpty(), "the zone works on");
+    assertFalse(workersInZone.isEmpty(), "tasks still run in the zone");
     cluster.run(45);
     cluster.cloud().setDown(false);
     cluster.run(300);
--- a/src/test/java/io/cherryspool/sim/faults/LostWorkersTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LostWorkersTest.java
@@ -10,28 +10,28 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A leader that lost its workers, and nothing else, stayed leader: the other nodes sent the workers
- * back to it until all leases had run out, and 2,007 tasks were killed on one day. With nobody ever
- * named as successor each seed fails, as the same node still leads after 14 s.
+ * Checks that a leader that is cut off only from its workers hands over the leadership. Such a
+ * leader used to stay leader: the other nodes redirected the workers to it until all worker leases
+ * had expired, and 2,007 tasks were killed in one run. If no successor is ever named each seed
+ * fails, since the same node is still leader after 14 s.
  */
 class LostWorkersTest {
   @ParameterizedTest
   @CsvSource({"1,true", "2,true", "3,true", "4,true", "5,true", "6,true", "7,false", "8,false"})
-  void aLeaderThatWorkersDoNotReachHandsLeadershipOverBeforeTheirLeasesRunOut(
-      long seed, boolean mesh) {
+  void leaderCutOffFromWorkersHandsOverBeforeTheirLeasesExpire(long seed, boolean isMeshUp) {
     RandomizedRun run = new RandomizedRun(seed);
     run.runWithoutFaults(60);
-    if (!mesh) {
+    if (!isMeshUp) {
       run.cluster().setMeshDown(true);
     }
-    long before = run.cluster().fleet().expiredLeaseCount();
-    String cut = run.cluster().cutLeaderFromWorkers(Duration.ofSeconds(60));
+    long expiredBefore = run.cluster().fleet().expiredLeaseCount();
+    String oldLeader = run.cluster().cutLeaderFromWorkers(Duration.ofSeconds(60));
     run.runWithoutFaults(14);
-    String next = run.cluster().leader().name();
-    assertNotNull(next);
-    assertNotEquals(cut, next);
+    String newLeader = run.cluster().leader().name();
+    assertNotNull(newLeader);
+    assertNotEquals(oldLeader, newLeader);
     run.runWithoutFaults(60);
-    assertEquals(before, run.cluster().fleet().expiredLeaseCount());
-    assertEquals(next, run.cluster().leader().name(), "once is enough");
+    assertEquals(expiredBefore, run.cluster().fleet().expiredLeaseCount());
+    assertEquals(newLeader, run.cluster().leader().name(), "the leadership changes only once");
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
@@ -14,13 +14,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Combined faults of late, held up, lost or repeated messages; the rules are always checked. */
+/**
+ * Checks combinations of late, held, lost and repeated messages. The rules are checked after each
+ * event.
+ */
 class MessageFaultsTest extends DirectedFaultsFixture {
 
-  /** A cancel, questions and a repeated submission meet the end of each job's last task. */
+  /**
+   * Users cancel each job just as its last task ends, and poll it and submit it again at about the
+   * same time.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void cancelsAndQuestionsMeetTheEndOfTheLastTask(long seed) {
+  void jobsEndWhenCancelsAndPollsCoincideWithTheEndOfTheLastTask(long seed) {
     startCluster(seed, 3);
     cluster.users().setCancelAtEndShare(1);
     cluster.users().setBurstAfterStatusChange(true);
@@ -33,10 +39,10 @@
     assertAllEnded(jobs);
   }
 
-  /** Transactions without an answer are carried out after newer ones of the same controller. */
+  /** Transactions without a reply are applied after newer transactions of the same controller. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void transactionsAreCarriedOutAfterNewerOnes(long seed) {
+  void jobsEndWhenTransactionsCommitAfterNewerOnes(long seed) {
     startCluster(seed, 3);
     cluster.stateStore().delayCommits(0.6);
     List<Job> jobs = new ArrayList<>();
@@ -55,14 +61,17 @@
     assertAllEnded(jobs);
   }
 
-  /** Heartbeats arrive again at a leader that has acted on newer ones, also of earlier epochs. */
+  /**
+   * Recorded heartbeats, also of earlier agent epochs, arrive again at a leader that has already
+   * processed newer ones.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void heartbeatsOfEarlierEpochsAndAttemptsArriveAfterNewerOnes(long seed) {
+  void jobEndsWhenHeartbeatsOfEarlierEpochsAndAttemptsArriveAgain(long seed) {
     Job job = startClusterWithJob(seed, 16, Duration.ofSeconds(25), 12);
     cluster.network().recordHeartbeats();
     cluster.run(3);
-    long before = cluster.fleet().expiredLeaseCount();
+    long expiredBefore = cluster.fleet().expiredLeaseCount();
     cluster.fleet().workersRunning(job).stream()
         .limit(2)
         .forEach(
@@ -75,15 +84,18 @@
       cluster.network().replayHeartbeats(controllerAddresses());
       cluster.run(0.5);
     }
-    assertTrue(cluster.fleet().expiredLeaseCount() >= before);
+    assertTrue(cluster.fleet().expiredLeaseCount() >= expiredBefore);
     cluster.run(90);
     assertAllEnded(List.of(job));
   }
 
-  /** Workers can't open connections to any controller, while direct commands reach them. */
+  /**
+   * Some workers cannot open connections to any controller, while commands of the leader reach
+   * them.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void machinesOpenNoConnectionsWhileCommandsReachThem(long seed) {
+  void jobsEndWhenMachinesReceiveCommandsButOpenNoConnections(long seed) {
     TwoJobs jobs = startClusterWithTwoJobs(seed, 16, Duration.ofSeconds(30), 12);
     awaitRunning(jobs.cancelled(), 4);
     for (FakeWorker worker : List.copyOf(cluster.workers())) {
@@ -99,10 +111,13 @@
     assertAllEnded(jobs.all());
   }
 
-  /** A command, or its answer, is held up for seconds, and the machine hangs and then goes on. */
+  /**
+   * Commands or their replies are held for seconds, while some of the machines hang and then
+   * continue.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void commandsAreHeldUpAndTheMachinesGoOn(long seed) {
+  void jobsEndWhenCommandsAreDelayedAndMachinesHang(long seed) {
     List<Job> jobs = new ArrayList<>();
     jobs.add(startClusterWithJob(seed, 8, Duration.ofSeconds(40), 8));
     for (int i = 0; i < 8; i++) {
@@ -110,15 +125,15 @@
       SimulatedController leader = cluster.leader();
       Duration length = Duration.ofMillis(2000 + 900 * seed);
       if (cluster.workers().isEmpty()) {
-        // All were given up as unresponsive, and the next ones boot.
+        // All machines were deleted as unresponsive, and their replacements are booting.
         cluster.run(10);
       }
-      List<FakeWorker> all = List.copyOf(cluster.workers());
-      FakeWorker one = all.get(i % all.size());
+      List<FakeWorker> workers = List.copyOf(cluster.workers());
+      FakeWorker worker = workers.get(i % workers.size());
       cluster.schedule(
-          0.04 * i, () -> cluster.network().cut(leader.address().host(), host(one), length));
+          0.04 * i, () -> cluster.network().cut(leader.address().host(), host(worker), length));
       if (i % 2 == 0) {
-        cluster.schedule(0.3, () -> one.hang(length.plusMillis(1500)));
+        cluster.schedule(0.3, () -> worker.hang(length.plusMillis(1500)));
       }
       if (i % 3 == 0) {
         Job job = jobs.get(i + 1);
@@ -130,10 +145,13 @@
     assertAllEnded(jobs);
   }
 
-  /** The state store is slow, then down for longer than the limit, while users cancel and ask. */
+  /**
+   * The state store is slow, and then down for longer than the cancel limit, while a user cancels
+   * the job and users poll it often.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void theStateServiceIsSlowAndThenDownWhileUsersCancelAndAsk(long seed) {
+  void cancelledTasksEndWithinLimitWhenStateStoreIsSlowThenDown(long seed) {
     Job job = startClusterWithJob(seed, 12, LONG_RUN_TIME, 12);
     cluster.users().setPollingFactor(8);
     cluster.users().setBurstAfterStatusChange(true);
@@ -151,27 +169,31 @@
     cluster.run(60);
   }
 
-  /** More work than room, urgent and not, while every message takes its time. */
+  /**
+   * There are more tasks than the cluster can run at once, and each message is delayed by up to 500
+   * ms.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void thereIsMoreWorkThanRoomOverSlowLinks(long seed) {
+  void highPriorityJobStartsSoonWhenClusterIsFullAndLinksAreSlow(long seed) {
     startCluster(seed, 3);
     cluster.network().setMaxExtraDelay(500);
     List<Job> jobs = new ArrayList<>();
     jobs.add(submit("blue", 60, 4, Duration.ofSeconds(10)));
     jobs.add(submit("red", 40, 4, Duration.ofSeconds(10)));
     cluster.run(20);
-    Job urgent = cluster.jobs().createHighPriority("red", 4, 4, Duration.ofSeconds(5));
-    cluster.users().submit(urgent);
+    Job highPriorityJob = cluster.jobs().createHighPriority("red", 4, 4, Duration.ofSeconds(5));
+    cluster.users().submit(highPriorityJob);
     cluster.run(25);
     assertTrue(
-        cluster.fleet().runningTaskCount(urgent) + cluster.rules().completedTaskCount(urgent.id())
+        cluster.fleet().runningTaskCount(highPriorityJob)
+                + cluster.rules().completedTaskCount(highPriorityJob.id())
             > 0,
-        "urgent work does not wait for the rest");
+        "the high-priority job does not wait for the others");
     cluster.run(60);
     cluster.network().setMaxExtraDelay(0);
     cluster.run(100);
-    jobs.add(urgent);
+    jobs.add(highPriorityJob);
     assertAllEnded(jobs);
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/UnchangedHeartbeatTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/UnchangedHeartbeatTest.java
@@ -11,41 +11,44 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each round gives out a newer token, which every machine shows in its next heartbeat. That was
- * taken for news: one small job made the leader plan for all machines again and again while work
- * waited.
+ * Checks that heartbeats that differ only in the fencing token do not trigger planning. Each round
+ * issues a newer token, which every machine returns in its next heartbeat. The leader used to treat
+ * that as a change: one small job made it plan for all machines repeatedly while work waited.
  */
 class UnchangedHeartbeatTest extends DirectedFaultsFixture {
   private static final int SMALL_JOBS = 12;
-  private static final double APART_S = 8;
+  private static final double SUBMIT_INTERVAL_S = 8;
 
   /**
-   * Submitted, placed, seen running, done, written and a fleet that follows: nine at the most seen.
+   * Each job may cause plans when it is submitted, placed, reported as running, completed and
+   * written, and when the fleet size is adapted. At most nine plans were observed.
    */
   private static final int PLANS_PER_JOB = 4;
 
   @Test
-  void aNewerTokenAloneIsNoReasonToPlan() {
+  void newRoundTokenAloneTriggersNoPlanning() {
     startCluster(1, 3);
-    Job waiting = submit("red", 80, 1, Duration.ofMinutes(5));
-    awaitRunning(waiting, 60);
+    Job largeJob = submit("red", 80, 1, Duration.ofMinutes(5));
+    awaitRunning(largeJob, 60);
     cluster.run(60);
-    double before = planned();
-    List<Job> small = new ArrayList<>();
+    double plannedBefore = plannedRounds();
+    List<Job> smallJobs = new ArrayList<>();
     for (int i = 0; i < SMALL_JOBS; i++) {
-      small.add(submit("blue", 1, 1, Duration.ofSeconds(2)));
-      cluster.run(APART_S);
+      smallJobs.add(submit("blue", 1, 1, Duration.ofSeconds(2)));
+      cluster.run(SUBMIT_INTERVAL_S);
     }
-    double each = (planned() - before) / SMALL_JOBS;
-    // Users ask every 5 s, so that they receive an end so much later.
+    double plansPerJob = (plannedRounds() - plannedBefore) / SMALL_JOBS;
+    // Users poll every 5 s, so they learn of the end of a job up to 5 s later.
     cluster.run(5);
-    assertAllEnded(small);
-    assertTrue(cluster.fleet().runningTaskCount(waiting) < 80, "some of the large job still waits");
-    // A round each second takes in what time alone changes.
-    assertTrue(each <= PLANS_PER_JOB + APART_S, each + " plans for each small job");
+    assertAllEnded(smallJobs);
+    assertTrue(
+        cluster.fleet().runningTaskCount(largeJob) < 80, "some of the large job still waits");
+    // One more round a second is allowed, for changes that depend on time only.
+    assertTrue(
+        plansPerJob <= PLANS_PER_JOB + SUBMIT_INTERVAL_S, plansPerJob + " plans per small job");
   }
 
-  private double planned() {
+  private double plannedRounds() {
     SimpleMeterRegistry registry = new SimpleMeterRegistry();
     cluster.leader().bindTo(registry);
     return registry.get("cherryspool.rounds.planned").functionCounter().count();
--- a/src/test/java/io/cherryspool/sim/faults/package-info.java
+++ b/src/test/java/io/cherryspool/sim/faults/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests of clusters in which faults meet, drawn by chance or brought together on purpose. The rules
- * are checked after each event.
+ * Tests of simulated clusters with coinciding faults, which are random or chosen by the test. The
+ * rules that users rely on are checked after each event.
  */
 package io.cherryspool.sim.faults;
