--- a/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
@@ -17,20 +17,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The state store loses its data while tasks run, start, end and are cancelled. The users' record
- * of what they submitted and received is kept on the side, and the rules are checked against it
- * after each step.
+ * Tests the loss of the state store's data while tasks start, run, end and are cancelled. What
+ * users submit and receive is recorded outside the cluster, and the rules are checked against that
+ * record after each event.
  */
 class LostStateTest extends DirectedFaultsFixture {
 
-  /** A cluster with work of every state: done, cancelled, running, waiting, just submitted. */
-  private List<Job> busyCluster(long seed, int controllers) {
+  /**
+   * Starts a cluster with jobs in every state: done, cancelled, running, waiting and just
+   * submitted.
+   */
+  private List<Job> startBusyCluster(long seed, int controllers) {
     cluster = SimulatedCluster.withRecovery(seed, controllers);
     cluster.run(25);
-    return busyWork(seed);
+    return submitJobs(seed);
   }
 
-  private List<Job> busyWork(long seed) {
+  private List<Job> submitJobs(long seed) {
     List<Job> jobs = new ArrayList<>();
     jobs.add(submit("red", 4, 4, Duration.ofSeconds(3)));
     jobs.add(submit("blue", 30, 4, Duration.ofSeconds(12)));
@@ -45,145 +48,169 @@
     return jobs;
   }
 
-  private void allIsWell(List<Job> jobs) {
+  private void assertAllJobsEnd(List<Job> jobs) {
     cluster.run(90);
     assertAllEnded(jobs);
     for (Job job : jobs) {
-      int done = cluster.rules().completedTaskCount(job.id());
-      assertTrue(cluster.rules().isCancelRequested(job.id()) || done == job.taskCount(), job.id());
+      int completedTasks = cluster.rules().completedTaskCount(job.id());
+      assertTrue(
+          cluster.rules().isCancelRequested(job.id()) || completedTasks == job.taskCount(),
+          job.id());
     }
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void allDataIsLost(long seed) {
-    List<Job> jobs = busyCluster(seed, 3 + (int) seed % 3);
+  void theLeaderRebuildsCompleteRecordsAfterAllDataIsLost(long seed) {
+    List<Job> jobs = startBusyCluster(seed, 3 + (int) seed % 3);
     cluster.stateStore().loseAllData();
     cluster.run(12);
     assertNotNull(cluster.stateStore().value("c/incarnation"));
     assertEquals(1, cluster.stateStore().value("c/incarnation").path("number").intValue());
-    assertTrue(cluster.currentLeader().isPresent(), "somebody leads again");
-    assertEquals(0, cluster.fleet().expiredLeaseCount(), "no worker lost its tasks meanwhile");
+    assertTrue(cluster.currentLeader().isPresent(), "no node leads after the loss");
+    assertEquals(0, cluster.fleet().expiredLeaseCount(), "number of expired leases");
     assertTrue(
         cluster.stateStore().value("c/incarnation").path("complete").asBoolean(),
-        "the one that led rebuilds, so that nothing has to be waited for");
-    allIsWell(jobs);
+        "the rebuilt records are incomplete, although the leader knew all of them");
+    assertAllJobsEnd(jobs);
   }
 
-  /** Set back to how it was some seconds ago; nodes and workers know better. */
+  /**
+   * The state store is restored from a backup, while nodes and workers know of later changes. The
+   * backup is never older than 20 s, even if the parameter is larger.
+   */
   @ParameterizedTest
   @ValueSource(doubles = {0.1, 0.5, 1, 3, 8, 14, 30})
-  void theServiceIsSetBack(double seconds) {
+  void jobsEndAfterTheStateStoreIsRestoredFromABackup(double backupAgeS) {
     for (long seed = 1; seed <= 4; seed++) {
       cluster = SimulatedCluster.withRecovery(seed, 3 + (int) seed % 3);
       cluster.run(25);
-      List<FakeStateStore.Backup> saved = new ArrayList<>();
-      cluster.schedule(20 - Math.min(20, seconds), () -> saved.add(cluster.stateStore().backup()));
-      List<Job> jobs = busyWork(seed);
+      List<FakeStateStore.Backup> backups = new ArrayList<>();
+      cluster.schedule(
+          20 - Math.min(20, backupAgeS), () -> backups.add(cluster.stateStore().backup()));
+      List<Job> jobs = submitJobs(seed);
       cluster.run(45 - cluster.time().seconds());
-      cluster.stateStore().restore(saved.get(0));
-      allIsWell(jobs);
+      cluster.stateStore().restore(backups.get(0));
+      assertAllJobsEnd(jobs);
     }
   }
 
-  /** The leader is lost with the data: others retain a little less, and workers more. */
+  /**
+   * The leader crashes when the data is lost. The records that other nodes retain may lack its last
+   * changes, but the workers' heartbeats show the tasks that it started.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void theLeaderIsLostWithTheData(long seed) {
-    List<Job> jobs = busyCluster(seed, 3 + (int) seed % 3);
+  void jobsEndAfterTheLeaderIsLostWithAllData(long seed) {
+    List<Job> jobs = startBusyCluster(seed, 3 + (int) seed % 3);
     cluster.stateStore().loseAllData();
     cluster.leader().crash(Duration.ofSeconds(seed % 3 == 0 ? 0 : 30).plusMillis(200));
-    allIsWell(jobs);
+    assertAllJobsEnd(jobs);
   }
 
   /**
-   * The leader accepts a job and starts its tasks, and is lost with the data before the others read
-   * of it, but for an answer that may come to them late. Its tasks are left alone, its user is not
-   * answered that there is no such job, and submits it again.
+   * The leader accepts a job and starts its tasks. The data is lost and the leader crashes before
+   * the other nodes have read the job, unless a delayed reply of the state store still brings it to
+   * them. The tasks must keep running, and the user must not be told that the job does not exist.
+   * The user then submits it again.
    */
   @Test
-  void workersRunAJobThatNoNodeRetains() {
-    int unknown = 0;
-    // With seed 8 the tasks come to a machine that has to fetch their image first.
+  void tasksOfAJobThatNoNodeRetainsKeepRunningUntilItIsResubmitted() {
+    int runsWithUnknownJob = 0;
+    // Seed 8 is left out, because its tasks are placed on a machine that must fetch their image
+    // first.
     for (long seed : new long[] {1, 2, 3, 4, 5, 6, 7, 12}) {
-      List<Job> jobs = busyCluster(seed, 3 + (int) seed % 3);
+      List<Job> jobs = startBusyCluster(seed, 3 + (int) seed % 3);
       SimulatedController leader = cluster.leader();
       cluster.nodes().stream()
           .filter(node -> node != leader)
           .forEach(node -> node.cutFromStateStore(Duration.ofMillis(2500)));
-      Job lost = cluster.jobs().create("guest", 6, 0.25, Duration.ofSeconds(70));
-      cluster.users().submit(lost, leader.address());
+      Job lostJob = cluster.jobs().create("guest", 6, 0.25, Duration.ofSeconds(70));
+      cluster.users().submit(lostJob, leader.address());
       cluster.run(2.2);
-      int running = cluster.fleet().runningTaskCount(lost);
-      assertTrue(running > 0, "its tasks run");
+      int runningBefore = cluster.fleet().runningTaskCount(lostJob);
+      assertTrue(runningBefore > 0, "no task of the job runs before the loss");
       cluster.stateStore().loseAllData();
       leader.crash(Duration.ofSeconds(30));
       if (seed % 2 == 0) {
-        // Once more, while the next leader takes in what runs, or while the job waits for its user.
+        // The second loss occurs while the next leader adopts running tasks, or later, while the
+        // job waits for its user to submit it again.
         cluster.run(seed % 4 == 0 ? 7 : 22);
-        assertTrue(cluster.currentLeader().isPresent(), "somebody leads in between");
+        assertTrue(cluster.currentLeader().isPresent(), "no node leads before the second loss");
         cluster.stateStore().loseAllData();
       }
       cluster.run(15);
-      assertTrue(cluster.fleet().runningTaskCount(lost) >= running, "its tasks run on");
-      unknown += cluster.stateStore().hasKeyEndingWith("/unknown/" + lost.id()) ? 1 : 0;
-      jobs.add(lost);
-      // Another job may have been accepted through the leader alone: a cut-off node passes it on.
+      assertTrue(
+          cluster.fleet().runningTaskCount(lostJob) >= runningBefore,
+          "tasks of the lost job were stopped");
+      runsWithUnknownJob +=
+          cluster.stateStore().hasKeyEndingWith("/unknown/" + lostJob.id()) ? 1 : 0;
+      jobs.add(lostJob);
+      // The leader may have been the only node that knew some other job too, because nodes that
+      // were cut off forwarded submissions to it. Therefore all jobs are submitted again.
       cluster.schedule(5 + seed, () -> jobs.forEach(cluster.users()::resubmit));
-      allIsWell(jobs);
+      assertAllJobsEnd(jobs);
     }
-    assertTrue(unknown >= 4, "it was unknown in " + unknown + " of 8");
+    assertTrue(
+        runsWithUnknownJob >= 4,
+        "the job was recorded as unknown in only " + runsWithUnknownJob + " of 8 runs");
   }
 
-  /** Twice in a row, the second time while the first is being mended. */
+  /** The data is lost a second time while the cluster recovers from the first loss. */
   @ParameterizedTest
   @ValueSource(doubles = {0.2, 1.2, 1.8, 2.0, 2.2, 2.4, 2.6, 2.8, 3, 4, 8})
-  void dataIsLostOnceMore(double seconds) {
+  void jobsEndAfterDataIsLostAgainDuringRecovery(double secondsBetweenLosses) {
     for (long seed = 1; seed <= 3; seed++) {
-      List<Job> jobs = busyCluster(seed, 3);
+      List<Job> jobs = startBusyCluster(seed, 3);
       cluster.stateStore().loseAllData();
-      cluster.run(seconds);
+      cluster.run(secondsBetweenLosses);
       cluster.stateStore().loseAllData();
-      allIsWell(jobs);
+      assertAllJobsEnd(jobs);
     }
   }
 
-  /** The node that rebuilds ends at some step of it, and comes back without memory. */
+  /**
+   * The node that rebuilds the records crashes at some step of the rebuild, and restarts without
+   * any retained records.
+   */
   @ParameterizedTest
   @ValueSource(doubles = {1.6, 1.8, 1.9, 2.0, 2.1, 2.2, 2.3, 2.4, 2.5, 2.7, 3})
-  void theRebuilderEnds(double seconds) {
+  void jobsEndAfterTheRebuildingNodeCrashes(double crashDelayS) {
     for (long seed = 1; seed <= 3; seed++) {
-      List<Job> jobs = busyCluster(seed, 3);
+      List<Job> jobs = startBusyCluster(seed, 3);
       cluster.stateStore().loseAllData();
-      cluster.run(seconds);
+      cluster.run(crashDelayS);
       for (SimulatedController node : cluster.nodes()) {
         if (node.isRebuilding()) {
           node.crash(Duration.ofSeconds(seed));
         }
       }
-      allIsWell(jobs);
+      assertAllJobsEnd(jobs);
     }
   }
 
-  /** The service is down when it loses its data, and users submit and cancel all the while. */
+  /**
+   * The state store loses its data while it is down. Users submit jobs before, during and after the
+   * outage, and cancel one shortly before it.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void dataIsLostInAnOutage(long seed) {
-    List<Job> jobs = busyCluster(seed, 3 + (int) seed % 3);
+  void jobsEndAfterDataIsLostDuringAnOutage(long seed) {
+    List<Job> jobs = startBusyCluster(seed, 3 + (int) seed % 3);
     cluster.stateStoreOutage(Duration.ofSeconds(3 + 2 * seed));
     cluster.run(1);
     jobs.add(submit("red", 2, 2, Duration.ofSeconds(3)));
     cluster.stateStore().loseAllData();
     cluster.run(3 + 2 * seed);
     jobs.add(submit("blue", 2, 2, Duration.ofSeconds(3)));
-    allIsWell(jobs);
+    assertAllJobsEnd(jobs);
   }
 
-  /** Transactions of the lost history are carried out seconds later, in the new one. */
+  /** Transactions of the lost history are applied seconds later, in the new history. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void transactionsOfTheLostHistoryComeLate(long seed) {
-    List<Job> jobs = busyCluster(seed, 3);
+  void jobsEndAfterTransactionsOfTheLostHistoryAreAppliedLate(long seed) {
+    List<Job> jobs = startBusyCluster(seed, 3);
     cluster.stateStore().delayCommits(0.7);
     jobs.add(submit("red", 6, 2, Duration.ofSeconds(4)));
     jobs.add(submit("blue", 6, 2, Duration.ofSeconds(4)));
@@ -192,52 +219,55 @@
     cluster.stateStore().delayCommits(seed % 2 == 0 ? 0 : 0.3);
     cluster.run(8);
     cluster.stateStore().delayCommits(0);
-    allIsWell(jobs);
+    assertAllJobsEnd(jobs);
   }
 
   /**
-   * Each node has just accepted a job that no other knows, nor has its own copy: all of them are
-   * confirmed to users and must be in what one of the nodes rebuilds.
+   * Each node has just accepted a job that neither its own copy of the records nor any other node
+   * contains yet. All of these jobs are confirmed to users, so the records that one of the nodes
+   * rebuilds must contain them.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void whatEachNodeToldLastIsKept(long seed) {
-    List<Job> jobs = busyCluster(seed, 3 + (int) seed % 3);
-    List<Job> last = new ArrayList<>();
-    // Asked at all nodes all the time: none may answer before it knows all that was confirmed.
+  void theLastJobThatEachNodeConfirmedSurvivesTheLossOfAllData(long seed) {
+    List<Job> jobs = startBusyCluster(seed, 3 + (int) seed % 3);
+    List<Job> lastJobs = new ArrayList<>();
+    // Users poll 60 times as often as usual, through all nodes: no node may answer before it knows
+    // everything that was confirmed.
     cluster.users().setPollingFactor(60);
     for (SimulatedController node : cluster.nodes()) {
       Job job = cluster.jobs().create("guest", 1, 0.5, Duration.ofSeconds(3));
       cluster.users().submit(job, node.address());
-      last.add(job);
+      lastJobs.add(job);
     }
-    boolean all = false;
-    while (!all && cluster.time().seconds() < 60) {
+    boolean areAllAccepted = false;
+    while (!areAllAccepted && cluster.time().seconds() < 60) {
       cluster.run(0.001);
-      all = last.stream().allMatch(job -> cluster.rules().isAccepted(job.id()));
+      areAllAccepted = lastJobs.stream().allMatch(job -> cluster.rules().isAccepted(job.id()));
     }
-    assertTrue(all, "all of them are accepted");
+    assertTrue(areAllAccepted, "not all jobs were accepted within 60 s of simulated time");
     cluster.stateStore().loseAllData();
-    jobs.addAll(last);
-    allIsWell(jobs);
+    jobs.addAll(lastJobs);
+    assertAllJobsEnd(jobs);
   }
 
   /**
-   * The service is set back and all controllers end, so that no node retains anything. Workers run
-   * tasks that the records have as free; only their heartbeats show it.
+   * The state store is restored from a backup and all controllers crash, so that no node retains
+   * any records. Workers run tasks that the restored records list as free; only the workers'
+   * heartbeats show this.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-  void onlyWorkersKnowThatTheServiceWasSetBack(long seed) {
+  void aJobEndsIfOnlyWorkersKnowWhichTasksStartedAfterTheBackup(long seed) {
     cluster = SimulatedCluster.withRecovery(seed, 3 + (int) seed % 3);
     cluster.run(25);
     Job job = submit("blue", 60, 4, Duration.ofSeconds(6 + seed % 5));
     cluster.run(6);
-    FakeStateStore.Backup saved = cluster.stateStore().backup();
-    int started = cluster.rules().startCount();
+    FakeStateStore.Backup backup = cluster.stateStore().backup();
+    int startsBefore = cluster.rules().startCount();
     cluster.run(4 + seed % 6);
-    assertTrue(cluster.rules().startCount() > started, "tasks were started meanwhile");
-    cluster.stateStore().restore(saved);
+    assertTrue(cluster.rules().startCount() > startsBefore, "no task was started after the backup");
+    cluster.stateStore().restore(backup);
     for (SimulatedController node : cluster.nodes()) {
       node.crash(Duration.ofMillis(200 + 300 * (seed % 4)));
     }
--- a/src/test/java/io/cherryspool/sim/loststate/package-info.java
+++ b/src/test/java/io/cherryspool/sim/loststate/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Tests of clusters whose state store loses its data; docs/recovery.md describes what they expect.
+ * Tests clusters whose state store loses its data. docs/recovery.md describes the expected
+ * behaviour.
  */
 package io.cherryspool.sim.loststate;
--- a/src/test/java/io/cherryspool/sim/partition/FlappingLinksTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/FlappingLinksTest.java
@@ -9,36 +9,39 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Links that fail every few seconds, at whichever node leads. On the sources before, refusals of 3
- * s by the state store in every 6 s changed the leader with nearly every flap.
+ * Tests links that fail every few seconds, mostly those of the current leader. In an earlier
+ * version, the leader changed at nearly every flap if the state store refused its requests for 3 s
+ * in every 6 s.
  */
 class FlappingLinksTest {
-  /** The most changes of leader in a minute that flapping links may cause. */
-  private static final int MOST_CHANGES = 4;
+  /** The most leader changes that flapping links may cause within a minute. */
+  private static final int MAX_LEADER_CHANGES_PER_MINUTE = 4;
 
   @ParameterizedTest
   @EnumSource
-  void theLeaderRarelyChangesWhateverFlaps(LinkFlapRun.Link link) {
+  void theLeaderRarelyChangesWhileALinkFlaps(LinkFlapRun.Link link) {
     long seed = 1;
     for (double seconds : new double[] {0.5, 1, 2, 3, 5, 10}) {
       seed++;
       LinkFlapRun.Cost cost =
           LinkFlapRun.run(seed, link, Duration.ofMillis((long) (seconds * 1000)));
-      String what = link + " for " + seconds + " s, seed " + seed + ": " + cost;
-      assertTrue(cost.maxLeaderChangesPerMinute() <= MOST_CHANGES, what);
+      String message = link + " for " + seconds + " s, seed " + seed + ": " + cost;
+      assertTrue(cost.maxLeaderChangesPerMinute() <= MAX_LEADER_CHANGES_PER_MINUTE, message);
     }
   }
 
   /**
-   * A leader that is refused for less than its lease, by three renewals' time, keeps it. With four
-   * renewals in a lease and no retry before the next one, as before, the leader changes.
+   * A leader keeps its lease if its requests are refused for a time that is shorter than the lease
+   * by at least three intervals between attempts to renew it. The leader changes if, as in an
+   * earlier version, it renews only four times per lease and does not retry before the next
+   * renewal.
    */
   @ParameterizedTest
   @CsvSource({
     "STATE_REFUSED,0.5", "STATE_REFUSED,1", "STATE_REFUSED,2", "STATE_REFUSED,3",
     "STATE_SILENT,0.5", "STATE_SILENT,1", "STATE_SILENT,2", "PEERS,10"
   })
-  void aShortFlapCostsNoLeadership(LinkFlapRun.Link link, double seconds) {
+  void aLeaderKeepsLeadershipDuringShortFlaps(LinkFlapRun.Link link, double seconds) {
     for (long seed = 1; seed <= 3; seed++) {
       LinkFlapRun.Cost cost =
           LinkFlapRun.run(seed, link, Duration.ofMillis((long) (seconds * 1000)));
@@ -47,13 +50,14 @@
   }
 
   /**
-   * Users of a node whose readings fail or hang are served through another. On the sources before,
-   * about twenty requests in two minutes were not served. That a request is passed on while a
-   * reading hangs and no call has failed yet does not show here: without it the test passes too.
+   * A node whose reads from the state store fail or hang forwards its users' requests to another
+   * node. In an earlier version, about twenty requests in two minutes were not served. The test
+   * does not cover the forwarding of requests while a read hangs and no call has failed yet: it
+   * passes without that as well.
    */
   @ParameterizedTest
   @CsvSource({"STATE_REFUSED,1", "STATE_REFUSED,2", "STATE_SILENT,1", "STATE_SILENT,2"})
-  void usersHardlyNoticeAFlap(LinkFlapRun.Link link, double seconds) {
+  void fewUserRequestsFailWhileTheStateStoreLinkFlaps(LinkFlapRun.Link link, double seconds) {
     for (long seed = 1; seed <= 2; seed++) {
       LinkFlapRun.Cost cost =
           LinkFlapRun.run(seed, link, Duration.ofMillis((long) (seconds * 1000)));
--- a/src/test/java/io/cherryspool/sim/partition/LinkCut.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkCut.java
@@ -9,96 +9,110 @@
 import java.util.List;
 
 /**
- * One cell of the table in docs/partitions.md: what a controller loses at once, and in which
- * direction.
+ * One cell of the table in docs/partitions.md: the links of a controller that fail at the same
+ * time, and the direction in which they fail.
  */
-record LinkCut(StateLink state, boolean peers, Workers workers, Way way) {
+record LinkCut(
+    StateStoreLink stateStoreLink, boolean cutsPeers, Workers workers, Direction direction) {
 
-  /** The link to the state store. */
-  enum StateLink {
+  /** The condition of the link to the state store. */
+  enum StateStoreLink {
     UP,
-    /** The service refuses this node alone. */
+    /** The state store answers 503 to the requests of this node, and serves all other nodes. */
     REFUSED,
-    /** No answer comes; what was sent arrives when the cut ends. */
+    /** Messages between the node and the state store arrive only when the cut ends. */
     SILENT
   }
 
-  /** The workers that are cut off. */
+  /** The workers whose links to the node fail. */
   enum Workers {
     NONE,
+    /** The workers in the node's own zone. */
     ONE_ZONE,
+    /** Three of four workers. */
     MOST,
     ALL
   }
 
-  /** Which direction between the node and its workers and peers fails. */
-  enum Way {
+  /** The direction in which the node's links to workers and peers fail. */
+  enum Direction {
     TO_NODE,
     FROM_NODE,
     BOTH
   }
 
-  /** All cells but the one in which nothing fails. */
+  /**
+   * Returns all cells except the one in which nothing fails. A cell in which only the link to the
+   * state store fails is listed once, with both directions.
+   */
   static List<LinkCut> all() {
-    List<LinkCut> result = new ArrayList<>();
-    for (StateLink state : StateLink.values()) {
-      for (boolean peers : new boolean[] {false, true}) {
+    List<LinkCut> cuts = new ArrayList<>();
+    for (StateStoreLink stateStoreLink : StateStoreLink.values()) {
+      for (boolean cutsPeers : new boolean[] {false, true}) {
         for (Workers workers : Workers.values()) {
-          for (Way way : Way.values()) {
-            boolean directed = peers || workers != Workers.NONE;
-            boolean nothing = state == StateLink.UP && !directed;
-            if (!nothing && (directed || way == Way.BOTH)) {
-              result.add(new LinkCut(state, peers, workers, way));
+          for (Direction direction : Direction.values()) {
+            boolean hasDirection = cutsPeers || workers != Workers.NONE;
+            boolean isEmpty = stateStoreLink == StateStoreLink.UP && !hasDirection;
+            if (!isEmpty && (hasDirection || direction == Direction.BOTH)) {
+              cuts.add(new LinkCut(stateStoreLink, cutsPeers, workers, direction));
             }
           }
         }
       }
     }
-    return result;
+    return cuts;
   }
 
-  /** Brings the cut about for this node. */
+  /**
+   * Makes the links of this node fail.
+   *
+   * @param mode how the links to workers and peers fail
+   */
   void apply(
-      SimulatedCluster cluster, SimulatedController node, LinkFaults.Mode mode, Duration length) {
-    switch (state) {
-      case REFUSED -> node.rejectStateStoreRequests(length);
-      case SILENT -> node.cutFromStateStore(length);
+      SimulatedCluster cluster, SimulatedController node, LinkFaults.Mode mode, Duration duration) {
+    switch (stateStoreLink) {
+      case REFUSED -> node.rejectStateStoreRequests(duration);
+      case SILENT -> node.cutFromStateStore(duration);
       default -> {
-        // Nothing of it fails.
+        // The link to the state store does not fail.
       }
     }
-    String own = node.address().host();
-    if (peers) {
+    String nodeHost = node.address().host();
+    if (cutsPeers) {
       for (SimulatedController other : cluster.nodes()) {
         if (other != node) {
-          fail(cluster, own, other.address().host(), mode, length);
+          failLink(cluster, nodeHost, other.address().host(), mode, duration);
         }
       }
     }
-    int number = 0;
+    int index = 0;
     for (FakeWorker worker : cluster.workers()) {
-      if (cuts(worker, node, number++)) {
-        fail(cluster, own, worker.machine().host(), mode, length);
+      if (isCutOff(worker, node, index++)) {
+        failLink(cluster, nodeHost, worker.machine().host(), mode, duration);
       }
     }
   }
 
-  private boolean cuts(FakeWorker worker, SimulatedController node, int number) {
+  private boolean isCutOff(FakeWorker worker, SimulatedController node, int index) {
     return switch (workers) {
       case NONE -> false;
       case ONE_ZONE -> worker.machine().zone().equals(node.zone());
-      case MOST -> number % 4 != 0;
+      case MOST -> index % 4 != 0;
       case ALL -> true;
     };
   }
 
-  private void fail(
-      SimulatedCluster cluster, String own, String other, LinkFaults.Mode mode, Duration length) {
-    if (way != Way.FROM_NODE) {
-      cluster.network().linkFaults().fail(other, own, mode, length);
+  private void failLink(
+      SimulatedCluster cluster,
+      String nodeHost,
+      String otherHost,
+      LinkFaults.Mode mode,
+      Duration duration) {
+    if (direction != Direction.FROM_NODE) {
+      cluster.network().linkFaults().fail(otherHost, nodeHost, mode, duration);
     }
-    if (way != Way.TO_NODE) {
-      cluster.network().linkFaults().fail(own, other, mode, length);
+    if (direction != Direction.TO_NODE) {
+      cluster.network().linkFaults().fail(nodeHost, otherHost, mode, duration);
     }
   }
 }
--- a/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
@@ -9,44 +9,51 @@
 import java.util.Deque;
 import java.util.List;
 
-/** Two minutes in which one link fails for a while, again and again, while work arrives. */
+/**
+ * A simulated run in which one link fails repeatedly for two minutes while jobs arrive. It measures
+ * what the failures cost.
+ */
 public final class LinkFlapRun {
-  private static final double SETTLE = 40;
-  private static final double FLAPPING = 120;
-  private static final double QUIET = 90;
+  private static final double SETTLE_S = 40;
+  private static final double FLAPPING_S = 120;
+  private static final double QUIET_S = 90;
   private static final Duration MINUTE = Duration.ofSeconds(60);
 
   private final SimulatedCluster cluster;
   private final Link link;
-  private final Duration length;
+  private final Duration flapDuration;
   private final List<Job> jobs = new ArrayList<>();
-  private final Deque<Duration> changes = new ArrayDeque<>();
+  private final Deque<Duration> recentLeaderChanges = new ArrayDeque<>();
   private long term;
-  private int mostInAMinute;
-  private int allChanges;
-  private int tasks;
+  private int maxLeaderChangesPerMinute;
+  private int leaderChanges;
+  private int submittedTasks;
 
-  /** What flaps, at whichever node leads then. */
+  /** The link that flaps. The leader is the node that leads when a failure begins. */
   public enum Link {
-    /** The state store refuses the leader. */
+    /** The state store answers 503 to the leader's requests. */
     STATE_REFUSED,
-    /** The state store does not answer the leader; what is sent arrives later. */
+    /** Messages between the leader and the state store arrive only when the failure ends. */
     STATE_SILENT,
-    /** No heartbeat goes between any nodes. */
+    /** No heartbeats between controllers arrive. */
     PEERS,
-    /** The leader and its workers do not reach one another. */
+    /** Messages between the leader and all workers arrive only when the failure ends. */
     WORKERS,
-    /** A zone and all others do not reach one another. */
+    /**
+     * Messages into and out of the zone of another controller arrive only when the failure ends.
+     */
     ZONE
   }
 
   /**
-   * What the flaps cost.
+   * The costs of the flaps. All but the repeated task starts are counted only while the link flaps.
    *
-   * @param leaderChanges of the leader, in all
-   * @param maxLeaderChangesPerMinute of them
-   * @param repeatedTaskStarts tasks that were started once more
-   * @param unservedRequests users' requests that were answered 503, or not at all
+   * @param leaderChanges the number of leader changes
+   * @param maxLeaderChangesPerMinute the most leader changes within a minute
+   * @param repeatedTaskStarts the number of task starts beyond the first one of each task
+   * @param unservedRequests the number of user requests that were answered 503 or not at all
+   * @param addedMachines the number of machines that were added
+   * @param deletedMachines the number of machines that were deleted
    */
   public record Cost(
       int leaderChanges,
@@ -56,81 +63,86 @@
       int addedMachines,
       int deletedMachines) {}
 
-  private LinkFlapRun(long seed, Link link, Duration length) {
+  private LinkFlapRun(long seed, Link link, Duration flapDuration) {
     this.cluster = SimulatedCluster.of(seed, 3);
     this.link = link;
-    this.length = length;
+    this.flapDuration = flapDuration;
   }
 
-  /** Plays a day on which the link fails for this long, and is well as long; zero for never. */
-  public static Cost run(long seed, Link link, Duration length) {
-    return new LinkFlapRun(seed, link, length).run();
+  /**
+   * Runs a cluster whose link fails and works by turns, and returns the costs.
+   *
+   * @param flapDuration how long the link fails each time, and how long it works in between; zero
+   *     if it never fails
+   */
+  public static Cost run(long seed, Link link, Duration flapDuration) {
+    return new LinkFlapRun(seed, link, flapDuration).run();
   }
 
   private Cost run() {
-    cluster.schedule(1, this::arrive);
-    cluster.run(SETTLE);
+    cluster.schedule(1, this::submitNextJob);
+    cluster.run(SETTLE_S);
     term = term();
-    int added = cluster.cloud().addedMachineCount();
-    int deleted = cluster.cloud().deletedMachineCount();
-    int unserved = cluster.users().unservedRequests();
-    if (!length.isZero()) {
-      flap(SETTLE + FLAPPING);
+    int addedBefore = cluster.cloud().addedMachineCount();
+    int deletedBefore = cluster.cloud().deletedMachineCount();
+    int unservedBefore = cluster.users().unservedRequests();
+    if (!flapDuration.isZero()) {
+      flapRepeatedly(SETTLE_S + FLAPPING_S);
     }
-    watch();
-    cluster.run(FLAPPING);
-    Cost cost =
+    countLeaderChanges();
+    cluster.run(FLAPPING_S);
+    Cost costWhileFlapping =
         new Cost(
-            allChanges,
-            mostInAMinute,
+            leaderChanges,
+            maxLeaderChangesPerMinute,
             0,
-            cluster.users().unservedRequests() - unserved,
-            cluster.cloud().addedMachineCount() - added,
-            cluster.cloud().deletedMachineCount() - deleted);
-    cluster.run(QUIET);
+            cluster.users().unservedRequests() - unservedBefore,
+            cluster.cloud().addedMachineCount() - addedBefore,
+            cluster.cloud().deletedMachineCount() - deletedBefore);
+    cluster.run(QUIET_S);
     for (Job job : jobs) {
       if (!cluster.rules().hasEnded(job.id())) {
-        throw new AssertionError(job.id() + " has no end");
+        throw new AssertionError(job.id() + " has not ended");
       }
     }
     return new Cost(
-        cost.leaderChanges,
-        cost.maxLeaderChangesPerMinute,
-        cluster.rules().startCount() - tasks,
-        cost.unservedRequests,
-        cost.addedMachines,
-        cost.deletedMachines);
+        costWhileFlapping.leaderChanges,
+        costWhileFlapping.maxLeaderChangesPerMinute,
+        cluster.rules().startCount() - submittedTasks,
+        costWhileFlapping.unservedRequests,
+        costWhileFlapping.addedMachines,
+        costWhileFlapping.deletedMachines);
   }
 
-  private void arrive() {
-    if (cluster.time().seconds() > SETTLE + FLAPPING) {
+  private void submitNextJob() {
+    if (cluster.time().seconds() > SETTLE_S + FLAPPING_S) {
       return;
     }
-    cluster.schedule(4, this::arrive);
+    cluster.schedule(4, this::submitNextJob);
     Job job =
         cluster.jobs().create(jobs.size() % 2 == 0 ? "red" : "blue", 4, 3, Duration.ofSeconds(12));
     jobs.add(job);
-    tasks += job.taskCount();
+    submittedTasks += job.taskCount();
     cluster.users().submit(job);
   }
 
-  private void flap(double end) {
-    if (cluster.time().seconds() < end) {
-      cluster.schedule(2 * length.toNanos() / 1e9, () -> flap(end));
-      cluster.currentLeader().ifPresent(this::fail);
+  private void flapRepeatedly(double endS) {
+    if (cluster.time().seconds() < endS) {
+      cluster.schedule(2 * flapDuration.toNanos() / 1e9, () -> flapRepeatedly(endS));
+      cluster.currentLeader().ifPresent(this::failLink);
     }
   }
 
-  private void fail(SimulatedController leader) {
+  private void failLink(SimulatedController leader) {
     switch (link) {
-      case STATE_REFUSED -> leader.rejectStateStoreRequests(length);
-      case STATE_SILENT -> leader.cutFromStateStore(length);
+      case STATE_REFUSED -> leader.rejectStateStoreRequests(flapDuration);
+      case STATE_SILENT -> leader.cutFromStateStore(flapDuration);
       case PEERS -> {
         cluster.setMeshDown(true);
-        cluster.time().schedule(length, () -> cluster.setMeshDown(false));
+        cluster.time().schedule(flapDuration, () -> cluster.setMeshDown(false));
       }
-      case WORKERS -> cluster.cutLeaderFromWorkers(length);
-      case ZONE -> cluster.network().cutZone(cluster.nodeAfter(leader).zone(), length);
+      case WORKERS -> cluster.cutLeaderFromWorkers(flapDuration);
+      case ZONE -> cluster.network().cutZone(cluster.nodeAfter(leader).zone(), flapDuration);
       default -> throw new IllegalStateException(link.name());
     }
   }
@@ -139,16 +151,16 @@
     return cluster.stateStore().value("c/term").path("term").longValue();
   }
 
-  private void watch() {
-    cluster.schedule(0.1, this::watch);
+  private void countLeaderChanges() {
+    cluster.schedule(0.1, this::countLeaderChanges);
     if (term() > term) {
       term = term();
-      allChanges++;
-      changes.addLast(cluster.time().now());
-      while (cluster.time().now().minus(changes.peekFirst()).compareTo(MINUTE) > 0) {
-        changes.removeFirst();
+      leaderChanges++;
+      recentLeaderChanges.addLast(cluster.time().now());
+      while (cluster.time().now().minus(recentLeaderChanges.peekFirst()).compareTo(MINUTE) > 0) {
+        recentLeaderChanges.removeFirst();
       }
-      mostInAMinute = Math.max(mostInAMinute, changes.size());
+      maxLeaderChangesPerMinute = Math.max(maxLeaderChangesPerMinute, recentLeaderChanges.size());
     }
   }
 }
--- a/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
@@ -17,84 +17,93 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The table of docs/partitions.md, cell by cell: one controller loses some of its links while none,
- * one, two or all of the controllers fail. The rules are checked after each step, so that a task
- * that starts twice fails the test at once; every accepted job must have its one answer at the end.
+ * Tests each cell of the table in docs/partitions.md: one controller loses some of its links while
+ * none, one, two or all of the controllers crash. The rules are checked after each event, so that a
+ * task that runs twice at the same time fails the test at once. At the end, every accepted job must
+ * have exactly one result.
  */
 class PartitionTest extends DirectedFaultsFixture {
-  private static final Duration CUT = Duration.ofSeconds(12);
+  private static final Duration CUT_DURATION = Duration.ofSeconds(12);
   private static final LinkFaults.Mode[] MODES = LinkFaults.Mode.values();
 
   /**
-   * Leaders elected in a run: the first, one for each controller that fails, and two for the cut.
+   * The most leader changes during and after a cut if no controller crashes; each crash may cause
+   * one more. Two changes are expected from the cut. The third allows for the first election,
+   * although that takes place before the changes are counted.
    */
-  private static final int FOR_THE_CUT = 3;
+  private static final int MAX_LEADER_CHANGES_WITHOUT_CRASH = 3;
 
-  private static Stream<LinkCut> cells() {
+  private static Stream<LinkCut> linkCuts() {
     return LinkCut.all().stream();
   }
 
-  /** Work for which a second start or a lost answer would show. */
-  private List<Job> work() {
-    Job longer = submit("blue", 12, 4, Duration.ofSeconds(30));
+  /**
+   * Starts jobs for which a second start or a lost result would be noticed: one that runs to its
+   * end, and one for the test to cancel.
+   */
+  private List<Job> startJobs() {
+    Job kept = submit("blue", 12, 4, Duration.ofSeconds(30));
     Job cancelled = submit("red", 6, 4, LONG_RUN_TIME);
-    awaitRunning(longer, 6);
+    awaitRunning(kept, 6);
     awaitRunning(cancelled, 2);
     cluster.run(8);
-    return new ArrayList<>(List.of(longer, cancelled));
+    return new ArrayList<>(List.of(kept, cancelled));
   }
 
-  private void play(LinkCut cut, long seed, int controllers, boolean leader, int failing) {
+  private void runWithCut(
+      LinkCut cut, long seed, int controllers, boolean isLeaderCut, int crashCount) {
     startCluster(seed, controllers);
-    List<Job> jobs = work();
-    SimulatedController leading = cluster.leader();
-    SimulatedController node = leader ? leading : cluster.nodeAfter(leading);
-    long terms = cluster.stateStore().value("c/term").path("term").longValue();
-    cut.apply(cluster, node, MODES[(int) (seed % MODES.length)], CUT);
+    List<Job> jobs = startJobs();
+    SimulatedController leader = cluster.leader();
+    SimulatedController cutNode = isLeaderCut ? leader : cluster.nodeAfter(leader);
+    long termBefore = cluster.stateStore().value("c/term").path("term").longValue();
+    cut.apply(cluster, cutNode, MODES[(int) (seed % MODES.length)], CUT_DURATION);
     cluster.schedule(2, () -> cluster.users().cancel(jobs.get(1).id()));
-    for (int i = 0; i < failing; i++) {
-      SimulatedController failed =
-          cluster.nodes().get((cluster.nodes().indexOf(leading) + i) % controllers);
-      cluster.schedule(1 + 1.5 * i, () -> failed.crash(Duration.ofMillis(300 + 900 * (seed % 4))));
+    for (int i = 0; i < crashCount; i++) {
+      SimulatedController crashed =
+          cluster.nodes().get((cluster.nodes().indexOf(leader) + i) % controllers);
+      cluster.schedule(1 + 1.5 * i, () -> crashed.crash(Duration.ofMillis(300 + 900 * (seed % 4))));
     }
     cluster.schedule(3, () -> jobs.add(submit("red", 4, 2, Duration.ofSeconds(4))));
     cluster.run(100);
     assertAllEnded(jobs);
-    long changes = cluster.stateStore().value("c/term").path("term").longValue() - terms;
-    assertTrue(changes <= FOR_THE_CUT + failing, changes + " changes of leader");
-    assertTrue(cluster.currentLeader().isPresent(), "somebody leads");
+    long leaderChanges = cluster.stateStore().value("c/term").path("term").longValue() - termBefore;
+    assertTrue(
+        leaderChanges <= MAX_LEADER_CHANGES_WITHOUT_CRASH + crashCount,
+        leaderChanges + " leader changes");
+    assertTrue(cluster.currentLeader().isPresent(), "no node leads at the end");
   }
 
   @ParameterizedTest
-  @MethodSource("cells")
-  void aLeaderLosesLinks(LinkCut cut) {
-    for (int failing = 0; failing <= 3; failing++) {
-      play(cut, 1 + failing, 3, true, failing);
+  @MethodSource("linkCuts")
+  void jobsEndAfterTheLeaderLosesLinks(LinkCut cut) {
+    for (int crashCount = 0; crashCount <= 3; crashCount++) {
+      runWithCut(cut, 1 + crashCount, 3, true, crashCount);
     }
   }
 
   @ParameterizedTest
-  @MethodSource("cells")
-  void aFollowerLosesLinks(LinkCut cut) {
-    for (int failing = 0; failing <= 3; failing++) {
-      play(cut, 5 + failing, 3, false, failing);
+  @MethodSource("linkCuts")
+  void jobsEndAfterAFollowerLosesLinks(LinkCut cut) {
+    for (int crashCount = 0; crashCount <= 3; crashCount++) {
+      runWithCut(cut, 5 + crashCount, 3, false, crashCount);
     }
   }
 
-  /** Five controllers, drawn by seeds, and two cells at a time. */
+  /** Applies two random cells at a time to a cluster of five controllers. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-  void twoOfFiveControllersLoseLinks(long seed) {
+  void jobsEndAfterTwoOfFiveControllersLoseLinks(long seed) {
     List<LinkCut> all = LinkCut.all();
     for (int i = 0; i < 4; i++) {
       startCluster(seed, 5);
-      List<Job> jobs = work();
+      List<Job> jobs = startJobs();
       SimulatedController leader = cluster.leader();
       LinkCut first = all.get(cluster.random().nextInt(all.size()));
       LinkCut second = all.get(cluster.random().nextInt(all.size()));
-      first.apply(cluster, leader, MODES[i % MODES.length], CUT);
+      first.apply(cluster, leader, MODES[i % MODES.length], CUT_DURATION);
       cluster.run(0.5 * i);
-      second.apply(cluster, cluster.nodeAfter(leader), MODES[(i + 1) % MODES.length], CUT);
+      second.apply(cluster, cluster.nodeAfter(leader), MODES[(i + 1) % MODES.length], CUT_DURATION);
       cluster.users().cancel(jobs.get(1).id());
       if (i > 1) {
         cluster.run(1);
@@ -106,17 +115,20 @@
     }
   }
 
-  /** With an outage of the state store, and late copies of heartbeats, in the middle of the cut. */
+  /**
+   * The state store has an outage during each cut, and some worker heartbeats arrive a second time,
+   * up to 70 s late.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void aCutMeetsAnOutageAndLateCopies(long seed) {
+  void jobsEndAfterCutsWithAnOutageAndDuplicatedHeartbeats(long seed) {
     List<LinkCut> all = LinkCut.all();
     startCluster(seed, 3);
     cluster.network().setDuplicatingHeartbeats(true);
-    List<Job> jobs = work();
+    List<Job> jobs = startJobs();
     for (int i = 0; i < 3; i++) {
       LinkCut cut = all.get(cluster.random().nextInt(all.size()));
-      cut.apply(cluster, cluster.leader(), MODES[(int) (seed + i) % MODES.length], CUT);
+      cut.apply(cluster, cluster.leader(), MODES[(int) (seed + i) % MODES.length], CUT_DURATION);
       cluster.run(3);
       cluster.stateStoreOutage(Duration.ofSeconds(3 + seed));
       cluster.run(30);
@@ -128,65 +140,71 @@
   }
 
   /**
-   * A leader that reaches the state store and none of its workers takes none of them for dead: no
-   * machine with tasks is deleted, none is added in its place, and no task loses its lease. With
-   * the hold of the fleet taken out of PartitionRule, machines are deleted.
+   * A leader that reaches the state store but none of its workers does not take the workers for
+   * dead: no machine with tasks is deleted, no machine is added in its place, and no worker's lease
+   * expires. If {@code PartitionRule} never returns {@code SuspendFleetChanges}, machines are
+   * deleted.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void aLeaderDeletesAndAddsNoMachineOnItsOwnSilence(long seed) {
+  void aLeaderCutOffFromAllWorkersDeletesAndAddsNoMachine(long seed) {
     startCluster(seed, 3);
-    List<Job> jobs = work();
-    // Nothing waits, so that no machine is to be added.
+    List<Job> jobs = startJobs();
+    // All tasks run, so there is no other reason to add a machine.
     awaitRunning(jobs.get(0), 12);
     awaitRunning(jobs.get(1), 6);
-    List<String> busy =
+    List<String> busyMachines =
         cluster.workers().stream()
             .filter(worker -> !worker.runningTasks().isEmpty())
             .map(worker -> worker.machine().name())
             .toList();
-    int added = cluster.cloud().addedMachineCount();
-    long leases = cluster.fleet().expiredLeaseCount();
+    int addedBefore = cluster.cloud().addedMachineCount();
+    long expiredLeasesBefore = cluster.fleet().expiredLeaseCount();
     SimulatedController node = cluster.leader();
-    new LinkCut(LinkCut.StateLink.UP, false, LinkCut.Workers.ALL, LinkCut.Way.BOTH)
-        .apply(cluster, node, LinkFaults.Mode.HOLD, CUT);
+    new LinkCut(LinkCut.StateStoreLink.UP, false, LinkCut.Workers.ALL, LinkCut.Direction.BOTH)
+        .apply(cluster, node, LinkFaults.Mode.HOLD, CUT_DURATION);
     for (int i = 0; i < 120 && cluster.currentLeader().filter(node::equals).isPresent(); i++) {
       cluster.run(0.1);
     }
-    assertTrue(busy.size() > 2, "the cut meets work");
-    for (String machine : busy) {
-      assertTrue(cluster.cloud().isRunning(machine), machine + " is deleted");
+    assertTrue(busyMachines.size() > 2, "too few machines run tasks before the cut");
+    for (String machine : busyMachines) {
+      assertTrue(cluster.cloud().isRunning(machine), machine + " was deleted");
     }
-    assertEquals(added, cluster.cloud().addedMachineCount(), "machines are added");
-    assertEquals(leases, cluster.fleet().expiredLeaseCount(), "leases");
+    assertEquals(addedBefore, cluster.cloud().addedMachineCount(), "number of added machines");
+    assertEquals(
+        expiredLeasesBefore, cluster.fleet().expiredLeaseCount(), "number of expired leases");
     cluster.users().cancel(jobs.get(1).id());
     cluster.run(90);
     assertAllEnded(jobs);
   }
 
-  /** A leader that the state store alone does not answer records nothing, and says so. */
+  /**
+   * The state store answers 503 to the leader's requests, and the leader does not reach the other
+   * controllers. It still reaches its workers, but places no tasks, and its verdict shows that.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void aLeaderWithoutTheStateServiceHoldsPlacing(long seed) {
+  void aLeaderRefusedByTheStateStoreSuspendsPlacement(long seed) {
     startCluster(seed, 3);
-    work();
+    startJobs();
     SimulatedController node = cluster.leader();
-    new LinkCut(LinkCut.StateLink.REFUSED, true, LinkCut.Workers.NONE, LinkCut.Way.BOTH)
-        .apply(cluster, node, LinkFaults.Mode.DROP, CUT);
+    new LinkCut(LinkCut.StateStoreLink.REFUSED, true, LinkCut.Workers.NONE, LinkCut.Direction.BOTH)
+        .apply(cluster, node, LinkFaults.Mode.DROP, CUT_DURATION);
     cluster.run(2.5);
-    assertTrue(node.isLeader(), "its workers go on");
+    assertTrue(node.isLeader(), "the node no longer leads its workers");
     assertEquals("hold-placing", node.verdict().orElseThrow().name());
-    cluster.run(CUT.plusSeconds(3));
+    cluster.run(CUT_DURATION.plusSeconds(3));
     assertTrue(cluster.currentLeader().isPresent());
     assertEquals("serve", cluster.leader().verdict().orElseThrow().name());
   }
 
   /**
-   * A zone from which no heartbeat comes waits for its leases, and its return starts nothing twice.
+   * A zone is cut off for longer than the workers' lease. Its machines are not deleted, and no task
+   * is started a second time when the zone is reachable again.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void aZoneWithoutHeartbeatsIsHeld(long seed) {
+  void machinesOfASilentZoneAreNotDeleted(long seed) {
     startCluster(seed, 3);
     List<Job> jobs = new ArrayList<>();
     jobs.add(submit("blue", 20, 4, LONG_RUN_TIME));
@@ -194,17 +212,17 @@
     cluster.run(8);
     SimulatedController leader = cluster.leader();
     String zone = cluster.nodeAfter(leader).zone();
-    List<String> there =
+    List<String> zoneMachines =
         cluster.workers().stream()
             .filter(worker -> worker.machine().zone().equals(zone))
             .map(worker -> worker.machine().name())
             .toList();
     cluster.network().cutZone(zone, SimulatedCluster.LEASE.plusSeconds(4));
     cluster.run(SimulatedCluster.LEASE.plusSeconds(3));
-    if (there.size() > 1) {
+    if (zoneMachines.size() > 1) {
       assertEquals("hold-zones", leader.verdict().orElseThrow().name());
-      for (String machine : there) {
-        assertTrue(cluster.cloud().isRunning(machine), machine + " is deleted");
+      for (String machine : zoneMachines) {
+        assertTrue(cluster.cloud().isRunning(machine), machine + " was deleted");
       }
     }
     cluster.users().cancel(jobs.get(0).id());
@@ -213,23 +231,25 @@
   }
 
   /**
-   * A leader that was cut off from its workers as it was elected did not miss them, since it had
-   * never received their heartbeats: 317 tasks were killed by their lease. Without NEVER_SEEN the
-   * leases run out.
+   * Guards against a fault in which a leader that was cut off from its workers right after its
+   * election did not count them as missing, because it had never received their heartbeats. It kept
+   * leadership, and 317 tasks were killed when the leases of their workers expired. Without {@code
+   * ContactState.NEVER_SEEN} the leases expire.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void aLeaderCutOffAsItIsElectedHandsLeadershipOver(long seed) {
+  void aLeaderCutOffFromWorkersRightAfterItsElectionHandsOver(long seed) {
     startCluster(seed, 3);
-    List<Job> jobs = work();
-    long leases = cluster.fleet().expiredLeaseCount();
-    SimulatedController old = cluster.leader();
-    old.crash(Duration.ofMillis(500));
-    SimulatedController next = awaitLeaderOtherThan(old, 0.01);
+    List<Job> jobs = startJobs();
+    long expiredLeasesBefore = cluster.fleet().expiredLeaseCount();
+    SimulatedController oldLeader = cluster.leader();
+    oldLeader.crash(Duration.ofMillis(500));
+    SimulatedController newLeader = awaitLeaderOtherThan(oldLeader, 0.01);
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(40));
     cluster.run(14);
-    assertTrue(cluster.leaderOtherThan(next).isPresent(), "another leads");
-    assertEquals(leases, cluster.fleet().expiredLeaseCount(), "leases");
+    assertTrue(cluster.leaderOtherThan(newLeader).isPresent(), "no other node leads");
+    assertEquals(
+        expiredLeasesBefore, cluster.fleet().expiredLeaseCount(), "number of expired leases");
     cluster.users().cancel(jobs.get(1).id());
     cluster.run(90);
     assertAllEnded(jobs);
--- a/src/test/java/io/cherryspool/sim/partition/RandomVerdicts.java
+++ b/src/test/java/io/cherryspool/sim/partition/RandomVerdicts.java
@@ -8,18 +8,22 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Verdicts by chance, which know nothing of the nodes' links, each of which holds for seconds. */
+/**
+ * A rule that draws random verdicts, whatever the state of the nodes' links. Each verdict is kept
+ * for some seconds.
+ */
 public final class RandomVerdicts implements VerdictRule {
-  private static final int ONE_IN = 12;
+  private static final int MEAN_EVALUATIONS_PER_DRAW = 12;
 
   private final SplittableRandom random;
   private final Duration faultsEndAt;
-  private Verdict held = new Verdict.Serve();
+  private Verdict current = new Verdict.Serve();
 
   /**
-   * Draws verdicts by the seed.
+   * Creates a rule that draws its verdicts from a random generator with this seed.
    *
-   * @param faultsEndAt from then on verdicts are right again, so that work can end
+   * @param faultsEndAt the time after which the verdict is always {@link Verdict.Serve}, so that
+   *     all jobs can end
    */
   public RandomVerdicts(long seed, Duration faultsEndAt) {
     random = new SplittableRandom(seed);
@@ -31,10 +35,10 @@
     if (view.now().compareTo(faultsEndAt) > 0) {
       return new Verdict.Serve();
     }
-    if (random.nextInt(ONE_IN) == 0) {
-      held = draw();
+    if (random.nextInt(MEAN_EVALUATIONS_PER_DRAW) == 0) {
+      current = draw();
     }
-    return held;
+    return current;
   }
 
   private Verdict draw() {
--- a/src/test/java/io/cherryspool/sim/partition/package-info.java
+++ b/src/test/java/io/cherryspool/sim/partition/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of clusters whose links fail or flap; docs/partitions.md describes what they expect. */
+/** Tests clusters whose links fail or flap. docs/partitions.md describes the expected behaviour. */
 package io.cherryspool.sim.partition;
