--- a/src/main/java/io/cherryspool/controller/fleet/CommandDelivery.java
+++ b/src/main/java/io/cherryspool/controller/fleet/CommandDelivery.java
@@ -8,8 +8,8 @@
 
 /**
  * The commands that a leader has sent to one machine, in replies to heartbeats and by direct calls,
- * and whether any of them may still be executed there. A fencing token of 0 stands for none. Used
- * on the event loop only.
+ * and whether any of them may still be executed there. A fencing token of 0 means that there is
+ * none. Used on the event loop only.
  */
 public final class CommandDelivery {
   /** The commands of the last reply to a heartbeat, with the time of the reply. */
--- a/src/main/java/io/cherryspool/controller/fleet/MachineContact.java
+++ b/src/main/java/io/cherryspool/controller/fleet/MachineContact.java
@@ -13,8 +13,8 @@
  */
 public final class MachineContact {
   /**
-   * One ignored reply proves nothing: the worker may have sent its next heartbeat before the reply
-   * arrived.
+   * The maximum number of consecutive ignored replies that are tolerated. One ignored reply proves
+   * nothing: the worker may have sent its next heartbeat before the reply arrived.
    */
   private static final int MAX_IGNORED_REPLIES = 1;
 
@@ -30,8 +30,9 @@
   private boolean unresponsive;
 
   /**
-   * When the current agent epoch was first seen. The worker's lease starts with the epoch, even if
-   * none of its heartbeats is answered, and the epoch started before it was first seen.
+   * When this leader received the first heartbeat of the current agent epoch; the epoch began
+   * before that. The worker's lease starts with the epoch, even if none of its heartbeats is
+   * answered.
    */
   private Duration epochFirstSeenAt;
 
--- a/src/main/java/io/cherryspool/controller/fleet/MachineState.java
+++ b/src/main/java/io/cherryspool/controller/fleet/MachineState.java
@@ -44,52 +44,55 @@
     return name;
   }
 
-  /** Returns the name of its machine type, empty if unknown. */
+  /** Returns the name of the machine's type, empty if unknown. */
   public String type() {
     return type;
   }
 
-  /** Returns its zone, empty if unknown. */
+  /** Returns the machine's zone, empty if unknown. */
   public String zone() {
     return zone;
   }
 
-  /** Whether it is a spot instance, which the cloud may take back at short notice. */
+  /** Whether the machine is a spot instance, which the cloud may take back at short notice. */
   public boolean isSpot() {
     return spot;
   }
 
-  /** Returns the contact with its worker. */
+  /** Returns the contact with the machine's worker. */
   public MachineContact contact() {
     return contact;
   }
 
-  /** Returns the commands sent to its worker. */
+  /** Returns the commands sent to the machine's worker. */
   public CommandDelivery commands() {
     return commands;
   }
 
-  /** Returns the history of tasks and images on it. */
+  /** Returns the history of tasks and images on the machine. */
   public PlacementHistory history() {
     return history;
   }
 
-  /** Whether its worker has sent a heartbeat in this term. */
+  /** Whether the machine's worker has sent a heartbeat in this term. */
   public boolean hasHeartbeat() {
     return contact.hasHeartbeat();
   }
 
-  /** Returns its newest heartbeat, see {@link MachineContact#latestHeartbeat()}. */
+  /**
+   * Returns the newest heartbeat of the machine's worker, see {@link
+   * MachineContact#latestHeartbeat()}.
+   */
   public WorkerHeartbeat latestHeartbeat() {
     return contact.latestHeartbeat();
   }
 
-  /** Whether the address at which its worker accepts calls is known. */
+  /** Whether the address at which the machine's worker accepts calls is known. */
   public boolean hasEndpoint() {
     return endpoint != null;
   }
 
-  /** Returns the address at which its worker accepts calls, null if unknown. */
+  /** Returns the address at which the machine's worker accepts calls, null if unknown. */
   public Endpoint endpoint() {
     return endpoint;
   }
@@ -146,7 +149,7 @@
     history.recordImage(image);
   }
 
-  /** Ends the expired exclusions of jobs from this machine, see {@link PlacementHistory}. */
+  /** Removes the expired exclusions of jobs from this machine, see {@link PlacementHistory}. */
   public void removeExpiredExclusions(Duration now) {
     if (history.removeExpiredExclusions(now)) {
       view = null;
@@ -169,25 +172,25 @@
     return idleSince == null ? Optional.empty() : Optional.of(now.minus(idleSince));
   }
 
-  /** Whether the leader has decided to delete it. */
+  /** Whether the leader has decided to delete the machine. */
   public boolean isMarkedForDeletion() {
     return markedForDeletion;
   }
 
-  /** Records that the leader has decided to delete it. */
+  /** Records that the leader has decided to delete the machine. */
   public void markForDeletion() {
     markedForDeletion = true;
   }
 
   /**
-   * Whether the machine is to be emptied because the fleet does not need it. Only tasks that fit
-   * nowhere else are placed on it.
+   * Whether the machine should become idle, so that it can be deleted, since the fleet does not
+   * need it. Placement does not use this yet.
    */
   public boolean isDraining() {
     return draining;
   }
 
-  /** Sets whether the machine is to be emptied, see {@link #isDraining}. */
+  /** Sets whether the machine should become idle, see {@link #isDraining}. */
   public void setDraining(boolean shouldDrain) {
     if (draining != shouldDrain) {
       draining = shouldDrain;
@@ -200,7 +203,7 @@
     return deleted;
   }
 
-  /** Records that the cloud has confirmed the deletion. */
+  /** Records that the cloud has confirmed the machine's deletion. */
   public void markDeleted() {
     deleted = true;
   }
--- a/src/main/java/io/cherryspool/controller/leader/CommandSender.java
+++ b/src/main/java/io/cherryspool/controller/leader/CommandSender.java
@@ -13,9 +13,9 @@
 
 /**
  * Sends committed commands to workers by direct calls, so that a start need not wait for the next
- * heartbeat. Each machine gets one call at a time. The worker may still execute a call that was not
- * answered, so the sender then raises the fencing token at once, and the machine's commands count
- * as not fenced until the worker has acknowledged the higher token.
+ * heartbeat. Each machine gets one call at a time. If a call is not answered, the worker may still
+ * execute it. The sender then raises the fencing token at once, and the machine's commands count as
+ * not fenced until the worker has acknowledged the higher token.
  *
  * <p>Used on the event loop only.
  */
--- a/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
@@ -90,7 +90,7 @@
    *
    * @param mayCommandWorkers whether it may send commands to workers
    * @param mayChangeFleet whether there is certainly no other leader that changes the fleet
-   * @param permissions what the state of this node's links allows
+   * @param permissions what the state of this node's links allows the leader to do
    */
   public record Authority(
       BooleanSupplier mayCommandWorkers,
@@ -102,7 +102,7 @@
    *
    * @param onHigherTerm receives the number of a higher term whose fencing token a worker has shown
    * @param onUnrecordedStart receives the description of an attempt that a worker runs and no
-   *     record holds; empty if this node does not look for losses of state
+   *     record holds; empty if this node does not detect losses of state
    */
   public record ContradictionListeners(
       LongConsumer onHigherTerm, Optional<Consumer<String>> onUnrecordedStart) {}
--- a/src/main/java/io/cherryspool/controller/leader/WorkerCommandPlanner.java
+++ b/src/main/java/io/cherryspool/controller/leader/WorkerCommandPlanner.java
@@ -44,8 +44,8 @@
       }
     }
     if (tasks.adoption().isInProgress()) {
-      // Nothing is started yet: a task that is missing here may run elsewhere as a later attempt
-      // that no record holds.
+      // Nothing is started yet: a task that is missing from this heartbeat may run on another
+      // machine as a later attempt that no record holds.
       return commands;
     }
     for (Ownership.OwnedTask item : owned) {
--- a/src/main/java/io/cherryspool/controller/ownership/StopRequests.java
+++ b/src/main/java/io/cherryspool/controller/ownership/StopRequests.java
@@ -18,8 +18,8 @@
   private record StopRequest(int attempt, Duration gracePeriod) {}
 
   /**
-   * Requests a stop of the attempt. Ignored if a stop of this attempt or a later one is already
-   * requested; a request for an earlier attempt is replaced.
+   * Requests a stop of the attempt. The request is ignored if a stop of this attempt or of a later
+   * one is already requested. It replaces a request for an earlier attempt.
    */
   public void add(TaskId task, int attempt, Duration gracePeriod) {
     StopRequest existing = requests.get(task);
--- a/src/main/java/io/cherryspool/controller/provisioning/InstanceRequests.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/InstanceRequests.java
@@ -19,8 +19,8 @@
 
 /**
  * Requests instances from the cloud to scale the fleet out. A request whose outcome is unknown is
- * repeated under the same name. Instances that were requested and have sent no heartbeat yet are
- * kept as expected. Used on the event loop only.
+ * repeated under the same name. Requested instances are tracked as expected instances until they
+ * send their first heartbeat. Used on the event loop only.
  */
 final class InstanceRequests {
   private static final Logger LOG = LoggerFactory.getLogger(InstanceRequests.class);
--- a/src/main/java/io/cherryspool/controller/provisioning/MachineRemoval.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/MachineRemoval.java
@@ -156,7 +156,9 @@
             (nothing, failure) -> {
               calls.release();
               if (failure != null) {
-                LOG.debug("deleting machines failed, will be repeated: {}", failure.toString());
+                LOG.debug(
+                    "deleting machines failed; the request will be repeated: {}",
+                    failure.toString());
                 return;
               }
               recordDeleted(batch);
--- a/src/main/java/io/cherryspool/controller/release/CrashLoopBackoff.java
+++ b/src/main/java/io/cherryspool/controller/release/CrashLoopBackoff.java
@@ -36,8 +36,8 @@
   private static final Duration MAX_DELAY = Duration.ofSeconds(30);
 
   /**
-   * Keeps the doubled delay from overflowing; after this many doublings it exceeds the limit
-   * anyway.
+   * The maximum number of times that the delay is doubled, so that it does not overflow. After this
+   * many doublings it exceeds {@link #MAX_DELAY} anyway.
    */
   private static final int MAX_DOUBLINGS = 10;
 
@@ -104,8 +104,8 @@
       loop.logOnce(jobId, machine.name());
       return false;
     }
-    // While the job has succeeded nowhere, only its first failure on a machine counts against that
-    // machine.
+    // As long as no task of the job has succeeded, only the job's first failure on a machine counts
+    // against that machine.
     return isFirstOnMachine;
   }
 
@@ -115,8 +115,9 @@
   }
 
   /**
-   * Whether the job is crash-looping; none of its tasks may have succeeded. The recorded failure
-   * counts are considered as well, since a new leader has observed no failures itself.
+   * Whether the job is crash-looping. Must be called only for jobs without a completed task. The
+   * recorded failure counts are considered as well, since a new leader has observed no failures
+   * itself.
    */
   public boolean isCrashLooping(JobRecord jobRecord) {
     CrashLoop loop = loops.get(jobRecord.job().id());
@@ -124,8 +125,8 @@
   }
 
   /**
-   * Returns when the job may be retried, which may be in the past; now, if this leader has recorded
-   * no failure of it.
+   * Returns when the job may be retried, which may be in the past. Returns {@code now} if this
+   * leader has recorded no failure of the job.
    */
   public Duration nextRetryAt(JobRecord jobRecord, Duration now) {
     CrashLoop loop = loops.get(jobRecord.job().id());
--- a/src/main/java/io/cherryspool/controller/release/PendingReleases.java
+++ b/src/main/java/io/cherryspool/controller/release/PendingReleases.java
@@ -53,7 +53,7 @@
   }
 
   /**
-   * Returns a live view of the job's pending releases in the order of their task indexes, empty if
+   * Returns a live view of the job's pending releases in the order of their task indices, empty if
    * there are none.
    */
   public Map<Integer, Release> releasesOf(String jobId) {
--- a/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
+++ b/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
@@ -19,8 +19,8 @@
 /**
  * Estimates the demand for CPUs by the jobs that arrived in the last minutes and by the tasks that
  * wait. Arrivals are counted by the jobs' recorded times of submission, so that a new leader can
- * estimate them immediately. The owners' estimates of run times are corrected by the ratio of
- * actual to estimated run times in the same job class.
+ * estimate them immediately. The users' estimates of run times are corrected by the ratio of actual
+ * to estimated run times in the same job class.
  *
  * <p>Used on the event loop only.
  */
--- a/src/main/java/io/cherryspool/controller/rounds/LentQuotaTracker.java
+++ b/src/main/java/io/cherryspool/controller/rounds/LentQuotaTracker.java
@@ -14,8 +14,9 @@
 import java.util.Set;
 
 /**
- * Tracks the tasks that run on quota lent by tasks without a machine. The tracker lives in memory
- * for one term: the next leader counts the quota of these tasks as used by them until they end.
+ * Tracks the tasks that run on quota lent by tasks without a machine. The tracked tasks are kept in
+ * memory only, for one term: the next leader counts them as ordinary usage of their teams' quota
+ * until they end.
  *
  * <p>Used on the event loop only.
  */
@@ -30,16 +31,16 @@
   }
 
   /**
-   * Adds a task that is placed on lent quota. It counts from the commit of its assignment to its
-   * end.
+   * Adds a task that is placed on lent quota. The task counts from the commit of its assignment
+   * until its end.
    */
   void add(TaskId task) {
     tasks.add(task);
   }
 
   /**
-   * Returns the resources of these tasks by team. Must be called while no round is being committed,
-   * since it removes tasks without a committed assignment.
+   * Returns the resources of the tracked tasks by team. Must be called while no round is being
+   * committed, since it removes tasks without a committed assignment.
    */
   Map<String, Resources> usageByTeam() {
     Map<String, Resources> usage = new HashMap<>();
--- a/src/main/java/io/cherryspool/controller/rounds/RoundChangeSetBuilder.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundChangeSetBuilder.java
@@ -33,7 +33,7 @@
   private final int maxChanges;
   private final Map<String, JobEdit> edits = new LinkedHashMap<>();
 
-  /** Ends and starts of jobs other than low-priority jobs. */
+  /** Ends and starts for all jobs except low-priority jobs. */
   private final UrgentChanges regularPriority = new UrgentChanges();
 
   private final UrgentChanges lowPriority = new UrgentChanges();
@@ -91,7 +91,8 @@
    *
    * @param due releases learned up to this time are written even if nothing else changes their
    *     shard
-   * @param overdue releases learned up to this time get the write class of starts of tasks
+   * @param overdue releases learned up to this time are written in the same write class as starts
+   *     of tasks
    */
   List<ChangeSet> changeSets(Collection<JobRecord> activeJobs, Duration due, Duration overdue) {
     Set<String> endingJobs = addReleases(due, overdue);
--- a/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
+++ b/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
@@ -172,8 +172,9 @@
   }
 
   /**
-   * Whether the next round examines the machine's attempts in any case, as it does while a higher
-   * fencing token would prove that some have ended.
+   * Whether the next round will examine the machine's attempts even without a further change. This
+   * is the case, for example, while a higher fencing token would prove that some of them have
+   * ended.
    */
   public boolean isExaminationPending(String machine) {
     return terminations.isExaminationPending(machine);
--- a/src/main/java/io/cherryspool/controller/rounds/TaskAdoption.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TaskAdoption.java
@@ -24,8 +24,8 @@
  * Adopts tasks that run without a record, after the state store has lost data and the records were
  * rebuilt. While the adoption is in progress, tasks may run that the records list as free: no task
  * is placed or started, and unrecorded tasks that workers report are recorded instead of stopped.
- * Afterwards it only protects running tasks of jobs whose descriptions were lost, until their users
- * submit the jobs again.
+ * After the adoption is complete, this class only protects running tasks of jobs whose descriptions
+ * were lost, until their users submit the jobs again.
  *
  * <p>Used on the event loop only.
  */
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Whether the worker must not be sent a command to stop or acknowledge the task, although no
-   * record assigns the task to the machine.
+   * Whether the reported task is protected. A protected task is neither stopped nor acknowledged,
+   * although no record assigns it to the machine.
    */
   public boolean isProtected(MachineState machine, WorkerHeartbeat.TaskStatus task) {
     if (!isNeeded()) {
--- a/src/main/java/io/cherryspool/controller/rounds/TerminationCollector.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TerminationCollector.java
@@ -71,7 +71,7 @@
     machinesToExamine.addAll(tasks.ownership().owningMachines());
   }
 
-  /** Whether the next round examines the machine's attempts in any case. */
+  /** Whether the next round will examine the machine's attempts even without a further change. */
   boolean isExaminationPending(String machine) {
     return machinesToExamine.contains(machine);
   }
--- a/src/main/java/io/cherryspool/controller/timing/EventLoopLag.java
+++ b/src/main/java/io/cherryspool/controller/timing/EventLoopLag.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 
 /**
- * Detects whether the event loop is behind, by how late a periodic timer fires on it. While it is
- * behind, work that can wait is reduced in favour of heartbeats and lease renewals. Used on that
- * event loop only.
+ * Detects whether the event loop is behind schedule, by how late a periodic timer fires on it.
+ * While the event loop is behind, work that can wait is reduced in favour of heartbeats and lease
+ * renewals. Used on that event loop only.
  */
 public final class EventLoopLag {
   private static final Duration MAX_TIMER_DELAY = Duration.ofMillis(50);
--- a/src/main/java/io/cherryspool/controller/timing/Timings.java
+++ b/src/main/java/io/cherryspool/controller/timing/Timings.java
@@ -9,8 +9,8 @@
  * The durations on which the safety of task ownership depends, derived from the settings.
  *
  * @param heartbeatInterval how often a worker sends a heartbeat
- * @param authority how long a leader may renew the leases of workers after it sent the last
- *     requests that confirmed its own lease and a read of the state store, see {@link
+ * @param authority how long a leader may renew the leases of workers, counted from when it sent the
+ *     last successful requests that renewed its own lease and read the state store, see {@link
  *     Settings#authority()}
  * @param workerLeaseExpiry how long after the last renewal of a worker's lease its tasks have
  *     certainly ended
@@ -43,9 +43,9 @@
   }
 
   /**
-   * Returns how much older than the last state store read of another node this node's last read
-   * must be for this node to count as partitioned from the state store. Each node reads at least
-   * four times per state store lease.
+   * Returns the maximum lag of this node's last state store read behind the last read of any other
+   * node. A node with a longer lag counts as partitioned from the state store, since each node
+   * reads at least four times per state store lease.
    */
   public Duration staleReadLag() {
     return Durations.divide(stateStoreLease, 2);
--- a/src/main/java/io/cherryspool/model/Job.java
+++ b/src/main/java/io/cherryspool/model/Job.java
@@ -19,11 +19,12 @@
  * @param requiresSingleZone whether all tasks must run in the same zone
  * @param requiresZoneSpread whether at most half of the tasks, rounded up, may run in one zone
  * @param allowsSpot whether a task may run on a spot instance
- * @param estimatedRunTime the owner's estimate of a task's run time, which is often far off
+ * @param estimatedRunTime the user's estimate of a task's run time, which is often far off
  * @param checkpointInterval the amount of progress after which a running task saves a checkpoint;
  *     zero if the tasks save none and lose their work when they are stopped
  * @param checkpointDuration the time that a task needs to save a checkpoint when it is stopped
- * @param deadline the time from its submission in which the job should be complete, null for none
+ * @param deadline the time after its submission within which the job should be complete, null for
+ *     none
  * @param submittedAt the time of the first submission
  */
 public record Job(
--- a/src/main/java/io/cherryspool/model/WorkerHeartbeat.java
+++ b/src/main/java/io/cherryspool/model/WorkerHeartbeat.java
@@ -47,7 +47,7 @@
     DONE,
     /** The task was stopped by a command. */
     STOPPED,
-    /** The task failed, mostly because of a fault of the machine. */
+    /** The task failed, usually because of a fault of the machine. */
     ERROR,
     /** The start was refused because the machine's free resources are insufficient. */
     INSUFFICIENT_RESOURCES,
--- a/src/main/java/io/cherryspool/scheduler/Bin.java
+++ b/src/main/java/io/cherryspool/scheduler/Bin.java
@@ -62,14 +62,15 @@
   }
 
   /**
-   * Subtracts the resources of the job's tasks, and records that the machine will have its image.
+   * Subtracts the resources of the job's tasks, and records that the machine will have the job's
+   * image.
    */
   void place(Job job, int taskCount) {
     free = free.minus(job.perTask().times(taskCount));
     addedImages.add(job.image());
   }
 
-  /** The score that the last ranking with this machine gave it; lower is better. */
+  /** The machine's score in the last ranking that contains it; lower is better. */
   double score() {
     return score;
   }
--- a/src/main/java/io/cherryspool/scheduler/BinPool.java
+++ b/src/main/java/io/cherryspool/scheduler/BinPool.java
@@ -30,14 +30,14 @@
   private static final double CPUS_PER_PRICE = 100;
 
   /**
-   * Score of each CPU in slots that the placement takes from a job without machines, expressed in
-   * free CPUs.
+   * Score of each CPU that a placement takes from the task slots of a previously unschedulable job,
+   * expressed in free CPUs.
    */
   private static final double CPUS_PER_CONTENDED_CPU = 3;
 
   /**
-   * Maximum number of jobs without machines whose slots are considered, which limits the planning
-   * cost.
+   * Maximum number of previously unschedulable jobs whose task slots are considered, which limits
+   * the planning cost.
    */
   private static final int MAX_CONTENDING_JOBS = 3;
 
@@ -98,9 +98,9 @@
   }
 
   /**
-   * Returns the ranking for the job, computed once for all jobs with equal demand. Without this,
-   * every machine would be examined again for each of hundreds of single-task jobs. The ranking may
-   * be reused because a machine's score only improves while it is filled.
+   * Returns the ranking for the job, which is computed once for all jobs with equal demand.
+   * Otherwise every machine would be examined again for each of hundreds of single-task jobs. The
+   * ranking may be reused because a machine's score only improves while it is filled.
    *
    * @return the machines that have room for a task, or had it when the ranking was computed, best
    *     first; the caller may remove those without room
@@ -150,8 +150,9 @@
   }
 
   /**
-   * Returns the CPUs of the task slots that jobs without machines would lose if a task of this job
-   * were placed on the machine, for the job that would lose most.
+   * Returns the CPUs of the task slots that a previously unschedulable job would lose if a task of
+   * this job were placed on the machine. A task slot is room for one task. Of several such jobs,
+   * the one that would lose most counts.
    */
   private double contendedCpus(Job job, Bin bin, Resources left) {
     double most = 0;
@@ -201,18 +202,18 @@
    * tasks would take each part of the machine as it becomes free.
    */
   void reserve(Job job) {
-    Bin nearest = null;
+    Bin mostFree = null;
     for (Bin bin : bins) {
       if (bin.isAllowedFor(job)
           && !bin.excludes(job)
-          && (nearest == null || bin.free().cpus() > nearest.free().cpus())) {
-        nearest = bin;
+          && (mostFree == null || bin.free().cpus() > mostFree.free().cpus())) {
+        mostFree = bin;
       }
     }
-    if (nearest != null) {
-      nearest.reserve();
-      reserved.add(nearest);
-      bins.remove(nearest);
+    if (mostFree != null) {
+      mostFree.reserve();
+      reserved.add(mostFree);
+      bins.remove(mostFree);
     }
   }
 
--- a/src/main/java/io/cherryspool/scheduler/EntryPlan.java
+++ b/src/main/java/io/cherryspool/scheduler/EntryPlan.java
@@ -64,8 +64,8 @@
   }
 
   /**
-   * The reserved quota if it is reserved for a promoted task that is still over quota, otherwise
-   * none.
+   * The reserved quota if the entry is promoted and some of its tasks are still over quota,
+   * otherwise none.
    */
   Resources reservedQuotaOfPromotedTask() {
     return entry.isPromoted() && overQuotaCount() > 0 ? reservedQuota() : Resources.NONE;
--- a/src/main/java/io/cherryspool/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/PlacementPlanner.java
@@ -107,7 +107,7 @@
       usage.add(plan.team(), plan.reservedQuota());
       reserveMachineIfPromoted(plan);
     } else if (entry.isPromoted() && bins.hasEligibleMachine(plan.job())) {
-      // Reserves the quota that the team's other tasks free next.
+      // Smaller jobs would otherwise use the quota that the team's other tasks free next.
       plan.reserveQuota(1);
       usage.add(plan.team(), plan.reservedQuota());
       usageWithoutLending.add(plan.team(), plan.reservedQuota());
@@ -140,9 +140,9 @@
   }
 
   /**
-   * Records how many tasks of the entry need additional machines: those that the quota allows, and
-   * those that it would allow if none were lent. The team's usage without lending, and all its
-   * tasks that need machines, stay within its quota together.
+   * Records how many tasks of the entry need additional machines. These are the tasks without a
+   * machine that the team's quota would allow if none of it were lent. Together with the team's
+   * usage without lending they stay within its quota.
    */
   private void recordScaleOutCount(EntryPlan plan, int allowedWithoutLending) {
     int wanted = allowedWithoutLending - plan.placedCount();
--- a/src/main/java/io/cherryspool/scheduler/PreemptibleMachine.java
+++ b/src/main/java/io/cherryspool/scheduler/PreemptibleMachine.java
@@ -42,10 +42,10 @@
      * Creates a candidate and computes its loss: the whole run so far, or, for a task with
      * checkpoints, at most the time that saving a checkpoint takes.
      */
-    static Candidate of(RunningTask task, int priority, Duration steadyNow) {
+    static Candidate of(RunningTask task, int priority, Duration monotonicNow) {
       Job job = task.job();
       double seconds =
-          task.runningSince() == null ? 0 : seconds(steadyNow.minus(task.runningSince()));
+          task.runningSince() == null ? 0 : seconds(monotonicNow.minus(task.runningSince()));
       if (!job.checkpointInterval().isZero()) {
         seconds = Math.min(seconds, seconds(job.checkpointDuration()));
       }
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Whether the task may be preempted for a task of the job because of its lower priority. The
-     * task's priority includes the raise by age, since old tasks would otherwise be preempted again
-     * and again and never complete; that of the job does not.
+     * Whether this running task may be preempted for a task of the job because its priority is
+     * lower. The running task's priority is raised by age, since old tasks would otherwise be
+     * preempted again and again and never complete. The priority of the given job is not raised.
      */
     boolean hasLowerPriorityThan(Job job) {
       return priority < job.priority().ordinal();
--- a/src/main/java/io/cherryspool/scheduler/Preemption.java
+++ b/src/main/java/io/cherryspool/scheduler/Preemption.java
@@ -22,8 +22,8 @@
  * <p>Tasks of lower priority are preempted for a pending task that lacks a machine, and tasks of
  * the same team with lower priority for one that lacks quota. Tasks with which a team exceeds its
  * guaranteed quota are preempted, whatever their priority, for work within another team's
- * guaranteed quota. Victims with the least loss are preferred. No task is preempted for lack of a
- * machine unless the pending task then has room.
+ * guaranteed quota. Victims with the least loss are preferred. Tasks are preempted for lack of a
+ * machine only if the pending task then has room.
  */
 final class Preemption {
   /** Time added to a victim's checkpoint duration in its grace period. */
@@ -256,9 +256,9 @@
 
   /**
    * Preempts tasks of the job's own team with lower priority, so that the team's quota allows
-   * pending tasks which have room on a machine or for which room can be made. Otherwise an urgent
-   * job would wait for long tasks of its own team. Does nothing for jobs that require a single zone
-   * or a spread over zones.
+   * pending tasks. Considers only pending tasks that have room on a machine, or for which room can
+   * be made. Without this preemption an urgent job would wait for long tasks of its own team. Does
+   * nothing for jobs that require a single zone or a spread over zones.
    */
   void preemptForQuota(Job job, int pending) {
     Team team = view.teams().get(job.team());
--- a/src/main/java/io/cherryspool/scheduler/ScaleInPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/ScaleInPlanner.java
@@ -101,8 +101,8 @@
           : Durations.divide(timeout, 4);
     }
     if (!view.unschedulable().isEmpty()) {
-      // The waiting work cannot use the idle machine, which may take the place of machines that it
-      // could use.
+      // The unschedulable tasks cannot use this idle machine, and it may take the place of a
+      // machine that they could use.
       return timeout;
     }
     return Durations.multiply(timeout, 4);
--- a/src/main/java/io/cherryspool/scheduler/ScaleOutPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/ScaleOutPlanner.java
@@ -92,9 +92,9 @@
   }
 
   /**
-   * Requests machines of other types for running tasks that occupy machines which unschedulable
-   * work could use, if no offering for that work is available. Later tasks of the jobs of these
-   * running tasks then run on the requested machines.
+   * Requests machines of other types for the jobs whose running tasks occupy machines that
+   * unschedulable tasks need. Later tasks of these jobs then run on the requested machines. Does
+   * nothing unless unschedulable tasks lack an available offering.
    */
   private void requestForRelocatable() {
     Optional<Set<MachineType>> found = contendedTypes();
@@ -140,7 +140,7 @@
   /**
    * Requests spot instances of one type to replace on-demand instances that are still needed. The
    * on-demand instances are drained once the spot instances are active. Only work that may run on
-   * spot instances counts.
+   * spot instances is considered.
    */
   private void requestSpotReplacements() {
     double missingSpotCpus = missingSpotCpus();
@@ -187,8 +187,9 @@
   }
 
   /**
-   * Returns the CPUs that work allowed on spot instances needs in addition to those of the present
-   * and requested spot instances.
+   * Returns how many more CPUs of spot instances are needed by the work that may run on them,
+   * beyond those that are active, being provisioned or requested; negative if there are more than
+   * needed.
    */
   private double missingSpotCpus() {
     double arriving = 0;
--- a/src/main/java/io/cherryspool/scheduler/ScalingPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/ScalingPlanner.java
@@ -10,10 +10,10 @@
 
 /**
  * Plans the size of the fleet by the demand. The fleet has to sustain the arriving work, and to
- * complete the waiting work in about the time that a machine takes to boot: a machine would cost
- * money for nothing if the work that it was requested for were complete before it has booted.
- * Within these limits, {@link ScaleOutPlanner} requests the cheapest allowed machines for
- * unschedulable tasks and replaces on-demand instances by spot instances, and {@link
+ * complete the waiting work in about the time that a machine takes to boot: machines requested to
+ * complete it sooner would cost money for nothing, since the work would be complete before they
+ * have booted. Within these limits, {@link ScaleOutPlanner} requests the cheapest allowed machines
+ * for unschedulable tasks and replaces on-demand instances by spot instances, and {@link
  * ScaleInPlanner} drains and deletes machines that exceed the demand.
  */
 public final class ScalingPlanner {
@@ -80,8 +80,8 @@
    * @param demands the demands of arriving and of waiting work
    * @param catalog the machine types, at most 63
    * @param unavailableOfferings the offerings that the cloud recently refused for lack of capacity
-   * @param idleTimeout the base of the idle times after which machines are deleted, which are
-   *     multiples or fractions of it
+   * @param idleTimeout the base idle time; a machine is deleted after it has been idle for a
+   *     multiple or a fraction of this time
    */
   public record FleetView(
       Instant now,
--- a/src/test/java/io/cherryspool/controller/fleet/CommandDeliveryTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/CommandDeliveryTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which commands count as delivered, and which direct calls as pending. */
+/** Tests which commands count as delivered, and which direct calls as pending. */
 class CommandDeliveryTest {
   private static final Duration NOW = Duration.ofSeconds(100);
   private static final Duration LIMIT = Duration.ofSeconds(1);
--- a/src/test/java/io/cherryspool/controller/fleet/FleetTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/FleetTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which machines a leader knows, and which heartbeats it accepts. */
+/** Tests which machines a leader knows, and which heartbeats it accepts. */
 class FleetTest {
   private static final Duration NOW = Duration.ofSeconds(100);
 
--- a/src/test/java/io/cherryspool/controller/fleet/MachineContactTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/MachineContactTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Detection of ignored replies, and of late copies of heartbeats. */
+/** Tests the detection of ignored replies, and of late copies of heartbeats. */
 class MachineContactTest {
   private final MachineContact contact = new MachineContact();
 
--- a/src/test/java/io/cherryspool/controller/fleet/PlacementHistoryTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/PlacementHistoryTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Exclusion of jobs from machines on which their tasks failed. Guards against a large job waiting
- * while machines are idle, because an occasional task failure excluded the whole job from a
+ * Tests the exclusion of jobs from machines on which their tasks failed. Guards against a large job
+ * waiting while machines are idle, because an occasional task failure excluded the whole job from a
  * machine. Seen in seed 237 of the random faults: req-000086, with 57 tasks and restricted to a
  * zone with three machines, was excluded from two of the three idle machines for 90 s with {@code
  * cause=excluded-machine}, although its tasks had completed on all of them.
--- a/src/test/java/io/cherryspool/controller/fleet/ZonePartitionTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/ZonePartitionTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Detection of a partitioned zone before its machines are deleted. Guards against a failure in
- * which a zone that was partitioned for 20 s lost 208 machines, which were deleted one by one as
- * each was found silent.
+ * Tests that a partitioned zone is detected before its machines are deleted. Guards against a
+ * failure in which a zone that was partitioned for 20 s lost 208 machines, which were deleted one
+ * by one as each was found silent.
  */
 class ZonePartitionTest {
   private static final Duration LATE_AFTER = Duration.ofSeconds(11);
--- a/src/test/java/io/cherryspool/controller/leader/LeaderCostTest.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderCostTest.java
@@ -17,8 +17,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Limits the leader's cost of its most frequent event, unchanged heartbeats: a thousand machines
- * send hundreds of them per second. The tests count bytes and rounds instead of measuring time.
+ * Tests that unchanged heartbeats cost the leader little. They are its most frequent event: a
+ * thousand machines send hundreds of them per second. The tests count bytes and rounds instead of
+ * measuring time.
  */
 class LeaderCostTest {
   private static final String MACHINE = "host-000001";
--- a/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
@@ -193,8 +193,8 @@
   }
 
   /**
-   * Returns the next heartbeat of a machine that runs the number of tasks, as its worker encodes
-   * it.
+   * Returns the next heartbeat of a machine that runs this number of tasks, as the machine's worker
+   * encodes it.
    */
   byte[] nextHeartbeat(String machine, int tasks) {
     StringBuilder taskList = new StringBuilder();
--- a/src/test/java/io/cherryspool/controller/leader/WorkerCommandPlannerTest.java
+++ b/src/test/java/io/cherryspool/controller/leader/WorkerCommandPlannerTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The commands for a worker, depending on the tasks that it reports and those that it owns by the
- * records.
+ * Tests which commands a worker is sent, depending on the tasks that it reports and those that its
+ * machine owns by the records.
  */
 class WorkerCommandPlannerTest {
   private static final TaskId TASK = new TaskId("req-000001", 0);
--- a/src/test/java/io/cherryspool/controller/metrics/HeldTasksTest.java
+++ b/src/test/java/io/cherryspool/controller/metrics/HeldTasksTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each cause has a gauge that shows the count of the last plan, and zero once the node no longer
- * leads.
+ * Tests that each cause has a gauge that shows the count of the last plan, and zero once the node
+ * no longer leads.
  */
 class HeldTasksTest {
   private final HeldTasks heldTasks = new HeldTasks();
--- a/src/test/java/io/cherryspool/controller/ownership/OwnershipTest.java
+++ b/src/test/java/io/cherryspool/controller/ownership/OwnershipTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which attempts own tasks after changes of the records. */
+/** Tests which attempts own tasks after changes of the records. */
 class OwnershipTest {
   private final List<Integer> releasedTaskIndexes = new ArrayList<>();
   private final Ownership ownership = new Ownership(null);
--- a/src/test/java/io/cherryspool/controller/ownership/StopRequestsTest.java
+++ b/src/test/java/io/cherryspool/controller/ownership/StopRequestsTest.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Which attempts must stop, and with which grace period. */
+/** Tests which attempts must stop, and with which grace period. */
 class StopRequestsTest {
   private static final TaskId TASK = new TaskId("req-000001", 0);
   private static final Duration SHORT = Duration.ofSeconds(5);
--- a/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
+++ b/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Handling of the cloud's answers to requests for instances. */
+/** Tests the handling of the cloud's answers to requests for instances. */
 class InstanceRequestsTest {
   private static final Duration LIST_LAG = Duration.ofSeconds(6);
   private static final MachineType BOX =
--- a/src/test/java/io/cherryspool/controller/release/CrashLoopBackoffTest.java
+++ b/src/test/java/io/cherryspool/controller/release/CrashLoopBackoffTest.java
@@ -12,7 +12,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** Attribution of task failures to jobs or machines, and the delays of retries. */
+/** Tests the attribution of task failures to jobs or machines, and the delays of retries. */
 class CrashLoopBackoffTest {
   private static final int FAILURE_CAP = 20;
 
--- a/src/test/java/io/cherryspool/controller/release/TerminationEvidenceTest.java
+++ b/src/test/java/io/cherryspool/controller/release/TerminationEvidenceTest.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which observations prove that a task's attempt has ended. */
+/** Tests which observations prove that a task's attempt has ended. */
 class TerminationEvidenceTest {
   private static final TaskId TASK = new TaskId("req-000001", 0);
   private static final Duration START = Duration.ofSeconds(100);
--- a/src/test/java/io/cherryspool/controller/rounds/MachineViewCacheTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/MachineViewCacheTest.java
@@ -90,17 +90,17 @@
     ClusterView.MachineView seen = onlyMachine(first);
     assertSame(first, seen.type());
     assertSame(seen, onlyMachine(first));
-    MachineType dearer = box(0.2);
-    assertSame(dearer, onlyMachine(dearer).type());
+    MachineType moreExpensive = box(0.2);
+    assertSame(moreExpensive, onlyMachine(moreExpensive).type());
   }
 
   /**
    * Guards against a job that waits for minutes although suitable machines have room: each failure
    * of a task once excluded the whole job from the machine for two more minutes. Observed with seed
-   * 237 of the random faults: tasks of req-000086 failed on each of three machines, two of 64 tasks
-   * and one later, and for 90 s rounds logged {@code round: job=req-000086 placed=0 over-quota=0
-   * unschedulable=8 cause=excluded-machine} although a machine was idle. Users accept waits of 90
-   * s.
+   * 237 of the random faults: tasks of req-000086 failed on each of three machines (two of 64 tasks
+   * at first, and one later), and for 90 s rounds logged {@code round: job=req-000086 placed=0
+   * over-quota=0 unschedulable=8 cause=excluded-machine} although a machine was idle. Users accept
+   * waits of 90 s.
    */
   @Test
   void failureExcludesAJobFromAMachineForLessThanUsersWait() {
@@ -114,11 +114,11 @@
     exchangeHeartbeat(2, secondFailure);
     machine.history().recordJobFailure("req-000001", secondFailure);
     machine.invalidateView();
-    Duration beforeUsersComplain = NOW.plus(MAX_ACCEPTED_WAIT).minus(TIME_TO_PLACE);
-    exchangeHeartbeat(3, beforeUsersComplain);
-    assertEquals(Set.of(), onlyMachine(type, beforeUsersComplain).excludedJobs());
-    machine.history().recordJobFailure("req-000001", beforeUsersComplain);
+    Duration latestPlacementTime = NOW.plus(MAX_ACCEPTED_WAIT).minus(TIME_TO_PLACE);
+    exchangeHeartbeat(3, latestPlacementTime);
+    assertEquals(Set.of(), onlyMachine(type, latestPlacementTime).excludedJobs());
+    machine.history().recordJobFailure("req-000001", latestPlacementTime);
     machine.invalidateView();
-    assertEquals(Set.of("req-000001"), onlyMachine(type, beforeUsersComplain).excludedJobs());
+    assertEquals(Set.of("req-000001"), onlyMachine(type, latestPlacementTime).excludedJobs());
   }
 }
--- a/src/test/java/io/cherryspool/controller/timing/TimingsTest.java
+++ b/src/test/java/io/cherryspool/controller/timing/TimingsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The cancel limit is kept with any settings of the operators. */
+/** Tests that the cancel limit is kept with any settings of the operators. */
 class TimingsTest {
   private static final Endpoint UNUSED_ENDPOINT = new Endpoint("127.0.0.1", 1);
 
@@ -41,9 +41,7 @@
     return Duration.ofMillis((long) (seconds * 1000));
   }
 
-  /**
-   * Guards against raising the authority to the state store lease where the authority is shorter.
-   */
+  /** Guards against raising a shorter authority to the length of the state store lease. */
   @ParameterizedTest
   @CsvSource({"16,36,4", "16,36,60", "16,24,4", "30,37,10", "24,54,1"})
   void theStateStoreLeaseIsShortenedRatherThanTheAuthorityRaised(
--- a/src/test/java/io/cherryspool/scheduler/LentQuotaTest.java
+++ b/src/test/java/io/cherryspool/scheduler/LentQuotaTest.java
@@ -35,8 +35,8 @@
   private static final int RANDOM_CLUSTERS = 400;
 
   /**
-   * Otherwise machines would be requested for the job in some rounds only, and it might never get
-   * one.
+   * If a job whose quota is lent were not reported as unschedulable, machines would be requested
+   * for it in some rounds only, and it might never get one.
    */
   @Test
   void taskWhoseQuotaIsLentStaysUnschedulable() {
--- a/src/test/java/io/cherryspool/scheduler/QuotaPreemptionTest.java
+++ b/src/test/java/io/cherryspool/scheduler/QuotaPreemptionTest.java
@@ -47,7 +47,8 @@
   }
 
   /**
-   * Otherwise a task of the team would be stopped, and the urgent task would still lack a machine.
+   * Preemption would stop a task of the team for nothing, since the urgent task would still lack a
+   * machine.
    */
   @Test
   void nothingIsPreemptedForQuotaIfThePendingTaskHasNoRoom() {
--- a/src/test/java/io/cherryspool/scheduler/QuotaReservationTest.java
+++ b/src/test/java/io/cherryspool/scheduler/QuotaReservationTest.java
@@ -82,7 +82,8 @@
   }
 
   /**
-   * As in the previous test, but the team's usage leaves too little quota for the promoted task.
+   * The promoted task's zone has no machine, and the team's usage leaves too little quota for the
+   * task.
    */
   @Test
   void promotedTaskOverQuotaReservesNoQuotaIfItsZoneHasNoMachine() {
--- a/src/test/java/io/cherryspool/scheduler/ScalingPlannerTest.java
+++ b/src/test/java/io/cherryspool/scheduler/ScalingPlannerTest.java
@@ -165,7 +165,7 @@
   /**
    * A job that fits no machine type may have been accepted before the types were known or when
    * there were other types. Such a job once caused requests of instances for running tasks that did
-   * not need them. Found by code review.
+   * not need them. This was found by code review.
    */
   @Test
   void jobThatFitsNoMachineTypeCausesNoRequestsForRunningTasks() {
--- a/src/test/java/io/cherryspool/scheduler/StarvationTest.java
+++ b/src/test/java/io/cherryspool/scheduler/StarvationTest.java
@@ -173,7 +173,7 @@
     }
   }
 
-  /** Otherwise smaller jobs would always use up the team's quota. */
+  /** Smaller jobs would always use up the team's quota if none were reserved for the large job. */
   @Test
   void largestJobStartsAlthoughItsTeamIsAtItsQuota() {
     Job large = submitAtStart(Priority.NORMAL, 2, 14);
