--- a/src/main/java/io/cherryspool/controller/ControllerModule.java
+++ b/src/main/java/io/cherryspool/controller/ControllerModule.java
@@ -56,12 +56,12 @@
   static final int HEARTBEATS_PER_LEASE = 8;
 
   /**
-   * The part of the state store's write limit that a rebuild may use. Renewals of the nodes' leases
-   * don't count against that limit.
+   * The fraction of the state store's write limit that a rebuild may use. Renewals of the nodes'
+   * leases don't count against that limit.
    */
   private static final double REBUILD_WRITE_SHARE = 0.85;
 
-  /** The most changes that may wait on a node, as a number of full transactions. */
+  /** The maximum number of changes that may wait on a node, in full transactions. */
   private static final int QUEUED_TRANSACTIONS = 4;
 
   private final Settings settings;
@@ -147,8 +147,8 @@
   }
 
   /**
-   * Updates the terms. The recovery is created before the terms, but calls this only after the node
-   * has started.
+   * Starts or stops a term according to the elections. The recovery is created before {@code
+   * terms}, but calls this method only after the node has started.
    */
   private void updateTerms() {
     terms.update();
--- a/src/main/java/io/cherryspool/controller/LeaderTerms.java
+++ b/src/main/java/io/cherryspool/controller/LeaderTerms.java
@@ -102,7 +102,7 @@
       return Optional.empty();
     }
     byte[] answer = current.handleHeartbeat(heartbeat);
-    // A heartbeat may contain a higher term, or reveal a loss of records, which ends this term.
+    // A heartbeat may contain a higher term or reveal a loss of records. Either ends this term.
     return current == null ? Optional.empty() : Optional.of(answer);
   }
 
--- a/src/main/java/io/cherryspool/controller/api/NodeService.java
+++ b/src/main/java/io/cherryspool/controller/api/NodeService.java
@@ -17,8 +17,8 @@
   void recordRedirectedWorker(WorkerHeartbeat heartbeat);
 
   /**
-   * Returns the latest heartbeats of the other nodes, without those that are too old for the node
-   * to count as reachable.
+   * Returns the latest heartbeats of the other nodes that count as reachable, because they have
+   * sent one recently.
    */
   List<Mesh.PeerHeartbeat> recentPeerHeartbeats();
 
--- a/src/main/java/io/cherryspool/controller/api/RequestForwarder.java
+++ b/src/main/java/io/cherryspool/controller/api/RequestForwarder.java
@@ -15,9 +15,9 @@
 
 /**
  * Forwards users' requests to another node that reaches the state store, while this node does not.
- * The other node serves the request by its own reads and writes, as it serves those of its users,
- * so its answer can be returned unchanged. Requests are idempotent, so it does no harm if both
- * nodes carry out the same request.
+ * The other node reads and writes the records itself, as for requests that users send to it, so its
+ * answer can be returned unchanged. Requests are idempotent, so it does no harm if both nodes carry
+ * out the same request.
  */
 public final class RequestForwarder {
   /** The timeout of a forwarded request; users wait 2 s for the state of a job. */
@@ -33,8 +33,8 @@
   /**
    * Creates the forwarder.
    *
-   * @param peers returns the latest heartbeats of the other nodes, without those that are too old
-   *     for the node to count as reachable
+   * @param peers returns the latest heartbeats of the other nodes that count as reachable, because
+   *     they have sent one recently
    */
   public RequestForwarder(Transport transport, Supplier<List<Mesh.PeerHeartbeat>> peers) {
     this.transport = transport;
--- a/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
+++ b/src/main/java/io/cherryspool/controller/api/StateStoreHealth.java
@@ -12,8 +12,8 @@
 import java.util.Optional;
 
 /**
- * Determines whether this node reaches the state store, and how its reads compare with those of the
- * other nodes. Called on the event loop only.
+ * Determines whether this node reaches the state store, and whether other nodes have read it more
+ * recently. Called on the event loop only.
  */
 public final class StateStoreHealth {
   private final EventLoop loop;
@@ -51,8 +51,8 @@
   public boolean isReachable() {
     Optional<Duration> lastAnswered = Optional.ofNullable(records.lastConfirmedAt());
     if (recovery.isPresent() && !recovery.get().isServing()) {
-      // While a node is not serving, because the records are being rebuilt, it reads them by other
-      // requests.
+      // While the records are being rebuilt, a node that does not serve them reads the identity
+      // record instead.
       lastAnswered = recovery.get().lastAnsweredRequestSentAt();
     }
     return lastAnswered.isPresent()
@@ -98,8 +98,9 @@
   /**
    * Whether this node is ready to serve users: the records are loaded, and the state store is
    * reachable. If the state store answers no node, it helps no user if the load balancer avoids
-   * this node, so a node whose peers don't reach the state store either remains ready. A node that
-   * receives no heartbeats from its peers does not, because it is more likely to be cut off itself.
+   * this node. A node that doesn't reach the state store therefore remains ready if none of its
+   * peers reaches it either. It does not remain ready if it receives no heartbeats from its peers,
+   * because it is then more likely to be cut off itself.
    */
   boolean isReady() {
     List<Mesh.PeerHeartbeat> others =
--- a/src/main/java/io/cherryspool/controller/api/UserApi.java
+++ b/src/main/java/io/cherryspool/controller/api/UserApi.java
@@ -15,10 +15,10 @@
 import java.util.function.Supplier;
 
 /**
- * Serves users' requests. Every node can do so, with or without a leader: a submission and a
- * cancellation are one compare-and-swap transaction each, and any state of a job but a final one is
- * read from the state store after the request was received. Submissions are idempotent. The
- * returned futures never fail: a request that can't be served now is answered with 503.
+ * Serves users' requests. Every node can do so, with or without a leader: each submission and each
+ * cancellation is one compare-and-swap transaction, and a job's state, unless it is final, is read
+ * from the state store after the request was received. Submissions are idempotent. The returned
+ * futures never fail: a request that can't be served now is answered with 503.
  */
 public final class UserApi {
   private static final String STATE_STORE_NOT_ANSWERING = "the state service is silent";
@@ -83,7 +83,7 @@
   /**
    * Refuses a submission unless any node has accepted the job earlier: a user who repeats an
    * accepted submission must never be answered that it is malformed or can never run. While no node
-   * can read the state store, no node accepts jobs, so that this node's copy of the records is
+   * can read the state store, no node accepts jobs, so that this node's replica of the records is
    * sufficient. A node that is behind its peers can't know whether the job was accepted.
    */
   private CompletableFuture<Reply> refuse(String id, Reply refusal) {
@@ -173,7 +173,7 @@
 
   /**
    * Answers with the job's present state, which it reads from the state store first. Only a final
-   * state is answered from this node's copy, even if the state store is unreachable, because a
+   * state is answered from this node's replica, even if the state store is unreachable, because a
    * final state never changes.
    */
   private CompletableFuture<Reply> read(String id, Supplier<Reply> ifUnknown) {
--- a/src/main/java/io/cherryspool/controller/election/Campaign.java
+++ b/src/main/java/io/cherryspool/controller/election/Campaign.java
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Sets the listener that is called when a request of this campaign has ended and the records have
-   * been read after it, or could not be read.
+   * Sets the listener that is called after each request of this campaign, once the records have
+   * been read again or could not be read.
    */
   void onConcluded(Runnable listener) {
     onConcluded = listener;
--- a/src/main/java/io/cherryspool/controller/election/Election.java
+++ b/src/main/java/io/cherryspool/controller/election/Election.java
@@ -13,9 +13,9 @@
 
 /**
  * Takes part in leader election for this node: keeps a lease in the state store, runs for election
- * while there is no leader, and hands leadership over. Only the records decide who leads: an
- * election whose answer was lost, or that the state store applied late, takes effect when this node
- * reads its record, and not before.
+ * while there is no leader, and hands leadership over. Only the records decide who leads: if the
+ * answer to an election's transaction was lost, or the state store applied the transaction late,
+ * the election takes effect only once this node has read the leader's record.
  *
  * <p>All methods are called on the event loop.
  */
--- a/src/main/java/io/cherryspool/controller/election/Leadership.java
+++ b/src/main/java/io/cherryspool/controller/election/Leadership.java
@@ -7,8 +7,8 @@
 import java.time.Duration;
 
 /**
- * Determines whether this process leads and what it may do as the leader, from this node's copy of
- * the records, the leases that it holds, and the terms that workers and other nodes have sent.
+ * Determines whether this process leads and what it may do as the leader, from this node's replica
+ * of the records, the leases that it holds, and the terms that workers and other nodes have sent.
  */
 final class Leadership {
   private final EventLoop loop;
--- a/src/main/java/io/cherryspool/controller/election/LeaseReplacement.java
+++ b/src/main/java/io/cherryspool/controller/election/LeaseReplacement.java
@@ -17,8 +17,9 @@
 
 /**
  * Changes the length of a leader's lease: requests a lease of the new length, attaches the leader's
- * record to it, and revokes the old lease once the records show that. Until then this node renews
- * both leases, and it remains leader by whichever of them the record is attached to.
+ * record to it, and revokes the old lease once the records show that the record is attached to the
+ * new one. Until then this node renews both leases. It remains leader by the lease to which the
+ * record is attached, whichever of the two that is.
  */
 final class LeaseReplacement {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseReplacement.class);
@@ -86,9 +87,9 @@
 
   /**
    * Attaches the leader's record to the replacement. The transaction is conditional on the version
-   * of the record that this node has read, so that the same transaction is sent until its outcome
-   * is known: either the record is read as attached to the replacement, or the replacement has
-   * expired and no copy of the transaction can be applied any more.
+   * of the record that this node has read, so each attempt sends the same transaction until the
+   * outcome is known: either this node reads that the record is attached to the replacement, or the
+   * replacement has expired, so that no copy of the transaction can be applied any more.
    */
   private void moveRecord() {
     if (isMovePending || handover.isPending() || !leadership.isLeader()) {
--- a/src/main/java/io/cherryspool/controller/election/NodeLeases.java
+++ b/src/main/java/io/cherryspool/controller/election/NodeLeases.java
@@ -14,13 +14,13 @@
 
 /**
  * Requests, renews and revokes this node's leases in the state store. A node has one current lease.
- * A leader that changes the length of its lease has a second one, the replacement, until its record
- * is attached to that. Both are renewed at the same times.
+ * A leader that changes the length of its lease has a second one, the replacement, until the
+ * leader's record is attached to the replacement. Both leases are renewed at the same times.
  */
 final class NodeLeases {
   private static final Logger LOG = LoggerFactory.getLogger(NodeLeases.class);
 
-  /** The length of a lease divided by the delay before a failed renewal is retried. */
+  /** The number of times that a failed renewal is retried within the length of a lease. */
   private static final int RETRIES_PER_LEASE = 16;
 
   private final EventLoop loop;
@@ -43,7 +43,7 @@
     /** Called when a node without a lease was granted one. */
     void leaseGranted();
 
-    /** Called when a lease has expired or was given up. */
+    /** Called when a lease has expired, or when this node has stopped using its leases. */
     void leasesChanged();
 
     /**
@@ -252,7 +252,7 @@
     }
   }
 
-  /** Gives up all leases: stops using them, notifies the listener, and then revokes them. */
+  /** Stops using all leases, notifies the listener, and then revokes the leases. */
   void relinquish() {
     Optional<StateStoreLease> first = current();
     Optional<StateStoreLease> second = replacement();
--- a/src/main/java/io/cherryspool/controller/election/StateStoreAccess.java
+++ b/src/main/java/io/cherryspool/controller/election/StateStoreAccess.java
@@ -9,7 +9,7 @@
  * event loop only.
  *
  * @param client sends requests
- * @param rateLimiter limits this node to its share of the store's request and write limits
- * @param records this node's copy of the records
+ * @param rateLimiter limits this node to its share of the state store's request and write limits
+ * @param records this node's replica of the records
  */
 public record StateStoreAccess(StateStoreClient client, RateLimiter rateLimiter, Replica records) {}
--- a/src/main/java/io/cherryspool/controller/election/StateStoreLease.java
+++ b/src/main/java/io/cherryspool/controller/election/StateStoreLease.java
@@ -31,8 +31,8 @@
   }
 
   /**
-   * When the last confirmed renewal, or else the request for the lease, was sent, on the event
-   * loop's clock.
+   * When the last confirmed renewal was sent, on the event loop's clock; before the first one, when
+   * the request for the lease was sent.
    */
   Duration lastRenewalSentAt() {
     return lastRenewalSentAt;
--- a/src/main/java/io/cherryspool/controller/package-info.java
+++ b/src/main/java/io/cherryspool/controller/package-info.java
@@ -3,8 +3,8 @@
  * plans and commits rounds, sends commands to workers, and scales the fleet. This package connects
  * and runs the components, which are in its subpackages.
  *
- * <p>Committed state is read from the copy of the records in the {@code store} package. All other
- * state is kept in memory for at most one term, and the next leader rebuilds it from workers'
+ * <p>Committed state is read from the replica of the records in the {@code store} package. All
+ * other state is kept in memory for at most one term, and the next leader rebuilds it from workers'
  * heartbeats. docs/design.md explains why that is safe.
  *
  * <p>May depend on {@code scheduler}, {@code store}, {@code cloud}, {@code worker}, {@code mesh},
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
@@ -170,7 +170,7 @@
         .exceptionally(failure -> retryLater());
   }
 
-  /** Releases a held job, so that those of its tasks run again that no worker has reported. */
+  /** Releases a held job. Its tasks that no worker has reported run again. */
   private CompletableFuture<Reply> repeat(String id) {
     if (records.isUnknownJob(id) && records.job(id) == null) {
       return completed(
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
@@ -139,7 +139,8 @@
   }
 
   /**
-   * Returns when the last successful request while not serving was sent; empty if there was none.
+   * Returns when the last successful read of the identity record was sent; empty if there was none.
+   * This node reads it only while it does not serve.
    */
   public Optional<Duration> lastAnsweredRequestSentAt() {
     return recovery.lastAnsweredRequestSentAt();
--- a/src/main/java/io/cherryspool/mesh/LinkSummary.java
+++ b/src/main/java/io/cherryspool/mesh/LinkSummary.java
@@ -12,8 +12,8 @@
  * @param address the address at which the node serves users' requests; empty if it is not known
  * @param stateStore the node's link to the state store
  * @param cloud the node's link to the cloud; up for a node that does not use it
- * @param wasStalled whether the node recently stalled or fell behind, so that missing messages may
- *     be its own fault
+ * @param wasStalled whether the node recently stalled or fell behind, so that it may itself be the
+ *     cause of missing messages
  * @param leadershipPenalty how often the node has recently lost leadership while its process kept
  *     running, in tenths of a loss
  * @param verdict what the node does about its links, and the reason
--- a/src/main/java/io/cherryspool/mesh/LinkSummaryCodec.java
+++ b/src/main/java/io/cherryspool/mesh/LinkSummaryCodec.java
@@ -16,7 +16,8 @@
   private static final int ZONE_FIELDS = 5;
 
   /**
-   * The most zones that are sent, so that a heartbeat fits into a frame; further zones are omitted.
+   * The maximum number of zones that are sent, so that a heartbeat fits into a frame; further zones
+   * are omitted.
    */
   private static final int MAX_ZONES = 40;
 
@@ -118,7 +119,8 @@
     int ordinal = unpacker.unpackInt();
     LinkState[] states = LinkState.values();
     if (ordinal < 0 || ordinal >= states.length) {
-      throw new IOException("unknown link state: " + ordinal);
+      throw new IOException(
+          "the link summary contains an unknown ordinal of a link state: " + ordinal);
     }
     return states[ordinal];
   }
--- a/src/main/java/io/cherryspool/mesh/NettyMesh.java
+++ b/src/main/java/io/cherryspool/mesh/NettyMesh.java
@@ -45,13 +45,13 @@
 
   /**
    * The time without a frame after which an incoming connection is closed. It is longer than
-   * several heartbeat intervals, so the sender is gone by then.
+   * several heartbeat intervals, so the sender no longer uses the connection by then.
    */
   private static final int READ_TIMEOUT_S = 30;
 
   /**
-   * The most bytes that may wait in an outgoing connection that the receiver does not read; a
-   * connection with more is closed.
+   * The maximum number of bytes that may wait in an outgoing connection that the receiver does not
+   * read; a connection with more is closed.
    */
   private static final int MAX_UNSENT_BYTES = 16 * 1024;
 
--- a/src/main/java/io/cherryspool/reachability/ContactState.java
+++ b/src/main/java/io/cherryspool/reachability/ContactState.java
@@ -25,7 +25,7 @@
     return this == LATE || isUnreachable();
   }
 
-  /** Whether no messages are delivered in at least one direction. */
+  /** Whether no messages arrive from the machine, or none arrive at it. */
   boolean isUnreachable() {
     return this == NOT_RECEIVING || this == SILENT || this == NEVER_SEEN;
   }
--- a/src/main/java/io/cherryspool/reachability/FleetReachability.java
+++ b/src/main/java/io/cherryspool/reachability/FleetReachability.java
@@ -21,7 +21,8 @@
    * @param known as in {@link FleetReachability}
    * @param missing as in {@link FleetReachability}
    * @param listed the number of machines that the cloud lists
-   * @param unreachable how many of the listed machines no message reaches, or none arrives from
+   * @param unreachable how many of the listed machines receive no messages, or send none that
+   *     arrive
    */
   public record Zone(int known, int missing, int listed, int unreachable) {}
 
--- a/src/main/java/io/cherryspool/reachability/LeaseLength.java
+++ b/src/main/java/io/cherryspool/reachability/LeaseLength.java
@@ -6,8 +6,9 @@
  * Determines the length of a leader's lease. If leaders repeatedly lose their lease while their
  * processes keep running, because their links flap, the next leader takes a longer lease, which
  * outlasts the flaps. One loss, or a second one long after the first, does not change the length.
- * No lease is longer than the time for which a leader may answer workers without the state store
- * anyway. Confined to the event loop.
+ * No lease is longer than the time for which a leader may answer workers without the state store:
+ * after that time it must stop answering them even if its lease is still valid. Confined to the
+ * event loop.
  */
 final class LeaseLength {
   /** From this penalty on, the lease is twice as long as the shortest one. */
--- a/src/main/java/io/cherryspool/reachability/LocalHealth.java
+++ b/src/main/java/io/cherryspool/reachability/LocalHealth.java
@@ -4,8 +4,8 @@
 
 /**
  * Measures for how long this node has run its periodic ticks on time. While a node is stalled or
- * falls behind, messages from others may be waiting unread in its sockets, so a message that it has
- * not received then says nothing about the sender. Confined to the event loop.
+ * falls behind, messages from others may be waiting unread in its sockets, so the absence of a
+ * message then says nothing about its sender. Confined to the event loop.
  */
 public final class LocalHealth {
   private final Duration maxTickDelay;
@@ -29,7 +29,7 @@
     nextTickDue = now.plus(interval);
   }
 
-  /** Changes the time at which the next tick is due to this interval from now. */
+  /** Postpones the next tick, so that it is due after this interval from now. */
   public void postpone(Duration now, Duration interval) {
     nextTickDue = now.plus(interval);
   }
--- a/src/main/java/io/cherryspool/reachability/MachineEvictionRule.java
+++ b/src/main/java/io/cherryspool/reachability/MachineEvictionRule.java
@@ -6,21 +6,24 @@
 
 /**
  * Decides when a leader evicts a single machine that it does not reach, or that does not reach it.
- * The decision is only a guess that the machine is lost; its tasks are free only after the
- * machine's deletion, which follows, is confirmed. Immutable.
+ * The decision is only a guess that the machine is lost. The eviction deletes the machine, and its
+ * tasks are free only once that deletion is confirmed. Immutable.
  */
 public final class MachineEvictionRule {
   /** The number of heartbeat intervals without a message after which a machine is evicted. */
   private static final int MAX_MISSED_HEARTBEATS = 3;
 
-  /** The same number for a machine that owns tasks and does not answer a direct call either. */
+  /**
+   * The number of heartbeat intervals without a message after which a machine is evicted that owns
+   * tasks and does not answer a direct call.
+   */
   private static final int MAX_MISSED_HEARTBEATS_IF_UNRESPONSIVE = 2;
 
   /** How late a heartbeat may be, for example because of network delays. */
   private static final Duration HEARTBEAT_GRACE = Duration.ofSeconds(2);
 
   /**
-   * The number of task leases after which a machine is evicted if its zone is probably unreachable
+   * The time, in task leases, after which a machine is evicted if its zone is probably unreachable
    * rather than dead.
    */
   private static final int UNREACHABLE_ZONE_LEASES = 2;
--- a/src/main/java/io/cherryspool/reachability/PartitionRule.java
+++ b/src/main/java/io/cherryspool/reachability/PartitionRule.java
@@ -10,27 +10,28 @@
 /**
  * The rule that controllers follow in a network partition. Immutable.
  *
- * <p>A leader whose workers can't reach it, but which reaches the state store and the other nodes,
- * would remain leader. Its workers would try the other nodes in turn, be redirected to it each
- * time, and lose all their tasks when their leases expire. The other nodes therefore count the
- * workers that they redirect and send the counts in their heartbeats. The leader hands leadership
- * over only if both observations agree: many machines have stopped sending it heartbeats, and about
- * as many workers come to the other nodes. Machines that have died, hang or are cut off together
- * with their zone come to no node. A leader that receives no heartbeats from other nodes decides by
- * the first observation alone.
+ * <p>Without this rule, a leader that its workers can't reach would remain leader as long as it
+ * reaches the state store and the other nodes. Its workers would try the other nodes in turn, be
+ * redirected to the leader each time, and lose all their tasks when their leases expire. The other
+ * nodes therefore count the workers that they redirect and send the counts in their heartbeats. The
+ * leader hands leadership over only if both observations agree: many machines have stopped sending
+ * it heartbeats, and about as many workers send heartbeats to the other nodes. Machines that have
+ * died, hang or are cut off together with their zone send heartbeats to no node. A leader that
+ * receives no heartbeats from other nodes decides by the first observation alone.
  */
 public final class PartitionRule implements VerdictRule {
   /** The smallest number of missing machines for which a leader hands leadership over. */
   private static final int MIN_MISSING_MACHINES = 3;
 
   /**
-   * A leader hands leadership over only if at least the known machines divided by this are missing.
+   * A leader hands leadership over only if at least 1/{@code MIN_MISSING_DIVISOR} of the known
+   * machines are missing.
    */
   private static final int MIN_MISSING_DIVISOR = 6;
 
   /**
-   * After recent changes of the leader, the part of the machines that must be missing is multiplied
-   * by this.
+   * After recent changes of the leader, the fraction of the machines that must be missing is
+   * multiplied by this.
    */
   private static final int RECENT_CHANGES_THRESHOLD_FACTOR = 2;
 
@@ -40,12 +41,15 @@
    */
   private static final double RECENT_CHANGES_PENALTY = 1.5;
 
-  /** A node whose link to the state store flaps delays its candidacy by a lease divided by this. */
+  /**
+   * A node whose link to the state store flaps delays its candidacy by the lease's length divided
+   * by this.
+   */
   private static final int FLAPPING_DELAY_DIVISOR = 2;
 
   /**
-   * After a handover, a node that is not the successor delays its candidacy by a lease divided by
-   * this.
+   * After a handover, a node that is not the successor delays its candidacy by the lease's length
+   * divided by this.
    */
   private static final int NOT_SUCCESSOR_DELAY_DIVISOR = 4;
 
@@ -104,15 +108,15 @@
 
   /**
    * Whether enough machines are missing for a handover. Missing machines don't count if this node
-   * was recently stalled, behind, or unable to answer workers. Heartbeats were then late because of
-   * this node, and after an outage of the state store all workers come back from the other nodes at
-   * once.
+   * was recently stalled, behind, or unable to answer workers: heartbeats were then late because of
+   * this node, and after an outage of the state store all workers return to this node from the
+   * other nodes at once.
    *
-   * <p>For the same reason a leader that is too busy to answer workers in time does not hand over,
-   * although its workers try the other nodes. Its successor would have no more capacity, and the
-   * work of a failover in addition: three controllers with 7.6% of a core handed leadership over
-   * every 10 to 20 s and lost thousands of tasks. A leader that its workers can't reach, by
-   * contrast, has little work and runs on time.
+   * <p>A leader that is too busy to answer workers in time does not hand over either, although its
+   * workers try the other nodes. Its successor would have no more capacity and would have the work
+   * of a failover in addition: three controllers with 7.6% of a core handed leadership over every
+   * 10 to 20 s and lost thousands of tasks. A leader that its workers can't reach, by contrast, has
+   * little work and runs on time.
    */
   private boolean isHandoverWorthwhile(NodeView view) {
     int missing = view.fleet().machines().missing();
@@ -130,8 +134,8 @@
   }
 
   /**
-   * Returns the handover to the node to which most of the missing workers come; empty if there is
-   * no such node.
+   * Returns the handover to the node to which most of the missing workers send heartbeats; empty if
+   * there is no such node.
    */
   private Optional<Verdict> handOver(NodeView view) {
     List<Mesh.PeerHeartbeat> heartbeats =
@@ -141,8 +145,9 @@
 
   /**
    * Returns the handover of a leader that receives no heartbeats from other nodes, and so can't
-   * know to which node its workers come. If half of its machines are missing, any other node is
-   * probably the better leader. A leader that has never received a heartbeat does not hand over.
+   * know to which node its workers send heartbeats. If half of its machines are missing, any other
+   * node is probably the better leader. A leader that has never received a heartbeat does not hand
+   * over.
    */
   private static Optional<Verdict> handOverWithoutPeers(NodeView view) {
     boolean isHalfMissing =
--- a/src/main/java/io/cherryspool/reachability/Reachability.java
+++ b/src/main/java/io/cherryspool/reachability/Reachability.java
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Returns the latest heartbeats of the other nodes, without those that are too old for the node
-   * to count as reachable.
+   * Returns the latest heartbeats of the other nodes that count as reachable, because they have
+   * sent one recently.
    */
   public List<Mesh.PeerHeartbeat> freshPeerHeartbeats(Duration now) {
     return matrix.freshHeartbeats(timings.peerHeartbeatTimeout(), now);
--- a/src/main/java/io/cherryspool/reachability/Reason.java
+++ b/src/main/java/io/cherryspool/reachability/Reason.java
@@ -20,7 +20,7 @@
    */
   ZONES_UNREACHABLE("many machines of a zone are not heard at once"),
 
-  /** The workers that this leader misses send their heartbeats to other nodes. */
+  /** The workers from which this leader receives no heartbeats send them to other nodes. */
   WORKERS_REACH_OTHER_NODES("the missing workers come to other nodes"),
 
   /** This leader receives heartbeats from no other node, and from at most half of its workers. */
--- a/src/main/java/io/cherryspool/reachability/RedirectedWorkers.java
+++ b/src/main/java/io/cherryspool/reachability/RedirectedWorkers.java
@@ -8,13 +8,15 @@
 
 /**
  * Counts the workers that this node has recently redirected to the leader. A worker that reaches
- * the leader after its redirect does not come back. One that does not reach the leader comes
- * repeatedly, because it tries the nodes in turn. Confined to the event loop.
+ * the leader after its redirect sends this node no further heartbeats. A worker that does not reach
+ * the leader sends this node heartbeats repeatedly, because it tries the nodes in turn. Confined to
+ * the event loop.
  */
 public final class RedirectedWorkers {
   /**
-   * For how long a redirect counts. A worker that tries the nodes in turn comes back within this
-   * time: it waits 4 s for the leader and 1 s before it tries the next node; the rest is a margin.
+   * For how long a redirect counts. A worker that tries the nodes in turn sends this node its next
+   * heartbeat within this time: it waits 4 s for the leader and 1 s before it tries the next node;
+   * the rest is a margin.
    */
   private static final Duration REDIRECT_RETENTION = Duration.ofMillis(6500);
 
--- a/src/main/java/io/cherryspool/reachability/RequestLink.java
+++ b/src/main/java/io/cherryspool/reachability/RequestLink.java
@@ -12,8 +12,8 @@
  */
 public final class RequestLink implements ObservedTransport.Observer {
   /**
-   * The number of failures since the last answer from which on a link may be down; a single failure
-   * may be chance.
+   * The smallest number of failures since the last answer with which a link may be down; a single
+   * failure may be chance.
    */
   private static final int MIN_FAILURES_FOR_DOWN = 2;
 
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Returns the state of the link, as far as the requests until now show it. */
+  /** Returns the state of the link, as far as the requests so far show it. */
   public LinkState state(Duration now) {
     if (failingSince == null) {
       return LinkState.UP;
--- a/src/main/java/io/cherryspool/reachability/ZoneLinks.java
+++ b/src/main/java/io/cherryspool/reachability/ZoneLinks.java
@@ -10,25 +10,28 @@
 
 /**
  * A leader's links to the workers of each zone. If more than a third of the machines that the cloud
- * lists in a zone became unreachable at the same time, the zone is probably cut off rather than
- * dead, or this node is, and the machines may still be running their tasks. In a zone that is cut
- * off, more than half of the machines are late by the time that the first of them have missed two
- * heartbeats. Machines that die or hang together are a smaller part of their zone. Confined to the
- * event loop.
+ * lists in a zone became unreachable at the same time, they are probably not dead: the zone or this
+ * node is probably cut off, and the machines may still be running their tasks. In a zone that is
+ * cut off, more than half of the machines are late by the time that the first of them have missed
+ * two heartbeats. Machines that die or hang together are a smaller part of their zone. Confined to
+ * the event loop.
  */
 final class ZoneLinks {
   /**
-   * The smallest number of unreachable machines that says anything about a zone; a single machine
-   * may be dead.
+   * The smallest number of unreachable machines for which a zone's link may be anything but up; a
+   * single machine may be dead.
    */
   private static final int MIN_UNREACHABLE_MACHINES = 2;
 
-  /** A zone is down once more than its listed machines divided by this are unreachable. */
+  /**
+   * A zone's link is down once more than 1/{@code DOWN_DIVISOR} of the zone's listed machines are
+   * unreachable.
+   */
   private static final int DOWN_DIVISOR = 3;
 
   /**
-   * A zone that was down remains down while more than its listed machines divided by this are
-   * unreachable.
+   * A link that was down remains down while more than 1/{@code UP_DIVISOR} of the zone's listed
+   * machines are unreachable.
    */
   private static final int UP_DIVISOR = 6;
 
--- a/src/main/java/io/cherryspool/recovery/FirstInstallation.java
+++ b/src/main/java/io/cherryspool/recovery/FirstInstallation.java
@@ -37,10 +37,10 @@
   }
 
   /**
-   * Writes the identity record, unless the store is empty although a worker has reported a fencing
+   * Writes the identity record, unless the state store is empty and a worker has reported a fencing
    * token. A failed request is not retried; the caller calls again.
    *
-   * @param onAllRecordsLost called instead if the store is empty although a worker has reported a
+   * @param onAllRecordsLost called instead if the state store is empty and a worker has reported a
    *     fencing token
    */
   void begin(Runnable onAllRecordsLost) {
--- a/src/main/java/io/cherryspool/recovery/IncarnationMonitor.java
+++ b/src/main/java/io/cherryspool/recovery/IncarnationMonitor.java
@@ -44,7 +44,7 @@
     this.installation = installation;
   }
 
-  /** The time at which the last successful read was sent, empty if there was none. */
+  /** The time at which the last successful read of the identity record was sent, empty if none. */
   Optional<Duration> lastAnsweredRequestSentAt() {
     return lastAnsweredRequestSentAt;
   }
--- a/src/main/java/io/cherryspool/recovery/LossDetector.java
+++ b/src/main/java/io/cherryspool/recovery/LossDetector.java
@@ -11,8 +11,8 @@
 
 /**
  * Compares the answers of the state store with the history that this node and the other nodes know.
- * When it detects that history was lost, it makes the node stop serving. When records were loaded
- * that are complete, it makes the node serve them. Confined to the event loop.
+ * When it detects that history was lost, it makes the node stop serving. When complete records have
+ * been loaded, it makes the node serve them. Confined to the event loop.
  */
 final class LossDetector implements RollbackDetector {
   private static final Logger LOG = LoggerFactory.getLogger(LossDetector.class);
@@ -121,8 +121,8 @@
       return;
     }
     LOG.warn("the state store has lost data: sign={}: {}; holding until rebuilt", loss, detail);
-    // The leader does not know every start if its records come from a partial rebuild that is not
-    // fully reconciled.
+    // The leader does not know every start if its records were rebuilt without some starts and are
+    // not fully reconciled yet.
     boolean wasSoleLeader =
         node.isSoleLeader() && !loss.showsAnotherLeader() && replica.isFullyReconciled();
     state.recordLoss(loss, present, wasSoleLeader);
@@ -140,8 +140,8 @@
     }
     state.serve();
     minimumRevision = replica.revision();
-    // This comes before any request is answered, because other nodes may know that these records
-    // are too old.
+    // Must precede the first request: these records are too old if another node has seen a higher
+    // revision of this incarnation.
     raiseMinimumRevision();
     LOG.info(
         "serving incarnation={} from revision={}",
@@ -166,7 +166,7 @@
     if (replica.revision() < retainedRevision) {
       reportLoss(
           Loss.REVISION_WENT_BACK,
-          "the store has revision "
+          "the state store has revision "
               + replica.revision()
               + ", but this node retains revision "
               + retainedRevision);
--- a/src/main/java/io/cherryspool/recovery/PeerSurvey.java
+++ b/src/main/java/io/cherryspool/recovery/PeerSurvey.java
@@ -24,7 +24,7 @@
 
   /**
    * Whether this node may load records. A starting node first waits for the other nodes'
-   * heartbeats, because they may show that the records in the store are too old.
+   * heartbeats, because they may show that the records in the state store are too old.
    */
   boolean mayLoadRecords() {
     return state.isHolding()
--- a/src/main/java/io/cherryspool/recovery/RebuildCoordinator.java
+++ b/src/main/java/io/cherryspool/recovery/RebuildCoordinator.java
@@ -46,7 +46,7 @@
   /**
    * Starts a rebuild if the election decides that this node should rebuild now.
    *
-   * @param record the identity record in the store, empty if there is none
+   * @param record the identity record in the state store, empty if there is none
    * @param version the version of the identity record, 0 if there is none
    * @param onEnded called once when the rebuild has finished or was superseded
    */
@@ -110,7 +110,7 @@
   }
 
   /**
-   * Whether every other node that reaches the store has contributed its last writes to this
+   * Whether every other node that reaches the state store has contributed its last writes to this
    * rebuild.
    */
   private boolean haveAllContributed(long incarnationNumber) {
--- a/src/main/java/io/cherryspool/recovery/RebuildElection.java
+++ b/src/main/java/io/cherryspool/recovery/RebuildElection.java
@@ -31,10 +31,10 @@
   }
 
   /**
-   * Whether this node should rebuild now. It waits for a preferred node that can't reach the store,
-   * but only for a limited time.
+   * Whether this node should rebuild now. It waits for a preferred node that can't reach the state
+   * store, but only for a limited time.
    *
-   * @param record the identity record in the store, empty if there is none
+   * @param record the identity record in the state store, empty if there is none
    */
   boolean shouldRebuild(Optional<Incarnation> record) {
     Duration waitingTime = state.waitingTime();
@@ -54,8 +54,9 @@
   }
 
   /**
-   * Whether this node should replace an unfinished rebuild: the rebuild started from older records
-   * than this node retains, and its rebuilder does not know every start unless this node does too.
+   * Whether this node should replace an unfinished rebuild by its own, because the rebuild started
+   * from older records than this node retains. A rebuilder that knows every start is replaced only
+   * by a node that knows every start as well.
    */
   private boolean shouldReplace(Incarnation record) {
     return record.phase() == Incarnation.Phase.REBUILDING
@@ -64,9 +65,10 @@
   }
 
   private boolean shouldWaitFor(Peer peer, boolean isWithinMaxWait) {
-    // A node that still serves detects the loss by this node's revision, unless only workers have
-    // shown the loss. In that case everything that the other node has acknowledged is still in the
-    // store, where the rebuild reads it, so this node need not wait any longer.
+    // A node that still serves detects the loss by the revision in this node's heartbeats, except
+    // if only a report of a worker has shown the loss. In that case the state store still contains
+    // everything that the other node has acknowledged. The rebuild reads it there, so this node
+    // waits no longer.
     boolean isServing = peer.retainedRecords().phase() == RetainedRecords.Phase.SERVING;
     return (peer.isStateStoreReachable() || isWithinMaxWait)
         && !(isServing && state.waitingTime().compareTo(timings.twiceGatheringTime()) > 0);
@@ -75,7 +77,7 @@
   /**
    * Whether another node may still be working on this rebuild. A rebuilder that sends no heartbeats
    * gets twice the gathering time, because nodes that can't reach one another may all reach the
-   * store.
+   * state store.
    */
   private boolean mayBeInProgress(Incarnation record) {
     if (record.phase() != Incarnation.Phase.REBUILDING) {
--- a/src/main/java/io/cherryspool/recovery/Rebuilder.java
+++ b/src/main/java/io/cherryspool/recovery/Rebuilder.java
@@ -18,7 +18,7 @@
 
 /**
  * One attempt to rebuild the records. It replaces the identity record to fence all transactions of
- * the lost incarnation, reads the records that the store still contains, writes the rebuilt
+ * the lost incarnation, reads the records that the state store still contains, writes the rebuilt
  * records, waits for the other nodes' last writes, and marks the incarnation as serving. Each
  * transaction has the version of the identity record that this attempt has written as a condition,
  * so that the attempt ends as soon as another one has begun. Confined to the event loop.
@@ -46,8 +46,8 @@
    * @param incarnation the identity record that fences the lost incarnation
    * @param replacedVersion the version of the identity record that it replaces, 0 if there is none
    * @param lost the incarnation whose records were lost, empty if unknown
-   * @param interrupted the incarnation found in the store, if it is not the lost one: usually a
-   *     rebuild that was interrupted
+   * @param interrupted the incarnation found in the state store, if it is not the lost one: usually
+   *     a rebuild that was interrupted
    * @param retained the records that this node retains
    * @param recentWrites the jobs and outcomes that this node has acknowledged and that {@code
    *     retained} may lack
@@ -73,8 +73,8 @@
   /**
    * Creates an attempt that begins with {@link #start}.
    *
-   * @param haveAllContributed whether all other nodes that reach the store have contributed their
-   *     last writes
+   * @param haveAllContributed whether all other nodes that reach the state store have contributed
+   *     their last writes
    * @param onEnded called once at the end, with true if the rebuild was finished and false if it
    *     was superseded
    */
@@ -135,7 +135,7 @@
   }
 
   /**
-   * Merges the records that this node retains with those left in the store and with its last
+   * Merges the records that this node retains with those left in the state store and with its last
    * writes.
    */
   private Result mergeSources(List<StateStoreProtocol.Event> orphaned) {
--- a/src/main/java/io/cherryspool/recovery/RebuiltRecordsWriter.java
+++ b/src/main/java/io/cherryspool/recovery/RebuiltRecordsWriter.java
@@ -15,7 +15,7 @@
 
 /**
  * Writes the records of a rebuild under the key prefix of its incarnation: first the bundles of
- * jobs, then the term and the machine types. It respects the store's limits on the size of
+ * jobs, then the term and the machine types. It respects the state store's limits on the size of
  * transactions and on changes per second. Confined to the event loop.
  */
 final class RebuiltRecordsWriter {
--- a/src/main/java/io/cherryspool/recovery/Recovery.java
+++ b/src/main/java/io/cherryspool/recovery/Recovery.java
@@ -12,9 +12,9 @@
 
 /**
  * Detects that the state store has lost data, and takes part in rebuilding the records. While the
- * node serves, each answer of the store is checked against the known history. When history was
- * lost, the replica is suspended, and the node either rebuilds the records or waits for the rebuild
- * of another node. Confined to the event loop.
+ * node serves, each answer of the state store is checked against the known history. When history
+ * was lost, the replica is suspended, and the node either rebuilds the records or waits for the
+ * rebuild of another node. Confined to the event loop.
  */
 public final class Recovery implements Lifecycle {
   private static final Duration POLL_INTERVAL = Duration.ofMillis(250);
--- a/src/main/java/io/cherryspool/recovery/RecoveryStore.java
+++ b/src/main/java/io/cherryspool/recovery/RecoveryStore.java
@@ -23,7 +23,7 @@
   private final StateStoreClient client;
   private final RateLimiter rateLimiter;
 
-  /** Creates a view of the store that uses {@code client}. */
+  /** Creates a view of the state store that uses {@code client}. */
   public RecoveryStore(EventLoop loop, StateStoreClient client, RateLimiter rateLimiter) {
     this.loop = loop;
     this.client = client;
--- a/src/main/java/io/cherryspool/recovery/RecoveryTimings.java
+++ b/src/main/java/io/cherryspool/recovery/RecoveryTimings.java
@@ -7,11 +7,11 @@
  *
  * @param gatheringTime how long a node collects the other nodes' heartbeats before it decides
  *     whether to rebuild
- * @param maxWait how long a node waits for a preferred rebuilder that can't reach the store, for
- *     the other nodes' contributions to a rebuild, and before it treats an empty store as a first
- *     installation
- * @param maxValueBytes the maximum size of a value in the store
- * @param maxTransactionChanges the maximum number of changes in a transaction of the store
+ * @param maxWait how long a node waits for a preferred rebuilder that can't reach the state store,
+ *     for the other nodes' contributions to a rebuild, and before it treats an empty state store as
+ *     a first installation
+ * @param maxValueBytes the maximum size of a value in the state store
+ * @param maxTransactionChanges the maximum number of changes in a transaction of the state store
  * @param changesPerSecond the rate at which a rebuild may make changes
  */
 public record RecoveryTimings(
--- a/src/main/java/io/cherryspool/recovery/RetainedRecords.java
+++ b/src/main/java/io/cherryspool/recovery/RetainedRecords.java
@@ -4,8 +4,7 @@
 
 /**
  * Describes the records that a node retains, and the phase of its recovery. Nodes send it to one
- * another with each heartbeat. Apart from the revision that the node has seen, it is no evidence of
- * a loss.
+ * another with each heartbeat. Only the revision in {@code position} counts as evidence of a loss.
  *
  * @param phase the phase of the node's recovery
  * @param nonce the nonce of the incarnation that the records belong to; empty for the first
--- a/src/main/java/io/cherryspool/recovery/package-info.java
+++ b/src/main/java/io/cherryspool/recovery/package-info.java
@@ -1,7 +1,7 @@
 /**
  * Detects that the state store has lost data, and rebuilds the records from the nodes' replicas,
- * from snapshot files and from the records that the store still contains. docs/recovery.md explains
- * the reasons for the design.
+ * from snapshot files and from the records that the state store still contains. docs/recovery.md
+ * explains the reasons for the design.
  *
  * <p>{@link io.cherryspool.recovery.Recovery} is the controller's entry point to the detection and
  * the rebuild. It connects the phase of the node ({@code RecoveryState}), the detection of a loss
--- a/src/main/java/io/cherryspool/store/GroupCommit.java
+++ b/src/main/java/io/cherryspool/store/GroupCommit.java
@@ -25,7 +25,10 @@
   /** The maximum estimated size of the changes of one transaction. */
   private static final int MAX_TRANSACTION_BYTES = 60_000;
 
-  /** The size of a change in a request in addition to its value and three times its key. */
+  /**
+   * A change takes about this size in a request, plus the size of its value and three times the
+   * size of its key.
+   */
   private static final int CHANGE_OVERHEAD_BYTES = 100;
 
   /** Delay before the next attempt to commit after the rate limit was reached. */
--- a/src/main/java/io/cherryspool/store/IncarnationHistory.java
+++ b/src/main/java/io/cherryspool/store/IncarnationHistory.java
@@ -138,7 +138,7 @@
     return Optional.empty();
   }
 
-  /** Notes that the index now contains the records that were verified last. */
+  /** Called when the index contains the records that were verified last. */
   void markIndexCurrent() {
     isIndexCurrent = isEnabled();
   }
--- a/src/main/java/io/cherryspool/store/IncarnationRecords.java
+++ b/src/main/java/io/cherryspool/store/IncarnationRecords.java
@@ -62,8 +62,9 @@
 
   /** Whether the identity record is no longer that of the incarnation that was entered. */
   boolean isSuperseded() {
-    // Only the prefix of the first incarnation matches the identity record. In later incarnations
-    // the identity record is among the entries only if it changed during the load.
+    // Only the key prefix of the first incarnation includes the key of the identity record. In
+    // later incarnations the identity record is among the entries only if it changed during the
+    // load.
     return hasOtherIdentity || (!hasIdentity && keySpace.incarnation().number() == 0);
   }
 
--- a/src/main/java/io/cherryspool/store/JobRecord.java
+++ b/src/main/java/io/cherryspool/store/JobRecord.java
@@ -20,7 +20,7 @@
    *     0 if the record has no key of its own in the state store.
    */
   public record VersionedShard(Shard shard, long version) {
-    /** Stands for a record that does not exist. */
+    /** Represents a record that does not exist. */
     static final VersionedShard ABSENT = new VersionedShard(Shard.EMPTY, 0);
   }
 
--- a/src/main/java/io/cherryspool/store/LinearizableReads.java
+++ b/src/main/java/io/cherryspool/store/LinearizableReads.java
@@ -96,8 +96,9 @@
   }
 
   /**
-   * Records that a read which was sent at this time has succeeded. The answer may arrive after a
-   * reload that was started later than the read; it is then ignored.
+   * Records that a read which was sent at this time has succeeded. Has no effect if a read that was
+   * sent later has already succeeded: the answer to a read may arrive after a reload that was
+   * started later than the read.
    */
   void confirm(Duration sentAt) {
     if (lastConfirmedAt == null || sentAt.compareTo(lastConfirmedAt) > 0) {
@@ -166,8 +167,8 @@
     if (failure == null) {
       receive(read, changes);
     } else {
-      // This comes first, so that the failing callers see that the replica is not loaded if its
-      // revision was compacted.
+      // If the replica's revision was compacted, this call makes the replica not loaded. It
+      // precedes the failure of the callers, so that they see that state.
       replica.handleReadFailure(failure, read.afterRevision);
       failAll(read.callers, failure);
       failWaiting("the previous read of the state store failed");
--- a/src/main/java/io/cherryspool/store/RateLimiter.java
+++ b/src/main/java/io/cherryspool/store/RateLimiter.java
@@ -5,10 +5,10 @@
 
 /**
  * Token buckets that keep this node within its share of the state store's rate limits. The limits
- * apply to all nodes together, and no node assigns the shares, so each node assumes its own. The
- * leader has the larger share of the writes. The followers have the rest as one common share: each
- * of them may use all of it, since their bursts rarely coincide. The leader subtracts the rates
- * that the other nodes report from its own rate.
+ * apply to all nodes together. No node assigns the shares; each node derives its own share from its
+ * role. The leader has the larger share of the writes. The followers have the rest as one common
+ * share: each follower may use all of it, since the followers' bursts rarely coincide. The leader
+ * subtracts the rates that the other nodes report from its own rate.
  *
  * <p>Requests for leases and elections are never delayed ({@link #forceAcquire}). All other writes
  * have a {@link WriteClass}: the less urgent classes leave a part of the bucket to the more urgent
@@ -17,7 +17,7 @@
  * <p>Must be used on the event loop; the buckets are refilled by its clock.
  */
 public final class RateLimiter {
-  /** The fraction of the limits that all nodes together use. */
+  /** The fraction of the limits that all nodes together may use. */
   private static final double USED_FRACTION = 0.95;
 
   /** The fraction of the cluster's writes per second that the leader may use in one burst. */
--- a/src/main/java/io/cherryspool/store/Replica.java
+++ b/src/main/java/io/cherryspool/store/Replica.java
@@ -234,8 +234,8 @@
       if (expected != null && expected.version() < revision) {
         history.dropLastChange();
       } else if (after == revision) {
-        // If the revisions differ, a reload has closed the gap since. Another reload would refuse
-        // the requests of all users while it runs.
+        // If the revisions differ, a reload has already brought the replica past the compacted
+        // changes. While another reload ran, the requests of all users would be refused.
         LOG.info("history compacted, reloading all keys, revision={}", revision);
         load(ReplicaLoader.SINCE_FIRST_PAGE);
       }
--- a/src/main/java/io/cherryspool/store/ReplicaLoader.java
+++ b/src/main/java/io/cherryspool/store/ReplicaLoader.java
@@ -14,7 +14,7 @@
  * page. Failed requests are retried until the load succeeds or is cancelled.
  */
 final class ReplicaLoader {
-  /** Stands for the revision of the first page of the scan. */
+  /** Represents the revision of the first page of the scan, which is not known in advance. */
   static final long SINCE_FIRST_PAGE = -1;
 
   private static final Duration RETRY_DELAY = Duration.ofMillis(300);
--- a/src/main/java/io/cherryspool/store/WatchStream.java
+++ b/src/main/java/io/cherryspool/store/WatchStream.java
@@ -60,8 +60,8 @@
     } else {
       replica.handleReadFailure(failure, after);
     }
-    // A poll that was sent before a reload may be answered while the one that was opened after the
-    // reload is outstanding.
+    // The next poll may be scheduled already: a poll that was sent before a reload may be answered
+    // while the one that was opened after the reload is outstanding.
     if (replica.isFollowing(generation) && nextPoll == null) {
       nextPoll = loop.schedule(failure == null ? POLL_PAUSE : RETRY_DELAY, this::open);
     }
--- a/src/test/java/io/cherryspool/controller/api/UserApiConflictTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiConflictTest.java
@@ -55,7 +55,10 @@
     assertEquals("200 done", promptAnswer(cancel));
   }
 
-  /** The node once answered such a request with "cancelled", regardless of the records. */
+  /**
+   * The node once answered a cancellation that met a conflict with "cancelled", regardless of the
+   * records.
+   */
   @Test
   void aCancelThatMeetsAConflictIsNotConfirmedWithoutARecordedOutcome() {
     promptAnswer(firstNode.submit(description()));
--- a/src/test/java/io/cherryspool/controller/api/UserApiFixture.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiFixture.java
@@ -51,7 +51,7 @@
   final void runFor(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
     while (time.runNextEvent(end)) {
-      // Each event may schedule more.
+      // Each event may schedule further events.
     }
   }
 
@@ -102,7 +102,7 @@
   final String promptAnswer(CompletableFuture<Reply> future) {
     Duration end = time.now().plusMillis(50);
     while (!future.isDone() && time.runNextEvent(end)) {
-      // Each event may schedule more.
+      // Each event may schedule further events.
     }
     return answer(future);
   }
--- a/src/test/java/io/cherryspool/controller/api/UserApiNode.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiNode.java
@@ -73,7 +73,7 @@
     return transport;
   }
 
-  /** The node's copy of the records. */
+  /** The node's replica of the records. */
   Replica records() {
     return records;
   }
@@ -97,7 +97,7 @@
     records.refresh();
     Duration end = time.now().plusMillis(10);
     while (time.runNextEvent(end)) {
-      // Each event may schedule more.
+      // Each event may schedule further events.
     }
     transport.release(ControlledTransport.READ);
     assertFalse(records.isLoaded());
--- a/src/test/java/io/cherryspool/controller/api/UserApiReloadTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiReloadTest.java
@@ -36,8 +36,8 @@
   }
 
   /**
-   * A pending commit continues during the reload. The records that the node reads afterwards may be
-   * those before or after the reload.
+   * A commit that is pending when a reload begins is completed during the reload. The records that
+   * the node reads afterwards may be those before or after the reload.
    */
   @Test
   void pendingRequestsAreNotAnsweredWithOlderStatesAfterAReloadBegins() {
@@ -67,11 +67,11 @@
   }
 
   /**
-   * The state store no longer has the changes that followed the node's copy, so that the copy may
-   * lack the job.
+   * The state store has compacted the changes after the revision of the node's replica, so that the
+   * replica may lack the job.
    */
   @Test
-  void aNodeWhoseCopyIsOutdatedAsksToRetry() {
+  void aNodeWhoseReplicaIsOutdatedAsksToRetry() {
     firstNode.transport().interceptNext("/keys", Interception.HOLD_REQUEST);
     firstNode.transport().replyNext(ControlledTransport.READ, 410, "{}");
     CompletableFuture<Reply> answer = firstNode.submit(descriptionWithout("lane"));
--- a/src/test/java/io/cherryspool/controller/election/ElectionFixture.java
+++ b/src/test/java/io/cherryspool/controller/election/ElectionFixture.java
@@ -65,7 +65,7 @@
   void runFor(double seconds) {
     Duration end = time.now().plusMillis((long) (seconds * 1000));
     while (time.runNextEvent(end)) {
-      // Each event may schedule more.
+      // Each event may schedule further events.
     }
   }
 
--- a/src/test/java/io/cherryspool/controller/election/ElectionTest.java
+++ b/src/test/java/io/cherryspool/controller/election/ElectionTest.java
@@ -15,8 +15,8 @@
 
   /**
    * After a loss of records, a worker may have observed a term that no record contains. If the
-   * candidate ran for each term in between, the worker's tasks would be without a leader for longer
-   * than its lease.
+   * candidate ran for each term in between, one after the other, the worker's tasks would be
+   * without a leader for longer than the worker's lease lasts.
    */
   @Test
   void aCandidateRunsForATermAboveAllObservedTerms() {
@@ -31,7 +31,7 @@
     assertEquals(41, fixture.stateStore().value(Records.TERM).path("term").intValue());
   }
 
-  /** A lease expires early only if the state store has lost its renewal. */
+  /** A lease expires early only if the state store has lost the lease or its renewal. */
   @Test
   void onlyALeaseThatTheStateStoreHasLostCountsAsExpiredPrematurely() {
     int[] prematureExpiries = {0};
--- a/src/test/java/io/cherryspool/controller/election/LeaseRenewalTest.java
+++ b/src/test/java/io/cherryspool/controller/election/LeaseRenewalTest.java
@@ -27,8 +27,8 @@
   }
 
   /**
-   * Renewals are sent four times within the call timeout of 1 s, instead of twice, and no more
-   * often.
+   * While renewals are refused, the leader sends four of them, instead of two, within the call
+   * timeout of 1 s. It must not send more.
    */
   @Test
   void aRefusedRenewalIsRetriedEarlyAtABoundedRate() {
--- a/src/test/java/io/cherryspool/reachability/HandoverPermissionsTest.java
+++ b/src/test/java/io/cherryspool/reachability/HandoverPermissionsTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests what a leader that is handing leadership over may do until its term ends. It once suspended
- * nothing during that time, so that a machine whose eviction timeout expired just then was deleted
- * together with its tasks, although the leader's own link was the cause of the silence. The fault
- * was found by reading the code. These tests set the verdict directly and check the permissions
- * that follow from it.
+ * Tests what a leader that is handing leadership over may do until its term ends. Such a leader
+ * once suspended nothing during that time. A machine whose eviction timeout expired just then was
+ * deleted together with its tasks, although the machine was silent only because of the leader's own
+ * link. The fault was found by reading the code. These tests set the verdict directly and check the
+ * permissions that follow from it.
  */
 class HandoverPermissionsTest {
   private static final Duration NOW = Duration.ofSeconds(100);
@@ -38,7 +38,8 @@
   }
 
   /**
-   * The eviction rule for single machines then waits as long as it does in a zone that is cut off.
+   * While a leader hands over, the eviction rule for single machines waits as long as it does for a
+   * zone that is cut off.
    */
   @Test
   void aLeaderThatHandsOverDoesNotEvictASilentMachine() {
--- a/src/test/java/io/cherryspool/recovery/FirstInstallationTest.java
+++ b/src/test/java/io/cherryspool/recovery/FirstInstallationTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests how a node treats a store without an identity record, or with the records of another
+ * Tests how a node treats a state store without an identity record, or with the records of another
  * cluster.
  */
 class FirstInstallationTest {
--- a/src/test/java/io/cherryspool/recovery/LossDetectionTest.java
+++ b/src/test/java/io/cherryspool/recovery/LossDetectionTest.java
@@ -65,8 +65,8 @@
   }
 
   /**
-   * The store is rolled back by one change. Then a node that retains no records writes until the
-   * revision is higher than before.
+   * The state store is rolled back by one change. Then a node that retains no records writes until
+   * the revision is higher than before.
    */
   @Test
   void aRollbackIsDetectedByTheLastChangeEvenIfTheRevisionHasCaughtUp() {
@@ -89,8 +89,9 @@
   }
 
   /**
-   * As above, but this node reads nothing for so long that the store has compacted the changes
-   * since its revision.
+   * The state store is rolled back by one change, and another node writes until the revision is
+   * higher than before. This node reads nothing for so long that the state store has compacted the
+   * changes since this node's revision.
    */
   @Test
   void missingRecordsAreDetectedWhenAllKeysAreReloaded() {
@@ -106,8 +107,8 @@
     node.replica().refresh();
     fixture.run(0.01);
     node.transport().release(ControlledTransport.READ);
-    // The first 410 shows that the last change was compacted, the second one that all changes since
-    // the replica's revision were.
+    // The first 410 shows that the last change was compacted. The second one shows that all changes
+    // since the replica's revision were compacted.
     node.transport().replyNext(ControlledTransport.READ, 410, "{}");
     node.replica().refresh();
     fixture.run(0.01);
--- a/src/test/java/io/cherryspool/recovery/RecoveryFixture.java
+++ b/src/test/java/io/cherryspool/recovery/RecoveryFixture.java
@@ -46,7 +46,7 @@
     return time;
   }
 
-  /** The store that all nodes share. */
+  /** The state store that all nodes share. */
   FakeStateStore store() {
     return store;
   }
@@ -96,12 +96,12 @@
     store.handle(StateStoreProtocol.transactionRequest(Map.of(), List.of(change)));
   }
 
-  /** Creates a client of the store for replicas without rollback detection. */
+  /** Creates a client of the state store for replicas without rollback detection. */
   Connection newConnection() {
     return new Connection();
   }
 
-  /** A client of the store. */
+  /** A client of the state store. */
   final class Connection {
     private final ControlledTransport transport = new ControlledTransport(time, store);
     private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
--- a/src/test/java/io/cherryspool/recovery/SnapshotMergeTest.java
+++ b/src/test/java/io/cherryspool/recovery/SnapshotMergeTest.java
@@ -37,7 +37,7 @@
     List<RecordsSnapshot> sources = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
       sources.add(history.get(random.nextInt(STEPS)));
-      // A second history stands for changes by a node that retained no records.
+      // A second history represents changes by a node that retained no records.
       sources.add(RecordsSnapshotFixture.history(seed + 100, STEPS).get(random.nextInt(STEPS)));
     }
     String merged = mergeAll(sources);
@@ -104,7 +104,10 @@
     }
   }
 
-  /** In an older copy of the records the attempt is still owned. Its end is the later state. */
+  /**
+   * In an older copy of the records the attempt is still owned. The state in which the attempt has
+   * ended is the later one.
+   */
   @Test
   void anEndedAttemptIsNotOwnedAgain() {
     Shard owned = Shard.EMPTY.edit().assign(0, "host-1", 1, 7).build();
--- a/src/test/java/io/cherryspool/store/ReplicaTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaTest.java
@@ -143,7 +143,9 @@
     assertNotNull(replica.job(JOB));
   }
 
-  /** The answer contains the job without its outcome, which the reload has read already. */
+  /**
+   * The answer to the read contains the job without its outcome, which the reload has read already.
+   */
   @Test
   void aReadAnsweredAfterAReloadChangesNothing() {
     load();
@@ -163,8 +165,8 @@
   }
 
   /**
-   * The first reload has closed the gap. A second one would only reject the requests of users
-   * again.
+   * The first reload has read the compacted changes. While a second one ran, the requests of users
+   * would be rejected again.
    */
   @Test
   void aCompactedReadSentBeforeAReloadStartsNoOtherReload() {
