--- a/src/main/java/io/cherryspool/store/RecordsSnapshotCodec.java
+++ b/src/main/java/io/cherryspool/store/RecordsSnapshotCodec.java
@@ -104,11 +104,7 @@
     }
     if (units.size() == 1) {
       throw new IllegalArgumentException(
-          "a record of job "
-              + units.get(0).path(ID).asText()
-              + " does not fit into a chunk of "
-              + maxBytes
-              + " bytes");
+          "a record of " + units.get(0).path(ID).asText() + " does not fit " + maxBytes + " bytes");
     }
     int half = units.size() / 2;
     addChunks(units.subList(0, half), maxBytes, chunks);
