--- a/src/main/java/io/cherryspool/cli/ClassDataTraining.java
+++ b/src/main/java/io/cherryspool/cli/ClassDataTraining.java
@@ -40,15 +40,15 @@
   private static final int MAX_SOCKETS = 16;
 
   /**
-   * The maximum number of polls of each wait. The node leads and has registered the machine after a
-   * second and a half.
+   * The maximum number of polls of each wait. The node needs a second and a half to become leader
+   * and to register the machine.
    */
   private static final int MAX_POLLS = 100;
 
   private static final int POLL_INTERVAL_MS = 50;
   private static final String HOST = "127.0.0.1";
 
-  /** Stands for the status of a request that got no response. */
+  /** Represents the status of a request that got no response. */
   private static final int NO_ANSWER = 0;
 
   private final NettyEventLoop loop = new NettyEventLoop();
@@ -188,8 +188,8 @@
   }
 
   /**
-   * Returns settings in the platform's format. The node is its own peer, since no other process
-   * listens.
+   * Returns settings in the platform's format. The only peer has the node's own mesh address, since
+   * there is no other node.
    */
   private ObjectNode settings() throws IOException {
     String mesh = new Endpoint(HOST, freePort()).toString();
--- a/src/main/java/io/cherryspool/cli/NodeLauncher.java
+++ b/src/main/java/io/cherryspool/cli/NodeLauncher.java
@@ -111,8 +111,8 @@
   }
 
   /**
-   * Adds a shutdown hook that stops the components of the node. The hook only enqueues these calls,
-   * which then run on the event loop in the given order.
+   * Adds a shutdown hook that stops the components of the node. The hook only submits tasks to the
+   * event loop, which then stops the controller, the mesh and finally itself.
    */
   private void stopOnShutdown() {
     List<Runnable> stops = List.of(controller::stop, mesh::stop, loop::shutdown);
@@ -127,9 +127,9 @@
     loop.execute(mesh::start);
     loop.execute(() -> controller.onRecordsLoaded(loaded::countDown));
     loop.execute(controller::start);
-    // Until the records are loaded, the node would refuse every request. After a restart of all
-    // nodes, a thousand workers connect at once, and a connection that the operating system refuses
-    // costs almost nothing.
+    // Waits before listening, since the node would refuse every request until the records are
+    // loaded. After a restart of all nodes, a thousand workers connect at once, and it costs almost
+    // nothing if the operating system refuses their connections.
     boolean isLoaded = loaded.await(MAX_LOAD_WAIT.toMillis(), TimeUnit.MILLISECONDS);
     server.bind(platform.clientAddress());
     LOG.info(
--- a/src/main/java/io/cherryspool/cloud/CloudClient.java
+++ b/src/main/java/io/cherryspool/cloud/CloudClient.java
@@ -25,7 +25,10 @@
   private static final int MAX_INSTANCES_PER_PAGE = 500;
   private static final int OK = 200;
 
-  /** The status both of an outage and of a type without capacity; the body distinguishes them. */
+  /**
+   * The HTTP status of a refusal during an outage and of a refusal for lack of capacity. The body
+   * shows which of the two it is.
+   */
   private static final int UNAVAILABLE = 503;
 
   private final Transport transport;
@@ -59,8 +62,8 @@
     }
 
     /**
-     * Whether the cloud has no capacity for the machine type in its zone, as opposed to another
-     * problem of the cloud.
+     * Whether the cloud refused the request because it has no capacity for the machine type in the
+     * requested zone, rather than for another reason.
      */
     public boolean isOutOfCapacity() {
       return isOutOfCapacity;
--- a/src/main/java/io/cherryspool/config/RecoverySettings.java
+++ b/src/main/java/io/cherryspool/config/RecoverySettings.java
@@ -13,8 +13,8 @@
  * @param snapshotDirectory the directory in which each node stores its snapshots, in a subdirectory
  *     with the node's name; empty if nodes store no snapshots
  * @param snapshotInterval the time between two snapshots of a node
- * @param heldJobClasses the job classes whose tasks, if they may have ended unnoticed, are not run
- *     again until an operator decides
+ * @param heldJobClasses the job classes whose jobs are held for an operator's decision if some of
+ *     their tasks may have ended unobserved; no task of a held job is run again
  */
 public record RecoverySettings(
     Duration gatherDuration,
--- a/src/main/java/io/cherryspool/config/Settings.java
+++ b/src/main/java/io/cherryspool/config/Settings.java
@@ -16,8 +16,9 @@
  * The settings that the platform provides in a JSON file. Unknown fields are ignored, since the
  * platform may add fields later.
  *
- * <p>The record has more than seven components, one for each setting, so that callers name a
- * setting and not its place in the file. Only the parser calls the constructor.
+ * <p>The record has more than seven components, one for each setting, so that callers access a
+ * setting by its name, independently of its place in the file. Only the parser calls the
+ * constructor.
  *
  * @param name the name of this node, unique in the cluster
  * @param zone the zone that this node runs in
@@ -83,8 +84,9 @@
   }
 
   /**
-   * Returns a leader's authority: how long it may renew the leases of workers, counted from when it
-   * sent the last successful requests that renewed its own lease and read the state store.
+   * Returns a leader's authority, which is the time for which the leader may renew the leases of
+   * workers. The time counts from when the leader sent the last successful requests that renewed
+   * its own lease and read the state store.
    *
    * <p>A cancelled task must have ended within the maximum cancellation time, even on a machine
    * that only a partitioned leader still reaches. Authority, worker lease and a margin for each of
--- a/src/main/java/io/cherryspool/config/SettingsParser.java
+++ b/src/main/java/io/cherryspool/config/SettingsParser.java
@@ -12,12 +12,15 @@
 /** Parses the platform's JSON into {@link Settings} and checks that a node can run with them. */
 final class SettingsParser {
   /**
-   * The file descriptors that a node needs at least: for its own calls, the mesh, files, and a few
-   * workers and users.
+   * The minimum file descriptor limit of a node. The node needs descriptors for its own calls, the
+   * mesh, files, and a few workers and users.
    */
   private static final int MIN_SOCKETS = 64;
 
-  /** With a shorter authority, a leader would hardly ever be allowed to act. */
+  /**
+   * The minimum authority of a leader; see {@link Settings#authority()}. With a shorter authority,
+   * a leader would hardly ever be allowed to act.
+   */
   private static final Duration MIN_AUTHORITY = Duration.ofSeconds(1);
 
   private static final int BYTES_PER_KB = 1024;
@@ -112,8 +115,8 @@
     if (Settings.authority(workerLease, maxCancellationTime).compareTo(MIN_AUTHORITY) < 0) {
       throw workers.unusable(
           "cancel_s",
-          "is too short for facts.workers.lease_s: a cancelled task that only a cut-off leader"
-              + " keeps alive would outlast it");
+          "is too short for facts.workers.lease_s: a cancelled task could run longer than this on a"
+              + " machine that only a partitioned leader reaches");
     }
   }
 
--- a/src/main/java/io/cherryspool/config/XmlSettingsReader.java
+++ b/src/main/java/io/cherryspool/config/XmlSettingsReader.java
@@ -129,7 +129,7 @@
     throw invalid(name, "must be a number from " + min + " to " + max + ", not " + text.get());
   }
 
-  /** Throws an exception if there are elements that were not read, which are unknown ones. */
+  /** Throws an exception if an element was not read, since such an element is unknown. */
   void rejectUnreadElements() throws ConfigException {
     if (!values.isEmpty()) {
       String name = values.keySet().iterator().next();
--- a/src/main/java/io/cherryspool/http/AbandonedRequestFilter.java
+++ b/src/main/java/io/cherryspool/http/AbandonedRequestFilter.java
@@ -10,9 +10,10 @@
  * Buffers the received bytes of a connection until the event loop has read everything available,
  * and discards them if the peer has closed the connection by then.
  *
- * <p>The sockets of an overloaded node contain requests whose senders have already given up. If the
- * node spent time on decoding and answering them, it would answer the remaining requests too late
- * as well. A request is also discarded if its peer closes only the sending side of the connection.
+ * <p>The socket buffers of an overloaded node contain requests whose senders no longer wait for a
+ * response. If the node spent time on decoding and answering them, it would answer the remaining
+ * requests too late as well. A request is also discarded if its peer closes only the sending side
+ * of the connection.
  */
 final class AbandonedRequestFilter extends ChannelInboundHandlerAdapter {
   /**
@@ -36,8 +37,8 @@
   }
 
   /**
-   * Schedules the check to run after this call, since only then Netty closes the channel if it has
-   * read the end of the connection.
+   * Schedules the check whether the channel is closed. The check runs after this call, since Netty
+   * first calls this method and then closes the channel, if it has read the end of the connection.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
--- a/src/main/java/io/cherryspool/http/Endpoint.java
+++ b/src/main/java/io/cherryspool/http/Endpoint.java
@@ -21,7 +21,7 @@
       throw new IllegalArgumentException("not host:port: " + text, e);
     }
     if (port < 1 || port > 65_535) {
-      throw new IllegalArgumentException("port out of range: " + text);
+      throw new IllegalArgumentException("port is not from 1 to 65535: " + text);
     }
     return new Endpoint(text.substring(0, colon), port);
   }
--- a/src/main/java/io/cherryspool/http/NettyHttpClient.java
+++ b/src/main/java/io/cherryspool/http/NettyHttpClient.java
@@ -198,7 +198,10 @@
       result.complete(reply);
     }
 
-    /** Ends the wait for a reply and returns its future; null if no request is pending. */
+    /**
+     * Clears the pending request, cancels its deadline timer and returns its future; null if no
+     * request is pending.
+     */
     private CompletableFuture<Reply> takePending() {
       CompletableFuture<Reply> result = pending;
       pending = null;
--- a/src/main/java/io/cherryspool/http/NettyHttpServer.java
+++ b/src/main/java/io/cherryspool/http/NettyHttpServer.java
@@ -56,7 +56,7 @@
 
   private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
 
-  /** Shorter than the idle timeout, since clients connect only when they have a request. */
+  /** Shorter than the idle timeout, since a client connects only when it has a request to send. */
   private static final Duration FIRST_REQUEST_TIMEOUT = Duration.ofSeconds(10);
 
   /** The maximum number of connections waiting to be accepted, which occupy sockets as well. */
@@ -94,9 +94,9 @@
   }
 
   /**
-   * Starts to listen; port 0 selects any free port. Must be called only once, from outside the
-   * loop, and blocks. Throws {@link java.net.BindException}, which Netty does not declare, if the
-   * port is in use.
+   * Starts to listen; port 0 selects any free port. Must be called only once, and from outside the
+   * loop. Blocks until the port is bound. Throws {@link java.net.BindException}, which Netty does
+   * not declare, if the port is in use.
    */
   public void bind(Endpoint address) throws InterruptedException {
     listener =
--- a/src/main/java/io/cherryspool/http/ObservedTransport.java
+++ b/src/main/java/io/cherryspool/http/ObservedTransport.java
@@ -6,8 +6,9 @@
 import java.util.function.Predicate;
 
 /**
- * Sends requests through another transport and reports to an observer whether they were answered,
- * which shows the state of the link. Used on the event loop.
+ * Sends requests through another transport, and reports to an observer whether the other side
+ * answered them. The observer derives the state of the link from these reports. Used on the event
+ * loop.
  */
 public final class ObservedTransport implements Transport {
   private final EventLoop loop;
@@ -32,8 +33,8 @@
    * Creates a transport that wraps another.
    *
    * @param isObserved selects the requests whose outcome shows the state of the link
-   * @param isRefusal selects the replies that mean that the other side cannot serve any request, or
-   *     none of this node
+   * @param isRefusal selects the replies by which the other side reports that it cannot serve any
+   *     request, or any request from this node
    */
   public ObservedTransport(
       EventLoop loop,
--- a/src/main/java/io/cherryspool/wire/CloudProtocol.java
+++ b/src/main/java/io/cherryspool/wire/CloudProtocol.java
@@ -80,7 +80,8 @@
   }
 
   /**
-   * Returns the request for new instances of one offering. The name makes it idempotent.
+   * Returns the request for new instances of one offering: a machine type in a zone, spot or on
+   * demand. If a request is repeated with the same name, the cloud starts no further instances.
    *
    * @param name the request's name, which must be unique among all requests ever sent
    * @param count the number of instances, at most 50; the cloud may grant fewer
--- a/src/main/java/io/cherryspool/wire/Json.java
+++ b/src/main/java/io/cherryspool/wire/Json.java
@@ -17,7 +17,10 @@
  * range.
  */
 public final class Json {
-  /** The maximum amount or number of seconds; the nanoseconds of a duration fit into a long. */
+  /**
+   * The maximum of an amount or a number of seconds. Up to this limit, a duration in nanoseconds
+   * fits into a long.
+   */
   private static final double MAX_AMOUNT = 1e9;
 
   private static final double NANOS_PER_SECOND = 1e9;
--- a/src/main/java/io/cherryspool/wire/StateStoreProtocol.java
+++ b/src/main/java/io/cherryspool/wire/StateStoreProtocol.java
@@ -47,14 +47,14 @@
   public record Event(String key, JsonNode value, long version) {}
 
   /**
-   * The events of a key range after the revision that the watch named.
+   * The result of a watch: the events of its keys after the revision that the request contains.
    *
-   * @param revision the revision up to which the events are complete
+   * @param revision the revision of the store up to which all events are included
    */
   public record WatchResult(List<Event> events, long revision) {}
 
   /**
-   * One page of a key range, ordered by key.
+   * One page of the keys with a prefix, ordered by key.
    *
    * @param hasMore whether another page follows; it begins after the last key of this page
    * @param revision the revision of the store at which the page was read
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Whether the request is a watch for which the store waits until there is a change, so its
-   * response may come late.
+   * Whether the request is a watch that waits for a change. The response to such a request may come
+   * late.
    */
   public static boolean isWatch(Request request) {
     return request.target().startsWith(WATCH_TARGET)
@@ -126,7 +126,7 @@
     return Request.get("/keys?starts=" + encode(prefix) + from + "&limit=" + limit);
   }
 
-  /** Decodes one page of a key range. */
+  /** Decodes one page of the keys with a prefix. */
   public static KeyPage parsePage(JsonNode node) throws MalformedMessageException {
     List<Event> items = new ArrayList<>();
     for (JsonNode item : node.path(ProtocolFields.ENTRIES)) {
--- a/src/main/java/io/cherryspool/wire/UserProtocol.java
+++ b/src/main/java/io/cherryspool/wire/UserProtocol.java
@@ -45,8 +45,8 @@
   }
 
   /**
-   * Returns the job id of a submission that may be invalid otherwise; empty if it has no
-   * well-formed id.
+   * Returns the job id of a submission, even if other fields are missing or invalid; empty if the
+   * submission has no well-formed id.
    */
   public static Optional<String> findJobId(JsonNode node) {
     String text = node.path(ProtocolFields.ID).asText();
--- a/src/main/java/io/cherryspool/worker/WorkerClient.java
+++ b/src/main/java/io/cherryspool/worker/WorkerClient.java
@@ -24,8 +24,8 @@
   private static final int OK = 200;
 
   /**
-   * The status if the worker executed nothing, because the fencing token is too old or the agent
-   * epoch is not the current one.
+   * The HTTP status of a worker that has refused all commands of a call, because the fencing token
+   * is too old or the agent epoch is not the current one.
    */
   private static final int CONFLICT = 409;
 
@@ -40,9 +40,9 @@
 
   /**
    * Sends commands to a worker, which executes them unless it has seen a later token or is in
-   * another agent epoch. The heartbeat in the response shows the state of its tasks afterwards. If
-   * the call fails, the commands may still be executed later, as long as token and epoch are
-   * current.
+   * another agent epoch. The heartbeat in the response shows the state of the worker's tasks after
+   * that. If the call fails, the worker may still execute the commands later, as long as the token
+   * and the epoch are current.
    *
    * @param token the leader's fencing token
    * @param agentEpoch the agent epoch from the worker's last heartbeat
--- a/src/test/java/io/cherryspool/PackageDependenciesTest.java
+++ b/src/test/java/io/cherryspool/PackageDependenciesTest.java
@@ -128,7 +128,10 @@
     assertEquals(layered, present);
   }
 
-  /** Adds the layers. Only the given top layers and the layers above may access each of them. */
+  /**
+   * Adds a layer for each package. Only the {@code top} layers and the packages in higher layers
+   * may access it.
+   */
   private static LayeredArchitecture addLayers(
       LayeredArchitecture start, String root, List<List<String>> packageLayers, List<String> top) {
     LayeredArchitecture layers = start;
--- a/src/test/java/io/cherryspool/PagesNameExistingClassesTest.java
+++ b/src/test/java/io/cherryspool/PagesNameExistingClassesTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Checks that each class and member exists that the documentation of the code names. */
+/** Checks that the documentation of the code names only classes and members that exist. */
 class PagesNameExistingClassesTest {
   /**
    * A type in back quotes, optionally with a member; a trailing {@code ...} means that the name of
--- a/src/test/java/io/cherryspool/config/OperatorSettingsTest.java
+++ b/src/test/java/io/cherryspool/config/OperatorSettingsTest.java
@@ -16,7 +16,7 @@
 
 /**
  * Checks that the operators' settings are read and validated, and that the files in {@code deploy}
- * contain the settings that their names promise.
+ * contain the settings after which they are named.
  */
 class OperatorSettingsTest {
   /** Writes the elements to the file and loads it, which must fail; returns the error message. */
--- a/src/test/java/io/cherryspool/http/AbandonedRequestFilterTest.java
+++ b/src/test/java/io/cherryspool/http/AbandonedRequestFilterTest.java
@@ -14,7 +14,10 @@
   private static final int SMALL_BYTES = 100;
   private static final int LARGE_BYTES = 5000;
 
-  /** Simulates a closed channel; closing the real one would run the pending check first. */
+  /**
+   * Whether the channel reports that it is closed. The test does not close the real channel, since
+   * that would first run the pending check.
+   */
   private boolean isClosed;
 
   private final EmbeddedChannel channel =
--- a/src/test/java/io/cherryspool/http/HttpLoopbackFixture.java
+++ b/src/test/java/io/cherryspool/http/HttpLoopbackFixture.java
@@ -15,7 +15,7 @@
   /** The maximum number of connections of the server. */
   static final int MAX_CONNECTIONS = 8;
 
-  /** A time limit that no call of these tests reaches unless it fails. */
+  /** The time limit of each wait in these tests. Only a failing test reaches it. */
   static final Duration TEST_TIMEOUT = Duration.ofSeconds(20);
 
   final NettyEventLoop loop = new NettyEventLoop();
--- a/src/test/java/io/cherryspool/http/NettyHttpServerTest.java
+++ b/src/test/java/io/cherryspool/http/NettyHttpServerTest.java
@@ -85,8 +85,8 @@
   }
 
   /**
-   * If an overloaded node answered requests whose senders have given up, it would answer all other
-   * requests too late as well.
+   * If an overloaded node answered requests whose senders no longer wait for a response, it would
+   * answer all other requests too late as well.
    */
   @Test
   void discardsARequestWhoseSenderHasClosedTheConnection() throws Exception {
--- a/src/test/java/io/cherryspool/sim/driver/ControllerLogs.java
+++ b/src/test/java/io/cherryspool/sim/driver/ControllerLogs.java
@@ -16,7 +16,10 @@
     this.controllers = controllers;
   }
 
-  /** Returns when a log first had the text at or after a moment; -1 if none had it. */
+  /**
+   * Returns the time at which the text first appeared in any of the logs, counting only lines since
+   * the given time; -1 if there is no such line.
+   */
   long firstAt(String text, long since) {
     long first = -1;
     for (ControllerProcess controller : controllers) {
@@ -27,8 +30,8 @@
   }
 
   /**
-   * Returns the latest time at which a log first had the text at or after a moment; -1 if none had
-   * it.
+   * Returns the latest of the times at which the text first appeared in each log, counting only
+   * lines since the given time; -1 if there is no such line.
    */
   long lastAt(String text, long since) {
     long last = -1;
--- a/src/test/java/io/cherryspool/sim/driver/CostDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostDriver.java
@@ -34,12 +34,15 @@
   private static final Duration IDLE_PHASE = Duration.ofSeconds(8);
 
   /**
-   * A new fencing token reaches all workers within one heartbeat interval, and each worker then
-   * sends one more heartbeat.
+   * How long to wait until the effects of a new fencing token are over. The token reaches all
+   * workers within one heartbeat interval, and each worker then sends one more heartbeat.
    */
   private static final Duration SETTLE_TIME = LoopbackCluster.HEARTBEAT_INTERVAL.plusMillis(500);
 
-  /** A leader delays writes by 4 s if nothing waits for them. */
+  /**
+   * How long to wait until delayed writes are done. If nothing waits for a write, a leader delays
+   * it by 4 s to combine it with other changes.
+   */
   private static final Duration LATE_WRITE_TIME = Duration.ofSeconds(5);
 
   private static final Duration PLACING_TIMEOUT = Duration.ofSeconds(25);
@@ -229,7 +232,10 @@
         () -> load.runAtRate(JOBS, JOBS_PER_S, i -> load.cancel(first + i)));
   }
 
-  /** Cancels all arrays but the last after their measurement, so that the machines have room. */
+  /**
+   * Measures arrays of several sizes. Cancels each array but the last after its measurement, so
+   * that the machines have room for the next one.
+   */
   private void measureArrays() throws InterruptedException {
     for (int i = 0; i < ARRAY_SIZES.length; i++) {
       measureArray(ARRAY_SIZES[i]);
--- a/src/test/java/io/cherryspool/sim/driver/CostReport.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostReport.java
@@ -19,7 +19,9 @@
 
   /** How the report evaluates a window. */
   enum Kind {
-    /** Only periodic work happened; the costs per event are computed beyond the costs of these. */
+    /**
+     * Only periodic work happened. Its costs are subtracted when the costs per event are computed.
+     */
     IDLE,
     /** The costs are reported per second, including those of periodic work. */
     WHOLE,
@@ -122,8 +124,9 @@
   }
 
   /**
-   * Returns the number of events. Unchanged heartbeats are counted beyond the periodic ones, since
-   * a worker that sends a heartbeat early sends its next periodic one later.
+   * Returns the number of events. The number of unchanged heartbeats is the number of all
+   * heartbeats in the window minus the usual number of periodic ones, since a worker that sends a
+   * heartbeat early sends its next periodic one later.
    */
   private double events(Window window) {
     return window.kind == Kind.UNCHANGED_HEARTBEATS ? heartbeatsBeyondIdle(window) : window.events;
--- a/src/test/java/io/cherryspool/sim/driver/HeapMeter.java
+++ b/src/test/java/io/cherryspool/sim/driver/HeapMeter.java
@@ -13,7 +13,10 @@
   private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
   private static final MemoryMXBean MEMORY = ManagementFactory.getMemoryMXBean();
 
-  /** Some objects only become collectable in one collection, and are freed by a later one. */
+  /**
+   * The number of garbage collections before each measurement. Some objects only become collectable
+   * in one collection, and are freed by a later one.
+   */
   private static final int COLLECTIONS = 3;
 
   private HeapMeter() {}
--- a/src/test/java/io/cherryspool/sim/driver/RecoveryDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/RecoveryDriver.java
@@ -133,7 +133,7 @@
     long end = System.nanoTime() + TIMEOUT.toNanos();
     while (logs.firstAt(RecoveryMeasurement.LEADING, 0) < 0) {
       if (System.nanoTime() > end) {
-        throw new IllegalStateException("no controller became leader in time");
+        throw new IllegalStateException("no controller became leader within " + TIMEOUT);
       }
       Thread.sleep(CHECK_INTERVAL.toMillis());
     }
--- a/src/test/java/io/cherryspool/sim/driver/RecoveryMeasurement.java
+++ b/src/test/java/io/cherryspool/sim/driver/RecoveryMeasurement.java
@@ -38,7 +38,10 @@
   private long lostAt;
   private long firstStartAt = -1;
 
-  /** Counts of faults of a fleet since its start. */
+  /**
+   * The numbers of expired leases, tasks started twice and tasks ended late since the start of a
+   * fleet.
+   */
   private record FleetFaults(long expiredLeases, int startedTwice, int endedLate) {
     static FleetFaults of(LoopbackFleet fleet) {
       return new FleetFaults(
@@ -117,7 +120,7 @@
     printRow("rebuilt, ms", millis(logs.firstAt(REBUILT, lostAt)));
     printRow("served again, ms", millis(logs.firstAt(SERVING, lostAt)));
     printRow("led again, ms", millis(logs.firstAt(LEADING, lostAt)));
-    printRow("first order, ms", millis(firstStartAt));
+    printRow("first task started, ms", millis(firstStartAt));
     printRow(
         "requests, changes meanwhile",
         load.requests() - loadBefore.requests(),
@@ -133,7 +136,7 @@
         snapshotStatus.path("took_ms").asDouble());
     FleetFaults faults = FleetFaults.of(fleet);
     printRow(
-        "before the loss: leases lost, tasks on two machines, ended late by the stand-ins",
+        "before the loss: leases lost, tasks on two machines, ended late by the fake workers",
         faultsBefore.expiredLeases,
         faultsBefore.startedTwice,
         faultsBefore.endedLate);
--- a/src/test/java/io/cherryspool/sim/driver/WaitingJobsDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/WaitingJobsDriver.java
@@ -28,7 +28,10 @@
   private static final double VERDICTS_S = 240;
   private static final double VERDICTS_QUIET_S = 260;
 
-  /** With small quotas, the same work takes far longer. */
+  /**
+   * With small quotas, the same work takes far longer. The faults therefore end earlier, and the
+   * quiet time after them is longer.
+   */
   private static final double TIGHT_FAULTS_S = 160;
 
   private static final double TIGHT_QUIET_S = 900;
--- a/src/test/java/io/cherryspool/sim/fakes/ControlledTransport.java
+++ b/src/test/java/io/cherryspool/sim/fakes/ControlledTransport.java
@@ -19,7 +19,10 @@
  * messages. All other messages take a millisecond in each direction.
  */
 public final class ControlledTransport implements Transport {
-  /** Part of the request target of reads, watches and transactions. */
+  /**
+   * The part of a request's target that identifies a read; {@link #WATCH} and {@link #COMMIT}
+   * identify watches and transactions.
+   */
   public static final String READ = "block_ms=0";
 
   public static final String WATCH = "block_ms=10000";
--- a/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
@@ -250,7 +250,10 @@
     return network + number / HOSTS_PER_SUBNET + "." + number % HOSTS_PER_SUBNET;
   }
 
-  /** Builds the current list of machines once a second; requests get it after a delay. */
+  /**
+   * Builds the list of the current machines once a second. Requests get each list only once it is
+   * {@link #LIST_LAG} old.
+   */
   private void updateList() {
     loop.schedule(Duration.ofSeconds(1), this::updateList);
     ObjectNode list = Json.object().put("has_next", false);
--- a/src/test/java/io/cherryspool/sim/fakes/FakeStateStore.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeStateStore.java
@@ -232,7 +232,7 @@
     }
     double draw = random.nextDouble();
     if (draw < unansweredProbability) {
-      // Half of these transactions are applied late, when the sender may have given up already.
+      // Half of these transactions are applied late, possibly after the request has timed out.
       boolean isAppliedAtOnce = draw < unansweredProbability / 2;
       return applyLater(
           body, isAppliedAtOnce ? 0 : LATE_COMMIT_MIN_MS + random.nextLong(LATE_COMMIT_SPREAD_MS));
--- a/src/test/java/io/cherryspool/sim/fakes/FakeWorker.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeWorker.java
@@ -101,12 +101,12 @@
     return tasks.assigned();
   }
 
-  /** Returns when the last answered heartbeat was sent, or the agent epoch began if later. */
+  /** Returns when the lease began: at the last heartbeat that renewed it, or with the epoch. */
   public Duration leaseRenewedAt() {
     return leaseRenewedAt;
   }
 
-  /** Kills the machine with its tasks. It has no effect on anything afterwards. */
+  /** Kills the machine with its tasks. The worker sends and executes nothing afterwards. */
   public void kill() {
     ownLoop.kill();
     tasks.clear();
@@ -230,7 +230,7 @@
     }
   }
 
-  /** Selects the controller that was named as the leader, or else the next one. */
+  /** Selects the controller for the next heartbeat: the named leader, or else the next one. */
   private void tryOtherController(String leader) {
     int index = controllerNames.indexOf(leader);
     boolean isRedirect = index >= 0 && index != currentController;
--- a/src/test/java/io/cherryspool/sim/fakes/TaskAttempt.java
+++ b/src/test/java/io/cherryspool/sim/fakes/TaskAttempt.java
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Sets the status to saving a checkpoint or to running, whatever the attempt does, if it has its
-   * image and has not exited.
+   * Sets the status to saving a checkpoint or to running, although the attempt may do the other of
+   * the two. Has no effect if the attempt is fetching its image or has exited.
    */
   void pretendCheckpointing(boolean value) {
     if (!hasExited() && status != Status.FETCHING_IMAGE) {
--- a/src/test/java/io/cherryspool/sim/fakes/WatchQueue.java
+++ b/src/test/java/io/cherryspool/sim/fakes/WatchQueue.java
@@ -22,7 +22,7 @@
   /**
    * Creates the watch queue.
    *
-   * @param isDown whether the state store is down; meanwhile no watch is completed
+   * @param isDown whether the state store is down; no watch is completed while it is
    */
   WatchQueue(EventLoop loop, KeyValueStore store, BooleanSupplier isDown) {
     this.loop = loop;
--- a/src/test/java/io/cherryspool/sim/loopback/ControllerProcess.java
+++ b/src/test/java/io/cherryspool/sim/loopback/ControllerProcess.java
@@ -40,7 +40,10 @@
   /** The last known processor time of a thread, which may have ended. */
   private record ThreadUsage(ThreadCpuTimes.Group group, long nanos) {}
 
-  /** The processor time and the elapsed time when a certain line appeared in the log. */
+  /**
+   * The processor time that the process had used, and the milliseconds since its start, when a
+   * certain line appeared in the log.
+   */
   public record Milestone(ThreadCpuTimes cpuTimes, double wallMillis) {}
 
   /** Starts the command in the directory and writes its log to the file. */
@@ -81,8 +84,8 @@
   }
 
   /**
-   * Returns when the text first appeared in the log at or after a moment, by {@link
-   * System#nanoTime}; -1 if it did not appear.
+   * Returns the {@link System#nanoTime} at which the text first appeared in the log, counting only
+   * lines since the given time; -1 if there is no such line.
    */
   public long firstLogLineAt(String text, long since) {
     synchronized (lines) {
--- a/src/test/java/io/cherryspool/sim/loopback/LocalCluster.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LocalCluster.java
@@ -118,9 +118,9 @@
   }
 
   /**
-   * Stores the description of a job when the job is written to the state store. It represents what
-   * real users upload for their tasks to run, and therefore survives a loss of the state store's
-   * data.
+   * Stores the description of a job when the job is written to the state store. The description
+   * represents what real users upload for their tasks to run, and therefore survives a loss of the
+   * state store's data.
    */
   private void storeDescription(String key) {
     if (key.contains("/jobs/")) {
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackCluster.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackCluster.java
@@ -174,7 +174,7 @@
     return machineCount;
   }
 
-  /** Sends a request to a node. Must be called on the loop. */
+  /** Sends a request to a node. Must be called on {@link #loop()}. */
   public CompletableFuture<Reply> send(String node, Request request) {
     return client.send(nodes.addresses().get(node), request, REQUEST_TIMEOUT);
   }
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackFixture.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackFixture.java
@@ -176,7 +176,9 @@
         String status = status(reply);
         boolean isFinal = status.equals("done") || status.equals("withdrawn");
         String before = isFinal ? finalStatuses.putIfAbsent(id, status) : finalStatuses.get(id);
-        assertTrue(before == null || before.equals(status), id + " was " + before + ": " + status);
+        assertTrue(
+            before == null || before.equals(status),
+            id + " had the final status " + before + ", and now has " + status);
       }
     }
     return finalStatuses.keySet().containsAll(jobs.keySet());
@@ -190,7 +192,7 @@
   static void await(String what, Condition condition) throws InterruptedException {
     long end = System.nanoTime() + Duration.ofSeconds(TIMEOUT_S).toNanos();
     while (!condition.holds()) {
-      assertTrue(System.nanoTime() < end, what + " within " + TIMEOUT_S + " s");
+      assertTrue(System.nanoTime() < end, what + ": not the case within " + TIMEOUT_S + " s");
       Thread.sleep(POLL_INTERVAL.toMillis());
     }
   }
@@ -216,7 +218,8 @@
           assertEquals(cancelled.contains(id) ? "withdrawn" : "done", finalStatuses.get(id), id);
           for (int task = 0; task < job.taskCount() && !cancelled.contains(id); task++) {
             int times = completed.getOrDefault(id + "/" + task, 0);
-            assertTrue(leasesHeld ? times == 1 : times >= 1, id + "/" + task + ": " + times);
+            assertTrue(
+                leasesHeld ? times == 1 : times >= 1, id + "/" + task + ": completions=" + times);
           }
         });
   }
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackFleet.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackFleet.java
@@ -53,7 +53,7 @@
       startedTasks++;
       for (FakeWorker other : workers.all()) {
         if (other != worker && other.runningTasks().contains(task)) {
-          // If the loop lags, it kills the tasks of an expired lease too late.
+          // If the event loop lags, the other worker kills the tasks of its expired lease too late.
           boolean isExpired = loop.now().minus(other.leaseRenewedAt()).compareTo(lease) > 0;
           (isExpired ? endedLate : startedTwice).add(task);
         }
@@ -83,16 +83,17 @@
   }
 
   /**
-   * Returns the tasks that were started while another machine had not killed them yet, although its
-   * lease had expired. This happens if the process of the fakes is too slow, and then the
-   * measurements of the run are unreliable.
+   * Returns the tasks that were started on a machine while another machine still ran them, although
+   * the lease of the other machine had expired. This happens if the process of the fakes is too
+   * slow; the measurements of the run are then unreliable.
    */
   public Set<String> tasksEndedLate() {
     return EventLoopCalls.call(loop, () -> Set.copyOf(endedLate));
   }
 
   /**
-   * Returns the tasks that were started while they were running on a machine with a valid lease.
+   * Returns the tasks that were started on a machine while another machine with a valid lease ran
+   * them.
    */
   public Set<String> tasksStartedTwice() {
     return EventLoopCalls.call(loop, () -> Set.copyOf(startedTwice));
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackNodes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackNodes.java
@@ -27,7 +27,7 @@
 
   /**
    * The request and write rates of the state store, the maximum number of sockets of a node, and
-   * the maximum number of CPUs of the only team; 0 for all.
+   * the CPU quota of the only team. A quota of 0 means no limit.
    */
   public record Limits(
       double requestsPerSecond, double writesPerSecond, int maxSockets, double maxTeamCpus) {}
--- a/src/test/java/io/cherryspool/sim/loopback/LostStateLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LostStateLoopbackTest.java
@@ -65,7 +65,7 @@
     startControllers(operators);
     submit(4, 1);
     await("all jobs have ended", this::haveAllJobsEnded);
-    assertEquals(0, cluster.fleet().expiredLeases(), "no worker lost its tasks");
+    assertEquals(0, cluster.fleet().expiredLeases(), "expired worker leases");
     checkOutcomes();
   }
 }
--- a/src/test/java/io/cherryspool/sim/loopback/TcpRelay.java
+++ b/src/test/java/io/cherryspool/sim/loopback/TcpRelay.java
@@ -26,7 +26,7 @@
   /** The behaviour of the relay. */
   enum Mode {
     PASS,
-    /** Closes all connections, and new ones immediately. */
+    /** Closes all open connections, and each new connection as soon as it is accepted. */
     RESET,
     /** Holds requests of clients and relays replies. */
     HOLD_REQUESTS,
