--- a/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
@@ -134,18 +134,18 @@
     closedZones.add(zone);
   }
 
-  /** Returns the machines that have booted and were not taken away. */
+  /** Returns the machines that have booted and were neither deleted nor preempted. */
   public List<Machine> runningMachines() {
     return machines.values().stream().filter(machine -> machine.isRunning).toList();
   }
 
-  /** Whether the machine has booted and was not taken away. */
+  /** Whether the machine has booted and was neither deleted nor preempted. */
   public boolean isRunning(String name) {
     Machine machine = machines.get(name);
     return machine != null && machine.isRunning;
   }
 
-  /** Takes a machine away, as a cloud does with a preempted spot instance. */
+  /** Ends a machine, as a cloud does when it preempts a spot instance. */
   public void reclaim(String name) {
     Machine machine = machines.remove(name);
     if (machine != null) {
--- a/src/test/java/io/cherryspool/sim/fakes/KeyValueStore.java
+++ b/src/test/java/io/cherryspool/sim/fakes/KeyValueStore.java
@@ -19,9 +19,7 @@
   private final List<ObjectNode> events = new ArrayList<>();
   private long revision;
 
-  /**
-   * A key's value, the revision that wrote it, and the lease that it is attached to; 0 for none.
-   */
+  /** A key's value, the revision that wrote the value, and the lease of the key; 0 for none. */
   private record Item(JsonNode value, long version, long lease) {}
 
   /** An immutable copy of the complete contents of the store. */
--- a/src/test/java/io/cherryspool/sim/loopback/TcpRelay.java
+++ b/src/test/java/io/cherryspool/sim/loopback/TcpRelay.java
@@ -121,7 +121,7 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // It is closed already.
+      // The socket is closed already.
     }
   }
 
