--- a/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
@@ -134,18 +134,18 @@
     closedZones.add(zone);
   }
 
-  /** Returns the machines that have booted and were not taken away. */
+  /** Returns the machines that have booted and were neither deleted nor preempted. */
   public List<Machine> runningMachines() {
     return machines.values().stream().filter(machine -> machine.isRunning).toList();
   }
 
-  /** Whether the machine has booted and was not taken away. */
+  /** Whether the machine has booted and was neither deleted nor preempted. */
   public boolean isRunning(String name) {
     Machine machine = machines.get(name);
     return machine != null && machine.isRunning;
   }
 
-  /** Takes a machine away, as a cloud does with a preempted spot instance. */
+  /** Ends a machine, as a cloud does when it preempts a spot instance. */
   public void reclaim(String name) {
     Machine machine = machines.remove(name);
     if (machine != null) {
@@ -250,7 +250,10 @@
     return network + number / HOSTS_PER_SUBNET + "." + number % HOSTS_PER_SUBNET;
   }
 
-  /** Builds the current list of machines once a second; requests get it after a delay. */
+  /**
+   * Builds the list of the current machines once a second. Requests get each list only once it is
+   * {@link #LIST_LAG} old.
+   */
   private void updateList() {
     loop.schedule(Duration.ofSeconds(1), this::updateList);
     ObjectNode list = Json.object().put("has_next", false);
