--- a/src/test/java/io/cherryspool/sim/check/JobObservations.java
+++ b/src/test/java/io/cherryspool/sim/check/JobObservations.java
@@ -122,8 +122,8 @@
   }
 
   /**
-   * Whether a status contradicts the final status that a user has received. A reply to a request
-   * that was sent before the user received it may still contain a status that is not final.
+   * Whether a status contradicts the final status that a user has received. A request that was sent
+   * before the user received the final status may still get a reply with an earlier status.
    */
   boolean contradictsEnd(String status, boolean isEnd, Duration askedAt) {
     return endStatus != null
--- a/src/test/java/io/cherryspool/sim/check/ProgressRules.java
+++ b/src/test/java/io/cherryspool/sim/check/ProgressRules.java
@@ -39,9 +39,7 @@
   /** At least half of the largest jobs of a class must start within this time after submission. */
   private static final Duration LARGEST_JOBS_START_LIMIT = Duration.ofMinutes(4);
 
-  /**
-   * The largest {@code 1 + n / LARGEST_JOBS_DIVISOR} of the n jobs of a class count as its largest.
-   */
+  /** The number of largest jobs of a class with n jobs is {@code 1 + n / LARGEST_JOBS_DIVISOR}. */
   private static final int LARGEST_JOBS_DIVISOR = 10;
 
   private final VirtualTime time;
--- a/src/test/java/io/cherryspool/sim/check/RuleChecker.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleChecker.java
@@ -21,9 +21,22 @@
  * that users receive. The cluster reports submissions, replies and task changes to it, and calls
  * {@link #check} after each event.
  *
- * <p>A violation is named by its rule: {@code ran_twice}, {@code wrong_place}, {@code
- * ran_cancelled}, {@code quota}, {@code invented}, {@code forgotten}, {@code not_done}, {@code
- * went_back}, {@code refused}, and those of {@link ProgressRules}.
+ * <p>Each violation is named by its rule. These are the rules in addition to those of {@link
+ * ProgressRules}:
+ *
+ * <ul>
+ *   <li>{@code ran_twice}: a task runs twice at the same time
+ *   <li>{@code wrong_place}: a task started on a machine or in a zone where it must not run
+ *   <li>{@code ran_cancelled}: a task still runs after the cancel limit of its job
+ *   <li>{@code quota}: the running tasks of a team use more than its quota
+ *   <li>{@code invented}: a user received a reply about a job that was never submitted
+ *   <li>{@code forgotten}: a job was rejected or not found after its acceptance
+ *   <li>{@code not_done}: a user received the status done before all tasks had completed
+ *   <li>{@code went_back}: a status contradicts an earlier final status, or is cancelled although
+ *       no user requested it
+ *   <li>{@code refused}: a valid job was rejected as invalid
+ *   <li>{@code accepted_invalid}: an invalid job was accepted
+ * </ul>
  */
 public final class RuleChecker {
   private final VirtualTime time;
@@ -116,8 +129,8 @@
   }
 
   /**
-   * Returns the number of task starts after the cancel of the job was confirmed. Commands that were
-   * in transit at the confirmation cause them.
+   * Returns the number of task starts after the cancel of their job was confirmed. They are caused
+   * by commands that were in transit when the cancel was confirmed.
    */
   int startCountAfterCancel() {
     return startCountAfterCancel;
@@ -129,7 +142,8 @@
   }
 
   /**
-   * Records that a task started, and checks that it runs only once and on an allowed machine.
+   * Records that a task started, and checks that no other copy of it runs and that its machine is
+   * allowed.
    *
    * @param workers the workers of all machines that are up, including {@code startedOn}
    */
--- a/src/test/java/io/cherryspool/sim/cluster/DirectedFaultsFixture.java
+++ b/src/test/java/io/cherryspool/sim/cluster/DirectedFaultsFixture.java
@@ -58,8 +58,8 @@
   }
 
   /**
-   * As {@link #startClusterWithJob}, with a second job of eight long-running tasks for the test to
-   * cancel.
+   * Starts a cluster as {@link #startClusterWithJob} does, and submits a second job of eight
+   * long-running tasks, which the test cancels.
    */
   protected TwoJobs startClusterWithTwoJobs(
       long seed, int tasks, Duration runTime, int minRunning) {
@@ -76,7 +76,7 @@
    */
   protected void awaitRunning(Job job, int tasks) {
     runUntil(() -> cluster.fleet().runningTaskCount(job) >= tasks, 0.1, 10 * RUNNING_TIMEOUT_S);
-    assertTrue(cluster.fleet().runningTaskCount(job) >= tasks, job.id() + " runs enough tasks");
+    assertTrue(cluster.fleet().runningTaskCount(job) >= tasks, job.id() + " runs too few tasks");
   }
 
   /**
@@ -86,7 +86,7 @@
   protected SimulatedController awaitLeaderOtherThan(SimulatedController node, double stepS) {
     runUntil(() -> cluster.leaderOtherThan(node).isPresent(), stepS, (int) Math.round(10 / stepS));
     Optional<SimulatedController> next = cluster.leaderOtherThan(node);
-    assertTrue(next.isPresent(), "another node is elected");
+    assertTrue(next.isPresent(), "no other node was elected within 10 s");
     return next.orElseThrow();
   }
 
@@ -96,7 +96,7 @@
    */
   protected void awaitCancelConfirmed(Job job, double stepS, int maxSteps) {
     runUntil(() -> cluster.rules().isCancelConfirmed(job.id()), stepS, maxSteps);
-    assertTrue(cluster.rules().isCancelConfirmed(job.id()), "the cancel is confirmed");
+    assertTrue(cluster.rules().isCancelConfirmed(job.id()), "the cancel was not confirmed in time");
   }
 
   /**
@@ -111,7 +111,7 @@
 
   protected void assertAllEnded(List<Job> jobs) {
     for (Job job : jobs) {
-      assertTrue(cluster.rules().hasEnded(job.id()), job.id() + " has ended");
+      assertTrue(cluster.rules().hasEnded(job.id()), job.id() + " has not ended");
     }
   }
 
--- a/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
@@ -77,7 +77,7 @@
     injectLoad(kind, length);
   }
 
-  /** Injects the fault if it is one of controllers or of the heartbeats between them. */
+  /** Injects the fault if its kind affects controllers or the heartbeats between them. */
   private void injectControllerFault(
       int kind, SimulatedController node, SimulatedController leader, Duration length) {
     switch (kind) {
@@ -112,7 +112,7 @@
     }
   }
 
-  /** Injects the fault if it is one of the state store or the cloud. */
+  /** Injects the fault if its kind affects the state store or the cloud. */
   private void injectServiceFault(
       int kind, SimulatedController node, SimulatedController leader, Duration length) {
     switch (kind) {
@@ -147,7 +147,7 @@
     }
   }
 
-  /** Injects the fault if it is one of machines or of their links. */
+  /** Injects the fault if its kind affects machines or their links. */
   private void injectWorkerFault(int kind, SimulatedController node, Duration length) {
     switch (kind) {
       case 5 -> {
@@ -177,7 +177,9 @@
     }
   }
 
-  /** Injects the fault if it is one of the network; one kind records heartbeats for a replay. */
+  /**
+   * Injects the fault if its kind affects the network, or records heartbeats for a later replay.
+   */
   private void injectNetworkFault(int kind, Duration length) {
     switch (kind) {
       case 15 ->
@@ -205,7 +207,7 @@
     }
   }
 
-  /** Injects the fault if it is unusual load: additional requests, jobs or cancels of users. */
+  /** Injects the fault if its kind adds load: additional requests, jobs or cancels of users. */
   private void injectLoad(int kind, Duration length) {
     switch (kind) {
       case 21 -> {
@@ -244,8 +246,8 @@
   }
 
   /**
-   * Cancels some of the running jobs within 0.2 s. With a probability of one half, up to two
-   * machines of each job hang meanwhile.
+   * Cancels up to four of the running jobs within 0.2 s. With a probability of one half, up to two
+   * machines of each of these jobs also hang for 1 to 31 s.
    */
   private void cancelRunningJobs() {
     List<String> ids =
--- a/src/test/java/io/cherryspool/sim/cluster/JobFactory.java
+++ b/src/test/java/io/cherryspool/sim/cluster/JobFactory.java
@@ -14,8 +14,7 @@
   private int jobCount;
 
   /**
-   * Creates a job with the given number of tasks. Each task runs for the run time and up to 4 s
-   * more.
+   * Creates a job of {@code tasks} tasks, each of which runs for {@code runTime} plus up to 4 s.
    */
   public Job create(String team, int tasks, double cpus, Duration runTime) {
     return create(team, Priority.NORMAL, tasks, cpus, runTime, null, false);
@@ -27,9 +26,10 @@
   }
 
   /**
-   * Creates a job whose tasks must run in a given zone or in the same zone.
+   * Creates a job whose tasks must all run in a given zone, or all in one zone that the cluster
+   * selects.
    *
-   * @param zone the only zone in which it may run; null for any zone
+   * @param zone the only zone in which its tasks may run; null for any zone
    * @param requiresSingleZone whether all its tasks must run in the same zone
    */
   public Job createZoneBound(
@@ -64,7 +64,7 @@
         requiresSingleZone,
         false,
         true,
-        // Fake workers run a task for half of the estimated run time and up to 4 s more.
+        // Fake workers run a task for half of the estimated run time plus up to 4 s.
         runTime.multipliedBy(2),
         Duration.ZERO,
         Duration.ZERO,
--- a/src/test/java/io/cherryspool/sim/cluster/RandomizedRun.java
+++ b/src/test/java/io/cherryspool/sim/cluster/RandomizedRun.java
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Runs with new jobs and random faults for {@code faultSeconds}, and then without both for {@code
-   * quietSeconds}, after which all accepted jobs must have ended.
+   * Runs the cluster with new jobs and random faults for {@code faultSeconds}, and then without new
+   * jobs and faults for {@code quietSeconds}. At the end all accepted jobs must have ended.
    */
   public void run(double faultSeconds, double quietSeconds) {
     run(
@@ -43,8 +43,8 @@
   }
 
   /**
-   * As {@link #run(double, double)}, but the faults are losses of the data of the state store,
-   * accompanied by other faults.
+   * Runs the cluster as {@link #run(double, double)} does, but with different faults: the state
+   * store loses its data repeatedly, and other faults occur at about the same time.
    */
   public void runWithStateLosses(double faultSeconds, double quietSeconds) {
     run(faultSeconds, quietSeconds, new StateLossInjector(cluster, faultSeconds - 30)::start);
@@ -66,7 +66,10 @@
     cluster.rules().check(cluster.workers());
   }
 
-  /** Runs with random jobs for the given time. Injects no faults; the caller may inject its own. */
+  /**
+   * Runs the cluster with random jobs for the given time. Injects no faults; the caller may inject
+   * its own.
+   */
   public void runWithoutFaults(double seconds) {
     if (lastArrivalS == 0) {
       lastArrivalS = Double.MAX_VALUE;
@@ -123,8 +126,7 @@
       cluster.schedule(random.nextDouble() * 60, () -> cluster.users().resubmit(job));
     }
     if (random.nextInt(12) == 0) {
-      // Most jobs have completed by the time of this cancel. A job that has not counts as
-      // cancelled.
+      // Most jobs have completed by the time of this cancel. The others are cancelled by it.
       cluster.schedule(60 + random.nextDouble() * 60, () -> cluster.users().cancel(job.id()));
     }
   }
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
@@ -25,9 +25,10 @@
 
 /**
  * A cluster in simulated time: controllers with a fake state store, cloud and workers, and
- * simulated users. The rules that users rely on are checked after each event. Apart from the
- * unanswered transactions and failing tasks of randomized clusters it injects no faults by itself:
- * tests inject specific faults, and {@link FaultInjector} injects random ones.
+ * simulated users. The rules that users rely on are checked after each event. The only faults that
+ * occur without being injected are a small share of lost replies in the network and, in randomized
+ * clusters, small shares of unanswered transactions and of randomly failing tasks. Tests inject
+ * specific faults, and {@link FaultInjector} injects random ones.
  *
  * <p>Each run is determined by its seed. Single-threaded.
  *
@@ -115,13 +116,17 @@
         verdicts);
   }
 
-  /** Creates a cluster without any faults other than those that the test injects. */
+  /**
+   * Creates a cluster without unanswered transactions or randomly failing tasks, for tests that
+   * inject faults.
+   */
   public static SimulatedCluster of(long seed, int controllers) {
     return of(seed, controllers, STATE_STORE_WRITES_PER_S);
   }
 
   /**
-   * As {@link #of(long, int)}, with a state store that accepts {@code writeRate} changes a second.
+   * Creates a cluster as {@link #of(long, int)} does, with a state store that accepts {@code
+   * writeRate} changes a second.
    */
   public static SimulatedCluster of(long seed, int controllers, double writeRate) {
     return new SimulatedCluster(
@@ -133,16 +138,17 @@
   }
 
   /**
-   * As {@link #of(long, int)}, with controllers that rebuild lost records with the default
-   * settings.
+   * Creates a cluster as {@link #of(long, int)} does, with controllers that rebuild lost records
+   * with the default settings.
    */
   public static SimulatedCluster withRecovery(long seed, int controllers) {
     return withRecovery(seed, controllers, RecoverySettings.DEFAULTS);
   }
 
   /**
-   * As {@link #of(long, int)}, with controllers that rebuild lost records. If the settings have a
-   * directory for snapshots, each node has a disk whose contents survive a restart of its process.
+   * Creates a cluster as {@link #of(long, int)} does, with controllers that rebuild lost records.
+   * If the settings have a directory for snapshots, each node has a disk whose contents survive a
+   * restart of its process.
    */
   public static SimulatedCluster withRecovery(
       long seed, int controllers, RecoverySettings recovery) {
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
@@ -134,8 +134,8 @@
   }
 
   /**
-   * Cuts the connections of the node to the state store and drops its heartbeats to and from other
-   * controllers. Connections to workers and users are not affected.
+   * Cuts the connections of the node to the state store, and drops its heartbeats to and from other
+   * controllers, for the given duration. Connections to workers and users are not affected.
    */
   public void isolate(Duration length) {
     isIsolated = true;
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
@@ -55,15 +55,15 @@
     return unservedRequests;
   }
 
-  /** Sets how many times as often as usual users poll; 1 is the usual rate. */
+  /** Sets how many times in 5 s users poll each job that has not ended; 1 is the usual rate. */
   public void setPollingFactor(int factor) {
     pollingFactor = factor;
   }
 
   /**
    * Sets whether users send a burst of requests to all nodes, within 15 ms, as soon as they receive
-   * that a job was accepted, is done or is cancelled. The requests poll the job, submit it again or
-   * cancel it.
+   * the reply that a job was accepted, is done or is cancelled. The requests poll the job, submit
+   * it again or cancel it.
    */
   public void setBurstAfterStatusChange(boolean value) {
     isBurstEnabled = value;
@@ -135,7 +135,7 @@
         5,
         (status, answer, sentAt) -> {
           rules.recordViolationIf(
-              status == 200 || status == 201, "accepted what can't run", body.toString());
+              status == 200 || status == 201, "accepted_invalid", body.toString());
           if (status != 400 && status != 422 && attempts < MAX_ATTEMPTS) {
             scheduleAfter(1, () -> submitInvalid(body, attempts + 1));
           }
@@ -205,8 +205,8 @@
   }
 
   /**
-   * Called when a task has completed. If it was the last task of its job, some users cancel the
-   * job.
+   * Called when a task has completed. If it was the last task of its job, users may cancel the job;
+   * see {@link #setCancelAtEndShare}.
    */
   void taskCompleted(String task) {
     String id = TaskId.parse(task).jobId();
--- a/src/test/java/io/cherryspool/sim/cluster/StateLossInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/StateLossInjector.java
@@ -10,13 +10,13 @@
 
 /**
  * Makes the state store lose its data repeatedly, each time with up to two other faults at about
- * the same time. It crashes no processes: if a process ends shortly before a loss, nobody else may
- * know the changes that it confirmed to users in that time; see docs/recovery.md.
+ * the same time. It crashes no processes: if a process crashed shortly before a loss, changes that
+ * it had just confirmed to users might be known to no other process; see docs/recovery.md.
  */
 final class StateLossInjector {
   /**
-   * The number of backups to keep. One backup is taken each second, so the state store is restored
-   * to at most this many seconds ago.
+   * The number of backups to keep. One backup is taken each second, so this is also the maximum age
+   * in seconds of a backup that is restored.
    */
   private static final int MAX_BACKUPS = 120;
 
@@ -89,7 +89,9 @@
     injectOtherFault(kind, length);
   }
 
-  /** Injects the fault if it is one of controllers, their links or the heartbeats between them. */
+  /**
+   * Injects the fault if its kind affects controllers, their links or the heartbeats between them.
+   */
   private void injectNodeFault(
       int kind, SimulatedController node, SimulatedController leader, Duration length) {
     switch (kind) {
@@ -110,8 +112,8 @@
   }
 
   /**
-   * Injects the fault if it is one of the state store or of machines, or a burst of requests of
-   * users.
+   * Injects the fault if its kind affects the state store or machines, or is a burst of user
+   * requests.
    */
   private void injectOtherFault(int kind, Duration length) {
     switch (kind) {
--- a/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
@@ -24,9 +24,9 @@
  * workers continue to send heartbeats to the old leader. The rule checker checks the limit after
  * each event.
  *
- * <p>All tests assert that another node confirms the cancel, and all but the last that tasks of the
- * job run at that moment. The first also asserts that the old leader has not been replaced by then,
- * and renews leases of the workers afterwards.
+ * <p>All tests assert that another node confirms the cancel. All but the last also assert that
+ * tasks of the job run at that moment. The first test also asserts that the old leader has not been
+ * replaced when the cancel is confirmed, and that it renews leases of the workers afterwards.
  */
 class CancelDuringStateOutageTest extends DirectedFaultsFixture {
   private static final Duration OUTAGE = SimulatedCluster.CANCEL_LIMIT.plusSeconds(30);
@@ -38,7 +38,8 @@
   private void startLongRunningTasks(long seed) {
     startClusterAndSubmit(seed, 12);
     cluster.run(20 + seed % 5);
-    assertFalse(cluster.fleet().workersRunning(job).isEmpty(), "tasks run");
+    assertFalse(
+        cluster.fleet().workersRunning(job).isEmpty(), "no task of the job runs before the cancel");
   }
 
   private void startClusterAndSubmit(long seed, int tasks) {
@@ -58,7 +59,9 @@
   private void cancelThrough(SimulatedController node) {
     cluster.users().cancel(job.id(), node.address());
     awaitCancelConfirmed(job, 0.001, 150);
-    assertFalse(cluster.fleet().workersRunning(job).isEmpty(), "its tasks still run");
+    assertFalse(
+        cluster.fleet().workersRunning(job).isEmpty(),
+        "no task of the job runs when the cancel is confirmed");
   }
 
   /**
@@ -70,10 +73,10 @@
     cluster.stateStoreOutage(OUTAGE);
     cluster.run(10);
     List<FakeWorker> runningWorkers = cluster.fleet().workersRunning(job);
-    assertFalse(runningWorkers.isEmpty(), "its tasks still run");
+    assertFalse(runningWorkers.isEmpty(), "no task of the job runs during the outage");
     assertTrue(
         runningWorkers.stream().anyMatch(worker -> worker.leaseRenewedAt().compareTo(start) > 0),
-        "the old leader renews their leases during the outage");
+        "the old leader renewed no lease of a worker with tasks of the job during the outage");
   }
 
   /**
@@ -89,10 +92,14 @@
             .plus(SimulatedCluster.CANCEL_LIMIT);
     cluster.run(limit.minus(cluster.time().now()).plusMillis(100));
     assertEquals(
-        List.of(), cluster.fleet().workersRunning(job), "all tasks ended within the limit");
+        List.of(),
+        cluster.fleet().workersRunning(job),
+        "workers that still run tasks of the job after the cancel limit");
     cluster.run(OUTAGE.plusSeconds(20));
     assertEquals(
-        List.of(), cluster.fleet().workersRunning(job), "no task runs again after the outage");
+        List.of(),
+        cluster.fleet().workersRunning(job),
+        "workers that run tasks of the job again after the outage");
   }
 
   /**
@@ -109,16 +116,17 @@
     oldLeader.rejectStateStoreRequests(Duration.ofSeconds(14));
     cluster.run(secondsToOutage / 2);
     cancelThroughAnotherNode();
-    assertTrue(oldLeader.isLeader(), "the old leader has not been replaced");
+    assertTrue(oldLeader.isLeader(), "the old leader was replaced before the cancel was confirmed");
     cluster.run(secondsToOutage / 2);
     startOutage();
     assertTasksEndWithinLimit();
   }
 
   /**
-   * As the test above, but a new leader is elected before the outage, or is about to be elected.
-   * The state store rejects the requests of the new leader too, since it would otherwise read the
-   * cancel as soon as it is confirmed.
+   * A new leader is elected before the outage, or is about to be elected. The state store rejects
+   * the requests of the new leader too, since the new leader would otherwise read the cancel as
+   * soon as it is confirmed. As in the previous test, the second value is the time in seconds from
+   * the first rejected request to the outage.
    */
   @ParameterizedTest
   @CsvSource({"1,3.1", "2,3.5", "3,3.9", "4,4.2", "5,4.5", "6,5", "7,6", "8,9", "9,12", "10,20"})
@@ -152,7 +160,8 @@
         (test, worker) ->
             test.cluster.network().dropOutbound(host(worker), Duration.ofSeconds(20))),
     /**
-     * Heartbeats, commands and replies between worker and old leader are held, and arrive later.
+     * Heartbeats, commands and replies between the worker and the old leader arrive only when the
+     * cut ends.
      */
     WORKER_CUT_FROM_OLD_LEADER(
         (test, worker) ->
@@ -226,12 +235,11 @@
     cluster.run(0.1);
     cluster.users().cancel(job.id(), cluster.nodeAfter(oldLeader).address());
     cluster.run(0.15);
-    assertTrue(cluster.rules().isCancelConfirmed(job.id()), "another node confirmed the cancel");
+    assertTrue(cluster.rules().isCancelConfirmed(job.id()), "no other node confirmed the cancel");
     cluster.stateStoreOutage(OUTAGE);
     cluster.run(4);
     assertFalse(
-        cluster.fleet().workersRunning(job).isEmpty(),
-        "tasks start or still run during the outage");
+        cluster.fleet().workersRunning(job).isEmpty(), "no task of the job runs during the outage");
     assertTasksEndWithinLimit();
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
@@ -19,13 +19,13 @@
 
 /**
  * Checks combinations of specific faults. The rules are checked after each event. Most tests also
- * assert that the faults coincided, and all assert the result for the users.
+ * assert that the faults coincided. All assert that users receive the final status of their jobs.
  */
 class CombinedFaultsTest extends DirectedFaultsFixture {
 
   /**
-   * Submissions, cancels, ends of jobs, rounds and elections are committed to the state store, but
-   * the controllers receive no replies to their transactions.
+   * The transactions of submissions, cancels, ends of jobs, scheduling rounds and elections are
+   * committed to the state store, but the controllers receive no replies to them.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -47,9 +47,9 @@
     assertNotEquals(
         oldLeader.name(),
         cluster.leader().name(),
-        "a new leader is elected without a reply to its transaction");
+        "no new leader was elected while transactions got no reply");
     assertNotNull(
-        cluster.stateStore().value("c/outcomes/" + cancelled.id()), "the cancel was committed");
+        cluster.stateStore().value("c/outcomes/" + cancelled.id()), "the cancel was not committed");
     cluster.run(6);
     cluster.stateStore().loseReplies(0);
     cluster.run(60);
@@ -59,20 +59,23 @@
 
   /**
    * A team is at its quota. Its job is cancelled while some of the machines that run it are cut off
-   * or hang, and the leader crashes. The tasks of the team's next job must start only as it is
-   * proven that tasks of the first job have ended: the rule checker checks the quota, and that no
+   * or hang, and the leader crashes. The tasks of the team's next job may start only when it is
+   * certain that tasks of the first job have ended. The rule checker checks the quota, and that no
    * task runs twice.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void nextJobOfTeamAtItsLimitRunsAfterCancelDespiteLostMachinesAndLeader(long seed) {
+  void nextJobOfTeamAtItsQuotaRunsAfterCancelDespiteLostMachinesAndLeader(long seed) {
     startCluster(seed, 3);
     // The quota of team red is 64 CPUs.
     Job first = submit("red", 16, 4, LONG_RUN_TIME);
     for (int i = 0; i < 60 && cluster.fleet().runningTaskCount(first) < 16; i++) {
       cluster.run(1);
     }
-    assertEquals(16, cluster.fleet().runningTaskCount(first), "the team is at its quota");
+    assertEquals(
+        16,
+        cluster.fleet().runningTaskCount(first),
+        "running tasks of the first job, which use up the quota");
     Job second = submit("red", 8, 4, Duration.ofSeconds(10));
     cluster.run(2);
     List<FakeWorker> lostWorkers = cluster.fleet().workersRunning(first).stream().limit(2).toList();
@@ -92,7 +95,7 @@
     assertTrue(
         cluster.fleet().runningTaskCount(second) + cluster.rules().completedTaskCount(second.id())
             == 8,
-        "the freed quota is used");
+        "not all tasks of the second job were started with the freed quota");
     cluster.run(75);
     assertAllEnded(List.of(first, second));
   }
@@ -124,10 +127,12 @@
     }
     cluster.run(16);
     assertNotEquals(
-        seed % 2 == 0 ? null : oldLeader.name(), cluster.leader().name(), "the leadership changed");
+        seed % 2 == 0 ? null : oldLeader.name(),
+        cluster.leader().name(),
+        "the leader has not changed");
     cluster.run(40);
     for (Job job : jobs) {
-      assertTrue(cluster.rules().isCancelConfirmed(job.id()), "the cancel was confirmed");
+      assertTrue(cluster.rules().isCancelConfirmed(job.id()), "the cancel was not confirmed");
       assertEquals(List.of(), cluster.fleet().workersRunning(job));
     }
   }
@@ -138,7 +143,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void jobsOnNewMachinesEndWhenWritesLagAndLeaderCrashes(long seed) {
+  void jobsOnNewMachinesEndWhenCommitsAreDelayedAndLeaderCrashes(long seed) {
     startCluster(seed, 3);
     cluster.cloud().setFastBoot(true);
     int workersBefore = cluster.workers().size();
@@ -150,7 +155,7 @@
     cluster.stateStore().delayCommits(0.4);
     double secondsToCrash = 1 + 0.4 * seed;
     cluster.run(secondsToCrash);
-    assertTrue(cluster.workers().size() > workersBefore, "new machines are up");
+    assertTrue(cluster.workers().size() > workersBefore, "no new machine is up before the crash");
     cluster.leader().crash(Duration.ofMillis(150 * seed));
     cluster.run(15);
     cluster.stateStore().delayCommits(0);
@@ -159,8 +164,8 @@
   }
 
   /**
-   * The first heartbeats that a new leader receives are old ones, of machines that ran other tasks
-   * when they were sent.
+   * The first heartbeats that a new leader receives are old. The machines ran other tasks when they
+   * sent them.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -190,7 +195,7 @@
             });
     cluster.leader().crash(Duration.ofMillis(300));
     cluster.run(12);
-    assertTrue(elections[0] > 0, "a new leader was elected and received old heartbeats");
+    assertTrue(elections[0] > 0, "no new leader was elected, so no old heartbeats were replayed");
     cluster.run(80);
     assertAllEnded(jobs);
   }
@@ -226,7 +231,7 @@
     int startsMidway = cluster.rules().startCount();
     assertTrue(
         startsMidway > 120,
-        "tasks start during the submissions; task starts so far: " + startsMidway);
+        "too few task starts during the first minute of submissions: " + startsMidway);
     cluster.run(75);
     cluster.rules().setFaultsEndedAt(cluster.time().now());
     assertEquals(480, jobs.size());
@@ -256,7 +261,9 @@
     cluster.leader().crash(Duration.ofMillis(200));
     cluster.run(6);
     cluster.network().replayHeartbeats(controllerAddresses());
-    assertFalse(cluster.rules().completedTaskCount(job.id()) == 3, "not all tasks have completed");
+    assertFalse(
+        cluster.rules().completedTaskCount(job.id()) == 3,
+        "all tasks completed before the second leader crashed");
     cluster.leader().crash(Duration.ofMillis(200));
     cluster.run(60);
     assertTrue(cluster.rules().hasEnded(job.id()));
--- a/src/test/java/io/cherryspool/sim/faults/DeadMachineTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/DeadMachineTest.java
@@ -8,9 +8,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Checks that a dead machine is detected and deleted soon. The tasks of dead machines used to wait
- * for at least three heartbeat intervals, which alone made short urgent jobs miss their deadlines.
- * Without the detection of unresponsive machines each seed fails, since the machine still runs.
+ * Checks that a dead machine is detected and deleted soon. In an earlier version, the tasks of a
+ * dead machine waited for at least three heartbeat intervals before they could run again. This
+ * delay alone made short urgent jobs miss their deadlines. Without the detection of unresponsive
+ * machines each seed fails, because the machine is not deleted in time.
  */
 class DeadMachineTest {
   @ParameterizedTest
--- a/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
@@ -33,7 +33,8 @@
     SimulatedController oldLeader = cluster.leader();
     oldLeader.isolate(Duration.ofSeconds(45));
     SimulatedController newLeader = awaitLeaderOtherThan(oldLeader, 0.001);
-    assertTrue(oldLeader.isLeader(), "the old leader still answers its workers");
+    assertTrue(
+        oldLeader.isLeader(), "the old leader is no longer leader and does not answer workers");
     cluster.users().cancel(job.id(), newLeader.address());
     cluster.run(0.2);
     assertTrue(cluster.rules().isCancelConfirmed(job.id()));
@@ -67,8 +68,9 @@
   }
 
   /**
-   * The leader hands over, and its successor is cut off from the workers too. Within a second all
-   * controllers crash, and only the first leader restarts soon.
+   * The leader is cut off from the workers and hands over, and its successor is cut off from the
+   * workers too. Within a second all controllers crash. The first leader restarts within another
+   * second, the other controllers after 20 s.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -78,7 +80,7 @@
     SimulatedController first = cluster.leader();
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(14));
     cluster.run(15);
-    assertNotEquals(first.name(), cluster.leader().name(), "the leadership was handed over");
+    assertNotEquals(first.name(), cluster.leader().name(), "the leader has not handed over");
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(9));
     cluster.users().cancel(jobs.cancelled().id());
     cluster.run(0.1 * seed);
@@ -86,12 +88,13 @@
       node.crash(node == first ? Duration.ofMillis(100 + 130 * seed) : Duration.ofSeconds(20));
     }
     cluster.run(12);
-    assertEquals(first.name(), cluster.leader().name(), "the restarted controller is leader");
+    assertEquals(
+        first.name(), cluster.leader().name(), "the controller that restarted first is not leader");
     cluster.run(90);
     assertAllEnded(jobs.all());
   }
 
-  /** Ten crashes of the leader in two minutes, some of them during an outage of the state store. */
+  /** The leader crashes ten times in two minutes, once during an outage of the state store. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void jobsEndAfterTenLeaderCrashesInTwoMinutes(long seed) {
@@ -125,7 +128,7 @@
         .nodes()
         .forEach(node -> node.crash(SimulatedCluster.LEASE.plusSeconds(4).plusMillis(300 * seed)));
     cluster.run(SimulatedCluster.LEASE.plusSeconds(3));
-    assertTrue(cluster.fleet().expiredLeaseCount() > expiredBefore, "worker leases have expired");
+    assertTrue(cluster.fleet().expiredLeaseCount() > expiredBefore, "no worker lease has expired");
     assertFalse(cluster.rules().hasEnded(job.id()));
     cluster.run(100);
     assertAllEnded(List.of(job));
@@ -191,7 +194,8 @@
     SimulatedController oldLeader = cluster.leader();
     cluster.network().cutZone(oldLeader.zone(), Duration.ofSeconds(60));
     awaitLeaderOtherThan(oldLeader, 0.01);
-    // The new leader reads the list of machines, and afterwards cannot delete any.
+    // The new leader has time to read the list of machines before the cloud outage, but cannot
+    // delete any machine during the outage.
     cluster.run(0.8 + 0.2 * seed);
     cluster.cloud().setDown(true);
     cluster.run(4);
@@ -199,7 +203,7 @@
         cluster.fleet().workersRunning(job).stream()
             .filter(worker -> worker.machine().zone().equals(oldLeader.zone()))
             .toList();
-    assertFalse(workersInZone.isEmpty(), "tasks still run in the zone");
+    assertFalse(workersInZone.isEmpty(), "no task of the job runs in the zone that is cut off");
     cluster.run(45);
     cluster.cloud().setDown(false);
     cluster.run(300);
--- a/src/test/java/io/cherryspool/sim/faults/LostWorkersTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LostWorkersTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Checks that a leader that is cut off only from its workers hands over the leadership. Such a
- * leader used to stay leader: the other nodes redirected the workers to it until all worker leases
- * had expired, and 2,007 tasks were killed in one run. If no successor is ever named each seed
- * fails, since the same node is still leader after 14 s.
+ * Checks that a leader that is cut off only from its workers hands over the leadership. In an
+ * earlier version, such a leader remained leader: the other nodes redirected the workers to it
+ * until all worker leases had expired, and 2,007 tasks were killed in one run. If the leader never
+ * names a successor, each seed fails, because the same node is still leader after 14 s.
  */
 class LostWorkersTest {
   @ParameterizedTest
@@ -32,6 +32,6 @@
     assertNotEquals(oldLeader, newLeader);
     run.runWithoutFaults(60);
     assertEquals(expiredBefore, run.cluster().fleet().expiredLeaseCount());
-    assertEquals(newLeader, run.cluster().leader().name(), "the leadership changes only once");
+    assertEquals(newLeader, run.cluster().leader().name(), "the leader changed a second time");
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Recorded heartbeats, also of earlier agent epochs, arrive again at a leader that has already
-   * processed newer ones.
+   * Recorded heartbeats, including those of earlier agent epochs, arrive again at a leader that has
+   * already processed newer ones.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -189,7 +189,7 @@
         cluster.fleet().runningTaskCount(highPriorityJob)
                 + cluster.rules().completedTaskCount(highPriorityJob.id())
             > 0,
-        "the high-priority job does not wait for the others");
+        "no task of the high-priority job was started within 25 s");
     cluster.run(60);
     cluster.network().setMaxExtraDelay(0);
     cluster.run(100);
--- a/src/test/java/io/cherryspool/sim/faults/RandomFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/RandomFaultsTest.java
@@ -12,13 +12,14 @@
 /**
  * Seeded runs with random faults. The rules are checked after each event.
  *
- * <p>These faults, inserted into the code one at a time, made the first seeds fail: treating leases
- * as expired after two heartbeat intervals instead of the worker lease caused ran_twice and quota,
- * and answering polls from the local replica without updating it first caused went_back. Removing
- * only the term condition from the transaction of a round caused no failure, since the versions of
- * the records prevent the same writes. {@code TerminationEvidenceTest} covers the safety checks
- * that random runs exercise too rarely. After freezes, cut zones, refused connections and rolling
- * restarts were added to the random faults, 120 further seeds were run once.
+ * <p>Two faults, inserted into the code one at a time, made the first seeds fail. When leases were
+ * treated as expired after two heartbeat intervals instead of the worker lease, the rules ran_twice
+ * and quota were violated. When polls were answered from the local replica without updating it
+ * first, the rule went_back was violated. Removing only the term condition from the transaction of
+ * a round caused no failure, since the conditions on the versions of the records prevent the same
+ * writes. {@code TerminationEvidenceTest} covers the safety checks that random runs exercise too
+ * rarely. After freezes, cut zones, refused connections and rolling restarts were added to the
+ * random faults, 120 further seeds were run once.
  */
 class RandomFaultsTest {
   @ParameterizedTest
@@ -47,6 +48,6 @@
     run.run(300, 200);
     assertTrue(
         run.cluster().rules().startCount() > 100,
-        "only " + run.cluster().rules().startCount() + " starts");
+        "only " + run.cluster().rules().startCount() + " task starts");
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/UnchangedHeartbeatTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/UnchangedHeartbeatTest.java
@@ -12,16 +12,18 @@
 
 /**
  * Checks that heartbeats that differ only in the fencing token do not trigger planning. Each round
- * issues a newer token, which every machine returns in its next heartbeat. The leader used to treat
- * that as a change: one small job made it plan for all machines repeatedly while work waited.
+ * issues a newer token, which every machine returns in its next heartbeat. In an earlier version,
+ * the leader treated the newer token as a change: one small job made it plan for all machines
+ * repeatedly while work waited.
  */
 class UnchangedHeartbeatTest extends DirectedFaultsFixture {
   private static final int SMALL_JOBS = 12;
   private static final double SUBMIT_INTERVAL_S = 8;
 
   /**
-   * Each job may cause plans when it is submitted, placed, reported as running, completed and
-   * written, and when the fleet size is adapted. At most nine plans were observed.
+   * The number of plans allowed for the events of one job. A job may cause plans when it is
+   * submitted, placed, reported as running, completed and written, and when the fleet size is
+   * adapted. At most nine plans per job were observed.
    */
   private static final int PLANS_PER_JOB = 4;
 
@@ -42,8 +44,9 @@
     cluster.run(5);
     assertAllEnded(smallJobs);
     assertTrue(
-        cluster.fleet().runningTaskCount(largeJob) < 80, "some of the large job still waits");
-    // One more round a second is allowed, for changes that depend on time only.
+        cluster.fleet().runningTaskCount(largeJob) < 80,
+        "all tasks of the large job run, so no work waited");
+    // One more plan a second is allowed, for changes that depend on time only.
     assertTrue(
         plansPerJob <= PLANS_PER_JOB + SUBMIT_INTERVAL_S, plansPerJob + " plans per small job");
   }
--- a/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
@@ -76,8 +76,8 @@
   }
 
   /**
-   * The state store is restored from a backup, while nodes and workers know of later changes. The
-   * backup is never older than 20 s, even if the parameter is larger.
+   * The state store is restored from a backup that lacks later changes, which nodes and workers
+   * have already received. The backup is never older than 20 s, even if the parameter is larger.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.1, 0.5, 1, 3, 8, 14, 30})
@@ -96,8 +96,8 @@
   }
 
   /**
-   * The leader crashes when the data is lost. The records that other nodes retain may lack its last
-   * changes, but the workers' heartbeats show the tasks that it started.
+   * The leader crashes at the moment of the loss. The records that other nodes retain may lack its
+   * last changes, but the workers' heartbeats show the tasks that it started.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -110,9 +110,9 @@
 
   /**
    * The leader accepts a job and starts its tasks. The data is lost and the leader crashes before
-   * the other nodes have read the job, unless a delayed reply of the state store still brings it to
-   * them. The tasks must keep running, and the user must not be told that the job does not exist.
-   * The user then submits it again.
+   * the other nodes have read the job. In some runs, they still receive it in a delayed reply of
+   * the state store. The tasks must keep running, and the user must not receive the reply that the
+   * job does not exist. Then the user submits the job again.
    */
   @Test
   void tasksOfAJobThatNoNodeRetainsKeepRunningUntilItIsResubmitted() {
@@ -206,10 +206,10 @@
     assertAllJobsEnd(jobs);
   }
 
-  /** Transactions of the lost history are applied seconds later, in the new history. */
+  /** Transactions that were sent before the loss are applied seconds after it. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void jobsEndAfterTransactionsOfTheLostHistoryAreAppliedLate(long seed) {
+  void jobsEndAfterTransactionsSentBeforeTheLossAreAppliedLate(long seed) {
     List<Job> jobs = startBusyCluster(seed, 3);
     cluster.stateStore().delayCommits(0.7);
     jobs.add(submit("red", 6, 2, Duration.ofSeconds(4)));
--- a/src/test/java/io/cherryspool/sim/network/LinkFaults.java
+++ b/src/test/java/io/cherryspool/sim/network/LinkFaults.java
@@ -36,7 +36,7 @@
     this.time = time;
   }
 
-  /** Makes messages from one host to the other fail for the given duration. */
+  /** Applies a fault to the messages from one host to the other for the given duration. */
   public void fail(String from, String to, Mode mode, Duration duration) {
     failures.put(new Direction(from, to), new Failure(mode, time.now().plus(duration)));
   }
--- a/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
+++ b/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
@@ -87,7 +87,7 @@
     }
   }
 
-  /** Answers requests from one host to the other with 503; replies to earlier ones are held. */
+  /** Answers requests from one host to the other with 503 and holds replies to earlier requests. */
   public void rejectRequests(String from, String to, Duration duration) {
     String direction = from + ">" + to;
     if (rejectedDirections.add(direction)) {
@@ -168,7 +168,7 @@
     isRecording = true;
   }
 
-  /** Delivers the recorded heartbeats to all controllers now, before any later message. */
+  /** Delivers the recorded heartbeats to each of the controllers immediately, without latency. */
   public void replayHeartbeats(Iterable<Endpoint> controllers) {
     for (Endpoint each : controllers) {
       for (Request request : List.copyOf(recordedHeartbeats)) {
--- a/src/test/java/io/cherryspool/sim/partition/FlappingLinksTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/FlappingLinksTest.java
@@ -31,10 +31,10 @@
   }
 
   /**
-   * A leader keeps its lease if its requests are refused for a time that is shorter than the lease
-   * by at least three intervals between attempts to renew it. The leader changes if, as in an
-   * earlier version, it renews only four times per lease and does not retry before the next
-   * renewal.
+   * A leader keeps its lease if each failure is shorter than the lease by at least three times the
+   * interval between attempts to renew it. In an earlier version, a leader renewed its lease only
+   * four times per lease duration and did not retry a failed renewal before the next one was due.
+   * In that version the leader changes.
    */
   @ParameterizedTest
   @CsvSource({
@@ -52,8 +52,8 @@
   /**
    * A node whose reads from the state store fail or hang forwards its users' requests to another
    * node. In an earlier version, about twenty requests in two minutes were not served. The test
-   * does not cover the forwarding of requests while a read hangs and no call has failed yet: it
-   * passes without that as well.
+   * also passes if requests are not forwarded while a read hangs and no call has failed yet; it
+   * does not cover that case.
    */
   @ParameterizedTest
   @CsvSource({"STATE_REFUSED,1", "STATE_REFUSED,2", "STATE_SILENT,1", "STATE_SILENT,2"})
--- a/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
@@ -11,7 +11,7 @@
 
 /**
  * A simulated run in which one link fails repeatedly for two minutes while jobs arrive. It measures
- * what the failures cost.
+ * the costs of these failures.
  */
 public final class LinkFlapRun {
   private static final double SETTLE_S = 40;
@@ -29,7 +29,10 @@
   private int leaderChanges;
   private int submittedTasks;
 
-  /** The link that flaps. The leader is the node that leads when a failure begins. */
+  /**
+   * The link that flaps. In these descriptions, the leader is the node that leads when a failure
+   * begins.
+   */
   public enum Link {
     /** The state store answers 503 to the leader's requests. */
     STATE_REFUSED,
@@ -46,7 +49,8 @@
   }
 
   /**
-   * The costs of the flaps. All but the repeated task starts are counted only while the link flaps.
+   * The costs of the flaps. Repeated task starts are counted until the end of the run, all other
+   * costs only while the link flaps.
    *
    * @param leaderChanges the number of leader changes
    * @param maxLeaderChangesPerMinute the most leader changes within a minute
@@ -70,7 +74,7 @@
   }
 
   /**
-   * Runs a cluster whose link fails and works by turns, and returns the costs.
+   * Runs a cluster in which the link alternately fails and works, and returns the costs.
    *
    * @param flapDuration how long the link fails each time, and how long it works in between; zero
    *     if it never fails
--- a/src/test/java/io/cherryspool/sim/partition/NodeWithoutStateStoreTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/NodeWithoutStateStoreTest.java
@@ -50,7 +50,7 @@
         "the cancellation was not confirmed at once");
     assertTrue(
         cluster.users().unservedRequests() - unservedBefore <= 1,
-        "more requests were not served than the one that meets the first refusal");
+        "more than one request was not served; only the first refused one may fail");
     cluster.run(40);
     assertAllEnded(jobs);
   }
--- a/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
@@ -90,7 +90,10 @@
     }
   }
 
-  /** Applies two random cells at a time to a cluster of five controllers. */
+  /**
+   * Applies two random cells of the table at about the same time: one to the leader, and one to
+   * another of the five controllers.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void jobsEndAfterTwoOfFiveControllersLoseLinks(long seed) {
@@ -180,7 +183,8 @@
 
   /**
    * The state store answers 503 to the leader's requests, and the leader does not reach the other
-   * controllers. It still reaches its workers, but places no tasks, and its verdict shows that.
+   * controllers. It still reaches its workers, but places no tasks: its verdict is {@code
+   * hold-placing}.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
@@ -191,7 +195,7 @@
     new LinkCut(LinkCut.StateStoreLink.REFUSED, true, LinkCut.Workers.NONE, LinkCut.Direction.BOTH)
         .apply(cluster, node, LinkFaults.Mode.DROP, CUT_DURATION);
     cluster.run(2.5);
-    assertTrue(node.isLeader(), "the node no longer leads its workers");
+    assertTrue(node.isLeader(), "the node is no longer leader");
     assertEquals("hold-placing", node.verdict().orElseThrow().name());
     cluster.run(CUT_DURATION.plusSeconds(3));
     assertTrue(cluster.currentLeader().isPresent());
