--- a/src/test/java/io/cherryspool/sim/check/RuleChecker.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleChecker.java
@@ -21,8 +21,7 @@
  * that users receive. The cluster reports submissions, replies and task changes to it, and calls
  * {@link #check} after each event.
  *
- * <p>Each violation is named by its rule. These are the rules in addition to those of {@link
- * ProgressRules}:
+ * <p>Each violation is named by its rule. Besides those of {@link ProgressRules}, the rules are:
  *
  * <ul>
  *   <li>{@code ran_twice}: a task runs twice at the same time
--- a/src/test/java/io/cherryspool/sim/check/RuleCheckerTest.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleCheckerTest.java
@@ -101,7 +101,10 @@
       cluster.run(1);
     }
     rules.checkProgress(cluster.workers());
-    assertEquals(1, cluster.workers().size(), "one machine is up, with room for three more tasks");
+    assertEquals(
+        1,
+        cluster.workers().size(),
+        "number of machines that are up; one machine has room for three more tasks");
     assertViolation("left_waiting");
   }
 
