--- a/src/test/java/io/cherryspool/sim/check/ProgressRules.java
+++ b/src/test/java/io/cherryspool/sim/check/ProgressRules.java
@@ -65,7 +65,7 @@
    * remain free by worker.
    */
   private static final class Assignments {
-    private final Map<String, Resources> useByTeam = new HashMap<>();
+    private final Map<String, Resources> usageByTeam = new HashMap<>();
     private final Map<FakeWorker, Resources> freeByWorker = new HashMap<>();
     private final Set<String> tasks = new HashSet<>();
   }
@@ -78,8 +78,8 @@
     Assignments assignments = assignments(workers);
     for (Map.Entry<String, JobObservations> entry : jobs.entrySet()) {
       if (entry.getValue().isAccepted()) {
-        checkAnswered(entry.getKey(), entry.getValue());
-        checkWaiting(entry.getKey(), entry.getValue(), assignments);
+        checkAnswerTime(entry.getKey(), entry.getValue());
+        checkWaitingTime(entry.getKey(), entry.getValue(), assignments);
       }
     }
   }
@@ -91,7 +91,7 @@
       for (String task : worker.assignedTasks()) {
         Job job = jobs.get(TaskId.parse(task).jobId()).job();
         free = free.minus(job.perTask());
-        result.useByTeam.merge(job.team(), job.perTask(), Resources::plus);
+        result.usageByTeam.merge(job.team(), job.perTask(), Resources::plus);
         result.tasks.add(task);
       }
       result.freeByWorker.put(worker, free);
@@ -99,7 +99,7 @@
     return result;
   }
 
-  private void checkAnswered(String id, JobObservations job) {
+  private void checkAnswerTime(String id, JobObservations job) {
     Duration answeredAt = job.lastAnswerAt();
     Duration since = answeredAt.compareTo(faultsEndedAt) > 0 ? answeredAt : faultsEndedAt;
     violation.recordIf(
@@ -108,7 +108,7 @@
         id + " got no reply within the limit");
   }
 
-  private void checkWaiting(String id, JobObservations observations, Assignments assignments) {
+  private void checkWaitingTime(String id, JobObservations observations, Assignments assignments) {
     if (isWaitingTimeLimited(observations) && canRunNow(observations, assignments)) {
       Duration since = waitingSince.computeIfAbsent(id, key -> time.now());
       violation.recordIf(isLongerAgo(since, WAITING_LIMIT), "left_waiting", id);
@@ -133,9 +133,9 @@
 
   private boolean canRunNow(JobObservations observations, Assignments assignments) {
     Job job = observations.job();
-    Resources use = assignments.useByTeam.getOrDefault(job.team(), Resources.NONE);
+    Resources teamUsage = assignments.usageByTeam.getOrDefault(job.team(), Resources.NONE);
     return hasWaitingTask(observations, assignments.tasks)
-        && teams.get(job.team()).isWithinQuota(use.plus(job.perTask()))
+        && teams.get(job.team()).isWithinQuota(teamUsage.plus(job.perTask()))
         && assignments.freeByWorker.entrySet().stream()
             .anyMatch(
                 entry ->
@@ -155,17 +155,17 @@
 
   void checkEndOfRun(int startCount) {
     violation.recordIf(startCount == 0, "nothing_ran", "");
-    Map<String, List<JobObservations>> classes = new HashMap<>();
+    Map<String, List<JobObservations>> jobsByClass = new HashMap<>();
     for (JobObservations each : jobs.values()) {
       if (each.isAccepted()) {
         violation.recordIf(
             !each.hasEnded(), "unserved", each.job().id() + " unfinished at the end");
         if (!each.isCancelRequested()) {
-          classes.computeIfAbsent(each.job().jobClass(), key -> new ArrayList<>()).add(each);
+          jobsByClass.computeIfAbsent(each.job().jobClass(), key -> new ArrayList<>()).add(each);
         }
       }
     }
-    classes.values().forEach(this::checkLargestJobsStarted);
+    jobsByClass.values().forEach(this::checkLargestJobsStarted);
   }
 
   private void checkLargestJobsStarted(List<JobObservations> jobsOfClass) {
@@ -173,9 +173,9 @@
         Comparator.comparingInt((JobObservations each) -> each.job().taskCount()).reversed());
     int count = Math.min(jobsOfClass.size(), 1 + jobsOfClass.size() / LARGEST_JOBS_DIVISOR);
     List<JobObservations> largest = jobsOfClass.subList(0, count);
-    long inTime =
+    long startedInTimeCount =
         largest.stream().filter(each -> each.startedWithin(LARGEST_JOBS_START_LIMIT)).count();
-    violation.recordIf(2 * inTime < count, "largest_late", largest.get(0).job().id());
+    violation.recordIf(2 * startedInTimeCount < count, "largest_late", largest.get(0).job().id());
   }
 
   private boolean isLongerAgo(Duration since, Duration limit) {
--- a/src/test/java/io/cherryspool/sim/check/RuleChecker.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleChecker.java
@@ -70,7 +70,7 @@
   }
 
   /** Records that a user submits the job. Must be called before the request is sent. */
-  public void jobSubmitted(Job job) {
+  public void recordSubmission(Job job) {
     observations(job.id()).recordSubmission(job, time.now());
   }
 
@@ -83,7 +83,7 @@
    * Records that a user received the acceptance of the job. Returns whether this was the first
    * time.
    */
-  public boolean jobAccepted(String id) {
+  public boolean recordAcceptance(String id) {
     return observations(id).recordAcceptance(time.now());
   }
 
@@ -95,12 +95,12 @@
    * Records that a user received a rejection of the job as invalid. A rejection after the
    * acceptance is a violation.
    */
-  public void jobRejected(String id) {
+  public void recordRejection(String id) {
     violation.recordIf(isAccepted(id), "forgotten", id);
   }
 
   /** Records that a user requests to cancel the job. Must be called before the request is sent. */
-  public void cancelRequested(String id) {
+  public void recordCancelRequest(String id) {
     observations(id).recordCancelRequest(time.now());
   }
 
@@ -146,7 +146,7 @@
    *
    * @param workers the workers of all machines that are up, including {@code startedOn}
    */
-  public void taskStarted(FakeWorker startedOn, String task, Collection<FakeWorker> workers) {
+  public void recordTaskStart(FakeWorker startedOn, String task, Collection<FakeWorker> workers) {
     startCount++;
     String id = TaskId.parse(task).jobId();
     JobObservations observations = observations(id);
@@ -179,7 +179,7 @@
   }
 
   /** Records that a task ran to its end without a failure. */
-  public void taskCompleted(String task) {
+  public void recordTaskCompletion(String task) {
     TaskId id = TaskId.parse(task);
     observations(id.jobId()).recordTaskCompletion(id.index());
   }
@@ -191,17 +191,17 @@
    * @throws AssertionError if a violation of any rule has been recorded; names the first one
    */
   public void check(Collection<FakeWorker> workers) {
-    Map<String, Resources> use = new HashMap<>();
+    Map<String, Resources> usageByTeam = new HashMap<>();
     for (FakeWorker worker : workers) {
       for (String task : worker.runningTasks()) {
         JobObservations observations = jobs.get(TaskId.parse(task).jobId());
         Job job = observations.job();
-        use.merge(job.team(), job.perTask(), Resources::plus);
+        usageByTeam.merge(job.team(), job.perTask(), Resources::plus);
         violation.recordIf(
             observations.isCancelOverdue(time.now(), cancelLimit), "ran_cancelled", task);
       }
     }
-    use.forEach(
+    usageByTeam.forEach(
         (team, sum) -> violation.recordIf(!teams.get(team).isWithinQuota(sum), "quota", team));
     violation.throwIfAny();
   }
@@ -212,7 +212,7 @@
    * @param status the status as written in the protocol, or 404 if the job was not found
    * @param askedAt the time at which the user sent the request
    */
-  public void statusReceived(String id, String status, Duration askedAt) {
+  public void recordStatus(String id, String status, Duration askedAt) {
     JobObservations observations = observations(id);
     observations.recordAnswer(time.now());
     if (status.equals("404")) {
--- a/src/test/java/io/cherryspool/sim/check/RuleCheckerTest.java
+++ b/src/test/java/io/cherryspool/sim/check/RuleCheckerTest.java
@@ -21,8 +21,8 @@
 
   private Job submitAcceptedJob(int tasks) {
     Job job = cluster.jobs().create("blue", tasks, 4, Duration.ofSeconds(20));
-    rules.jobSubmitted(job);
-    rules.jobAccepted(job.id());
+    rules.recordSubmission(job);
+    rules.recordAcceptance(job.id());
     return job;
   }
 
@@ -32,7 +32,7 @@
   }
 
   private void receiveStatus(Job job, String status) {
-    rules.statusReceived(job.id(), status, cluster.time().now());
+    rules.recordStatus(job.id(), status, cluster.time().now());
   }
 
   @Test
@@ -44,7 +44,7 @@
   @Test
   void runningStatusAfterDoneViolatesWentBack() {
     Job job = submitAcceptedJob(1);
-    rules.taskCompleted(job.id() + "/0");
+    rules.recordTaskCompletion(job.id() + "/0");
     receiveStatus(job, "done");
     receiveStatus(job, "running");
     assertViolation("went_back");
@@ -64,10 +64,10 @@
 
   @Test
   void notFoundIsAllowedForRequestSentBeforeAcceptance() {
-    Duration asked = cluster.time().now();
+    Duration askedAt = cluster.time().now();
     cluster.run(1);
     Job job = submitAcceptedJob(1);
-    rules.statusReceived(job.id(), "404", asked);
+    rules.recordStatus(job.id(), "404", askedAt);
     rules.check(cluster.workers());
   }
 
@@ -111,7 +111,7 @@
   @Test
   void acceptedJobWithoutAnyTaskStartViolatesNothingRan() {
     Job other = submitAcceptedJob(1);
-    rules.taskCompleted(other.id() + "/0");
+    rules.recordTaskCompletion(other.id() + "/0");
     rules.checkEndOfRun();
     assertViolation("nothing_ran");
   }
@@ -128,13 +128,13 @@
     cluster.run(30);
     FakeWorker worker = anyWorker();
     for (Job job : jobs.subList(2, 11)) {
-      rules.taskStarted(worker, job.id() + "/0", List.of());
+      rules.recordTaskStart(worker, job.id() + "/0", List.of());
     }
     cluster.run(220);
-    jobs.subList(0, 2).forEach(job -> rules.taskStarted(worker, job.id() + "/0", List.of()));
+    jobs.subList(0, 2).forEach(job -> rules.recordTaskStart(worker, job.id() + "/0", List.of()));
     for (Job job : jobs) {
       for (int i = 0; i < job.taskCount(); i++) {
-        rules.taskCompleted(job.id() + "/" + i);
+        rules.recordTaskCompletion(job.id() + "/" + i);
       }
       receiveStatus(job, "done");
     }
@@ -145,10 +145,10 @@
   @Test
   void countsTaskStartsAfterConfirmedCancel() {
     Job job = submitAcceptedJob(1);
-    rules.cancelRequested(job.id());
+    rules.recordCancelRequest(job.id());
     receiveStatus(job, "withdrawn");
     cluster.run(5);
-    rules.taskStarted(anyWorker(), job.id() + "/0", List.of());
+    rules.recordTaskStart(anyWorker(), job.id() + "/0", List.of());
     assertEquals(1, rules.startCountAfterCancel());
   }
 
--- a/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
@@ -17,19 +17,19 @@
   private final SimulatedCluster cluster;
   private final SplittableRandom random;
   private final double endS;
-  private final Runnable submitGuestWork;
+  private final Runnable submitGuestJobs;
 
   /**
    * Creates the fault injector.
    *
    * @param endS the time in seconds after which no new group of faults starts
-   * @param submitGuestWork submits work of a team without a guaranteed quota
+   * @param submitGuestJobs submits work of a team without a guaranteed quota
    */
-  FaultInjector(SimulatedCluster cluster, double endS, Runnable submitGuestWork) {
+  FaultInjector(SimulatedCluster cluster, double endS, Runnable submitGuestJobs) {
     this.cluster = cluster;
     this.random = cluster.random().split();
     this.endS = endS;
-    this.submitGuestWork = submitGuestWork;
+    this.submitGuestJobs = submitGuestJobs;
   }
 
   void start() {
@@ -116,7 +116,7 @@
   private void injectServiceFault(
       int kind, SimulatedController node, SimulatedController leader, Duration length) {
     switch (kind) {
-      case 2 -> cluster.stateStoreOutage(length);
+      case 2 -> cluster.takeStateStoreDown(length);
       case 3 -> {
         cluster.cloud().setDown(true);
         scheduleAfter(length, () -> cluster.cloud().setDown(false));
@@ -214,7 +214,7 @@
         cluster.users().setPollingFactor(8);
         scheduleAfter(length, () -> cluster.users().setPollingFactor(1));
       }
-      case 22 -> submitGuestWork.run();
+      case 22 -> submitGuestJobs.run();
       case 29 -> cancelRunningJobs();
       case 30 -> {
         cluster.users().setCancelAtEndShare(0.5);
@@ -241,7 +241,7 @@
     cluster.schedule(
         pause,
         () ->
-            cluster.stateStoreOutage(
+            cluster.takeStateStoreDown(
                 SimulatedCluster.CANCEL_LIMIT.plus(Duration.ofMillis(random.nextLong(15_000)))));
   }
 
@@ -259,10 +259,10 @@
             .sorted(Comparator.reverseOrder())
             .limit(1 + random.nextInt(4))
             .toList();
-    boolean hangsWorkers = random.nextBoolean();
+    boolean shouldHangWorkers = random.nextBoolean();
     for (String id : ids) {
       cluster.schedule(random.nextDouble() / 5, () -> cluster.users().cancel(id));
-      if (hangsWorkers) {
+      if (shouldHangWorkers) {
         Duration length = Duration.ofMillis(1000 + random.nextLong(30_000));
         cluster.workers().stream()
             .filter(worker -> worker.runningTasks().stream().anyMatch(task -> task.startsWith(id)))
--- a/src/test/java/io/cherryspool/sim/cluster/RandomizedRun.java
+++ b/src/test/java/io/cherryspool/sim/cluster/RandomizedRun.java
@@ -39,7 +39,7 @@
     run(
         faultSeconds,
         quietSeconds,
-        new FaultInjector(cluster, faultSeconds - 30, this::submitGuestWork)::start);
+        new FaultInjector(cluster, faultSeconds - 30, this::submitGuestJobs)::start);
   }
 
   /**
@@ -54,7 +54,7 @@
     lastArrivalS = faultSeconds;
     cluster.network().setDuplicatingHeartbeats(true);
     cluster.schedule(faultSeconds, () -> cluster.network().setDuplicatingHeartbeats(false));
-    cluster.schedule(1, this::submitWork);
+    cluster.schedule(1, this::submitRandomJob);
     startFaults.run();
     cluster.run(faultSeconds + SimulatedCluster.CANCEL_LIMIT.toSeconds());
     // All faults have ended. From now on missing replies and jobs that wait despite free capacity
@@ -73,7 +73,7 @@
   public void runWithoutFaults(double seconds) {
     if (lastArrivalS == 0) {
       lastArrivalS = Double.MAX_VALUE;
-      cluster.schedule(1, this::submitWork);
+      cluster.schedule(1, this::submitRandomJob);
     }
     cluster.run(seconds);
   }
@@ -83,18 +83,18 @@
     cluster.schedule(1, this::checkProgress);
   }
 
-  private void submitWork() {
+  private void submitRandomJob() {
     if (cluster.time().seconds() > lastArrivalS) {
       return;
     }
-    cluster.schedule(0.5 + random.nextDouble() * 6, this::submitWork);
+    cluster.schedule(0.5 + random.nextDouble() * 6, this::submitRandomJob);
     if (random.nextInt(10) == 0) {
       cluster.users().submitInvalid(randomJob("lane", "red", Priority.NORMAL, 1, 1));
       cluster.users().pollAndCancelUnknownJob();
     }
     boolean isFailing = random.nextInt(12) == 0;
     int size = 1 + random.nextInt(random.nextInt(10) == 0 ? 80 : 8);
-    submitWork(
+    submitRandomJob(
         isFailing ? FakeWorker.FAILING_JOB_CLASS : "lane",
         random.nextBoolean() ? "red" : "blue",
         random.nextInt(3) == 0 ? Priority.HIGH : Priority.NORMAL,
@@ -107,18 +107,23 @@
    * Submits work of a team without a guaranteed quota: one job of 400 tasks, or 40 jobs of one
    * task.
    */
-  private void submitGuestWork() {
+  private void submitGuestJobs() {
     int tasks = random.nextBoolean() ? 1 : 400;
     for (int i = 0; i < 40; i += tasks) {
-      submitWork("visit", "guest", Priority.LOW, tasks, 0.25, false);
+      submitRandomJob("visit", "guest", Priority.LOW, tasks, 0.25, false);
     }
   }
 
-  private void submitWork(
-      String jobClass, String team, Priority priority, int size, double cpus, boolean isCancelled) {
+  private void submitRandomJob(
+      String jobClass,
+      String team,
+      Priority priority,
+      int size,
+      double cpus,
+      boolean shouldCancel) {
     Job job = randomJob(jobClass, team, priority, size, cpus);
     cluster.users().submit(job);
-    if (isCancelled) {
+    if (shouldCancel) {
       cluster.schedule(random.nextDouble() * 25, () -> cluster.users().cancel(job.id()));
     }
     if (random.nextInt(4) == 0) {
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedCluster.java
@@ -182,7 +182,7 @@
             network,
             settings.addresses(),
             new WorkerSettings(ClusterSettings.HEARTBEAT_INTERVAL, LEASE, failureShare),
-            new SubmittedJobs());
+            new SubmittedWorkload());
     cloud =
         new FakeCloud(
             time,
@@ -222,21 +222,21 @@
    * The jobs that users have submitted. Passes task starts and completions to the rule checker and
    * the users.
    */
-  private final class SubmittedJobs implements Workload {
+  private final class SubmittedWorkload implements Workload {
     @Override
     public Optional<Job> job(String id) {
       return Optional.ofNullable(rules.job(id));
     }
 
     @Override
-    public void taskStarted(FakeWorker worker, String task) {
-      rules.taskStarted(worker, task, fleet.workers());
+    public void onTaskStarted(FakeWorker worker, String task) {
+      rules.recordTaskStart(worker, task, fleet.workers());
     }
 
     @Override
-    public void taskCompleted(String task) {
-      rules.taskCompleted(task);
-      users.taskCompleted(task);
+    public void onTaskCompleted(String task) {
+      rules.recordTaskCompletion(task);
+      users.onTaskCompleted(task);
     }
   }
 
@@ -360,7 +360,7 @@
   }
 
   /** Takes the state store down for the given duration. */
-  public void stateStoreOutage(Duration length) {
+  public void takeStateStoreDown(Duration length) {
     stateStore.setDown(true);
     time.schedule(length, () -> stateStore.setDown(false));
   }
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
@@ -177,12 +177,12 @@
   }
 
   /** Ends the process, and starts a new one after the given time. */
-  public void crash(Duration down) {
+  public void crash(Duration downtime) {
     if (controller != null) {
       inbox.close();
       controller = null;
       cluster.network().close(address);
-      cluster.time().schedule(down, this::start);
+      cluster.time().schedule(downtime, this::start);
     }
   }
 }
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
@@ -35,7 +35,7 @@
   private boolean isBurstEnabled;
   private double cancelAtEndShare;
   private final Set<String> unpolledJobs = new HashSet<>();
-  private int unservedRequests;
+  private int failedRequestCount;
 
   SimulatedUsers(
       VirtualTime time,
@@ -51,8 +51,8 @@
   }
 
   /** Returns the number of requests that failed or were answered with status 503. */
-  public int unservedRequests() {
-    return unservedRequests;
+  public int failedRequestCount() {
+    return failedRequestCount;
   }
 
   /** Sets how many times in 5 s users poll each job that has not ended; 1 is the usual rate. */
@@ -76,13 +76,13 @@
 
   /** Submits a job through a random node. */
   public void submit(Job job) {
-    rules.jobSubmitted(job);
+    rules.recordSubmission(job);
     submit(job, randomNode(), 0);
   }
 
   /** Submits a job through the given node. */
   public void submit(Job job, Endpoint node) {
-    rules.jobSubmitted(job);
+    rules.recordSubmission(job);
     submit(job, node, 0);
   }
 
@@ -98,14 +98,14 @@
         5,
         (status, body, sentAt) -> {
           if (status == 200 || status == 201) {
-            boolean isFirst = rules.jobAccepted(job.id());
-            statusReceived(job.id(), body.path("status").asText(), sentAt);
+            boolean isFirst = rules.recordAcceptance(job.id());
+            processStatus(job.id(), body.path("status").asText(), sentAt);
             if (isFirst) {
               poll(job.id());
               sendRequestBurst(job);
             }
           } else if (status == 400 || status == 422) {
-            rules.jobRejected(job.id());
+            rules.recordRejection(job.id());
             rules.recordViolationIf(true, "refused", job.id() + " with " + status + ": " + body);
           } else if (attempts < MAX_ATTEMPTS) {
             scheduleAfter(1, () -> submit(job, randomNode(), attempts + 1));
@@ -162,9 +162,9 @@
         2,
         (status, body, sentAt) -> {
           if (status == 200) {
-            statusReceived(id, body.path("status").asText(), sentAt);
+            processStatus(id, body.path("status").asText(), sentAt);
           } else if (status == 404) {
-            statusReceived(id, "404", sentAt);
+            processStatus(id, "404", sentAt);
           }
         });
   }
@@ -187,17 +187,17 @@
 
   /** Cancels a job through the given node, and retries until the cancel is confirmed. */
   public void cancel(String id, Endpoint node) {
-    rules.cancelRequested(id);
+    rules.recordCancelRequest(id);
     send(
         node,
         Request.post("/api/jobs/" + id + "/withdraw", new byte[0]),
         5,
         (status, body, sentAt) -> {
           if (status == 200) {
-            statusReceived(id, body.path("status").asText(), sentAt);
+            processStatus(id, body.path("status").asText(), sentAt);
           } else {
             if (status == 404) {
-              statusReceived(id, "404", sentAt);
+              processStatus(id, "404", sentAt);
             }
             scheduleAfter(1, () -> cancel(id, node));
           }
@@ -208,7 +208,7 @@
    * Called when a task has completed. If it was the last task of its job, users may cancel the job;
    * see {@link #setCancelAtEndShare}.
    */
-  void taskCompleted(String task) {
+  void onTaskCompleted(String task) {
     String id = TaskId.parse(task).jobId();
     if (cancelAtEndShare > 0
         && rules.completedTaskCount(id) == rules.job(id).taskCount()
@@ -217,9 +217,9 @@
     }
   }
 
-  private void statusReceived(String id, String status, Duration sentAt) {
+  private void processStatus(String id, String status, Duration sentAt) {
     boolean hadEnded = rules.hasEnded(id);
-    rules.statusReceived(id, status, sentAt);
+    rules.recordStatus(id, status, sentAt);
     if (rules.hasEnded(id) && !hadEnded) {
       sendRequestBurst(rules.job(id));
     }
@@ -229,7 +229,7 @@
     if (!isBurstEnabled) {
       return;
     }
-    boolean isCancelSent = !rules.hasEnded(job.id()) && random.nextInt(8) == 0;
+    boolean shouldCancel = !rules.hasEnded(job.id()) && random.nextInt(8) == 0;
     for (Endpoint node : nodes) {
       for (int i = 0; i < 3; i++) {
         int choice = random.nextInt(4);
@@ -244,7 +244,7 @@
             });
       }
     }
-    if (isCancelSent) {
+    if (shouldCancel) {
       scheduleAfter(random.nextInt(15) / 1e3, () -> cancel(job.id()));
     }
   }
@@ -259,7 +259,7 @@
 
   @FunctionalInterface
   private interface ResponseHandler {
-    void handle(int status, JsonNode body, Duration sentAt);
+    void onResponse(int status, JsonNode body, Duration sentAt);
   }
 
   private void send(Endpoint node, Request request, int timeoutS, ResponseHandler handler) {
@@ -270,8 +270,8 @@
         .whenComplete(
             (reply, failure) -> {
               try {
-                handler.handle(
-                    countUnserved(failure == null ? reply.status() : 0),
+                handler.onResponse(
+                    countIfFailed(failure == null ? reply.status() : 0),
                     failure == null && reply.body().length > 0
                         ? Json.parseObject(reply.body())
                         : Json.object(),
@@ -282,8 +282,8 @@
             });
   }
 
-  private int countUnserved(int status) {
-    unservedRequests += status == 0 || status == 503 ? 1 : 0;
+  private int countIfFailed(int status) {
+    failedRequestCount += status == 0 || status == 503 ? 1 : 0;
     return status;
   }
 }
--- a/src/test/java/io/cherryspool/sim/cluster/StateLossInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/StateLossInjector.java
@@ -117,7 +117,7 @@
    */
   private void injectOtherFault(int kind, Duration length) {
     switch (kind) {
-      case 0 -> cluster.stateStoreOutage(length);
+      case 0 -> cluster.takeStateStoreDown(length);
       case 8 -> {
         cluster.stateStore().delayCommits(0.3 + random.nextDouble() / 2);
         cluster.time().schedule(length, () -> cluster.stateStore().delayCommits(0));
--- a/src/test/java/io/cherryspool/sim/fakes/WorkerTasks.java
+++ b/src/test/java/io/cherryspool/sim/fakes/WorkerTasks.java
@@ -154,7 +154,7 @@
     images.add(job.image());
     attempt.run();
     worker.markChanged();
-    workload.taskStarted(worker, attempt.task());
+    workload.onTaskStarted(worker, attempt.task());
     Duration runTime =
         job.estimatedRunTime().dividedBy(2).plusMillis(random.nextLong(RUN_SPREAD_MS));
     boolean fails =
@@ -168,7 +168,7 @@
     if (isPresent(attempt) && attempt.isRunning()) {
       exit(attempt, fails ? ExitCause.ERROR : ExitCause.DONE);
       if (!fails) {
-        workload.taskCompleted(attempt.task());
+        workload.onTaskCompleted(attempt.task());
       }
     }
   }
--- a/src/test/java/io/cherryspool/sim/fakes/Workload.java
+++ b/src/test/java/io/cherryspool/sim/fakes/Workload.java
@@ -14,8 +14,8 @@
   Optional<Job> job(String id);
 
   /** Called when a task has its image and starts to run on the worker. */
-  void taskStarted(FakeWorker worker, String task);
+  void onTaskStarted(FakeWorker worker, String task);
 
   /** Called when a task has completed without a failure. */
-  void taskCompleted(String task);
+  void onTaskCompleted(String task);
 }
--- a/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
@@ -70,7 +70,7 @@
    */
   private void startOutage() {
     Duration start = cluster.time().now();
-    cluster.stateStoreOutage(OUTAGE);
+    cluster.takeStateStoreDown(OUTAGE);
     cluster.run(10);
     List<FakeWorker> runningWorkers = cluster.fleet().workersRunning(job);
     assertFalse(runningWorkers.isEmpty(), "no task of the job runs during the outage");
@@ -143,7 +143,7 @@
             .filter(node -> node != oldLeader && node != newLeader)
             .findFirst()
             .orElseThrow());
-    cluster.stateStoreOutage(OUTAGE);
+    cluster.takeStateStoreDown(OUTAGE);
     assertTasksEndWithinLimit();
   }
 
@@ -214,7 +214,7 @@
       cluster.run(0.5);
       cancelThroughAnotherNode();
       cluster.run(0.5);
-      cluster.stateStoreOutage(OUTAGE);
+      cluster.takeStateStoreDown(OUTAGE);
       assertTasksEndWithinLimit();
     }
   }
@@ -236,7 +236,7 @@
     cluster.users().cancel(job.id(), cluster.nodeAfter(oldLeader).address());
     cluster.run(0.15);
     assertTrue(cluster.rules().isCancelConfirmed(job.id()), "no other node confirmed the cancel");
-    cluster.stateStoreOutage(OUTAGE);
+    cluster.takeStateStoreDown(OUTAGE);
     cluster.run(4);
     assertFalse(
         cluster.fleet().workersRunning(job).isEmpty(), "no task of the job runs during the outage");
--- a/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
@@ -99,7 +99,7 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void jobsEndAfterTenLeaderCrashesInTwoMinutes(long seed) {
     TwoJobs jobs = startClusterWithTwoJobs(seed, 24, Duration.ofSeconds(35), 8);
-    cluster.schedule(40 + seed, () -> cluster.stateStoreOutage(Duration.ofSeconds(15)));
+    cluster.schedule(40 + seed, () -> cluster.takeStateStoreDown(Duration.ofSeconds(15)));
     cluster.schedule(45, () -> cluster.users().cancel(jobs.cancelled().id()));
     for (int i = 0; i < 10; i++) {
       cluster.schedule(
--- a/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
@@ -162,7 +162,7 @@
     cluster.run(0.1);
     cluster.users().cancel(job.id(), cluster.nodeAfter(leader).address());
     awaitCancelConfirmed(job, 0.1, 400);
-    cluster.stateStoreOutage(SimulatedCluster.CANCEL_LIMIT.plusSeconds(10));
+    cluster.takeStateStoreDown(SimulatedCluster.CANCEL_LIMIT.plusSeconds(10));
     cluster.run(SimulatedCluster.CANCEL_LIMIT.plusMillis(100));
     assertEquals(0, cluster.fleet().runningTaskCount(job));
     cluster.stateStore().delayReplies(0);
--- a/src/test/java/io/cherryspool/sim/loopback/LocalCluster.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LocalCluster.java
@@ -107,12 +107,12 @@
     }
 
     @Override
-    public void taskStarted(FakeWorker worker, String task) {
+    public void onTaskStarted(FakeWorker worker, String task) {
       System.out.println(task + " runs on " + worker.machine().name());
     }
 
     @Override
-    public void taskCompleted(String task) {
+    public void onTaskCompleted(String task) {
       System.out.println(task + " is done");
     }
   }
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackFleet.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackFleet.java
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public void taskStarted(FakeWorker worker, String task) {
+    public void onTaskStarted(FakeWorker worker, String task) {
       startedTasks++;
       for (FakeWorker other : workers.all()) {
         if (other != worker && other.runningTasks().contains(task)) {
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public void taskCompleted(String task) {
+    public void onTaskCompleted(String task) {
       completions.merge(task, 1, Integer::sum);
     }
   }
--- a/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/LostStateTest.java
@@ -197,7 +197,7 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void jobsEndAfterDataIsLostDuringAnOutage(long seed) {
     List<Job> jobs = startBusyCluster(seed, 3 + (int) seed % 3);
-    cluster.stateStoreOutage(Duration.ofSeconds(3 + 2 * seed));
+    cluster.takeStateStoreDown(Duration.ofSeconds(3 + 2 * seed));
     cluster.run(1);
     jobs.add(submit("red", 2, 2, Duration.ofSeconds(3)));
     cluster.stateStore().loseAllData();
--- a/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
+++ b/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
@@ -46,8 +46,8 @@
   private final LinkFaults linkFaults;
   private final List<Request> recordedHeartbeats = new ArrayList<>();
   private int maxExtraDelayMs;
-  private boolean isDuplicating;
-  private boolean isRecording;
+  private boolean isDuplicatingHeartbeats;
+  private boolean isRecordingHeartbeats;
   private final Map<String, List<Runnable>> heldMessages = new HashMap<>();
 
   /** The request handler that listens at an address, and the inbox of its process. */
@@ -83,7 +83,7 @@
   public void cut(String a, String b, Duration duration) {
     String pair = pairKey(a, b);
     if (cutHostPairs.add(pair)) {
-      time.schedule(duration, () -> release(cutHostPairs, pair));
+      time.schedule(duration, () -> endFault(cutHostPairs, pair));
     }
   }
 
@@ -91,18 +91,18 @@
   public void rejectRequests(String from, String to, Duration duration) {
     String direction = from + ">" + to;
     if (rejectedDirections.add(direction)) {
-      time.schedule(duration, () -> release(rejectedDirections, direction));
+      time.schedule(duration, () -> endFault(rejectedDirections, direction));
     }
   }
 
   /** Holds the messages between the zone and all hosts outside it for the given duration. */
   public void cutZone(String zone, Duration duration) {
     if (cutZones.add(zone)) {
-      time.schedule(duration, () -> release(cutZones, zone));
+      time.schedule(duration, () -> endFault(cutZones, zone));
     }
   }
 
-  private void release(Set<String> activeFaults, String key) {
+  private void endFault(Set<String> activeFaults, String key) {
     activeFaults.remove(key);
     List<Runnable> messages = heldMessages.remove(key);
     if (messages != null) {
@@ -114,14 +114,14 @@
   public Optional<Duration> datagramDelay(String from, String to) {
     Optional<LinkFaults.Mode> mode = linkFaults.mode(from, to);
     boolean isDelayed = mode.filter(LinkFaults.Mode.DELAY::equals).isPresent();
-    if (findCut(from, to) != null || (mode.isPresent() && !isDelayed)) {
+    if (findCutKey(from, to) != null || (mode.isPresent() && !isDelayed)) {
       return Optional.empty();
     }
     return Optional.of(isDelayed ? LinkFaults.DELAY : Duration.ZERO);
   }
 
   /** Returns the key of the cut between the two hosts; null if there is none. */
-  private String findCut(String a, String b) {
+  private String findCutKey(String a, String b) {
     String pair = pairKey(a, b);
     if (cutHostPairs.contains(pair)) {
       return pair;
@@ -159,13 +159,13 @@
   }
 
   /** Sets whether some heartbeats arrive again up to 70 s later, which is longer than a lease. */
-  public void setDuplicatingHeartbeats(boolean on) {
-    isDuplicating = on;
+  public void setDuplicatingHeartbeats(boolean value) {
+    isDuplicatingHeartbeats = value;
   }
 
   /** Starts to record worker heartbeats, up to a limit, for {@link #replayHeartbeats}. */
   public void recordHeartbeats() {
-    isRecording = true;
+    isRecordingHeartbeats = true;
   }
 
   /** Delivers the recorded heartbeats to each of the controllers immediately, without latency. */
@@ -180,7 +180,7 @@
   /** Stops recording and discards the recorded heartbeats. */
   public void discardRecordedHeartbeats() {
     recordedHeartbeats.clear();
-    isRecording = false;
+    isRecordingHeartbeats = false;
   }
 
   private void redeliver(Endpoint to, Request request) {
@@ -190,12 +190,14 @@
     }
   }
 
-  private void recordOrDuplicate(Endpoint to, Request request) {
+  private void recordOrDuplicateHeartbeat(Endpoint to, Request request) {
     boolean isHeartbeat = request.path().equals("/v1/report");
-    if (isRecording && isHeartbeat && recordedHeartbeats.size() < MAX_RECORDED_HEARTBEATS) {
+    if (isRecordingHeartbeats
+        && isHeartbeat
+        && recordedHeartbeats.size() < MAX_RECORDED_HEARTBEATS) {
       recordedHeartbeats.add(request);
     }
-    if (isDuplicating && isHeartbeat && random.nextDouble() < DUPLICATE_PROBABILITY) {
+    if (isDuplicatingHeartbeats && isHeartbeat && random.nextDouble() < DUPLICATE_PROBABILITY) {
       time.schedule(
           Duration.ofMillis(random.nextInt(MAX_DUPLICATE_DELAY_MS)), () -> redeliver(to, request));
     }
@@ -209,7 +211,7 @@
       if (hostsWithoutOutbound.contains(host)) {
         return result;
       }
-      recordOrDuplicate(to, request);
+      recordOrDuplicateHeartbeat(to, request);
       if (isReset(host, to.host())) {
         send(host, host, () -> fail(result, inbox, "connection reset by " + to));
         return result;
@@ -263,8 +265,8 @@
     }
   }
 
-  private static void fail(CompletableFuture<Reply> result, ProcessInbox inbox, String why) {
-    inbox.deliver(() -> result.completeExceptionally(new IOException(why)));
+  private static void fail(CompletableFuture<Reply> result, ProcessInbox inbox, String message) {
+    inbox.deliver(() -> result.completeExceptionally(new IOException(message)));
   }
 
   private void send(String from, String to, Runnable arrival) {
@@ -285,9 +287,9 @@
             time.schedule(isHeld ? linkFaults.remaining(from, to) : LinkFaults.DELAY, arrival);
             return;
           }
-          String cut = findCut(from, to);
-          if (cut != null) {
-            heldMessages.computeIfAbsent(cut, key -> new ArrayList<>()).add(arrival);
+          String cutKey = findCutKey(from, to);
+          if (cutKey != null) {
+            heldMessages.computeIfAbsent(cutKey, key -> new ArrayList<>()).add(arrival);
           } else {
             arrival.run();
           }
--- a/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
@@ -89,7 +89,7 @@
     term = term();
     int addedBefore = cluster.cloud().addedMachineCount();
     int deletedBefore = cluster.cloud().deletedMachineCount();
-    int unservedBefore = cluster.users().unservedRequests();
+    int unservedBefore = cluster.users().failedRequestCount();
     if (!flapDuration.isZero()) {
       flapRepeatedly(SETTLE_S + FLAPPING_S);
     }
@@ -100,7 +100,7 @@
             leaderChanges,
             maxLeaderChangesPerMinute,
             0,
-            cluster.users().unservedRequests() - unservedBefore,
+            cluster.users().failedRequestCount() - unservedBefore,
             cluster.cloud().addedMachineCount() - addedBefore,
             cluster.cloud().deletedMachineCount() - deletedBefore);
     cluster.run(QUIET_S);
--- a/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
@@ -133,7 +133,7 @@
       LinkCut cut = all.get(cluster.random().nextInt(all.size()));
       cut.apply(cluster, cluster.leader(), MODES[(int) (seed + i) % MODES.length], CUT_DURATION);
       cluster.run(3);
-      cluster.stateStoreOutage(Duration.ofSeconds(3 + seed));
+      cluster.takeStateStoreDown(Duration.ofSeconds(3 + seed));
       cluster.run(30);
     }
     cluster.users().cancel(jobs.get(1).id());
