--- a/src/test/java/io/cherryspool/controller/api/UserApiConflictTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiConflictTest.java
@@ -63,7 +63,7 @@
   void aCancelThatMeetsAConflictIsNotConfirmedWithoutARecordedOutcome() {
     promptAnswer(firstNode.submit(description()));
     String failed = "{\"failed\":[\"" + Records.outcomeKey(JOB) + "\"],\"epoch\":1}";
-    firstNode.transport().replyNext(ControlledTransport.COMMIT, 409, failed);
+    firstNode.transport().replaceNextReply(ControlledTransport.COMMIT, 409, failed);
     CompletableFuture<Reply> cancel = firstNode.cancel(JOB);
     runFor(0.05);
     firstNode.transport().release(ControlledTransport.COMMIT);
@@ -75,7 +75,7 @@
   @Test
   void aSubmissionThatMeetsAConflictIsNotAnsweredAsUnknown() {
     String failed = "{\"failed\":[\"" + Records.jobKey(JOB) + "\"],\"epoch\":1}";
-    firstNode.transport().replyNext(ControlledTransport.COMMIT, 409, failed);
+    firstNode.transport().replaceNextReply(ControlledTransport.COMMIT, 409, failed);
     CompletableFuture<Reply> submission = firstNode.submit(description());
     runFor(0.05);
     firstNode.transport().release(ControlledTransport.COMMIT);
--- a/src/test/java/io/cherryspool/controller/api/UserApiNode.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiNode.java
@@ -93,7 +93,7 @@
    */
   void reload() {
     transport.interceptNext("/keys", ControlledTransport.Interception.HOLD_REQUEST);
-    transport.replyNext(ControlledTransport.READ, 410, "{}");
+    transport.replaceNextReply(ControlledTransport.READ, 410, "{}");
     records.refresh();
     Duration end = time.now().plusMillis(10);
     while (time.runNextEvent(end)) {
--- a/src/test/java/io/cherryspool/controller/api/UserApiReloadTest.java
+++ b/src/test/java/io/cherryspool/controller/api/UserApiReloadTest.java
@@ -73,7 +73,7 @@
   @Test
   void aNodeWhoseReplicaIsOutdatedAsksToRetry() {
     firstNode.transport().interceptNext("/keys", Interception.HOLD_REQUEST);
-    firstNode.transport().replyNext(ControlledTransport.READ, 410, "{}");
+    firstNode.transport().replaceNextReply(ControlledTransport.READ, 410, "{}");
     CompletableFuture<Reply> answer = firstNode.submit(descriptionWithout("lane"));
     runFor(0.01);
     firstNode.transport().release(ControlledTransport.READ);
--- a/src/test/java/io/cherryspool/controller/rounds/RoundCommitterTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/RoundCommitterTest.java
@@ -68,7 +68,7 @@
   @ParameterizedTest
   @ValueSource(ints = {429, 503})
   void refusalOfTheOnlyCopyMakesTheOutcomeKnown(int status) {
-    transport.replyNext(ControlledTransport.COMMIT, status, "{}");
+    transport.replaceNextReply(ControlledTransport.COMMIT, status, "{}");
     commit();
     run(0.01);
     transport.release(ControlledTransport.COMMIT);
@@ -85,7 +85,7 @@
   void refusalOfALaterCopyLeavesTheOutcomeUnknown(int status) {
     transport.interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
     transport.interceptNext(ControlledTransport.COMMIT, Interception.HOLD_REQUEST);
-    transport.replyNext(ControlledTransport.COMMIT, status, "{}");
+    transport.replaceNextReply(ControlledTransport.COMMIT, status, "{}");
     commit();
     run(1.7);
     assertEquals(
--- a/src/test/java/io/cherryspool/recovery/LossDetectionTest.java
+++ b/src/test/java/io/cherryspool/recovery/LossDetectionTest.java
@@ -32,7 +32,7 @@
     fixture.run(20);
     fixture.store().setDown(false);
     fixture.run(3);
-    node.transport().replyNext(ControlledTransport.WATCH, 410, "{}");
+    node.transport().replaceNextReply(ControlledTransport.WATCH, 410, "{}");
     fixture.run(12);
     node.transport().release(ControlledTransport.WATCH);
     fixture.run(20);
@@ -103,13 +103,13 @@
     for (int i = 0; i < 3; i++) {
       fixture.writeByAnotherNode("c/x" + i);
     }
-    node.transport().replyNext(ControlledTransport.READ, 410, "{}");
+    node.transport().replaceNextReply(ControlledTransport.READ, 410, "{}");
     node.replica().refresh();
     fixture.run(0.01);
     node.transport().release(ControlledTransport.READ);
     // The first 410 shows that the last change was compacted. The second one shows that all changes
     // since the replica's revision were compacted.
-    node.transport().replyNext(ControlledTransport.READ, 410, "{}");
+    node.transport().replaceNextReply(ControlledTransport.READ, 410, "{}");
     node.replica().refresh();
     fixture.run(0.01);
     node.transport().release(ControlledTransport.READ);
--- a/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
@@ -164,7 +164,7 @@
               .ifPresent(
                   worker -> {
                     worker.setPreemptionNotice(6);
-                    cluster.schedule(6, () -> cluster.cloud().reclaim(worker.machine().name()));
+                    cluster.schedule(6, () -> cluster.cloud().terminate(worker.machine().name()));
                   });
       case 9 ->
           randomWorker().ifPresent(worker -> cluster.network().dropInbound(host(worker), length));
--- a/src/test/java/io/cherryspool/sim/driver/CostDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostDriver.java
@@ -184,7 +184,7 @@
 
   private CompletableFuture<Reply> sendChanged(int number) {
     FakeWorker worker = cluster.fleet().worker(number);
-    worker.reportCheckpointing(number / machines % 2 == 0);
+    worker.pretendCheckpointing(number / machines % 2 == 0);
     worker.sendHeartbeatNow();
     return null;
   }
--- a/src/test/java/io/cherryspool/sim/fakes/ControlledTransport.java
+++ b/src/test/java/io/cherryspool/sim/fakes/ControlledTransport.java
@@ -33,8 +33,8 @@
   private final VirtualTime time;
   private final RequestHandler stateStore;
   private final List<PlannedInterception> plannedInterceptions = new ArrayList<>();
-  private final List<HeldMessage> held = new ArrayList<>();
-  private final List<Request> sent = new ArrayList<>();
+  private final List<HeldMessage> heldMessages = new ArrayList<>();
+  private final List<Request> sentRequests = new ArrayList<>();
   private boolean isUnavailable;
 
   /** What the transport does with an intercepted request or its reply. */
@@ -66,7 +66,7 @@
    * Holds this reply for the next request whose target contains the text, until it is released. The
    * request itself does not reach the state store.
    */
-  public void replyNext(String target, int status, String body) {
+  public void replaceNextReply(String target, int status, String body) {
     Reply replacement = Reply.json(status, body.getBytes(StandardCharsets.UTF_8));
     plannedInterceptions.add(
         new PlannedInterception(target, Interception.REPLACE_REPLY, replacement));
@@ -79,27 +79,27 @@
 
   /** Releases the oldest held message of the requests whose target contains the text. */
   public void release(String target) {
-    release(held(target).get(0));
+    release(heldMessages(target).get(0));
   }
 
   /** Releases the newest held message of the requests whose target contains the text. */
   public void releaseLast(String target) {
-    List<HeldMessage> found = held(target);
-    release(found.get(found.size() - 1));
+    List<HeldMessage> matchingMessages = heldMessages(target);
+    release(matchingMessages.get(matchingMessages.size() - 1));
   }
 
-  private List<HeldMessage> held(String target) {
-    return held.stream().filter(item -> item.target.contains(target)).toList();
+  private List<HeldMessage> heldMessages(String target) {
+    return heldMessages.stream().filter(item -> item.target.contains(target)).toList();
   }
 
   private void release(HeldMessage item) {
-    held.remove(item);
+    heldMessages.remove(item);
     item.message.run();
   }
 
   /** Returns the number of sent requests whose target contains the text. */
   public long sentCount(String target) {
-    return sent.stream().filter(request -> request.target().contains(target)).count();
+    return sentRequests.stream().filter(request -> request.target().contains(target)).count();
   }
 
   @Override
@@ -108,23 +108,23 @@
     time.schedule(
         deadline,
         () -> result.completeExceptionally(new IOException("no response within the deadline")));
-    sent.add(request);
+    sentRequests.add(request);
     if (isUnavailable) {
       Reply refusal = Reply.json(503, new byte[0]);
       time.schedule(ONE_WAY_DELAY.multipliedBy(2), () -> result.complete(refusal));
       return result;
     }
-    PlannedInterception plan = takeInterception(request);
+    PlannedInterception plan = takePlannedInterception(request);
     Runnable delivery = () -> deliver(request, plan, result);
     if (plan != null && plan.interception == Interception.HOLD_REQUEST) {
-      held.add(new HeldMessage(request.target(), delivery));
+      heldMessages.add(new HeldMessage(request.target(), delivery));
     } else {
       time.schedule(ONE_WAY_DELAY, delivery);
     }
     return result;
   }
 
-  private PlannedInterception takeInterception(Request request) {
+  private PlannedInterception takePlannedInterception(Request request) {
     for (Iterator<PlannedInterception> each = plannedInterceptions.iterator(); each.hasNext(); ) {
       PlannedInterception plan = each.next();
       if (request.target().contains(plan.target)) {
@@ -137,7 +137,7 @@
 
   private void deliver(Request request, PlannedInterception plan, CompletableFuture<Reply> result) {
     if (plan != null && plan.interception == Interception.REPLACE_REPLY) {
-      held.add(new HeldMessage(request.target(), () -> result.complete(plan.replacement)));
+      heldMessages.add(new HeldMessage(request.target(), () -> result.complete(plan.replacement)));
       return;
     }
     stateStore
@@ -145,7 +145,7 @@
         .thenAccept(
             reply -> {
               if (plan != null && plan.interception == Interception.HOLD_REPLY) {
-                held.add(new HeldMessage(request.target(), () -> result.complete(reply)));
+                heldMessages.add(new HeldMessage(request.target(), () -> result.complete(reply)));
               } else if (plan == null || plan.interception != Interception.DROP_REPLY) {
                 time.schedule(ONE_WAY_DELAY, () -> result.complete(reply));
               }
--- a/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
@@ -45,15 +45,15 @@
   private final int capacity;
   private final String network;
   private final Consumer<Machine> onBoot;
-  private final Consumer<Machine> onEnd;
+  private final Consumer<Machine> onTerminate;
   private final TreeMap<String, Machine> machines = new TreeMap<>();
-  private final Map<String, ArrayNode> grantedNames = new HashMap<>();
-  private ObjectNode visibleList = Json.object();
+  private final Map<String, ArrayNode> grantedNamesByRequest = new HashMap<>();
+  private ObjectNode visibleMachineList = Json.object();
   private int addedMachineCount;
   private int deletedMachineCount;
   private boolean isDown;
-  private boolean isFastBoot;
-  private final Set<String> closedZones = new HashSet<>();
+  private boolean isFastBootEnabled;
+  private final Set<String> exhaustedZones = new HashSet<>();
 
   /** An instance, from the moment at which it was requested. */
   public static final class Machine {
@@ -109,15 +109,15 @@
       int capacity,
       String network,
       Consumer<Machine> onBoot,
-      Consumer<Machine> onEnd) {
+      Consumer<Machine> onTerminate) {
     this.loop = loop;
     this.random = random;
     this.types = types;
     this.capacity = capacity;
     this.network = network;
     this.onBoot = onBoot;
-    this.onEnd = onEnd;
-    updateList();
+    this.onTerminate = onTerminate;
+    updateMachineList();
   }
 
   public void setDown(boolean value) {
@@ -126,12 +126,12 @@
 
   /** Sets whether new machines boot within two seconds. */
   public void setFastBoot(boolean value) {
-    isFastBoot = value;
+    isFastBootEnabled = value;
   }
 
   /** From now on refuses all requests for instances in the zone for lack of capacity. */
   public void exhaustZone(String zone) {
-    closedZones.add(zone);
+    exhaustedZones.add(zone);
   }
 
   /** Returns the machines that have booted and were neither deleted nor preempted. */
@@ -146,16 +146,16 @@
   }
 
   /** Ends a machine, as a cloud does when it preempts a spot instance. */
-  public void reclaim(String name) {
+  public void terminate(String name) {
     Machine machine = machines.remove(name);
     if (machine != null) {
-      onEnd.accept(machine);
+      onTerminate.accept(machine);
     }
   }
 
   private void delete(String name) {
     deletedMachineCount += machines.containsKey(name) ? 1 : 0;
-    reclaim(name);
+    terminate(name);
   }
 
   /** Returns the number of machines that controllers have deleted. */
@@ -190,7 +190,7 @@
         }
         default -> {
           if (request.method().equals("GET")) {
-            reply(result, visibleList);
+            reply(result, visibleMachineList);
           } else {
             grantInstances(body, result);
           }
@@ -202,26 +202,26 @@
   }
 
   private void grantInstances(JsonNode body, CompletableFuture<Reply> result) {
-    String name = body.path("hire").asText();
-    ArrayNode names = grantedNames.get(name);
+    String requestName = body.path("hire").asText();
+    ArrayNode names = grantedNamesByRequest.get(requestName);
     if (names == null) {
       names = Json.array();
-      boolean isClosed = closedZones.contains(body.path("yard").asText());
-      int wanted = isClosed ? 0 : body.path("how_many").intValue();
-      for (int i = 0; i < wanted && machines.size() < capacity; i++) {
+      boolean isExhausted = exhaustedZones.contains(body.path("yard").asText());
+      int requestedCount = isExhausted ? 0 : body.path("how_many").intValue();
+      for (int i = 0; i < requestedCount && machines.size() < capacity; i++) {
         names.add(
             addMachine(
                 body.path("build").asText(),
                 body.path("yard").asText(),
                 body.path("loaners").booleanValue(),
                 Duration.ofMillis(
-                    isFastBoot ? random.nextLong(2000) : 3000 + random.nextLong(12_000))));
+                    isFastBootEnabled ? random.nextLong(2000) : 3000 + random.nextLong(12_000))));
       }
       if (names.isEmpty()) {
         result.complete(Reply.json(503, Json.toBytes(Json.object().put("error", "no capacity"))));
         return;
       }
-      grantedNames.put(name, names);
+      grantedNamesByRequest.put(requestName, names);
     }
     ObjectNode answer = Json.object();
     answer.set("spindles", names);
@@ -254,8 +254,8 @@
    * Builds the list of the current machines once a second. Requests get each list only once it is
    * {@link #LIST_LAG} old.
    */
-  private void updateList() {
-    loop.schedule(Duration.ofSeconds(1), this::updateList);
+  private void updateMachineList() {
+    loop.schedule(Duration.ofSeconds(1), this::updateMachineList);
     ObjectNode list = Json.object().put("has_next", false);
     ArrayNode items = list.putArray("spindles");
     for (Machine machine : machines.values()) {
@@ -269,7 +269,7 @@
           .put("status", machine.isRunning ? "running" : "booting")
           .put("held_s", loop.now().minus(machine.requestedAt).toMillis() / 1e3);
     }
-    loop.schedule(LIST_LAG, () -> visibleList = list);
+    loop.schedule(LIST_LAG, () -> visibleMachineList = list);
   }
 
   private static void reply(CompletableFuture<Reply> result, JsonNode body) {
--- a/src/test/java/io/cherryspool/sim/fakes/FakeStateStore.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeStateStore.java
@@ -155,20 +155,20 @@
       return reply;
     }
     Duration delay = Duration.ofMillis(random.nextLong(maxReplyDelayMs));
-    CompletableFuture<Reply> delayed = new CompletableFuture<>();
-    reply.thenAccept(value -> loop.schedule(delay, () -> delayed.complete(value)));
-    return delayed;
+    CompletableFuture<Reply> delayedReply = new CompletableFuture<>();
+    reply.thenAccept(value -> loop.schedule(delay, () -> delayedReply.complete(value)));
+    return delayedReply;
   }
 
   private CompletableFuture<Reply> process(Request request) {
     requestCount++;
     if (isDown) {
-      return completed(503, error("trouble"));
+      return completedReply(503, errorBody("trouble"));
     }
     try {
       return route(request);
     } catch (MalformedMessageException e) {
-      return completed(400, error(e.getMessage()));
+      return completedReply(400, errorBody(e.getMessage()));
     }
   }
 
@@ -177,38 +177,39 @@
     return switch (path) {
       case "/commit" -> commit(Json.parseObject(request.body()));
       case "/follow" -> watch(request);
-      case "/keys" -> list(request);
+      case "/keys" -> listKeys(request);
       case "/leases" -> grantLease(Json.parseObject(request.body()));
       default ->
           path.startsWith("/leases/")
-              ? changeLease(path.substring("/leases/".length()))
-              : completed(404, Json.object());
+              ? renewOrRevokeLease(path.substring("/leases/".length()))
+              : completedReply(404, Json.object());
     };
   }
 
   private CompletableFuture<Reply> grantLease(JsonNode body) {
     long id = leases.grant(Duration.ofMillis(body.path("ttl_ms").longValue()));
-    return completed(200, Json.object().put("tenancy", id));
+    return completedReply(200, Json.object().put("tenancy", id));
   }
 
   /** Renews the lease of a path {@code ID/extend}, or revokes the lease of a path {@code ID}. */
-  private CompletableFuture<Reply> changeLease(String rest) {
-    boolean isRenewal = rest.endsWith("/extend");
-    long id = Long.parseLong(isRenewal ? rest.substring(0, rest.indexOf('/')) : rest);
+  private CompletableFuture<Reply> renewOrRevokeLease(String leasePath) {
+    boolean isRenewal = leasePath.endsWith("/extend");
+    long id =
+        Long.parseLong(isRenewal ? leasePath.substring(0, leasePath.indexOf('/')) : leasePath);
     if (!leases.contains(id)) {
-      return completed(404, Json.object());
+      return completedReply(404, Json.object());
     }
     if (isRenewal) {
       leases.renew(id);
     } else {
       revoke(id);
     }
-    return completed(200, Json.object());
+    return completedReply(200, Json.object());
   }
 
   private void revoke(long lease) {
     leases.remove(lease);
-    store.removeAttached(lease);
+    store.removeKeysOfLease(lease);
     watches.completeReady();
   }
 
@@ -221,7 +222,7 @@
 
   private CompletableFuture<Reply> commit(JsonNode body) {
     if (writeLimit != null && !writeLimit.tryTake(body.path("apply").size(), loop.now())) {
-      return completed(429, error("too many writes"));
+      return completedReply(429, errorBody("too many writes"));
     }
     if (delayedCommitProbability > 0 && random.nextDouble() < delayedCommitProbability) {
       return applyLater(body, DELAYED_COMMIT_MIN_MS + random.nextLong(DELAYED_COMMIT_SPREAD_MS));
@@ -247,35 +248,36 @@
 
   private CompletableFuture<Reply> apply(JsonNode body) {
     JsonNode changes = body.path("apply");
-    ArrayNode failed = store.failedConditions(body.path("if"));
+    ArrayNode failedConditions = store.failedConditions(body.path("if"));
     for (JsonNode change : changes) {
       long lease = change.path("tenancy").longValue();
       if (lease != 0 && !leases.contains(lease)) {
-        return completed(400, error("no such lease"));
+        return completedReply(400, errorBody("no such lease"));
       }
     }
-    if (!failed.isEmpty()) {
+    if (!failedConditions.isEmpty()) {
       ObjectNode conflict = Json.object().put("epoch", store.revision());
-      conflict.set("failed", failed);
-      return completed(409, conflict);
+      conflict.set("failed", failedConditions);
+      return completedReply(409, conflict);
     }
     changeCount += changes.size();
     store.apply(changes, onPut);
     watches.completeReady();
-    return completed(200, Json.object().put("epoch", store.revision()));
+    return completedReply(200, Json.object().put("epoch", store.revision()));
   }
 
-  private CompletableFuture<Reply> list(Request request) {
+  private CompletableFuture<Reply> listKeys(Request request) {
     String prefix = queryParameter(request, "starts", "");
-    String after = queryParameter(request, "from", "");
+    String afterKey = queryParameter(request, "from", "");
     int limit = Integer.parseInt(queryParameter(request, "limit", "1000"));
-    return completed(200, store.page(prefix, after, limit));
+    return completedReply(200, store.page(prefix, afterKey, limit));
   }
 
   private CompletableFuture<Reply> watch(Request request) {
-    long after = Long.parseLong(queryParameter(request, "from", "0"));
+    long afterRevision = Long.parseLong(queryParameter(request, "from", "0"));
     long waitMs = Long.parseLong(queryParameter(request, "block_ms", "0"));
-    return watches.watch(after, queryParameter(request, "starts", ""), Duration.ofMillis(waitMs));
+    return watches.watch(
+        afterRevision, queryParameter(request, "starts", ""), Duration.ofMillis(waitMs));
   }
 
   private static String queryParameter(Request request, String name, String defaultValue) {
@@ -290,11 +292,11 @@
     return defaultValue;
   }
 
-  private static ObjectNode error(String message) {
+  private static ObjectNode errorBody(String message) {
     return Json.object().put("error", message);
   }
 
-  private static CompletableFuture<Reply> completed(int status, JsonNode body) {
+  private static CompletableFuture<Reply> completedReply(int status, JsonNode body) {
     return CompletableFuture.completedFuture(Reply.json(status, Json.toBytes(body)));
   }
 }
--- a/src/test/java/io/cherryspool/sim/fakes/FakeWorker.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeWorker.java
@@ -36,7 +36,7 @@
   private static final int MAX_REDIRECT_DELAY_MS = 500;
 
   private final EventLoop loop;
-  private final HangableLoop ownLoop;
+  private final HangableLoop hangableLoop;
   private final RandomGenerator random;
   private final Transport transport;
   private final FakeCloud.Machine machine;
@@ -64,7 +64,7 @@
       WorkerSettings settings,
       Workload workload) {
     this.loop = loop;
-    this.ownLoop = new HangableLoop(loop);
+    this.hangableLoop = new HangableLoop(loop);
     this.random = random;
     this.transport = transport;
     this.machine = machine;
@@ -74,8 +74,8 @@
     this.tasks = new WorkerTasks(this, random, workload, settings.failureProbability());
     this.leaseRenewedAt = loop.now();
     this.currentController = random.nextInt(controllerNames.size());
-    ownLoop.schedule(Duration.ZERO, this::checkHeartbeat);
-    ownLoop.schedule(Duration.ZERO, this::checkLease);
+    hangableLoop.schedule(Duration.ZERO, this::sendHeartbeatIfDue);
+    hangableLoop.schedule(Duration.ZERO, this::checkLease);
   }
 
   /** Returns the agent epoch, which is 1 at first and increases with each expired lease. */
@@ -93,7 +93,7 @@
    * before it does anything else.
    */
   public List<String> runningTasks() {
-    return ownLoop.isHung() && isLeaseExpired() ? List.of() : tasks.running();
+    return hangableLoop.isHung() && isLeaseExpired() ? List.of() : tasks.running();
   }
 
   /** Returns the tasks that use resources of the machine, including those fetching their image. */
@@ -108,19 +108,19 @@
 
   /** Kills the machine with its tasks. The worker sends and executes nothing afterwards. */
   public void kill() {
-    ownLoop.kill();
+    hangableLoop.kill();
     tasks.clear();
   }
 
   /** Hangs for the given time. Events during that time are processed afterwards, in order. */
   public void hang(Duration duration) {
-    ownLoop.hang(duration, this::expireLease);
+    hangableLoop.hang(duration, this::expireLeaseIfDue);
   }
 
   /** Makes all tasks fail that start within this time. */
   public void failTasksFor(Duration duration) {
-    tasks.setFailing(true);
-    loop.schedule(duration, () -> tasks.setFailing(false));
+    tasks.setFailsAllTasks(true);
+    loop.schedule(duration, () -> tasks.setFailsAllTasks(false));
   }
 
   /** From now on reports in heartbeats that the machine will be preempted in this many seconds. */
@@ -131,7 +131,7 @@
 
   /** Sends a heartbeat immediately, unless a previous one still awaits its reply. */
   public void sendHeartbeatNow() {
-    if (!isAwaitingReply && ownLoop.isRunning()) {
+    if (!isAwaitingReply && hangableLoop.isRunning()) {
       sendHeartbeat();
     }
   }
@@ -147,7 +147,7 @@
   }
 
   /** Sets whether heartbeats report running tasks as saving a checkpoint, although they don't. */
-  public void reportCheckpointing(boolean value) {
+  public void pretendCheckpointing(boolean value) {
     tasks.pretendCheckpointing(value);
   }
 
@@ -163,11 +163,11 @@
 
   /** Runs the event after the delay, but not while the worker hangs and not once it is killed. */
   void schedule(Duration delay, Runnable event) {
-    ownLoop.schedule(delay, event);
+    hangableLoop.schedule(delay, event);
   }
 
   private void checkLease() {
-    expireLease();
+    expireLeaseIfDue();
     schedule(CHECK_INTERVAL, this::checkLease);
   }
 
@@ -175,7 +175,7 @@
     return loop.now().minus(leaseRenewedAt).compareTo(settings.lease()) > 0;
   }
 
-  private void expireLease() {
+  private void expireLeaseIfDue() {
     if (isLeaseExpired()) {
       tasks.clear();
       agentEpoch++;
@@ -184,8 +184,8 @@
     }
   }
 
-  private void checkHeartbeat() {
-    schedule(CHECK_INTERVAL, this::checkHeartbeat);
+  private void sendHeartbeatIfDue() {
+    schedule(CHECK_INTERVAL, this::sendHeartbeatIfDue);
     Duration since = loop.now().minus(lastHeartbeatAt);
     boolean isDue = since.compareTo(settings.heartbeatInterval()) >= 0;
     boolean isChangeDue = hasChanges && since.compareTo(MIN_HEARTBEAT_INTERVAL) >= 0;
@@ -204,11 +204,12 @@
     transport
         .send(controller, Request.post("/v1/report", heartbeatBody()), REPLY_TIMEOUT)
         .whenComplete(
-            (reply, failure) -> ownLoop.run(() -> processReply(reply, failure, sentAt, sentEpoch)));
+            (reply, failure) ->
+                hangableLoop.run(() -> processReply(reply, failure, sentAt, sentEpoch)));
   }
 
   private void processReply(Reply reply, Throwable failure, Duration sentAt, long sentEpoch) {
-    expireLease();
+    expireLeaseIfDue();
     try {
       if (failure != null) {
         tryOtherController("");
@@ -264,19 +265,19 @@
     node.put("yard", machine.zone()).put("loaners", machine.isSpot());
     node.put("shift", agentEpoch).put("tick", sequence).put("baton", fencingToken);
     node.put("warning_s", preemptionNoticeSeconds);
-    node.set("pieces", tasks.describe());
+    node.set("pieces", tasks.encode());
     return node;
   }
 
   @Override
   public CompletableFuture<Reply> handle(Request request) {
     CompletableFuture<Reply> result = new CompletableFuture<>();
-    ownLoop.run(() -> result.complete(respond(request)));
+    hangableLoop.run(() -> result.complete(respond(request)));
     return result;
   }
 
   private Reply respond(Request request) {
-    expireLease();
+    expireLeaseIfDue();
     if (request.path().equals("/inspect")) {
       return Reply.json(200, heartbeatBody());
     }
--- a/src/test/java/io/cherryspool/sim/fakes/HangableLoop.java
+++ b/src/test/java/io/cherryspool/sim/fakes/HangableLoop.java
@@ -48,17 +48,17 @@
    * Hangs for the given time, unless the machine already hangs. Afterwards runs {@code first} and
    * then the events that have waited.
    */
-  void hang(Duration duration, Runnable first) {
+  void hang(Duration duration, Runnable firstEvent) {
     if (!isHung) {
       isHung = true;
-      loop.schedule(duration, () -> resume(first));
+      loop.schedule(duration, () -> resume(firstEvent));
     }
   }
 
-  private void resume(Runnable first) {
+  private void resume(Runnable firstEvent) {
     isHung = false;
     if (!isDead) {
-      first.run();
+      firstEvent.run();
       List<Runnable> missed = List.copyOf(missedEvents);
       missedEvents.clear();
       missed.forEach(Runnable::run);
--- a/src/test/java/io/cherryspool/sim/fakes/InMemorySnapshotStore.java
+++ b/src/test/java/io/cherryspool/sim/fakes/InMemorySnapshotStore.java
@@ -53,7 +53,7 @@
 
   /** Removes the second half of the newest file. */
   public void truncateNewest() {
-    byte[] whole = files.lastEntry().getValue();
-    files.put(files.lastKey(), Arrays.copyOf(whole, whole.length / 2));
+    byte[] completeBytes = files.lastEntry().getValue();
+    files.put(files.lastKey(), Arrays.copyOf(completeBytes, completeBytes.length / 2));
   }
 }
--- a/src/test/java/io/cherryspool/sim/fakes/KeyValueStore.java
+++ b/src/test/java/io/cherryspool/sim/fakes/KeyValueStore.java
@@ -66,15 +66,15 @@
 
   /** Returns the keys of the conditions that do not hold. */
   ArrayNode failedConditions(JsonNode conditions) {
-    ArrayNode failed = Json.array();
+    ArrayNode failedKeys = Json.array();
     for (JsonNode condition : conditions) {
       Item item = items.get(condition.path("path").asText());
       long version = item == null ? 0 : item.version;
       if (version != condition.path("stamp").longValue()) {
-        failed.add(condition.path("path").asText());
+        failedKeys.add(condition.path("path").asText());
       }
     }
-    return failed;
+    return failedKeys;
   }
 
   /** Applies puts and deletes as one revision, and calls the listener with each key that is put. */
@@ -95,16 +95,16 @@
   }
 
   /** Removes the keys attached to the lease, as one revision. */
-  void removeAttached(long lease) {
+  void removeKeysOfLease(long lease) {
     revision++;
-    List<String> attached = new ArrayList<>();
+    List<String> attachedKeys = new ArrayList<>();
     items.forEach(
         (key, item) -> {
           if (item.lease == lease) {
-            attached.add(key);
+            attachedKeys.add(key);
           }
         });
-    attached.forEach(this::remove);
+    attachedKeys.forEach(this::remove);
   }
 
   private void remove(String key) {
@@ -116,11 +116,11 @@
   /**
    * Returns one page of the keys with the prefix, starting with the first key after {@code after}.
    */
-  ObjectNode page(String prefix, String after, int limit) {
+  ObjectNode page(String prefix, String afterKey, int limit) {
     ObjectNode page = Json.object();
     ArrayNode entries = page.putArray("entries");
     boolean hasMore = false;
-    for (Map.Entry<String, Item> item : items.tailMap(after, false).entrySet()) {
+    for (Map.Entry<String, Item> item : items.tailMap(afterKey, false).entrySet()) {
       if (item.getKey().startsWith(prefix)) {
         hasMore = entries.size() == limit;
         if (hasMore) {
@@ -135,18 +135,18 @@
   }
 
   /** Returns the events of the keys with the prefix after a revision, the oldest first. */
-  ArrayNode eventsAfter(long after, String prefix) {
-    ArrayNode found = Json.array();
+  ArrayNode eventsAfter(long afterRevision, String prefix) {
+    ArrayNode matchingEvents = Json.array();
     for (int i = events.size() - 1; i >= 0; i--) {
       ObjectNode event = events.get(i);
-      if (event.path("stamp").longValue() <= after) {
+      if (event.path("stamp").longValue() <= afterRevision) {
         break;
       }
       String key = event.has("put") ? event.path("put").asText() : event.path("delete").asText();
       if (key.startsWith(prefix)) {
-        found.insert(0, event);
+        matchingEvents.insert(0, event);
       }
     }
-    return found;
+    return matchingEvents;
   }
 }
--- a/src/test/java/io/cherryspool/sim/fakes/LeaseTable.java
+++ b/src/test/java/io/cherryspool/sim/fakes/LeaseTable.java
@@ -56,15 +56,15 @@
 
   /** Returns the time to live of each lease by its id. */
   Map<Long, Duration> copy() {
-    Map<Long, Duration> times = new HashMap<>();
-    leases.forEach((id, lease) -> times.put(id, lease.timeToLive));
-    return times;
+    Map<Long, Duration> timesToLive = new HashMap<>();
+    leases.forEach((id, lease) -> timesToLive.put(id, lease.timeToLive));
+    return timesToLive;
   }
 
   /** Replaces all leases by the given ones, each with its full time to live. */
-  void replaceWith(Map<Long, Duration> times) {
+  void replaceWith(Map<Long, Duration> timesToLive) {
     leases.clear();
-    times.forEach(this::put);
+    timesToLive.forEach(this::put);
   }
 
   private void put(long id, Duration timeToLive) {
--- a/src/test/java/io/cherryspool/sim/fakes/TaskAttempt.java
+++ b/src/test/java/io/cherryspool/sim/fakes/TaskAttempt.java
@@ -99,7 +99,7 @@
   }
 
   /** Returns the attempt as encoded in a heartbeat. */
-  ObjectNode describe() {
+  ObjectNode encode() {
     ObjectNode node = Json.object().put("piece", task).put("try", number);
     node.put("status", status.protocolName);
     if (hasExited()) {
--- a/src/test/java/io/cherryspool/sim/fakes/TokenBucket.java
+++ b/src/test/java/io/cherryspool/sim/fakes/TokenBucket.java
@@ -19,8 +19,8 @@
    * Takes {@code count} tokens and returns true, or takes none and returns false if too few exist.
    */
   boolean tryTake(int count, Duration now) {
-    double earned = ratePerSecond * now.minus(refilledAt).toNanos() / 1e9;
-    tokens = Math.min(ratePerSecond, tokens + earned);
+    double newTokens = ratePerSecond * now.minus(refilledAt).toNanos() / 1e9;
+    tokens = Math.min(ratePerSecond, tokens + newTokens);
     refilledAt = now;
     if (tokens < count) {
       return false;
--- a/src/test/java/io/cherryspool/sim/fakes/WatchQueue.java
+++ b/src/test/java/io/cherryspool/sim/fakes/WatchQueue.java
@@ -15,9 +15,9 @@
   private final EventLoop loop;
   private final KeyValueStore store;
   private final BooleanSupplier isDown;
-  private final List<Watch> waiting = new ArrayList<>();
+  private final List<Watch> pendingWatches = new ArrayList<>();
 
-  private record Watch(long after, String prefix, CompletableFuture<Reply> reply) {}
+  private record Watch(long afterRevision, String prefix, CompletableFuture<Reply> reply) {}
 
   /**
    * Creates the watch queue.
@@ -34,19 +34,19 @@
    * Returns a reply with the events after a revision, which completes once there is an event or the
    * waiting time is over.
    */
-  CompletableFuture<Reply> watch(long after, String prefix, Duration wait) {
-    Watch watch = new Watch(after, prefix, new CompletableFuture<>());
-    if (wait.isZero() || hasEvents(watch)) {
+  CompletableFuture<Reply> watch(long afterRevision, String prefix, Duration maxWait) {
+    Watch watch = new Watch(afterRevision, prefix, new CompletableFuture<>());
+    if (maxWait.isZero() || hasEvents(watch)) {
       complete(watch);
     } else {
-      waiting.add(watch);
-      loop.schedule(wait, () -> timeOut(watch));
+      pendingWatches.add(watch);
+      loop.schedule(maxWait, () -> timeOut(watch));
     }
     return watch.reply;
   }
 
   private void timeOut(Watch watch) {
-    if (!isDown.getAsBoolean() && waiting.remove(watch)) {
+    if (!isDown.getAsBoolean() && pendingWatches.remove(watch)) {
       complete(watch);
     }
   }
@@ -56,21 +56,21 @@
     if (isDown.getAsBoolean()) {
       return;
     }
-    for (Watch watch : List.copyOf(waiting)) {
+    for (Watch watch : List.copyOf(pendingWatches)) {
       if (hasEvents(watch)) {
-        waiting.remove(watch);
+        pendingWatches.remove(watch);
         complete(watch);
       }
     }
   }
 
   private boolean hasEvents(Watch watch) {
-    return !store.eventsAfter(watch.after, watch.prefix).isEmpty();
+    return !store.eventsAfter(watch.afterRevision, watch.prefix).isEmpty();
   }
 
   private void complete(Watch watch) {
     ObjectNode answer = Json.object().put("epoch", store.revision());
-    answer.set("events", store.eventsAfter(watch.after, watch.prefix));
+    answer.set("events", store.eventsAfter(watch.afterRevision, watch.prefix));
     watch.reply.complete(Reply.json(200, Json.toBytes(answer)));
   }
 }
--- a/src/test/java/io/cherryspool/sim/fakes/WorkerTasks.java
+++ b/src/test/java/io/cherryspool/sim/fakes/WorkerTasks.java
@@ -74,7 +74,7 @@
   }
 
   /** Sets whether every task that starts from now on fails. */
-  void setFailing(boolean value) {
+  void setFailsAllTasks(boolean value) {
     failsAllTasks = value;
   }
 
@@ -92,9 +92,9 @@
     }
   }
 
-  ArrayNode describe() {
+  ArrayNode encode() {
     ArrayNode list = Json.array();
-    attempts.values().forEach(attempt -> list.add(attempt.describe()));
+    attempts.values().forEach(attempt -> list.add(attempt.encode()));
     return list;
   }
 
@@ -103,21 +103,21 @@
     for (JsonNode command : commands) {
       String task = command.path("piece").asText();
       int number = command.path("try").intValue();
-      TaskAttempt known = attempts.get(TaskAttempt.key(task, number));
+      TaskAttempt attempt = attempts.get(TaskAttempt.key(task, number));
       switch (command.path("verb").asText()) {
         case "launch" -> {
-          if (known == null) {
+          if (attempt == null) {
             start(new TaskAttempt(task, number));
           }
         }
         case "halt" -> {
-          if (known != null) {
-            stop(known, command.path("leeway_s").doubleValue());
+          if (attempt != null) {
+            stop(attempt, command.path("leeway_s").doubleValue());
           }
         }
         default -> {
-          if (known != null && known.hasExited()) {
-            attempts.remove(known.key());
+          if (attempt != null && attempt.hasExited()) {
+            attempts.remove(attempt.key());
           }
         }
       }
@@ -157,17 +157,17 @@
     workload.onTaskStarted(worker, attempt.task());
     Duration runTime =
         job.estimatedRunTime().dividedBy(2).plusMillis(random.nextLong(RUN_SPREAD_MS));
-    boolean fails =
+    boolean shouldFail =
         failsAllTasks
             || job.jobClass().equals(FakeWorker.FAILING_JOB_CLASS)
             || random.nextDouble() < failureProbability;
-    worker.schedule(fails ? runTime.dividedBy(3) : runTime, () -> finish(attempt, fails));
+    worker.schedule(shouldFail ? runTime.dividedBy(3) : runTime, () -> finish(attempt, shouldFail));
   }
 
-  private void finish(TaskAttempt attempt, boolean fails) {
+  private void finish(TaskAttempt attempt, boolean shouldFail) {
     if (isPresent(attempt) && attempt.isRunning()) {
-      exit(attempt, fails ? ExitCause.ERROR : ExitCause.DONE);
-      if (!fails) {
+      exit(attempt, shouldFail ? ExitCause.ERROR : ExitCause.DONE);
+      if (!shouldFail) {
         workload.onTaskCompleted(attempt.task());
       }
     }
--- a/src/test/java/io/cherryspool/store/GroupCommitTest.java
+++ b/src/test/java/io/cherryspool/store/GroupCommitTest.java
@@ -190,7 +190,7 @@
   void rateLimitedChangesAndTheirDuplicatesAreSentAgain() {
     GroupCommit commits = newGroupCommitOverTransport();
     CompletableFuture<Boolean> first = put(commits, "c/first");
-    transport.replyNext(ControlledTransport.COMMIT, 429, "{}");
+    transport.replaceNextReply(ControlledTransport.COMMIT, 429, "{}");
     List<CompletableFuture<Boolean>> group = putAll(commits, "c/a", "c/b", "c/a");
     run(0.1);
     transport.release(ControlledTransport.COMMIT);
@@ -204,7 +204,8 @@
   @ValueSource(strings = {"[]", "[\"c/other\"]"})
   void aConflictWithoutAFailedConditionFailsAllChanges(String failed) {
     GroupCommit commits = newGroupCommitOverTransport();
-    transport.replyNext(ControlledTransport.COMMIT, 409, "{\"failed\":" + failed + ",\"epoch\":1}");
+    transport.replaceNextReply(
+        ControlledTransport.COMMIT, 409, "{\"failed\":" + failed + ",\"epoch\":1}");
     CompletableFuture<Boolean> result = put(commits, "c/a");
     run(0.1);
     transport.release(ControlledTransport.COMMIT);
--- a/src/test/java/io/cherryspool/store/ReplicaTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaTest.java
@@ -65,7 +65,7 @@
 
   /** Loads the replica. The outstanding watch will be answered with 410, as after compaction. */
   private void load() {
-    transport.replyNext(ControlledTransport.WATCH, 410, "{}");
+    transport.replaceNextReply(ControlledTransport.WATCH, 410, "{}");
     replica.start();
     run(0.05);
     assertTrue(replica.isLoaded());
@@ -172,7 +172,7 @@
   void aCompactedReadSentBeforeAReloadStartsNoOtherReload() {
     load();
     accept(JOB);
-    transport.replyNext(ControlledTransport.READ, 410, "{}");
+    transport.replaceNextReply(ControlledTransport.READ, 410, "{}");
     CompletableFuture<Void> reading = replica.refresh();
     run(0.05);
     transport.release(ControlledTransport.WATCH);
