--- a/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
@@ -121,9 +121,9 @@
     double firstCancelS = seed % 2 == 0 ? 0 : 7;
     for (int i = 0; i < jobs.size(); i++) {
       Job job = jobs.get(i);
-      SimulatedController through = cluster.nodes().get(i % cluster.nodes().size());
+      SimulatedController node = cluster.nodes().get(i % cluster.nodes().size());
       cluster.schedule(
-          firstCancelS + 0.5 * i, () -> cluster.users().cancel(job.id(), through.address()));
+          firstCancelS + 0.5 * i, () -> cluster.users().cancel(job.id(), node.address()));
     }
     cluster.run(16);
     assertNotEquals(
@@ -251,8 +251,8 @@
     Job job = cluster.jobs().create("blue", 3, 8, Duration.ofSeconds(20));
     cluster.users().submit(job);
     cluster.run(16);
-    FakeWorker slow = cluster.fleet().workersRunning(job).get(0);
-    slow.hang(Duration.ofSeconds(14));
+    FakeWorker hangingWorker = cluster.fleet().workersRunning(job).get(0);
+    hangingWorker.hang(Duration.ofSeconds(14));
     cluster.network().recordHeartbeats();
     while (cluster.rules().completedTaskCount(job.id()) == 0) {
       cluster.run(0.05);
--- a/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
@@ -51,12 +51,13 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void jobEndsAfterLeaderCrashWhileSomeOfItsMachinesAreUnreachable(long seed) {
     Job job = startClusterWithJob(seed, 16, Duration.ofSeconds(40), 16);
-    List<FakeWorker> unreachable = cluster.fleet().workersRunning(job).stream().limit(3).toList();
+    List<FakeWorker> unreachableWorkers =
+        cluster.fleet().workersRunning(job).stream().limit(3).toList();
     Duration length = Duration.ofSeconds(8 + 4 * seed);
-    cluster.network().dropInbound(host(unreachable.get(0)), length);
-    cluster.network().dropOutbound(host(unreachable.get(1)), length);
+    cluster.network().dropInbound(host(unreachableWorkers.get(0)), length);
+    cluster.network().dropOutbound(host(unreachableWorkers.get(1)), length);
     for (SimulatedController node : cluster.nodes()) {
-      cluster.network().cut(node.address().host(), host(unreachable.get(2)), length);
+      cluster.network().cut(node.address().host(), host(unreachableWorkers.get(2)), length);
     }
     cluster.run(0.5);
     SimulatedController oldLeader = cluster.leader();
@@ -123,12 +124,13 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void jobEndsAfterAllControllersWereDownForLongerThanALease(long seed) {
     Job job = startClusterWithJob(seed, 16, Duration.ofSeconds(30), 16);
-    long expiredBefore = cluster.fleet().expiredLeaseCount();
+    long expiredLeasesBefore = cluster.fleet().expiredLeaseCount();
     cluster
         .nodes()
         .forEach(node -> node.crash(SimulatedCluster.LEASE.plusSeconds(4).plusMillis(300 * seed)));
     cluster.run(SimulatedCluster.LEASE.plusSeconds(3));
-    assertTrue(cluster.fleet().expiredLeaseCount() > expiredBefore, "no worker lease has expired");
+    assertTrue(
+        cluster.fleet().expiredLeaseCount() > expiredLeasesBefore, "no worker lease has expired");
     assertFalse(cluster.rules().hasEnded(job.id()));
     cluster.run(100);
     assertAllEnded(List.of(job));
@@ -147,12 +149,12 @@
         seed % 2 == 0 ? cluster.leader().zone() : SimulatedCluster.ZONES.get((int) seed % 3);
     cluster.network().cutZone(zone, SimulatedCluster.LEASE.plusSeconds(5 + 5 * seed));
     cluster.run(2);
-    SimulatedController outside =
+    SimulatedController nodeOutsideZone =
         cluster.nodes().stream()
             .filter(node -> !node.zone().equals(zone))
             .findFirst()
             .orElseThrow();
-    cluster.users().cancel(jobs.cancelled().id(), outside.address());
+    cluster.users().cancel(jobs.cancelled().id(), nodeOutsideZone.address());
     cluster.run(140);
     assertAllEnded(jobs.all());
   }
@@ -166,19 +168,19 @@
   void zoneBoundJobsEndAfterLosingMachinesAndLeader(long seed) {
     startCluster(seed, 3);
     String zone = SimulatedCluster.ZONES.get((int) seed % 3);
-    Job inGivenZone =
+    Job givenZoneJob =
         cluster.jobs().createZoneBound("blue", 6, 4, Duration.ofSeconds(15), zone, false);
-    Job inSingleZone =
+    Job singleZoneJob =
         cluster.jobs().createZoneBound("red", 6, 4, Duration.ofSeconds(15), null, true);
-    cluster.users().submit(inGivenZone);
-    cluster.users().submit(inSingleZone);
-    awaitRunning(inGivenZone, 2);
-    awaitRunning(inSingleZone, 2);
-    cluster.fleet().workersRunning(inGivenZone).forEach(FakeWorker::kill);
-    cluster.fleet().workersRunning(inSingleZone).stream().limit(1).forEach(FakeWorker::kill);
+    cluster.users().submit(givenZoneJob);
+    cluster.users().submit(singleZoneJob);
+    awaitRunning(givenZoneJob, 2);
+    awaitRunning(singleZoneJob, 2);
+    cluster.fleet().workersRunning(givenZoneJob).forEach(FakeWorker::kill);
+    cluster.fleet().workersRunning(singleZoneJob).stream().limit(1).forEach(FakeWorker::kill);
     cluster.leader().crash(Duration.ofMillis(200 * seed));
     cluster.run(150);
-    assertAllEnded(List.of(inGivenZone, inSingleZone));
+    assertAllEnded(List.of(givenZoneJob, singleZoneJob));
   }
 
   /**
--- a/src/test/java/io/cherryspool/sim/faults/LostWorkersTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LostWorkersTest.java
@@ -24,14 +24,14 @@
     if (!isMeshUp) {
       run.cluster().setMeshDown(true);
     }
-    long expiredBefore = run.cluster().fleet().expiredLeaseCount();
+    long expiredLeasesBefore = run.cluster().fleet().expiredLeaseCount();
     String oldLeader = run.cluster().cutLeaderFromWorkers(Duration.ofSeconds(60));
     run.runWithoutFaults(14);
     String newLeader = run.cluster().leader().name();
     assertNotNull(newLeader);
     assertNotEquals(oldLeader, newLeader);
     run.runWithoutFaults(60);
-    assertEquals(expiredBefore, run.cluster().fleet().expiredLeaseCount());
+    assertEquals(expiredLeasesBefore, run.cluster().fleet().expiredLeaseCount());
     assertEquals(newLeader, run.cluster().leader().name(), "the leader changed a second time");
   }
 }
--- a/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
@@ -71,7 +71,7 @@
     Job job = startClusterWithJob(seed, 16, Duration.ofSeconds(25), 12);
     cluster.network().recordHeartbeats();
     cluster.run(3);
-    long expiredBefore = cluster.fleet().expiredLeaseCount();
+    long expiredLeasesBefore = cluster.fleet().expiredLeaseCount();
     cluster.fleet().workersRunning(job).stream()
         .limit(2)
         .forEach(
@@ -84,7 +84,7 @@
       cluster.network().replayHeartbeats(controllerAddresses());
       cluster.run(0.5);
     }
-    assertTrue(cluster.fleet().expiredLeaseCount() >= expiredBefore);
+    assertTrue(cluster.fleet().expiredLeaseCount() >= expiredLeasesBefore);
     cluster.run(90);
     assertAllEnded(List.of(job));
   }
--- a/src/test/java/io/cherryspool/sim/faults/UnchangedHeartbeatTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/UnchangedHeartbeatTest.java
@@ -25,21 +25,21 @@
    * submitted, placed, reported as running, completed and written, and when the fleet size is
    * adapted. At most nine plans per job were observed.
    */
-  private static final int PLANS_PER_JOB = 4;
+  private static final int MAX_PLANS_PER_JOB = 4;
 
   @Test
-  void newRoundTokenAloneTriggersNoPlanning() {
+  void newFencingTokenAloneTriggersNoPlanning() {
     startCluster(1, 3);
     Job largeJob = submit("red", 80, 1, Duration.ofMinutes(5));
     awaitRunning(largeJob, 60);
     cluster.run(60);
-    double plannedBefore = plannedRounds();
+    double plannedBefore = plannedRoundCount();
     List<Job> smallJobs = new ArrayList<>();
     for (int i = 0; i < SMALL_JOBS; i++) {
       smallJobs.add(submit("blue", 1, 1, Duration.ofSeconds(2)));
       cluster.run(SUBMIT_INTERVAL_S);
     }
-    double plansPerJob = (plannedRounds() - plannedBefore) / SMALL_JOBS;
+    double plansPerJob = (plannedRoundCount() - plannedBefore) / SMALL_JOBS;
     // Users poll every 5 s, so they learn of the end of a job up to 5 s later.
     cluster.run(5);
     assertAllEnded(smallJobs);
@@ -48,10 +48,10 @@
         "all tasks of the large job run, so no work waited");
     // One more plan a second is allowed, for changes that depend on time only.
     assertTrue(
-        plansPerJob <= PLANS_PER_JOB + SUBMIT_INTERVAL_S, plansPerJob + " plans per small job");
+        plansPerJob <= MAX_PLANS_PER_JOB + SUBMIT_INTERVAL_S, plansPerJob + " plans per small job");
   }
 
-  private double plannedRounds() {
+  private double plannedRoundCount() {
     SimpleMeterRegistry registry = new SimpleMeterRegistry();
     cluster.leader().bindTo(registry);
     return registry.get("cherryspool.rounds.planned").functionCounter().count();
--- a/src/test/java/io/cherryspool/sim/partition/FlappingLinksTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/FlappingLinksTest.java
@@ -23,10 +23,10 @@
     long seed = 1;
     for (double seconds : new double[] {0.5, 1, 2, 3, 5, 10}) {
       seed++;
-      LinkFlapRun.Cost cost =
+      LinkFlapRun.Disruption disruption =
           LinkFlapRun.run(seed, link, Duration.ofMillis((long) (seconds * 1000)));
-      String message = link + " for " + seconds + " s, seed " + seed + ": " + cost;
-      assertTrue(cost.maxLeaderChangesPerMinute() <= MAX_LEADER_CHANGES_PER_MINUTE, message);
+      String message = link + " for " + seconds + " s, seed " + seed + ": " + disruption;
+      assertTrue(disruption.maxLeaderChangesPerMinute() <= MAX_LEADER_CHANGES_PER_MINUTE, message);
     }
   }
 
@@ -43,9 +43,9 @@
   })
   void aLeaderKeepsLeadershipDuringShortFlaps(LinkFlapRun.Link link, double seconds) {
     for (long seed = 1; seed <= 3; seed++) {
-      LinkFlapRun.Cost cost =
+      LinkFlapRun.Disruption disruption =
           LinkFlapRun.run(seed, link, Duration.ofMillis((long) (seconds * 1000)));
-      assertEquals(0, cost.leaderChanges(), link + " for " + seconds + " s, seed " + seed);
+      assertEquals(0, disruption.leaderChanges(), link + " for " + seconds + " s, seed " + seed);
     }
   }
 
@@ -59,11 +59,11 @@
   @CsvSource({"STATE_REFUSED,1", "STATE_REFUSED,2", "STATE_SILENT,1", "STATE_SILENT,2"})
   void fewUserRequestsFailWhileTheStateStoreLinkFlaps(LinkFlapRun.Link link, double seconds) {
     for (long seed = 1; seed <= 2; seed++) {
-      LinkFlapRun.Cost cost =
+      LinkFlapRun.Disruption disruption =
           LinkFlapRun.run(seed, link, Duration.ofMillis((long) (seconds * 1000)));
       assertTrue(
-          cost.unservedRequests() <= 5,
-          link + " for " + seconds + " s, seed " + seed + ": " + cost);
+          disruption.failedRequests() <= 5,
+          link + " for " + seconds + " s, seed " + seed + ": " + disruption);
     }
   }
 }
--- a/src/test/java/io/cherryspool/sim/partition/LinkCut.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkCut.java
@@ -13,7 +13,7 @@
  * time, and the direction in which they fail.
  */
 record LinkCut(
-    StateStoreLink stateStoreLink, boolean cutsPeers, Workers workers, Direction direction) {
+    StateStoreLink stateStoreLink, boolean cutsPeers, CutWorkers workers, Direction direction) {
 
   /** The condition of the link to the state store. */
   enum StateStoreLink {
@@ -25,7 +25,7 @@
   }
 
   /** The workers whose links to the node fail. */
-  enum Workers {
+  enum CutWorkers {
     NONE,
     /** The workers in the node's own zone. */
     ONE_ZONE,
@@ -49,9 +49,9 @@
     List<LinkCut> cuts = new ArrayList<>();
     for (StateStoreLink stateStoreLink : StateStoreLink.values()) {
       for (boolean cutsPeers : new boolean[] {false, true}) {
-        for (Workers workers : Workers.values()) {
+        for (CutWorkers workers : CutWorkers.values()) {
           for (Direction direction : Direction.values()) {
-            boolean hasDirection = cutsPeers || workers != Workers.NONE;
+            boolean hasDirection = cutsPeers || workers != CutWorkers.NONE;
             boolean isEmpty = stateStoreLink == StateStoreLink.UP && !hasDirection;
             if (!isEmpty && (hasDirection || direction == Direction.BOTH)) {
               cuts.add(new LinkCut(stateStoreLink, cutsPeers, workers, direction));
--- a/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
@@ -55,15 +55,15 @@
    * @param leaderChanges the number of leader changes
    * @param maxLeaderChangesPerMinute the most leader changes within a minute
    * @param repeatedTaskStarts the number of task starts beyond the first one of each task
-   * @param unservedRequests the number of user requests that were answered 503 or not at all
+   * @param failedRequests the number of user requests that were answered 503 or not at all
    * @param addedMachines the number of machines that were added
    * @param deletedMachines the number of machines that were deleted
    */
-  public record Cost(
+  public record Disruption(
       int leaderChanges,
       int maxLeaderChangesPerMinute,
       int repeatedTaskStarts,
-      int unservedRequests,
+      int failedRequests,
       int addedMachines,
       int deletedMachines) {}
 
@@ -79,28 +79,28 @@
    * @param flapDuration how long the link fails each time, and how long it works in between; zero
    *     if it never fails
    */
-  public static Cost run(long seed, Link link, Duration flapDuration) {
+  public static Disruption run(long seed, Link link, Duration flapDuration) {
     return new LinkFlapRun(seed, link, flapDuration).run();
   }
 
-  private Cost run() {
+  private Disruption run() {
     cluster.schedule(1, this::submitNextJob);
     cluster.run(SETTLE_S);
     term = term();
     int addedBefore = cluster.cloud().addedMachineCount();
     int deletedBefore = cluster.cloud().deletedMachineCount();
-    int unservedBefore = cluster.users().failedRequestCount();
+    int failedRequestsBefore = cluster.users().failedRequestCount();
     if (!flapDuration.isZero()) {
       flapRepeatedly(SETTLE_S + FLAPPING_S);
     }
     countLeaderChanges();
     cluster.run(FLAPPING_S);
-    Cost costWhileFlapping =
-        new Cost(
+    Disruption whileFlapping =
+        new Disruption(
             leaderChanges,
             maxLeaderChangesPerMinute,
             0,
-            cluster.users().failedRequestCount() - unservedBefore,
+            cluster.users().failedRequestCount() - failedRequestsBefore,
             cluster.cloud().addedMachineCount() - addedBefore,
             cluster.cloud().deletedMachineCount() - deletedBefore);
     cluster.run(QUIET_S);
@@ -109,13 +109,13 @@
         throw new AssertionError(job.id() + " has not ended");
       }
     }
-    return new Cost(
-        costWhileFlapping.leaderChanges,
-        costWhileFlapping.maxLeaderChangesPerMinute,
+    return new Disruption(
+        whileFlapping.leaderChanges,
+        whileFlapping.maxLeaderChangesPerMinute,
         cluster.rules().startCount() - submittedTasks,
-        costWhileFlapping.unservedRequests,
-        costWhileFlapping.addedMachines,
-        costWhileFlapping.deletedMachines);
+        whileFlapping.failedRequests,
+        whileFlapping.addedMachines,
+        whileFlapping.deletedMachines);
   }
 
   private void submitNextJob() {
--- a/src/test/java/io/cherryspool/sim/partition/NodeWithoutStateStoreTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/NodeWithoutStateStoreTest.java
@@ -32,7 +32,7 @@
         seed % 2 == 0 ? cluster.leader() : cluster.nodeAfter(cluster.leader());
     node.rejectStateStoreRequests(CUT_DURATION);
     cluster.run(0.5 * seed);
-    int unservedBefore = cluster.users().failedRequestCount();
+    int failedRequestsBefore = cluster.users().failedRequestCount();
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       Job job = cluster.jobs().create("red", 1, 1, Duration.ofSeconds(2));
@@ -49,7 +49,7 @@
         cluster.rules().isCancelConfirmed(jobs.get(7).id()),
         "the cancellation was not confirmed at once");
     assertTrue(
-        cluster.users().failedRequestCount() - unservedBefore <= 1,
+        cluster.users().failedRequestCount() - failedRequestsBefore <= 1,
         "more than one request was not served; only the first refused one may fail");
     cluster.run(40);
     assertAllEnded(jobs);
--- a/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
@@ -97,13 +97,13 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
   void jobsEndAfterTwoOfFiveControllersLoseLinks(long seed) {
-    List<LinkCut> all = LinkCut.all();
+    List<LinkCut> allCuts = LinkCut.all();
     for (int i = 0; i < 4; i++) {
       startCluster(seed, 5);
       List<Job> jobs = startJobs();
       SimulatedController leader = cluster.leader();
-      LinkCut first = all.get(cluster.random().nextInt(all.size()));
-      LinkCut second = all.get(cluster.random().nextInt(all.size()));
+      LinkCut first = allCuts.get(cluster.random().nextInt(allCuts.size()));
+      LinkCut second = allCuts.get(cluster.random().nextInt(allCuts.size()));
       first.apply(cluster, leader, MODES[i % MODES.length], CUT_DURATION);
       cluster.run(0.5 * i);
       second.apply(cluster, cluster.nodeAfter(leader), MODES[(i + 1) % MODES.length], CUT_DURATION);
@@ -125,12 +125,12 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void jobsEndAfterCutsWithAnOutageAndDuplicatedHeartbeats(long seed) {
-    List<LinkCut> all = LinkCut.all();
+    List<LinkCut> allCuts = LinkCut.all();
     startCluster(seed, 3);
     cluster.network().setDuplicatingHeartbeats(true);
     List<Job> jobs = startJobs();
     for (int i = 0; i < 3; i++) {
-      LinkCut cut = all.get(cluster.random().nextInt(all.size()));
+      LinkCut cut = allCuts.get(cluster.random().nextInt(allCuts.size()));
       cut.apply(cluster, cluster.leader(), MODES[(int) (seed + i) % MODES.length], CUT_DURATION);
       cluster.run(3);
       cluster.takeStateStoreDown(Duration.ofSeconds(3 + seed));
@@ -164,7 +164,7 @@
     int addedBefore = cluster.cloud().addedMachineCount();
     long expiredLeasesBefore = cluster.fleet().expiredLeaseCount();
     SimulatedController node = cluster.leader();
-    new LinkCut(LinkCut.StateStoreLink.UP, false, LinkCut.Workers.ALL, LinkCut.Direction.BOTH)
+    new LinkCut(LinkCut.StateStoreLink.UP, false, LinkCut.CutWorkers.ALL, LinkCut.Direction.BOTH)
         .apply(cluster, node, LinkFaults.Mode.HOLD, CUT_DURATION);
     for (int i = 0; i < 120 && cluster.currentLeader().filter(node::equals).isPresent(); i++) {
       cluster.run(0.1);
@@ -192,7 +192,8 @@
     startCluster(seed, 3);
     startJobs();
     SimulatedController node = cluster.leader();
-    new LinkCut(LinkCut.StateStoreLink.REFUSED, true, LinkCut.Workers.NONE, LinkCut.Direction.BOTH)
+    new LinkCut(
+            LinkCut.StateStoreLink.REFUSED, true, LinkCut.CutWorkers.NONE, LinkCut.Direction.BOTH)
         .apply(cluster, node, LinkFaults.Mode.DROP, CUT_DURATION);
     cluster.run(2.5);
     assertTrue(node.isLeader(), "the node is no longer leader");
