--- a/src/main/java/io/cherryspool/controller/rounds/RoundDecisionLog.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundDecisionLog.java
@@ -66,9 +66,9 @@
           "round: job={} promoted={} placed={} over-quota={} unschedulable={} cause={}",
           decision.jobId(),
           decision.isPromoted(),
-          decision.placed(),
-          decision.overQuota(),
-          decision.unschedulable(),
+          decision.placedCount(),
+          decision.overQuotaCount(),
+          decision.unschedulableCount(),
           decision.unschedulableCause().map(HoldCause::label).orElse("none"));
     }
   }
--- a/src/main/java/io/cherryspool/scheduler/BinPool.java
+++ b/src/main/java/io/cherryspool/scheduler/BinPool.java
@@ -46,7 +46,7 @@
 
   private final ClusterView view;
   private final List<Bin> bins = new ArrayList<>();
-  private final List<Bin> reserved = new ArrayList<>();
+  private final List<Bin> reservedBins = new ArrayList<>();
   private final Map<Demand, List<Bin>> rankings = new HashMap<>();
   private final List<Job> contendingJobs;
   private int machinesExamined;
@@ -141,12 +141,12 @@
     MachineView machine = bin.machine();
     MachineType type = machine.type();
     double fetchSeconds = bin.hasImage(job.image()) ? 0 : type.fetchSeconds(job.imageGb());
-    Resources left = bin.free().minus(job.perTask());
+    Resources freeAfter = bin.free().minus(job.perTask());
     return fetchSeconds * CPUS_PER_FETCH_SECOND
-        + left.cpus()
-        + left.memoryGb() / MEMORY_GB_PER_CPU
+        + freeAfter.cpus()
+        + freeAfter.memoryGb() / MEMORY_GB_PER_CPU
         + CPUS_PER_PRICE * type.hourlyPricePerCpu(machine.isSpot())
-        + CPUS_PER_CONTENDED_CPU * contendedCpus(job, bin, left);
+        + CPUS_PER_CONTENDED_CPU * contendedCpus(job, bin, freeAfter);
   }
 
   /**
@@ -154,18 +154,18 @@
    * this job were placed on the machine. A task slot is room for one task. Of several such jobs,
    * the one that would lose most counts.
    */
-  private double contendedCpus(Job job, Bin bin, Resources left) {
-    double most = 0;
+  private double contendedCpus(Job job, Bin bin, Resources freeAfter) {
+    double maxCpus = 0;
     for (Job other : contendingJobs) {
       if (other != job && bin.isAllowedFor(other)) {
         Resources perTask = other.perTask();
         int slots =
             perTask.countFittingIn(bin.free(), MAX_SLOTS_PER_MACHINE)
-                - perTask.countFittingIn(left, MAX_SLOTS_PER_MACHINE);
-        most = Math.max(most, slots * perTask.cpus());
+                - perTask.countFittingIn(freeAfter, MAX_SLOTS_PER_MACHINE);
+        maxCpus = Math.max(maxCpus, slots * perTask.cpus());
       }
     }
-    return most;
+    return maxCpus;
   }
 
   /**
@@ -212,7 +212,7 @@
     }
     if (mostFree != null) {
       mostFree.reserve();
-      reserved.add(mostFree);
+      reservedBins.add(mostFree);
       bins.remove(mostFree);
     }
   }
@@ -222,7 +222,7 @@
     for (Bin bin : bins) {
       if (machines.contains(bin.machine().name())) {
         bin.reserve();
-        reserved.add(bin);
+        reservedBins.add(bin);
       }
     }
     bins.removeIf(Bin::isReserved);
@@ -241,7 +241,7 @@
 
   /** Whether a reserved machine has room for a task of the job. */
   boolean hasReservedRoom(Job job) {
-    return hasRoom(reserved, job);
+    return hasRoom(reservedBins, job);
   }
 
   /** Whether an unreserved machine in any zone has room for a task of the job. */
@@ -249,8 +249,8 @@
     return hasRoom(bins, job);
   }
 
-  private static boolean hasRoom(List<Bin> among, Job job) {
-    for (Bin bin : among) {
+  private static boolean hasRoom(List<Bin> candidates, Job job) {
+    for (Bin bin : candidates) {
       if (bin.accepts(job) && !bin.excludes(job)) {
         return true;
       }
--- a/src/main/java/io/cherryspool/scheduler/EntryDecision.java
+++ b/src/main/java/io/cherryspool/scheduler/EntryDecision.java
@@ -9,18 +9,19 @@
  * @param jobId the job's id
  * @param isPromoted whether the entry comes before all entries that are not promoted, because its
  *     job has waited too long for its start
- * @param placed the number of tasks that are placed
- * @param overQuota the number of tasks that the team's quota does not allow
- * @param unschedulable the number of tasks that the quota allows but for which no machine was found
+ * @param placedCount the number of tasks that are placed
+ * @param overQuotaCount the number of tasks that the team's quota does not allow
+ * @param unschedulableCount the number of tasks that the quota allows but for which no machine was
+ *     found
  * @param unschedulableCause why no machine was found for the unschedulable tasks; empty if there
  *     are none
  */
 public record EntryDecision(
     String jobId,
     boolean isPromoted,
-    int placed,
-    int overQuota,
-    int unschedulable,
+    int placedCount,
+    int overQuotaCount,
+    int unschedulableCount,
     Optional<HoldCause> unschedulableCause) {
 
   /** Receives the decisions of a plan in queue order. */
--- a/src/main/java/io/cherryspool/scheduler/EntryPlan.java
+++ b/src/main/java/io/cherryspool/scheduler/EntryPlan.java
@@ -8,7 +8,7 @@
 /** The state of a plan for one queue entry, updated while the plan is made. */
 final class EntryPlan {
   private final QueueOrder.Entry entry;
-  private int triedCount;
+  private int withinQuotaCount;
   private int placedCount;
   private int reservedCount;
   private int scaleOutCount;
@@ -32,11 +32,11 @@
 
   /** The tasks that the team's quota has not allowed so far. */
   List<Integer> overQuotaTasks() {
-    return entry.tasks().subList(triedCount, entry.tasks().size());
+    return entry.tasks().subList(withinQuotaCount, entry.tasks().size());
   }
 
   int overQuotaCount() {
-    return entry.tasks().size() - triedCount;
+    return entry.tasks().size() - withinQuotaCount;
   }
 
   /** The number of tasks that are assigned to machines. */
@@ -46,14 +46,14 @@
 
   /** The number of tasks that the quota allows but for which no machine has room. */
   int withoutMachineCount() {
-    return triedCount - placedCount;
+    return withinQuotaCount - placedCount;
   }
 
   /** Records the result of assigning the next {@code count} tasks, which the quota allows. */
   void recordResult(int count, TaskAssigner.Result result) {
-    triedCount += count;
-    placedCount += result.placed();
-    if (result.placed() < count) {
+    withinQuotaCount += count;
+    placedCount += result.placedCount();
+    if (result.placedCount() < count) {
       unschedulableCause = result.unplacedCause();
     }
   }
@@ -72,7 +72,7 @@
   }
 
   /** Sets the number of tasks that are not placed and for which the team's quota is reserved. */
-  void reserveQuota(int tasks) {
+  void setReservedCount(int tasks) {
     reservedCount = tasks;
   }
 
--- a/src/main/java/io/cherryspool/scheduler/FleetDemand.java
+++ b/src/main/java/io/cherryspool/scheduler/FleetDemand.java
@@ -33,20 +33,20 @@
   /**
    * Selects the machines that a job's constraints allow.
    *
-   * @param types the allowed machine types as a bit set, indexed by position in the catalog
+   * @param typeBits the allowed machine types as a bit set, indexed by position in the catalog
    * @param zone the only allowed zone, null for any
    */
-  record MachineSelector(long types, String zone, boolean allowsSpot) {
+  record MachineSelector(long typeBits, String zone, boolean allowsSpot) {
 
     /** Whether the other selector allows every machine that this one allows. */
     boolean isSubsetOf(MachineSelector other) {
-      return (types & ~other.types) == 0
+      return (typeBits & ~other.typeBits) == 0
           && (other.zone == null || other.zone.equals(zone))
           && (other.allowsSpot || !allowsSpot);
     }
 
     boolean allowsType(int index) {
-      return (types & 1L << index) != 0;
+      return (typeBits & 1L << index) != 0;
     }
 
     // Written by hand, since generated record methods are linked at run time; see "Start-up" in
@@ -54,14 +54,14 @@
     @Override
     public boolean equals(Object object) {
       return object instanceof MachineSelector other
-          && types == other.types
+          && typeBits == other.typeBits
           && allowsSpot == other.allowsSpot
           && Objects.equals(zone, other.zone);
     }
 
     @Override
     public int hashCode() {
-      return 31 * (31 * Long.hashCode(types) + Objects.hashCode(zone))
+      return 31 * (31 * Long.hashCode(typeBits) + Objects.hashCode(zone))
           + Boolean.hashCode(allowsSpot);
     }
   }
@@ -127,9 +127,10 @@
         variance += demand.cpuVariance();
       }
     }
-    double spare =
+    double headroom =
         Math.max(arriving / MAX_UTILIZATION - arriving, HEADROOM_DEVIATIONS * Math.sqrt(variance));
-    return new CpuDemand(arriving, spare + waiting / backlogDrainTime(selector).toMillis() * 1000);
+    return new CpuDemand(
+        arriving, headroom + waiting / backlogDrainTime(selector).toMillis() * 1000);
   }
 
   /**
--- a/src/main/java/io/cherryspool/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/PlacementPlanner.java
@@ -41,8 +41,8 @@
 
   private final BinPool bins;
   private final TaskAssigner assigner;
-  private final List<EntryPlan> withoutMachine = new ArrayList<>();
-  private final List<EntryPlan> overQuota = new ArrayList<>();
+  private final List<EntryPlan> entriesWithoutMachine = new ArrayList<>();
+  private final List<EntryPlan> entriesOverQuota = new ArrayList<>();
   private final List<EntryPlan> entryPlans = new ArrayList<>();
   private final Set<String> teamsWithLentQuota = new HashSet<>();
 
@@ -66,26 +66,26 @@
     for (QueueOrder.Entry entry : QueueOrder.sortedEntries(view)) {
       planner.place(entry);
     }
-    return planner.finish(listener);
+    return planner.completePlan(listener);
   }
 
-  private RoundPlan finish(EntryDecision.Listener listener) {
+  private RoundPlan completePlan(EntryDecision.Listener listener) {
     List<RoundPlan.Victim> victims = List.of();
-    if (!withoutMachine.isEmpty() || !overQuota.isEmpty()) {
+    if (!entriesWithoutMachine.isEmpty() || !entriesOverQuota.isEmpty()) {
       Preemption preemption = new Preemption(view, assigner.assignments());
       int placedBefore = assigner.assignments().size();
       lendUnusableQuota(preemption);
       placeOnLentQuota(preemption);
       List<RoundPlan.Assignment> all = assigner.assignments();
       preemption.addAssignments(all.subList(placedBefore, all.size()));
-      for (EntryPlan plan : overQuota) {
+      for (EntryPlan plan : entriesOverQuota) {
         if (plan.overQuotaCount() > 0) {
           preemption.preemptForQuota(plan.job(), plan.overQuotaCount());
         }
       }
       victims = preemption.victims();
     }
-    List<RoundPlan.TaskGroup> unschedulable = unschedulable();
+    List<RoundPlan.TaskGroup> unschedulable = unschedulableGroups();
     return new RoundPlan(
         assigner.assignments(),
         victims,
@@ -99,25 +99,25 @@
   private void place(QueueOrder.Entry entry) {
     EntryPlan plan = new EntryPlan(entry);
     entryPlans.add(plan);
-    int allowedWithoutLending = countAllowed(usageWithoutLending, plan);
-    int allowed = countAllowed(usage, plan);
+    int allowedWithoutLending = countWithinQuota(usageWithoutLending, plan);
+    int allowed = countWithinQuota(usage, plan);
     if (allowed > 0) {
       assignTasks(plan, allowed, false);
-      plan.reserveQuota(plan.withoutMachineCount());
+      plan.setReservedCount(plan.withoutMachineCount());
       usage.add(plan.team(), plan.reservedQuota());
       reserveMachineIfPromoted(plan);
     } else if (entry.isPromoted() && bins.hasEligibleMachine(plan.job())) {
       // Smaller jobs would otherwise use the quota that the team's other tasks free next.
-      plan.reserveQuota(1);
+      plan.setReservedCount(1);
       usage.add(plan.team(), plan.reservedQuota());
       usageWithoutLending.add(plan.team(), plan.reservedQuota());
     }
     recordScaleOutCount(plan, allowedWithoutLending);
     if (plan.withoutMachineCount() > 0) {
-      withoutMachine.add(plan);
+      entriesWithoutMachine.add(plan);
     }
     if (plan.overQuotaCount() > 0) {
-      overQuota.add(plan);
+      entriesOverQuota.add(plan);
     }
   }
 
@@ -135,8 +135,8 @@
     List<Integer> tasks = plan.overQuotaTasks().subList(0, count);
     TaskAssigner.Result result = assigner.assign(plan.entry().view(), tasks, usesLentQuota);
     plan.recordResult(count, result);
-    usage.add(plan.team(), plan.job().perTask().times(result.placed()));
-    usageWithoutLending.add(plan.team(), plan.job().perTask().times(result.placed()));
+    usage.add(plan.team(), plan.job().perTask().times(result.placedCount()));
+    usageWithoutLending.add(plan.team(), plan.job().perTask().times(result.placedCount()));
   }
 
   /**
@@ -152,12 +152,12 @@
     }
   }
 
-  private int countAllowed(TeamUsage counted, EntryPlan plan) {
+  private int countWithinQuota(TeamUsage teamUsage, EntryPlan plan) {
     Team team = view.teams().get(plan.team());
     return team == null
         ? 0
         : team.countWithinQuota(
-            counted.of(plan.team()), plan.job().perTask(), plan.overQuotaCount());
+            teamUsage.of(plan.team()), plan.job().perTask(), plan.overQuotaCount());
   }
 
   /**
@@ -165,14 +165,14 @@
    * lent.
    */
   private void lendUnusableQuota(Preemption preemption) {
-    for (EntryPlan plan : withoutMachine) {
+    for (EntryPlan plan : entriesWithoutMachine) {
       int reservedCount = preemption.preemptForRoom(plan.job(), plan.withoutMachineCount());
       if (reservedCount == 0 && plan.entry().isPromoted() && bins.hasEligibleMachine(plan.job())) {
         reservedCount = 1;
       }
       if (reservedCount < plan.withoutMachineCount()) {
         usage.subtract(plan.team(), plan.reservedQuota());
-        plan.reserveQuota(reservedCount);
+        plan.setReservedCount(reservedCount);
         usage.add(plan.team(), plan.reservedQuota());
         teamsWithLentQuota.add(plan.team());
       }
@@ -181,11 +181,11 @@
 
   /** Places tasks that were over their team's quota and now fit into it because quota was lent. */
   private void placeOnLentQuota(Preemption preemption) {
-    if (teamsWithLentQuota.isEmpty() || overQuota.isEmpty()) {
+    if (teamsWithLentQuota.isEmpty() || entriesOverQuota.isEmpty()) {
       return;
     }
     bins.reserve(preemption.reservedMachines());
-    for (EntryPlan plan : overQuota) {
+    for (EntryPlan plan : entriesOverQuota) {
       if (teamsWithLentQuota.contains(plan.team())) {
         placeOnLentQuota(plan);
       }
@@ -195,7 +195,7 @@
   private void placeOnLentQuota(EntryPlan plan) {
     Resources reserved = plan.reservedQuotaOfPromotedTask();
     usage.subtract(plan.team(), reserved);
-    int allowed = countAllowed(usage, plan);
+    int allowed = countWithinQuota(usage, plan);
     if (allowed > 0) {
       assignTasks(plan, allowed, true);
       reserveMachineIfPromoted(plan);
@@ -204,7 +204,7 @@
     usage.add(plan.team(), isFullyPlaced ? Resources.NONE : reserved);
   }
 
-  private List<RoundPlan.TaskGroup> unschedulable() {
+  private List<RoundPlan.TaskGroup> unschedulableGroups() {
     List<RoundPlan.TaskGroup> result = new ArrayList<>();
     for (EntryPlan plan : entryPlans) {
       if (plan.scaleOutCount() > 0) {
@@ -220,9 +220,9 @@
       EntryDecision decision = plan.decision();
       decision
           .unschedulableCause()
-          .ifPresent(cause -> result.merge(cause, decision.unschedulable(), Integer::sum));
-      if (decision.overQuota() > 0) {
-        result.merge(HoldCause.OVER_QUOTA, decision.overQuota(), Integer::sum);
+          .ifPresent(cause -> result.merge(cause, decision.unschedulableCount(), Integer::sum));
+      if (decision.overQuotaCount() > 0) {
+        result.merge(HoldCause.OVER_QUOTA, decision.overQuotaCount(), Integer::sum);
       }
       listener.onDecision(decision);
     }
--- a/src/main/java/io/cherryspool/scheduler/PlannedFleet.java
+++ b/src/main/java/io/cherryspool/scheduler/PlannedFleet.java
@@ -33,18 +33,18 @@
   private final FleetView view;
   private final List<ProvisioningMachine> provisioning = new ArrayList<>();
   private final Map<Offering, Integer> provisioningCounts = new HashMap<>();
-  private final Map<Offering, Integer> allCounts = new LinkedHashMap<>();
-  private final Map<Offering, Integer> requests = new LinkedHashMap<>();
+  private final Map<Offering, Integer> machineCounts = new LinkedHashMap<>();
+  private final Map<Offering, Integer> requestedCounts = new LinkedHashMap<>();
 
   PlannedFleet(FleetView view) {
     this.view = view;
     for (Offering offering : view.provisioning()) {
       provisioning.add(new ProvisioningMachine(offering));
       provisioningCounts.merge(offering, 1, Integer::sum);
-      allCounts.merge(offering, 1, Integer::sum);
+      machineCounts.merge(offering, 1, Integer::sum);
     }
     for (ActiveMachine machine : view.activeMachines()) {
-      allCounts.merge(machine.offering(), 1, Integer::sum);
+      machineCounts.merge(machine.offering(), 1, Integer::sum);
     }
   }
 
@@ -71,8 +71,8 @@
   /**
    * Returns the number of machines to request by offering, in the order in which they were planned.
    */
-  Map<Offering, Integer> requests() {
-    return requests;
+  Map<Offering, Integer> requestedCounts() {
+    return requestedCounts;
   }
 
   /** Returns the number of machines that are being provisioned or requested, by offering. */
@@ -81,9 +81,9 @@
   }
 
   /** Returns the CPUs of all machines that the selector allows. */
-  double cpus(MachineSelector selector, FleetDemand demand) {
+  double totalCpus(MachineSelector selector, FleetDemand demand) {
     double cpus = 0;
-    for (Map.Entry<Offering, Integer> entry : allCounts.entrySet()) {
+    for (Map.Entry<Offering, Integer> entry : machineCounts.entrySet()) {
       if (demand.selects(selector, entry.getKey())) {
         cpus += entry.getValue() * entry.getKey().type().capacity().cpus();
       }
@@ -94,25 +94,25 @@
   /** Returns the CPUs of the active machines that the selector allows. */
   double activeCpus(MachineSelector selector, FleetDemand demand) {
     double cpus = 0;
-    for (Map.Entry<Offering, Integer> entry : allCounts.entrySet()) {
+    for (Map.Entry<Offering, Integer> entry : machineCounts.entrySet()) {
       Offering offering = entry.getKey();
       if (demand.selects(selector, offering)) {
-        int active = entry.getValue() - provisioningCounts.getOrDefault(offering, 0);
-        cpus += active * offering.type().capacity().cpus();
+        int activeCount = entry.getValue() - provisioningCounts.getOrDefault(offering, 0);
+        cpus += activeCount * offering.type().capacity().cpus();
       }
     }
     return cpus;
   }
 
   /** Adds a request for machines to the plan. */
-  void request(Offering offering, int count) {
+  void addRequest(Offering offering, int count) {
     provisioningCounts.merge(offering, count, Integer::sum);
-    requests.merge(offering, count, Integer::sum);
-    allCounts.merge(offering, count, Integer::sum);
+    requestedCounts.merge(offering, count, Integer::sum);
+    machineCounts.merge(offering, count, Integer::sum);
   }
 
   /**
-   * Places tasks on machines that are being provisioned or that {@link #placeOnRequested} has
+   * Places tasks on machines that are being provisioned or that {@link #requestAndPlace} has
    * requested.
    *
    * @param excludedTypes machine types on which the tasks must not be placed
@@ -130,10 +130,10 @@
   }
 
   /** Requests one machine, places tasks on it, and returns the number of tasks that do not fit. */
-  int placeOnRequested(Job job, int tasks, Offering offering) {
+  int requestAndPlace(Job job, int tasks, Offering offering) {
     ProvisioningMachine machine = new ProvisioningMachine(offering);
     provisioning.add(machine);
-    request(offering, 1);
+    addRequest(offering, 1);
     return tasks - machine.place(job, tasks);
   }
 
--- a/src/main/java/io/cherryspool/scheduler/Preemption.java
+++ b/src/main/java/io/cherryspool/scheduler/Preemption.java
@@ -56,7 +56,8 @@
     Map<String, Resources> assignedByMachine = addUsage(assignments);
     for (MachineView machine : view.machines()) {
       machines.add(
-          preemptible(machine, assignedByMachine.getOrDefault(machine.name(), Resources.NONE)));
+          createPreemptibleMachine(
+              machine, assignedByMachine.getOrDefault(machine.name(), Resources.NONE)));
     }
   }
 
@@ -100,7 +101,7 @@
     return assignedByMachine;
   }
 
-  private PreemptibleMachine preemptible(MachineView machine, Resources assigned) {
+  private PreemptibleMachine createPreemptibleMachine(MachineView machine, Resources assigned) {
     PreemptibleMachine result = new PreemptibleMachine(machine, assigned);
     for (RunningTask task : machine.runningTasks()) {
       if (task.isStopping()) {
@@ -137,19 +138,19 @@
    * Preempts tasks to make room for as many pending tasks as possible, at the least cost. Jobs that
    * require a single zone or a spread over zones get no room this way.
    *
-   * @param pending the number of tasks within the team's quota for which no machine has room
+   * @param pendingCount the number of tasks within the team's quota for which no machine has room
    * @return the number of these tasks for which machines will have room once all stopping tasks
    *     have ended
    */
-  int preemptForRoom(Job job, int pending) {
+  int preemptForRoom(Job job, int pendingCount) {
     if (job.requiresSingleZone() || job.requiresZoneSpread()) {
       return 0;
     }
     PriorityQueue<PreemptionChoice> choices =
-        choices(job, mayPreemptFor(job) ? machines : stoppingMachines);
-    int left = pending;
+        findChoices(job, mayPreemptFor(job) ? machines : stoppingMachines);
+    int left = pendingCount;
     while (left > 0) {
-      Optional<PreemptionChoice> best = takeBest(choices, job);
+      Optional<PreemptionChoice> best = pollBestChoice(choices, job);
       if (best.isEmpty()) {
         break;
       }
@@ -157,16 +158,17 @@
       addChoice(choices, best.get().machine(), job);
       left--;
     }
-    return pending - left;
+    return pendingCount - left;
   }
 
   /**
    * Returns the choices of victims for one task of the job, one for each suitable machine, cheapest
    * first.
    */
-  private PriorityQueue<PreemptionChoice> choices(Job job, List<PreemptibleMachine> among) {
+  private PriorityQueue<PreemptionChoice> findChoices(
+      Job job, List<PreemptibleMachine> candidateMachines) {
     PriorityQueue<PreemptionChoice> result = new PriorityQueue<>(PreemptionChoice.CHEAPEST_FIRST);
-    for (PreemptibleMachine machine : among) {
+    for (PreemptibleMachine machine : candidateMachines) {
       if (machine.isAllowedFor(job) && !machine.machine().excludedJobs().contains(job.id())) {
         addChoice(result, machine, job);
       }
@@ -175,7 +177,8 @@
   }
 
   /** Removes and returns the cheapest choice that is still valid; empty if there is none. */
-  private Optional<PreemptionChoice> takeBest(PriorityQueue<PreemptionChoice> choices, Job job) {
+  private Optional<PreemptionChoice> pollBestChoice(
+      PriorityQueue<PreemptionChoice> choices, Job job) {
     while (!choices.isEmpty()) {
       PreemptionChoice best = choices.poll();
       // Earlier preemptions may have removed the excess over a guaranteed quota that the choice
@@ -260,7 +263,7 @@
    * be made. Without this preemption an urgent job would wait for long tasks of its own team. Does
    * nothing for jobs that require a single zone or a spread over zones.
    */
-  void preemptForQuota(Job job, int pending) {
+  void preemptForQuota(Job job, int pendingCount) {
     Team team = view.teams().get(job.team());
     if (team == null
         || job.requiresSingleZone()
@@ -272,21 +275,22 @@
     if (ownTasks.isEmpty()) {
       return;
     }
-    PriorityQueue<PreemptionChoice> choices = choices(job, machines);
-    for (int left = pending; left > 0; left--) {
-      Optional<PreemptionChoice> room = takeBest(choices, job);
-      if (room.isEmpty()) {
+    PriorityQueue<PreemptionChoice> choices = findChoices(job, machines);
+    for (int left = pendingCount; left > 0; left--) {
+      Optional<PreemptionChoice> choice = pollBestChoice(choices, job);
+      if (choice.isEmpty()) {
         return;
       }
-      Resources needed =
-          usage.of(job.team()).plus(job.perTask()).minus(room.get().usageOf(job.team()));
-      Optional<List<QuotaVictims.Victim>> found = ownTasks.take(team, needed, room.get().victims());
-      if (found.isEmpty()) {
+      Resources requiredUsage =
+          usage.of(job.team()).plus(job.perTask()).minus(choice.get().usageOf(job.team()));
+      Optional<List<QuotaVictims.Victim>> quotaVictims =
+          ownTasks.removeUntilWithinQuota(team, requiredUsage, choice.get().victims());
+      if (quotaVictims.isEmpty()) {
         return;
       }
-      found.get().forEach(victim -> preempt(victim.machine(), victim.candidate()));
-      makeRoom(room.get(), job);
-      addChoice(choices, room.get().machine(), job);
+      quotaVictims.get().forEach(victim -> preempt(victim.machine(), victim.candidate()));
+      makeRoom(choice.get(), job);
+      addChoice(choices, choice.get().machine(), job);
     }
   }
 
--- a/src/main/java/io/cherryspool/scheduler/QuotaVictims.java
+++ b/src/main/java/io/cherryspool/scheduler/QuotaVictims.java
@@ -45,7 +45,8 @@
    * @param excluded tasks that are preempted in any case
    * @return the removed tasks, or empty if the usage exceeds the quota even without all of them
    */
-  Optional<List<Victim>> take(Team team, Resources usage, Collection<Candidate> excluded) {
+  Optional<List<Victim>> removeUntilWithinQuota(
+      Team team, Resources usage, Collection<Candidate> excluded) {
     Resources remainingUsage = usage;
     List<Victim> result = new ArrayList<>();
     while (!team.isWithinQuota(remainingUsage) && !victims.isEmpty()) {
--- a/src/main/java/io/cherryspool/scheduler/ScaleOutPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/ScaleOutPlanner.java
@@ -61,7 +61,7 @@
     int left = fleet.placeOnProvisioning(job, tasks, Set.of());
     MachineSelector selector = demand.selectorOf(job);
     boolean isOverdue = isOverdue(job, selector);
-    double cpus = fleet.cpus(selector, demand);
+    double cpus = fleet.totalCpus(selector, demand);
     while (left > 0) {
       Optional<Offering> best = fleet.cheapestOffering(job, Set.of());
       if (best.isEmpty()
@@ -69,7 +69,7 @@
               && demand.demandFor(selector).requiredCpus(costWeight(best.get())) <= cpus)) {
         return;
       }
-      left = fleet.placeOnRequested(job, left, best.get());
+      left = fleet.requestAndPlace(job, left, best.get());
       cpus += best.get().type().capacity().cpus();
     }
   }
@@ -110,7 +110,7 @@
         if (best.isEmpty()) {
           break;
         }
-        left = fleet.placeOnRequested(job, left, best.get());
+        left = fleet.requestAndPlace(job, left, best.get());
       }
     }
   }
@@ -126,7 +126,7 @@
       Job job = group.job();
       MachineSelector selector = demand.selectorOf(job);
       if (fleet.cheapestOffering(job, Set.of()).isEmpty()
-          && demand.demandFor(selector).requiredCpus(1) > fleet.cpus(selector, demand)) {
+          && demand.demandFor(selector).requiredCpus(1) > fleet.totalCpus(selector, demand)) {
         for (MachineType type : view.catalog()) {
           if (job.allowsType(type)) {
             result.add(type);
@@ -179,7 +179,7 @@
     for (String zone : type.zones()) {
       Offering offering = new Offering(type, zone, true);
       if (fleet.isAvailable(offering)) {
-        fleet.request(offering, count);
+        fleet.addRequest(offering, count);
         return true;
       }
     }
--- a/src/main/java/io/cherryspool/scheduler/ScalingPlanner.java
+++ b/src/main/java/io/cherryspool/scheduler/ScalingPlanner.java
@@ -111,6 +111,6 @@
     new ScaleOutPlanner(view, demand, fleet).plan();
     ScaleInPlanner scaleIn = new ScaleInPlanner(view, demand, fleet);
     Set<String> draining = scaleIn.machinesToDrain();
-    return new Decision(fleet.requests(), scaleIn.machinesToDelete(draining), draining);
+    return new Decision(fleet.requestedCounts(), scaleIn.machinesToDelete(draining), draining);
   }
 }
--- a/src/main/java/io/cherryspool/scheduler/TaskAssigner.java
+++ b/src/main/java/io/cherryspool/scheduler/TaskAssigner.java
@@ -18,7 +18,7 @@
 final class TaskAssigner {
   private final BinPool bins;
   private final Map<String, Map<String, Integer>> tasksByZone = new HashMap<>();
-  private final List<UnsatisfiableDemand> unsatisfiable = new ArrayList<>();
+  private final List<UnsatisfiableDemand> unsatisfiableDemands = new ArrayList<>();
   private final List<RoundPlan.Assignment> assignments = new ArrayList<>();
   private int machinesExamined;
 
@@ -29,10 +29,10 @@
   /**
    * The result of assigning tasks of a job.
    *
-   * @param placed the number of assigned tasks, which are the first of the list
+   * @param placedCount the number of assigned tasks, which are the first of the list
    * @param unplacedCause why the other tasks were not assigned; meaningless if all were
    */
-  record Result(int placed, HoldCause unplacedCause) {}
+  record Result(int placedCount, HoldCause unplacedCause) {}
 
   /** A demand for which no machine has room in this round. */
   private record UnsatisfiableDemand(
@@ -70,19 +70,19 @@
     if (!job.requiresSingleZone() && !job.requiresZoneSpread()) {
       return assignInAnyZone(new BinFiller(job, tasks, null, usesLentQuota));
     }
-    Map<String, Integer> byZone =
+    Map<String, Integer> taskCountsByZone =
         tasksByZone.computeIfAbsent(job.id(), key -> new HashMap<>(jobView.ownedTasksByZone()));
-    BinFiller filler = new BinFiller(job, tasks, byZone, usesLentQuota);
+    BinFiller filler = new BinFiller(job, tasks, taskCountsByZone, usesLentQuota);
     if (!job.requiresSingleZone()) {
       filler.fill(bins.rank(job));
       return filler.result();
     }
-    Optional<String> zone = chooseZone(job, byZone, tasks.size());
+    Optional<String> zone = chooseZone(job, taskCountsByZone, tasks.size());
     if (zone.isEmpty()) {
       return new Result(0, causeWithoutRoom(job));
     }
     filler.fill(bins.rank(job, zone.get()));
-    filler.hasReachedZoneLimit = filler.placed < tasks.size() && bins.hasRoom(job);
+    filler.hasReachedZoneLimit = filler.placedCount < tasks.size() && bins.hasRoom(job);
     return filler.result();
   }
 
@@ -93,8 +93,8 @@
       return new Result(0, causeWithoutRoom(job));
     }
     filler.fill(bins.sharedRanking(job));
-    if (filler.placed < filler.tasks.size() && !filler.hasSkippedExcludedMachine) {
-      unsatisfiable.add(
+    if (filler.placedCount < filler.tasks.size() && !filler.hasSkippedExcludedMachine) {
+      unsatisfiableDemands.add(
           new UnsatisfiableDemand(
               job.perTask(), job.allowedTypes(), job.requiredZone(), job.allowsSpot()));
     }
@@ -102,7 +102,7 @@
   }
 
   private boolean isUnsatisfiable(Job job) {
-    for (UnsatisfiableDemand demand : unsatisfiable) {
+    for (UnsatisfiableDemand demand : unsatisfiableDemands) {
       if (demand.rulesOut(job)) {
         return true;
       }
@@ -118,8 +118,8 @@
    * Returns the zone in which tasks of the job already run, or else the zone with room for the most
    * of its tasks.
    */
-  private Optional<String> chooseZone(Job job, Map<String, Integer> byZone, int wanted) {
-    for (Map.Entry<String, Integer> entry : byZone.entrySet()) {
+  private Optional<String> chooseZone(Job job, Map<String, Integer> taskCountsByZone, int wanted) {
+    for (Map.Entry<String, Integer> entry : taskCountsByZone.entrySet()) {
       if (entry.getValue() > 0) {
         return Optional.of(entry.getKey());
       }
@@ -131,33 +131,37 @@
   private final class BinFiller {
     private final Job job;
     private final List<Integer> tasks;
-    private final Map<String, Integer> byZone;
+    private final Map<String, Integer> taskCountsByZone;
     private final boolean usesLentQuota;
-    private int placed;
+    private int placedCount;
     private boolean hasSkippedExcludedMachine;
     private boolean hasReachedZoneLimit;
 
     /**
      * Creates a filler that has placed no task.
      *
-     * @param byZone the number of the job's owned and placed tasks by zone, to which placed tasks
-     *     are added; null if the job does not restrict the zones of its tasks together
+     * @param taskCountsByZone the number of the job's owned and placed tasks by zone, to which
+     *     placed tasks are added; null if the job does not restrict the zones of its tasks together
      */
-    BinFiller(Job job, List<Integer> tasks, Map<String, Integer> byZone, boolean usesLentQuota) {
+    BinFiller(
+        Job job,
+        List<Integer> tasks,
+        Map<String, Integer> taskCountsByZone,
+        boolean usesLentQuota) {
       this.job = job;
       this.tasks = tasks;
-      this.byZone = byZone;
+      this.taskCountsByZone = taskCountsByZone;
       this.usesLentQuota = usesLentQuota;
     }
 
     Result result() {
       if (hasReachedZoneLimit) {
-        return new Result(placed, HoldCause.ZONE_CONSTRAINT);
+        return new Result(placedCount, HoldCause.ZONE_CONSTRAINT);
       }
       if (hasSkippedExcludedMachine) {
-        return new Result(placed, HoldCause.EXCLUDED_MACHINE);
+        return new Result(placedCount, HoldCause.EXCLUDED_MACHINE);
       }
-      return new Result(placed, causeWithoutRoom(job));
+      return new Result(placedCount, causeWithoutRoom(job));
     }
 
     /**
@@ -167,7 +171,7 @@
     void fill(List<Bin> ranking) {
       boolean hasFilledMachine = false;
       for (Iterator<Bin> iterator = ranking.iterator();
-          iterator.hasNext() && placed < tasks.size(); ) {
+          iterator.hasNext() && placedCount < tasks.size(); ) {
         Bin bin = iterator.next();
         machinesExamined++;
         if (bin.isReserved() || !job.perTask().fitsIn(bin.free())) {
@@ -186,9 +190,9 @@
     /** Places as many tasks on the machine as fit, and returns whether the machine is full then. */
     private boolean fill(Bin bin) {
       String zone = bin.machine().zone();
-      int wanted = tasks.size() - placed;
-      if (byZone != null) {
-        wanted = Math.min(wanted, job.maxTasksPerZone() - byZone.getOrDefault(zone, 0));
+      int wanted = tasks.size() - placedCount;
+      if (taskCountsByZone != null) {
+        wanted = Math.min(wanted, job.maxTasksPerZone() - taskCountsByZone.getOrDefault(zone, 0));
         hasReachedZoneLimit |= wanted <= 0;
       }
       int count = wanted <= 0 ? 0 : job.perTask().countFittingIn(bin.free(), wanted);
@@ -198,11 +202,11 @@
       for (int i = 0; i < count; i++) {
         assignments.add(
             new RoundPlan.Assignment(
-                job.id(), tasks.get(placed++), bin.machine().name(), usesLentQuota));
+                job.id(), tasks.get(placedCount++), bin.machine().name(), usesLentQuota));
       }
       bin.place(job, count);
-      if (byZone != null) {
-        byZone.merge(zone, count, Integer::sum);
+      if (taskCountsByZone != null) {
+        taskCountsByZone.merge(zone, count, Integer::sum);
       }
       return bin.isFull();
     }
