--- a/src/test/java/io/cherryspool/sim/driver/ControllerLogs.java
+++ b/src/test/java/io/cherryspool/sim/driver/ControllerLogs.java
@@ -20,11 +20,11 @@
    * Returns the time at which the text first appeared in any of the logs, counting only lines since
    * the given time; -1 if there is no such line.
    */
-  long firstAt(String text, long since) {
+  long timeOfFirst(String text, long since) {
     long first = -1;
     for (ControllerProcess controller : controllers) {
-      long at = controller.firstLogLineAt(text, since);
-      first = first < 0 || (at >= 0 && at < first) ? at : first;
+      long lineTime = controller.timeOfFirstLine(text, since);
+      first = first < 0 || (lineTime >= 0 && lineTime < first) ? lineTime : first;
     }
     return first;
   }
@@ -33,10 +33,10 @@
    * Returns the latest of the times at which the text first appeared in each log, counting only
    * lines since the given time; -1 if there is no such line.
    */
-  long lastAt(String text, long since) {
+  long timeOfLast(String text, long since) {
     long last = -1;
     for (ControllerProcess controller : controllers) {
-      last = Math.max(last, controller.firstLogLineAt(text, since));
+      last = Math.max(last, controller.timeOfFirstLine(text, since));
     }
     return last;
   }
--- a/src/test/java/io/cherryspool/sim/driver/CostDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostDriver.java
@@ -4,7 +4,7 @@
 import io.cherryspool.http.Request;
 import io.cherryspool.model.Job;
 import io.cherryspool.model.Outcome;
-import io.cherryspool.sim.driver.CostReport.Kind;
+import io.cherryspool.sim.driver.CostReport.WindowKind;
 import io.cherryspool.sim.fakes.FakeWorker;
 import io.cherryspool.sim.loopback.ControllerProcess;
 import io.cherryspool.sim.loopback.LoopbackCluster;
@@ -30,7 +30,7 @@
   private static final int CONTROLLERS = LoopbackNodes.ZONES.size();
   private static final LoopbackNodes.Limits LIMITS = new LoopbackNodes.Limits(400, 160, 2048, 0);
 
-  private static final Duration COLD_PHASE = Duration.ofSeconds(30);
+  private static final Duration BOOT_PHASE = Duration.ofSeconds(30);
   private static final Duration IDLE_PHASE = Duration.ofSeconds(8);
 
   /**
@@ -66,19 +66,19 @@
 
   private final boolean measuresMemory;
   private final LoopbackCluster cluster;
-  private final int machines;
+  private final int machineCount;
   private final List<ControllerProcess> controllers = new ArrayList<>();
   private final CostReport report = new CostReport();
   private final CostMeter meter;
-  private final LoadGenerator load;
+  private final LoadGenerator loadGenerator;
   private int jobCount;
 
-  private CostDriver(int machines, boolean measuresMemory) {
-    this.machines = machines;
+  private CostDriver(int machineCount, boolean measuresMemory) {
+    this.machineCount = machineCount;
     this.measuresMemory = measuresMemory;
-    this.cluster = new LoopbackCluster(77, CONTROLLERS, machines, LIMITS);
+    this.cluster = new LoopbackCluster(77, CONTROLLERS, machineCount, LIMITS);
     this.meter = new CostMeter(controllers, cluster.fleet(), report);
-    this.load = new LoadGenerator(cluster, meter, QUERIED_NODE, SETTLE_TIME);
+    this.loadGenerator = new LoadGenerator(cluster, meter, QUERIED_NODE, SETTLE_TIME);
   }
 
   /**
@@ -103,35 +103,37 @@
   }
 
   private void run() throws IOException, InterruptedException {
-    cluster.listen();
+    cluster.startServers();
     startControllers();
-    meter.measure("idle, no machines, first seconds", Kind.WHOLE, 0, this::idle);
-    meter.measure("workers begin to send heartbeats, 30 s", Kind.WHOLE, 0, this::bootWorkers);
-    measureArray(TASKS_PER_MACHINE * machines);
+    meter.measure("idle, no machines, first seconds", WindowKind.PER_SECOND, 0, this::pauseIdle);
+    meter.measure(
+        "workers begin to send heartbeats, 30 s", WindowKind.PER_SECOND, 0, this::bootWorkers);
+    measureArray(TASKS_PER_MACHINE * machineCount);
     meter.pause(LATE_WRITE_TIME);
     if (measuresMemory) {
       measureArrays();
       System.out.println(new MemoryReport(controllers));
     } else {
-      measureTime();
+      measureCpuTime();
       System.out.println(report);
     }
     System.out.println(
-        "\nLeases lost by workers during the run: " + cluster.fleet().expiredLeases());
+        "\nLeases lost by workers during the run: " + cluster.fleet().expiredLeaseCount());
     if (controllers.get(0).hasLostLeadership()) {
       System.out.println("The leader changed during the run, so the figures above are not valid.");
     }
   }
 
-  private void measureTime() throws InterruptedException {
-    meter.measure("idle, all machines send heartbeats", Kind.IDLE, 0, this::idle);
+  private void measureCpuTime() throws InterruptedException {
+    meter.measure("idle, all machines send heartbeats", WindowKind.IDLE, 0, this::pauseIdle);
     measureHeartbeats();
-    measureReading();
+    measurePollsAndProgressWrites();
     measureJobs();
     meter.pause(LATE_WRITE_TIME);
     measureArrays();
     meter.pause(LATE_WRITE_TIME);
-    meter.measure("idle, all machines send heartbeats, at the end", Kind.IDLE, 0, this::idle);
+    meter.measure(
+        "idle, all machines send heartbeats, at the end", WindowKind.IDLE, 0, this::pauseIdle);
   }
 
   private void startControllers() throws IOException, InterruptedException {
@@ -150,31 +152,33 @@
     }
   }
 
-  private void idle() throws InterruptedException {
+  private void pauseIdle() throws InterruptedException {
     meter.pause(IDLE_PHASE);
   }
 
   private void bootWorkers() throws InterruptedException {
     cluster.bootWorkers();
-    meter.pause(COLD_PHASE);
+    meter.pause(BOOT_PHASE);
   }
 
   private void measureHeartbeats() throws InterruptedException {
     meter.measure(
         "unchanged heartbeat",
-        Kind.UNCHANGED_HEARTBEATS,
+        WindowKind.UNCHANGED_HEARTBEATS,
         UNCHANGED_HEARTBEATS,
-        () -> load.runAtRate(UNCHANGED_HEARTBEATS, HEARTBEATS_PER_S, this::sendUnchanged));
+        () -> loadGenerator.runAtRate(UNCHANGED_HEARTBEATS, HEARTBEATS_PER_S, this::sendUnchanged));
     meter.measure(
         "changed heartbeat, beyond an unchanged one",
-        Kind.CHANGED_HEARTBEATS,
+        WindowKind.CHANGED_HEARTBEATS,
         CHANGED_HEARTBEATS,
-        () -> load.runAtRate(CHANGED_HEARTBEATS, CHANGED_HEARTBEATS_PER_S, this::sendChanged));
+        () ->
+            loadGenerator.runAtRate(
+                CHANGED_HEARTBEATS, CHANGED_HEARTBEATS_PER_S, this::sendChanged));
     meter.measure(
         "heartbeat redirected by " + QUERIED_NODE,
-        Kind.EVENTS,
+        WindowKind.PER_EVENT,
         REDIRECTS,
-        () -> load.runAtRate(REDIRECTS, REQUESTS_PER_S, this::sendToFollower));
+        () -> loadGenerator.runAtRate(REDIRECTS, REQUESTS_PER_S, this::sendToFollower));
   }
 
   private CompletableFuture<Reply> sendUnchanged(int number) {
@@ -184,7 +188,7 @@
 
   private CompletableFuture<Reply> sendChanged(int number) {
     FakeWorker worker = cluster.fleet().worker(number);
-    worker.pretendCheckpointing(number / machines % 2 == 0);
+    worker.pretendCheckpointing(number / machineCount % 2 == 0);
     worker.sendHeartbeatNow();
     return null;
   }
@@ -194,42 +198,48 @@
     return cluster.send(QUERIED_NODE, Request.post("/v1/report", heartbeat));
   }
 
-  private void measureReading() throws InterruptedException {
-    int known = jobCount;
+  private void measurePollsAndProgressWrites() throws InterruptedException {
+    int lastJobNumber = jobCount;
     meter.measure(
         "poll of " + QUERIED_NODE,
-        Kind.EVENTS,
+        WindowKind.PER_EVENT,
         POLLS,
-        () -> load.runAtRate(POLLS, REQUESTS_PER_S, i -> load.poll(known)));
+        () ->
+            loadGenerator.runAtRate(POLLS, REQUESTS_PER_S, i -> loadGenerator.poll(lastJobNumber)));
     int number = ++jobCount;
     String id = LoadGenerator.jobId(number);
     Job unplaceable = LoadGenerator.job(id, RECORD_CHANGES + 1, List.of("none"));
-    load.write(Records.jobKey(id), Records.encodeJob(unplaceable, RECORD_CHANGES + 1));
+    loadGenerator.writeRecord(
+        Records.jobKey(id), Records.encodeJob(unplaceable, RECORD_CHANGES + 1));
     meter.pause(SETTLE_TIME);
     meter.measure(
         "progress record changed",
-        Kind.EVENTS,
+        WindowKind.PER_EVENT,
         RECORD_CHANGES,
         () ->
-            load.runAtRate(
-                RECORD_CHANGES, RECORD_CHANGES_PER_S, i -> load.writeProgress(number, i)));
-    load.write(Records.outcomeKey(id), Records.encodeOutcome(Outcome.CANCELLED));
+            loadGenerator.runAtRate(
+                RECORD_CHANGES, RECORD_CHANGES_PER_S, i -> loadGenerator.writeProgress(number, i)));
+    loadGenerator.writeRecord(Records.outcomeKey(id), Records.encodeOutcome(Outcome.CANCELLED));
     meter.pause(SETTLE_TIME);
   }
 
   private void measureJobs() throws InterruptedException {
-    int first = jobCount + 1;
+    int firstJobNumber = jobCount + 1;
     jobCount += JOBS;
     meter.measure(
         "job of one task submitted to " + QUERIED_NODE + ", and started",
-        Kind.EVENTS,
+        WindowKind.PER_EVENT,
         JOBS,
-        () -> load.runAtRate(JOBS, JOBS_PER_S, i -> load.submit(first + i, 1)));
+        () ->
+            loadGenerator.runAtRate(
+                JOBS, JOBS_PER_S, i -> loadGenerator.submit(firstJobNumber + i, 1)));
     meter.measure(
         "job cancelled at " + QUERIED_NODE + ", and its task stopped",
-        Kind.EVENTS,
+        WindowKind.PER_EVENT,
         JOBS,
-        () -> load.runAtRate(JOBS, JOBS_PER_S, i -> load.cancel(first + i)));
+        () ->
+            loadGenerator.runAtRate(
+                JOBS, JOBS_PER_S, i -> loadGenerator.cancel(firstJobNumber + i)));
   }
 
   /**
@@ -241,7 +251,7 @@
       measureArray(ARRAY_SIZES[i]);
       int number = jobCount;
       if (i < ARRAY_SIZES.length - 1) {
-        cluster.loop().execute(() -> load.cancel(number));
+        cluster.loop().execute(() -> loadGenerator.cancel(number));
         meter.pause(LATE_WRITE_TIME);
       }
     }
@@ -249,26 +259,29 @@
 
   private void measureArray(int tasks) throws InterruptedException {
     meter.measure(
-        "array of " + tasks + " tasks starts", Kind.EVENTS, tasks, () -> startArray(tasks));
+        "array of " + tasks + " tasks starts",
+        WindowKind.PER_EVENT,
+        tasks,
+        () -> startArray(tasks));
   }
 
   /** Submits an array and waits until all its tasks have started. */
   private void startArray(int tasks) throws InterruptedException {
-    int before = cluster.fleet().startedTaskCount();
+    int startedBefore = cluster.fleet().startedTaskCount();
     int number = ++jobCount;
-    cluster.loop().execute(() -> load.submit(number, tasks));
+    cluster.loop().execute(() -> loadGenerator.submit(number, tasks));
     long end = System.nanoTime() + PLACING_TIMEOUT.toNanos();
-    while (startedSince(before) < tasks && System.nanoTime() < end) {
+    while (startedSince(startedBefore) < tasks && System.nanoTime() < end) {
       meter.pause(PLACING_CHECK_INTERVAL);
     }
     meter.pause(SETTLE_TIME);
-    int missing = tasks - startedSince(before);
+    int missing = tasks - startedSince(startedBefore);
     if (missing > 0) {
       System.out.println(missing + " of " + tasks + " tasks were not started in time");
     }
   }
 
-  private int startedSince(int before) {
-    return cluster.fleet().startedTaskCount() - before;
+  private int startedSince(int startedBefore) {
+    return cluster.fleet().startedTaskCount() - startedBefore;
   }
 }
--- a/src/test/java/io/cherryspool/sim/driver/CostMeter.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostMeter.java
@@ -17,7 +17,7 @@
 
   /** The work of a phase. */
   @FunctionalInterface
-  interface Step {
+  interface Phase {
     void run() throws InterruptedException;
   }
 
@@ -33,19 +33,21 @@
   }
 
   /** Runs a step with the given number of events, and adds its costs to the report. */
-  void measure(String name, CostReport.Kind kind, int events, Step step)
+  void measure(String name, CostReport.WindowKind kind, int events, Phase phase)
       throws InterruptedException {
     System.err.println("measuring: " + name);
-    List<ThreadCpuTimes> before = cpuTimes();
-    long heartbeats = fleet.heartbeatCount();
+    List<ThreadCpuTimes> cpuTimesBefore = cpuTimes();
+    long heartbeatsBefore = fleet.heartbeatCount();
     long start = System.nanoTime();
-    step.run();
+    phase.run();
     double seconds = (System.nanoTime() - start) / 1e9;
-    List<ThreadCpuTimes> after = cpuTimes();
-    List<ThreadCpuTimes> used =
-        IntStream.range(0, after.size()).mapToObj(i -> after.get(i).minus(before.get(i))).toList();
-    long sent = fleet.heartbeatCount() - heartbeats;
-    report.add(new CostReport.Window(name, kind, events, seconds, sent, used));
+    List<ThreadCpuTimes> cpuTimesAfter = cpuTimes();
+    List<ThreadCpuTimes> cpuTimesUsed =
+        IntStream.range(0, cpuTimesAfter.size())
+            .mapToObj(i -> cpuTimesAfter.get(i).minus(cpuTimesBefore.get(i)))
+            .toList();
+    long heartbeatsSent = fleet.heartbeatCount() - heartbeatsBefore;
+    report.add(new CostReport.Window(name, kind, events, seconds, heartbeatsSent, cpuTimesUsed));
   }
 
   /** Waits, and samples the processor time meanwhile, so that the time of ended threads counts. */
--- a/src/test/java/io/cherryspool/sim/driver/CostReport.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostReport.java
@@ -18,15 +18,15 @@
           "start, processor ms", "event loop", "compiler", "main", "VM and others", "all", "wall");
 
   /** How the report evaluates a window. */
-  enum Kind {
+  enum WindowKind {
     /**
      * Only periodic work happened. Its costs are subtracted when the costs per event are computed.
      */
     IDLE,
     /** The costs are reported per second, including those of periodic work. */
-    WHOLE,
+    PER_SECOND,
     /** A known number of events happened, and the costs are reported per event. */
-    EVENTS,
+    PER_EVENT,
     /** Workers sent heartbeats before they were due, without changes. */
     UNCHANGED_HEARTBEATS,
     /** Workers sent heartbeats before they were due, each with a change. */
@@ -36,7 +36,7 @@
   /** What happened in a window of time, and the processor time that each node used in it. */
   record Window(
       String name,
-      Kind kind,
+      WindowKind kind,
       int events,
       double seconds,
       long heartbeats,
@@ -48,14 +48,14 @@
 
   /** Adds a milestone in the start of a controller. */
   void addMilestone(String name, ControllerProcess.Milestone milestone) {
-    ThreadCpuTimes used = milestone.cpuTimes();
+    ThreadCpuTimes cpuTimes = milestone.cpuTimes();
     startTable.addRow(
         name,
-        used.millis(ThreadCpuTimes.Group.LOOP),
-        used.millis(ThreadCpuTimes.Group.COMPILER),
-        used.millis(ThreadCpuTimes.Group.MAIN),
-        used.millis(ThreadCpuTimes.Group.OTHER),
-        used.millis(),
+        cpuTimes.millis(ThreadCpuTimes.Group.LOOP),
+        cpuTimes.millis(ThreadCpuTimes.Group.COMPILER),
+        cpuTimes.millis(ThreadCpuTimes.Group.MAIN),
+        cpuTimes.millis(ThreadCpuTimes.Group.OTHER),
+        cpuTimes.millis(),
         milestone.wallMillis());
   }
 
@@ -77,7 +77,7 @@
             "follower asked",
             "other follower");
     for (Window window : windows) {
-      if (window.kind == Kind.IDLE || window.kind == Kind.WHOLE) {
+      if (window.kind == WindowKind.IDLE || window.kind == WindowKind.PER_SECOND) {
         ThreadCpuTimes leader = window.cpuTimes.get(LEADER);
         table.addRow(
             window.name,
@@ -107,14 +107,15 @@
             "follower asked",
             "other follower");
     for (Window window : windows) {
-      if (window.kind != Kind.IDLE && window.kind != Kind.WHOLE) {
+      if (window.kind != WindowKind.IDLE && window.kind != WindowKind.PER_SECOND) {
         table.addRow(
             window.name,
             events(window),
             heartbeatsBeyondIdle(window) / events(window),
-            costPerEvent(window, LEADER, used -> used.millis(ThreadCpuTimes.Group.LOOP)),
-            costPerEvent(window, LEADER, used -> used.millis(ThreadCpuTimes.Group.COMPILER)),
-            costPerEvent(window, LEADER, used -> used.millis(ThreadCpuTimes.Group.OTHER)),
+            costPerEvent(window, LEADER, cpuTimes -> cpuTimes.millis(ThreadCpuTimes.Group.LOOP)),
+            costPerEvent(
+                window, LEADER, cpuTimes -> cpuTimes.millis(ThreadCpuTimes.Group.COMPILER)),
+            costPerEvent(window, LEADER, cpuTimes -> cpuTimes.millis(ThreadCpuTimes.Group.OTHER)),
             costPerEvent(window, LEADER, ThreadCpuTimes::millis),
             costPerEvent(window, QUERIED, ThreadCpuTimes::millis),
             costPerEvent(window, OTHER_FOLLOWER, ThreadCpuTimes::millis));
@@ -129,21 +130,23 @@
    * heartbeat early sends its next periodic one later.
    */
   private double events(Window window) {
-    return window.kind == Kind.UNCHANGED_HEARTBEATS ? heartbeatsBeyondIdle(window) : window.events;
+    return window.kind == WindowKind.UNCHANGED_HEARTBEATS
+        ? heartbeatsBeyondIdle(window)
+        : window.events;
   }
 
-  private double costPerEvent(Window window, int node, ToDoubleFunction<ThreadCpuTimes> part) {
-    double cost = costBeyondIdle(window, node, part);
-    if (window.kind == Kind.CHANGED_HEARTBEATS) {
-      cost -= heartbeatsBeyondIdle(window) * costPerUnchangedHeartbeat(node, part);
+  private double costPerEvent(Window window, int node, ToDoubleFunction<ThreadCpuTimes> toMillis) {
+    double cost = costBeyondIdle(window, node, toMillis);
+    if (window.kind == WindowKind.CHANGED_HEARTBEATS) {
+      cost -= heartbeatsBeyondIdle(window) * costPerUnchangedHeartbeat(node, toMillis);
     }
     return cost / events(window);
   }
 
-  private double costPerUnchangedHeartbeat(int node, ToDoubleFunction<ThreadCpuTimes> part) {
+  private double costPerUnchangedHeartbeat(int node, ToDoubleFunction<ThreadCpuTimes> toMillis) {
     return windows.stream()
-        .filter(window -> window.kind == Kind.UNCHANGED_HEARTBEATS)
-        .mapToDouble(window -> costPerEvent(window, node, part))
+        .filter(window -> window.kind == WindowKind.UNCHANGED_HEARTBEATS)
+        .mapToDouble(window -> costPerEvent(window, node, toMillis))
         .average()
         .orElseThrow();
   }
@@ -152,15 +155,16 @@
     return window.heartbeats - idleRate(Window::heartbeats) * window.seconds;
   }
 
-  private double costBeyondIdle(Window window, int node, ToDoubleFunction<ThreadCpuTimes> part) {
-    double usual = idleRate(item -> part.applyAsDouble(item.cpuTimes.get(node)));
-    return part.applyAsDouble(window.cpuTimes.get(node)) - usual * window.seconds;
+  private double costBeyondIdle(
+      Window window, int node, ToDoubleFunction<ThreadCpuTimes> toMillis) {
+    double idleCostPerSecond = idleRate(item -> toMillis.applyAsDouble(item.cpuTimes.get(node)));
+    return toMillis.applyAsDouble(window.cpuTimes.get(node)) - idleCostPerSecond * window.seconds;
   }
 
   /** Returns the average of a figure per second over the idle windows. */
   private double idleRate(ToDoubleFunction<Window> figure) {
     return windows.stream()
-        .filter(window -> window.kind == Kind.IDLE)
+        .filter(window -> window.kind == WindowKind.IDLE)
         .mapToDouble(window -> figure.applyAsDouble(window) / window.seconds)
         .average()
         .orElseThrow();
--- a/src/test/java/io/cherryspool/sim/driver/HeapMeter.java
+++ b/src/test/java/io/cherryspool/sim/driver/HeapMeter.java
@@ -10,23 +10,24 @@
  * machine.
  */
 public final class HeapMeter {
-  private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-  private static final MemoryMXBean MEMORY = ManagementFactory.getMemoryMXBean();
+  private static final ThreadMXBean THREAD_BEAN =
+      (ThreadMXBean) ManagementFactory.getThreadMXBean();
+  private static final MemoryMXBean MEMORY_BEAN = ManagementFactory.getMemoryMXBean();
 
   /**
    * The number of garbage collections before each measurement. Some objects only become collectable
    * in one collection, and are freed by a later one.
    */
-  private static final int COLLECTIONS = 3;
+  private static final int COLLECTIONS_PER_MEASUREMENT = 3;
 
   private HeapMeter() {}
 
   /** Returns the bytes that the task allocates. The task must run completely on this thread. */
   public static long allocatedBytes(Runnable task) {
     long thread = Thread.currentThread().getId();
-    long before = THREADS.getThreadAllocatedBytes(thread);
+    long before = THREAD_BEAN.getThreadAllocatedBytes(thread);
     task.run();
-    return THREADS.getThreadAllocatedBytes(thread) - before;
+    return THREAD_BEAN.getThreadAllocatedBytes(thread) - before;
   }
 
   /** Returns the bytes by which the heap grows while the created object is reachable. */
@@ -41,9 +42,9 @@
   }
 
   private static long usedHeapBytes() {
-    for (int i = 0; i < COLLECTIONS; i++) {
-      MEMORY.gc();
+    for (int i = 0; i < COLLECTIONS_PER_MEASUREMENT; i++) {
+      MEMORY_BEAN.gc();
     }
-    return MEMORY.getHeapMemoryUsage().getUsed();
+    return MEMORY_BEAN.getHeapMemoryUsage().getUsed();
   }
 }
--- a/src/test/java/io/cherryspool/sim/driver/LoadGenerator.java
+++ b/src/test/java/io/cherryspool/sim/driver/LoadGenerator.java
@@ -99,7 +99,7 @@
   }
 
   /** Writes a record and waits for the reply. */
-  void write(String key, JsonNode value) {
+  void writeRecord(String key, JsonNode value) {
     EventLoopCalls.await(cluster.commit(new StateStoreProtocol.Change(key, value, 0)));
   }
 
@@ -112,10 +112,10 @@
   void runAtRate(int count, double perSecond, IntFunction<CompletableFuture<Reply>> action)
       throws InterruptedException {
     List<CompletableFuture<Reply>> answers = new ArrayList<>();
-    CompletableFuture<Boolean> sent = new CompletableFuture<>();
+    CompletableFuture<Boolean> areAllSent = new CompletableFuture<>();
     for (int i = 0; i < count; i++) {
       int number = i;
-      Duration at = Duration.ofNanos((long) (1e9 * i / perSecond));
+      Duration delay = Duration.ofNanos((long) (1e9 * i / perSecond));
       Runnable event =
           () -> {
             CompletableFuture<Reply> answer = action.apply(number);
@@ -123,13 +123,13 @@
               answers.add(answer);
             }
             if (number == count - 1) {
-              sent.complete(true);
+              areAllSent.complete(true);
             }
           };
-      cluster.loop().schedule(at, event);
+      cluster.loop().schedule(delay, event);
     }
     meter.pause(Duration.ofNanos((long) (1e9 * count / perSecond)));
-    EventLoopCalls.await(sent);
+    EventLoopCalls.await(areAllSent);
     long failed =
         answers.stream().filter(answer -> EventLoopCalls.await(answer).status() >= 500).count();
     if (failed > 0) {
--- a/src/test/java/io/cherryspool/sim/driver/MemoryReport.java
+++ b/src/test/java/io/cherryspool/sim/driver/MemoryReport.java
@@ -45,7 +45,7 @@
       table.addRow(field + ", MiB", figures);
     }
     addNativeMemory();
-    addCollections();
+    addGarbageCollections();
   }
 
   private void addNativeMemory() throws IOException, InterruptedException {
@@ -66,7 +66,7 @@
     return matcher.find() ? Long.parseLong(matcher.group(1)) / 1024.0 : Double.NaN;
   }
 
-  private void addCollections() throws IOException, InterruptedException {
+  private void addGarbageCollections() throws IOException, InterruptedException {
     List<String> texts = new ArrayList<>();
     for (ControllerProcess controller : controllers) {
       texts.add(runTool("jstat", "-gc", String.valueOf(controller.pid())));
--- a/src/test/java/io/cherryspool/sim/driver/RecoveryDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/RecoveryDriver.java
@@ -42,13 +42,13 @@
   private static final Duration TIMEOUT = Duration.ofSeconds(90);
 
   private final LoopbackCluster cluster;
-  private final int tasks;
+  private final int taskCount;
   private final int endedJobCount;
   private final boolean killsLeader;
   private final List<ControllerProcess> controllers = new ArrayList<>();
 
-  private RecoveryDriver(int machines, int tasks, int endedJobCount, boolean killsLeader) {
-    this.tasks = tasks;
+  private RecoveryDriver(int machines, int taskCount, int endedJobCount, boolean killsLeader) {
+    this.taskCount = taskCount;
     this.endedJobCount = endedJobCount;
     this.killsLeader = killsLeader;
     this.cluster = new LoopbackCluster(SUBNET, CONTROLLERS, machines, LIMITS);
@@ -70,10 +70,10 @@
             Integer.parseInt(args[1]),
             Integer.parseInt(args[2]),
             killsLeader);
-    int status = 1;
+    int exitCode = 1;
     try {
       driver.run();
-      status = 0;
+      exitCode = 0;
     } catch (IOException | RuntimeException e) {
       System.err.println("the run failed and gives no valid figures: " + e);
     } finally {
@@ -81,23 +81,23 @@
         controller.kill();
       }
       // Otherwise the event loops of the fakes would keep the process alive, even after a failure.
-      System.exit(status);
+      System.exit(exitCode);
     }
   }
 
   private void run() throws IOException, InterruptedException {
-    cluster.listen();
+    cluster.startServers();
     startControllers();
     for (int i = 0; i < endedJobCount; i++) {
       writeEndedJob(String.format("req-%06d", 100_000 + i));
     }
     cluster.bootWorkers();
     Thread.sleep(SETTLE_TIME.toMillis());
-    submit();
-    awaitAllStarted();
+    submitArray();
+    awaitAllTasksStarted();
     Thread.sleep(SETTLE_TIME.toMillis());
     RecoveryMeasurement measurement =
-        new RecoveryMeasurement(cluster, controllers, status().path("snapshot"));
+        new RecoveryMeasurement(cluster, controllers, recoveryStatus().path("snapshot"));
     measurement.run(killsLeader);
     measurement.print(endedJobCount);
   }
@@ -120,9 +120,9 @@
   /** Deletes the snapshots of earlier runs, from which nodes would rebuild another cluster. */
   private static void deleteSnapshots() throws IOException {
     try (Stream<Path> files = Files.walk(WORK_DIRECTORY)) {
-      List<Path> old =
+      List<Path> snapshotFiles =
           files.filter(file -> file.toString().endsWith(DirectorySnapshotStore.SUFFIX)).toList();
-      for (Path file : old) {
+      for (Path file : snapshotFiles) {
         Files.delete(file);
       }
     }
@@ -131,7 +131,7 @@
   private void awaitLeader() throws InterruptedException {
     ControllerLogs logs = new ControllerLogs(controllers);
     long end = System.nanoTime() + TIMEOUT.toNanos();
-    while (logs.firstAt(RecoveryMeasurement.LEADING, 0) < 0) {
+    while (logs.timeOfFirst(RecoveryMeasurement.LEADING_TEXT, 0) < 0) {
       if (System.nanoTime() > end) {
         throw new IllegalStateException("no controller became leader within " + TIMEOUT);
       }
@@ -144,19 +144,19 @@
   }
 
   private void writeEndedJob(String id) {
-    CompletableFuture<Reply> put =
+    CompletableFuture<Reply> jobWritten =
         cluster.commit(
             new StateStoreProtocol.Change(
                 Records.jobKey(id), Records.encodeJob(job(id, 1), TASKS_PER_SHARD), 0));
-    EventLoopCalls.await(put);
+    EventLoopCalls.await(jobWritten);
     EventLoopCalls.await(
         cluster.commit(
             new StateStoreProtocol.Change(
                 Records.outcomeKey(id), Records.encodeOutcome(Outcome.DONE), 0)));
   }
 
-  private void submit() {
-    Job array = job("req-000001", tasks);
+  private void submitArray() {
+    Job array = job("req-000001", taskCount);
     Request request = Request.post("/api/jobs", Json.toBytes(UserProtocol.encodeJob(array)));
     Reply reply =
         send(
@@ -177,17 +177,17 @@
   }
 
   /** Waits until no task has been started for a while. */
-  private void awaitAllStarted() throws InterruptedException {
-    int before = -1;
+  private void awaitAllTasksStarted() throws InterruptedException {
+    int startedBefore = -1;
     for (int i = 0;
-        i < TIMEOUT.toSeconds() / 5 && cluster.fleet().startedTaskCount() != before;
+        i < TIMEOUT.toSeconds() / 5 && cluster.fleet().startedTaskCount() != startedBefore;
         i++) {
-      before = cluster.fleet().startedTaskCount();
+      startedBefore = cluster.fleet().startedTaskCount();
       Thread.sleep(5000);
     }
   }
 
-  private JsonNode status() {
+  private JsonNode recoveryStatus() {
     Reply reply = send(LoopbackNodes.name(1), () -> Request.get("/recovery/status"));
     try {
       return Json.parseObject(reply.body());
--- a/src/test/java/io/cherryspool/sim/driver/RecoveryMeasurement.java
+++ b/src/test/java/io/cherryspool/sim/driver/RecoveryMeasurement.java
@@ -14,11 +14,11 @@
 /** Measures one loss of the state store's data and the recovery until tasks are placed again. */
 final class RecoveryMeasurement {
   /** Parts of log lines of the controllers. */
-  static final String LEADING = "; rebuilding ownership";
+  static final String LEADING_TEXT = "; rebuilding ownership";
 
-  private static final String LOSS_NOTICED = "has lost data";
-  private static final String REBUILT = "is whole";
-  private static final String SERVING = "serving incarnation";
+  private static final String LOSS_NOTICED_TEXT = "has lost data";
+  private static final String REBUILT_TEXT = "is whole";
+  private static final String SERVING_TEXT = "serving incarnation";
 
   private static final Duration TIMEOUT = Duration.ofSeconds(90);
   private static final Duration SAMPLE_INTERVAL = Duration.ofMillis(50);
@@ -29,14 +29,14 @@
   private final List<ControllerProcess> controllers;
   private final ControllerLogs logs;
   private final JsonNode snapshotStatus;
-  private final double memoryBefore;
+  private final double peakMemoryBeforeMib;
   private final FleetFaults faultsBefore;
   private final int runningBefore;
   private final int startedBefore;
   private final StateStoreLoad loadBefore;
   private final List<StateStoreLoad> samples = new ArrayList<>();
-  private long lostAt;
-  private long firstStartAt = -1;
+  private long lostAtNanos;
+  private long firstStartAtNanos = -1;
 
   /**
    * The numbers of expired leases, tasks started twice and tasks ended late since the start of a
@@ -45,7 +45,9 @@
   private record FleetFaults(long expiredLeases, int startedTwice, int endedLate) {
     static FleetFaults of(LoopbackFleet fleet) {
       return new FleetFaults(
-          fleet.expiredLeases(), fleet.tasksStartedTwice().size(), fleet.tasksEndedLate().size());
+          fleet.expiredLeaseCount(),
+          fleet.tasksStartedTwice().size(),
+          fleet.tasksEndedLate().size());
     }
   }
 
@@ -64,7 +66,7 @@
     this.logs = new ControllerLogs(controllers);
     this.snapshotStatus = snapshotStatus;
     this.runningBefore = fleet.runningTaskCount();
-    this.memoryBefore = peakMemoryMib();
+    this.peakMemoryBeforeMib = peakMemoryMib();
     this.faultsBefore = FleetFaults.of(fleet);
     this.loadBefore = cluster.stateStoreLoad();
     this.startedBefore = fleet.startedTaskCount();
@@ -73,7 +75,7 @@
   /** Returns the process whose log shows that it leads. Valid only before any change of leader. */
   private ControllerProcess leader() {
     return controllers.stream()
-        .filter(controller -> controller.firstLogLineAt(LEADING, 0) >= 0)
+        .filter(controller -> controller.timeOfFirstLine(LEADING_TEXT, 0) >= 0)
         .findFirst()
         .orElseThrow();
   }
@@ -84,20 +86,20 @@
    */
   void run(boolean killsLeader) throws InterruptedException {
     ControllerProcess leader = leader();
-    lostAt = System.nanoTime();
+    lostAtNanos = System.nanoTime();
     cluster.loseStateStoreData();
     if (killsLeader) {
       leader.kill();
       controllers.remove(leader);
     }
-    long end = lostAt + TIMEOUT.toNanos();
-    while (System.nanoTime() < end && (!hasNewLeader() || firstStartAt < 0)) {
+    long end = lostAtNanos + TIMEOUT.toNanos();
+    while (System.nanoTime() < end && (!hasNewLeader() || firstStartAtNanos < 0)) {
       Thread.sleep(SAMPLE_INTERVAL.toMillis());
       samples.add(cluster.stateStoreLoad());
-      if (firstStartAt < 0 && fleet.startedTaskCount() > startedBefore) {
-        firstStartAt = System.nanoTime();
+      if (firstStartAtNanos < 0 && fleet.startedTaskCount() > startedBefore) {
+        firstStartAtNanos = System.nanoTime();
       }
-      if (hasNewLeader() && firstStartAt < 0) {
+      if (hasNewLeader() && firstStartAtNanos < 0) {
         // Makes room, so that the new leader can start another task.
         fleet.completeTasks(1);
       }
@@ -105,7 +107,7 @@
   }
 
   private boolean hasNewLeader() {
-    return logs.firstAt(LEADING, lostAt) >= 0;
+    return logs.timeOfFirst(LEADING_TEXT, lostAtNanos) >= 0;
   }
 
   /** Prints the figures as rows of a Markdown table. */
@@ -115,21 +117,22 @@
         "machines, running tasks, ended jobs", cluster.machineCount(), runningBefore, endedJobs);
     printRow(
         "noticed by the first and the last node, ms",
-        millis(logs.firstAt(LOSS_NOTICED, lostAt)),
-        millis(logs.lastAt(LOSS_NOTICED, lostAt)));
-    printRow("rebuilt, ms", millis(logs.firstAt(REBUILT, lostAt)));
-    printRow("served again, ms", millis(logs.firstAt(SERVING, lostAt)));
-    printRow("led again, ms", millis(logs.firstAt(LEADING, lostAt)));
-    printRow("first task started, ms", millis(firstStartAt));
+        millisSinceLoss(logs.timeOfFirst(LOSS_NOTICED_TEXT, lostAtNanos)),
+        millisSinceLoss(logs.timeOfLast(LOSS_NOTICED_TEXT, lostAtNanos)));
+    printRow("rebuilt, ms", millisSinceLoss(logs.timeOfFirst(REBUILT_TEXT, lostAtNanos)));
+    printRow("served again, ms", millisSinceLoss(logs.timeOfFirst(SERVING_TEXT, lostAtNanos)));
+    printRow("led again, ms", millisSinceLoss(logs.timeOfFirst(LEADING_TEXT, lostAtNanos)));
+    printRow("first task started, ms", millisSinceLoss(firstStartAtNanos));
     printRow(
         "requests, changes meanwhile",
         load.requests() - loadBefore.requests(),
         load.changes() - loadBefore.changes());
     printRow(
         "most requests, changes in a second",
-        mostInASecond(StateStoreLoad::requests),
-        mostInASecond(StateStoreLoad::changes));
-    printRow("most memory of a controller before, after, MiB", memoryBefore, peakMemoryMib());
+        maxPerSecond(StateStoreLoad::requests),
+        maxPerSecond(StateStoreLoad::changes));
+    printRow(
+        "most memory of a controller before, after, MiB", peakMemoryBeforeMib, peakMemoryMib());
     printRow(
         "snapshot: bytes, ms",
         snapshotStatus.path("bytes").asDouble(),
@@ -147,25 +150,25 @@
         faults.endedLate - faultsBefore.endedLate);
   }
 
-  private double millis(long at) {
-    return at < 0 ? Double.NaN : (at - lostAt) / 1e6;
+  private double millisSinceLoss(long atNanos) {
+    return atNanos < 0 ? Double.NaN : (atNanos - lostAtNanos) / 1e6;
   }
 
-  private double mostInASecond(ToLongFunction<StateStoreLoad> count) {
-    long most = 0;
+  private double maxPerSecond(ToLongFunction<StateStoreLoad> count) {
+    long max = 0;
     for (int i = SAMPLES_PER_S; i < samples.size(); i++) {
       long earlier = count.applyAsLong(samples.get(i - SAMPLES_PER_S));
-      most = Math.max(most, count.applyAsLong(samples.get(i)) - earlier);
+      max = Math.max(max, count.applyAsLong(samples.get(i)) - earlier);
     }
-    return most;
+    return max;
   }
 
   private double peakMemoryMib() throws IOException {
-    double most = 0;
+    double max = 0;
     for (ControllerProcess controller : controllers) {
-      most = Math.max(most, controller.statusMib("VmHWM"));
+      max = Math.max(max, controller.statusMib("VmHWM"));
     }
-    return most;
+    return max;
   }
 
   private static void printRow(String name, double... figures) {
--- a/src/test/java/io/cherryspool/sim/driver/WaitingJobsDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/WaitingJobsDriver.java
@@ -39,27 +39,28 @@
   private WaitingJobsDriver() {}
 
   public static void main(String[] args) {
-    long first = Long.parseLong(args[1]);
-    long last = Long.parseLong(args[2]);
+    long firstSeed = Long.parseLong(args[1]);
+    long lastSeed = Long.parseLong(args[2]);
     Map<Long, String> violations = new ConcurrentSkipListMap<>();
-    LongStream.rangeClosed(first, last)
+    LongStream.rangeClosed(firstSeed, lastSeed)
         .parallel()
         .forEach(
             seed -> {
               RandomizedRun run = newRun(args[0], seed);
               try {
-                play(args[0], run);
+                runFor(args[0], run);
               } catch (AssertionError violation) {
                 violations.put(seed, violation.getMessage() + describeJob(run, violation));
               }
             });
-    Map<String, Integer> counts = new TreeMap<>();
+    Map<String, Integer> violationCounts = new TreeMap<>();
     violations.forEach(
         (seed, message) -> {
           System.out.println("seed " + seed + ": " + message);
-          counts.merge(message.substring(0, message.indexOf(':')), 1, Integer::sum);
+          violationCounts.merge(message.substring(0, message.indexOf(':')), 1, Integer::sum);
         });
-    System.out.println(args[0] + ", seeds " + first + " to " + last + ": " + counts);
+    System.out.println(
+        args[0] + ", seeds " + firstSeed + " to " + lastSeed + ": " + violationCounts);
   }
 
   private static RandomizedRun newRun(String kind, long seed) {
@@ -71,7 +72,7 @@
     };
   }
 
-  private static void play(String kind, RandomizedRun run) {
+  private static void runFor(String kind, RandomizedRun run) {
     switch (kind) {
       case "faults" -> run.run(FAULTS_S, FAULTS_QUIET_S);
       case "verdicts" -> run.run(VERDICTS_S, VERDICTS_QUIET_S);
--- a/src/test/java/io/cherryspool/sim/loopback/ControllerProcess.java
+++ b/src/test/java/io/cherryspool/sim/loopback/ControllerProcess.java
@@ -87,7 +87,7 @@
    * Returns the {@link System#nanoTime} at which the text first appeared in the log, counting only
    * lines since the given time; -1 if there is no such line.
    */
-  public long firstLogLineAt(String text, long since) {
+  public long timeOfFirstLine(String text, long since) {
     synchronized (lines) {
       for (LogLine line : lines) {
         if (line.nanos >= since && line.text.contains(text)) {
@@ -115,12 +115,12 @@
     return hasLostLeadership;
   }
 
-  private static Milestone await(CompletableFuture<Milestone> event, String what)
+  private static Milestone await(CompletableFuture<Milestone> event, String action)
       throws InterruptedException {
     try {
       return event.get(TIMEOUT_S, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      throw new IllegalStateException("timed out waiting for the controller to " + what, e);
+      throw new IllegalStateException("timed out waiting for the controller to " + action, e);
     }
   }
 
@@ -137,7 +137,7 @@
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    ThreadCpuTimes sum = ThreadCpuTimes.NONE;
+    ThreadCpuTimes sum = ThreadCpuTimes.ZERO;
     for (ThreadUsage thread : threads.values()) {
       sum = sum.plus(thread.group, thread.nanos);
     }
--- a/src/test/java/io/cherryspool/sim/loopback/LocalCluster.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LocalCluster.java
@@ -38,16 +38,16 @@
   private static final Endpoint CLOUD = new Endpoint("127.0.0.1", 8443);
   private static final WorkerSettings WORKER_SETTINGS =
       new WorkerSettings(Duration.ofMillis(2500), Duration.ofSeconds(16), 0);
-  private static final Duration FIRST_BOOT = Duration.ofMillis(2500);
-  private static final int MACHINES = 12;
-  private static final int SOCKETS = 64;
-  private static final MachineType BOX =
+  private static final Duration INITIAL_BOOT_TIME = Duration.ofMillis(2500);
+  private static final int CLOUD_CAPACITY = 12;
+  private static final int MAX_CONNECTIONS = 64;
+  private static final MachineType MACHINE_TYPE =
       new MachineType(
           "box", new Resources(16, 0, 64), 50, 0.5, 1, 0.4, Duration.ofSeconds(10), ZONES);
 
   private final NettyEventLoop loop = new NettyEventLoop();
   private final SplittableRandom random = new SplittableRandom();
-  private final FakeStateStore state = new FakeStateStore(loop, random.split(), 0);
+  private final FakeStateStore stateStore = new FakeStateStore(loop, random.split(), 0);
   private final LoopbackNodes nodes =
       new LoopbackNodes(
           ZONES.size(),
@@ -61,7 +61,13 @@
       new LoopbackWorkers(loop, random, nodes.addresses(), WORKER_SETTINGS, new PrintingWorkload());
   private final FakeCloud cloud =
       new FakeCloud(
-          loop, random.split(), List.of(BOX), MACHINES, "127.1.", workers::boot, workers::kill);
+          loop,
+          random.split(),
+          List.of(MACHINE_TYPE),
+          CLOUD_CAPACITY,
+          "127.1.",
+          workers::boot,
+          workers::kill);
   private final Map<String, Job> jobs = new HashMap<>();
 
   /** Runs until the process is stopped. The argument is the folder for the settings. */
@@ -74,10 +80,11 @@
   }
 
   private void run(Path folder) throws IOException, InterruptedException {
-    state.onPut(this::storeDescription);
-    new NettyHttpServer(loop, state, SOCKETS).bind(STATE_STORE);
-    new NettyHttpServer(loop, cloud, SOCKETS).bind(CLOUD);
-    loop.execute(() -> ZONES.forEach(zone -> cloud.addMachine("box", zone, false, FIRST_BOOT)));
+    stateStore.onPut(this::storeJobDescription);
+    new NettyHttpServer(loop, stateStore, MAX_CONNECTIONS).bind(STATE_STORE);
+    new NettyHttpServer(loop, cloud, MAX_CONNECTIONS).bind(CLOUD);
+    loop.execute(
+        () -> ZONES.forEach(zone -> cloud.addMachine("box", zone, false, INITIAL_BOOT_TIME)));
     Files.createDirectories(folder);
     for (int i = 0; i < ZONES.size(); i++) {
       Path file = nodes.writeSettings(folder, i);
@@ -89,11 +96,11 @@
   }
 
   private void readCommands() throws IOException {
-    BufferedReader in =
+    BufferedReader reader =
         new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-    for (String line = in.readLine(); line != null; line = in.readLine()) {
+    for (String line = reader.readLine(); line != null; line = reader.readLine()) {
       if (line.strip().equals("lose")) {
-        loop.execute(state::loseAllData);
+        loop.execute(stateStore::loseAllData);
         System.out.println("the state store has lost its data");
       }
     }
@@ -122,10 +129,10 @@
    * represents what real users upload for their tasks to run, and therefore survives a loss of the
    * state store's data.
    */
-  private void storeDescription(String key) {
+  private void storeJobDescription(String key) {
     if (key.contains("/jobs/")) {
       try {
-        Job job = UserProtocol.parseJob(state.value(key).path("job"), Instant.now());
+        Job job = UserProtocol.parseJob(stateStore.value(key).path("job"), Instant.now());
         jobs.put(job.id(), job);
       } catch (MalformedMessageException e) {
         System.err.println("cannot decode the job of " + key + ": " + e.getMessage());
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackCluster.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackCluster.java
@@ -29,12 +29,12 @@
   public static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(2500);
 
   private static final Duration LEASE = Duration.ofSeconds(16);
-  private static final int STATE_PORT = 12379;
+  private static final int STATE_STORE_PORT = 12379;
   private static final int CLOUD_PORT = 18443;
   private static final int NODE_PORT = 18080;
-  private static final int SOCKETS = 256;
+  private static final int MAX_SOCKETS = 256;
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
-  private static final MachineType BOX =
+  private static final MachineType MACHINE_TYPE =
       new MachineType(
           "box",
           new Resources(16, 0, 64),
@@ -46,17 +46,17 @@
           LoopbackNodes.ZONES);
 
   private final int machineCount;
-  private final Endpoint stateAddress;
+  private final Endpoint stateStoreAddress;
   private final Endpoint cloudAddress;
   private final NettyEventLoop loop = new NettyEventLoop();
   private final SplittableRandom random = new SplittableRandom(1);
 
   /** A separate loop, so that the state store responds while a fleet sends its first heartbeats. */
-  private final NettyEventLoop stateLoop = new NettyEventLoop();
+  private final NettyEventLoop stateStoreLoop = new NettyEventLoop();
 
-  private final FakeStateStore state = new FakeStateStore(stateLoop, random.split(), 0);
+  private final FakeStateStore stateStore = new FakeStateStore(stateStoreLoop, random.split(), 0);
   private final FakeCloud cloud;
-  private final NettyHttpClient client = new NettyHttpClient(loop, SOCKETS);
+  private final NettyHttpClient client = new NettyHttpClient(loop, MAX_SOCKETS);
   private final LoopbackNodes nodes;
   private final LoopbackFleet fleet;
 
@@ -80,7 +80,7 @@
       LoopbackRoutes routes) {
     this.machineCount = machineCount;
     String network = "127." + subnet + ".";
-    stateAddress = new Endpoint(network + "1.1", STATE_PORT);
+    stateStoreAddress = new Endpoint(network + "1.1", STATE_STORE_PORT);
     cloudAddress = new Endpoint(network + "1.2", CLOUD_PORT);
     WorkerSettings workerSettings = new WorkerSettings(HEARTBEAT_INTERVAL, LEASE, 0);
     nodes =
@@ -88,7 +88,7 @@
             controllers,
             network + "0.",
             NODE_PORT,
-            new LoopbackNodes.Services(stateAddress, cloudAddress),
+            new LoopbackNodes.Services(stateStoreAddress, cloudAddress),
             workerSettings,
             limits,
             routes);
@@ -97,7 +97,7 @@
         new FakeCloud(
             loop,
             random.split(),
-            List.of(BOX),
+            List.of(MACHINE_TYPE),
             machineCount,
             "127." + (subnet + 1) + ".",
             fleet::boot,
@@ -131,9 +131,9 @@
   public record StateStoreLoad(long requests, long changes) {}
 
   /** Starts the servers of the state store and the cloud. There are no machines yet. */
-  public void listen() throws InterruptedException {
-    new NettyHttpServer(stateLoop, state, SOCKETS).bind(stateAddress);
-    new NettyHttpServer(loop, cloud, SOCKETS).bind(cloudAddress);
+  public void startServers() throws InterruptedException {
+    new NettyHttpServer(stateStoreLoop, stateStore, MAX_SOCKETS).bind(stateStoreAddress);
+    new NettyHttpServer(loop, cloud, MAX_SOCKETS).bind(cloudAddress);
   }
 
   /** Returns the workers and the counts of their tasks. */
@@ -153,20 +153,24 @@
           for (int i = 0; i < machineCount; i++) {
             String zone = LoopbackNodes.ZONES.get(i % LoopbackNodes.ZONES.size());
             cloud.addMachine(
-                BOX.name(), zone, true, HEARTBEAT_INTERVAL.multipliedBy(i).dividedBy(machineCount));
+                MACHINE_TYPE.name(),
+                zone,
+                true,
+                HEARTBEAT_INTERVAL.multipliedBy(i).dividedBy(machineCount));
           }
         });
   }
 
   /** Makes the state store lose its data. */
   public void loseStateStoreData() {
-    EventLoopCalls.run(stateLoop, state::loseAllData);
+    EventLoopCalls.run(stateStoreLoop, stateStore::loseAllData);
   }
 
   /** Returns what the state store has processed since its start. */
   public StateStoreLoad stateStoreLoad() {
     return EventLoopCalls.call(
-        stateLoop, () -> new StateStoreLoad(state.requestCount(), state.changeCount()));
+        stateStoreLoop,
+        () -> new StateStoreLoad(stateStore.requestCount(), stateStore.changeCount()));
   }
 
   /** Returns the number of machines. */
@@ -183,7 +187,7 @@
   public CompletableFuture<Reply> commit(StateStoreProtocol.Change change) {
     CompletableFuture<Reply> result = new CompletableFuture<>();
     Request request = StateStoreProtocol.transactionRequest(Map.of(), List.of(change));
-    stateLoop.execute(() -> state.handle(request).thenAccept(result::complete));
+    stateStoreLoop.execute(() -> stateStore.handle(request).thenAccept(result::complete));
     return result;
   }
 
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackFixture.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackFixture.java
@@ -48,12 +48,12 @@
   @AfterEach
   void killControllers() throws InterruptedException {
     for (int i = 0; i < controllers.length; i++) {
-      kill(i);
+      killController(i);
     }
   }
 
   /** Kills the controller without a signal that it could handle. */
-  void kill(int number) throws InterruptedException {
+  void killController(int number) throws InterruptedException {
     if (controllers[number] != null) {
       controllers[number].kill();
       controllers[number] = null;
@@ -63,7 +63,7 @@
   /** Starts all controllers and waits until they listen. */
   void startControllers(Optional<Path> operators) throws IOException, InterruptedException {
     for (int i = 0; i < controllers.length; i++) {
-      start(i, operators);
+      startController(i, operators);
     }
     for (ControllerProcess controller : controllers) {
       controller.awaitListening();
@@ -71,7 +71,7 @@
   }
 
   /** Starts the controller with the given number. */
-  void start(int number, Optional<Path> operators) throws IOException {
+  void startController(int number, Optional<Path> operators) throws IOException {
     List<String> command =
         new ArrayList<>(
             List.of(
@@ -175,10 +175,11 @@
       if (reply != null && reply.status() == 200) {
         String status = status(reply);
         boolean isFinal = status.equals("done") || status.equals("withdrawn");
-        String before = isFinal ? finalStatuses.putIfAbsent(id, status) : finalStatuses.get(id);
+        String earlierFinalStatus =
+            isFinal ? finalStatuses.putIfAbsent(id, status) : finalStatuses.get(id);
         assertTrue(
-            before == null || before.equals(status),
-            id + " had the final status " + before + ", and now has " + status);
+            earlierFinalStatus == null || earlierFinalStatus.equals(status),
+            id + " had the final status " + earlierFinalStatus + ", and now has " + status);
       }
     }
     return finalStatuses.keySet().containsAll(jobs.keySet());
@@ -189,15 +190,16 @@
     boolean holds();
   }
 
-  static void await(String what, Condition condition) throws InterruptedException {
+  static void await(String expectation, Condition condition) throws InterruptedException {
     long end = System.nanoTime() + Duration.ofSeconds(TIMEOUT_S).toNanos();
     while (!condition.holds()) {
-      assertTrue(System.nanoTime() < end, what + ": not the case within " + TIMEOUT_S + " s");
+      assertTrue(
+          System.nanoTime() < end, expectation + ": not the case within " + TIMEOUT_S + " s");
       Thread.sleep(POLL_INTERVAL.toMillis());
     }
   }
 
-  void pollFor(double seconds) throws InterruptedException {
+  void pollJobsFor(double seconds) throws InterruptedException {
     long end = System.nanoTime() + (long) (seconds * 1e9);
     while (System.nanoTime() < end) {
       haveAllJobsEnded();
@@ -212,14 +214,15 @@
   void checkOutcomes() {
     assertEquals(Set.of(), cluster.fleet().tasksStartedTwice());
     Map<String, Integer> completed = cluster.fleet().completions();
-    boolean leasesHeld = cluster.fleet().expiredLeases() == 0;
+    boolean hasNoExpiredLease = cluster.fleet().expiredLeaseCount() == 0;
     jobs.forEach(
         (id, job) -> {
           assertEquals(cancelled.contains(id) ? "withdrawn" : "done", finalStatuses.get(id), id);
           for (int task = 0; task < job.taskCount() && !cancelled.contains(id); task++) {
-            int times = completed.getOrDefault(id + "/" + task, 0);
+            int completionCount = completed.getOrDefault(id + "/" + task, 0);
             assertTrue(
-                leasesHeld ? times == 1 : times >= 1, id + "/" + task + ": completions=" + times);
+                hasNoExpiredLease ? completionCount == 1 : completionCount >= 1,
+                id + "/" + task + ": completions=" + completionCount);
           }
         });
   }
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackFleet.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackFleet.java
@@ -27,9 +27,9 @@
   private final LoopbackWorkers workers;
   private final Map<String, Job> jobs = new HashMap<>();
   private final Map<String, Integer> completions = new HashMap<>();
-  private final Set<String> startedTwice = new HashSet<>();
-  private final Set<String> endedLate = new HashSet<>();
-  private int startedTasks;
+  private final Set<String> tasksStartedTwice = new HashSet<>();
+  private final Set<String> tasksEndedLate = new HashSet<>();
+  private int startedTaskCount;
 
   LoopbackFleet(
       NettyEventLoop loop,
@@ -50,12 +50,12 @@
 
     @Override
     public void onTaskStarted(FakeWorker worker, String task) {
-      startedTasks++;
+      startedTaskCount++;
       for (FakeWorker other : workers.all()) {
         if (other != worker && other.runningTasks().contains(task)) {
           // If the event loop lags, the other worker kills the tasks of its expired lease too late.
           boolean isExpired = loop.now().minus(other.leaseRenewedAt()).compareTo(lease) > 0;
-          (isExpired ? endedLate : startedTwice).add(task);
+          (isExpired ? tasksEndedLate : tasksStartedTwice).add(task);
         }
       }
     }
@@ -78,8 +78,8 @@
 
   /** Returns a worker by its number, modulo the number of workers. Must be called on the loop. */
   public FakeWorker worker(int number) {
-    List<FakeWorker> all = new ArrayList<>(workers.all());
-    return all.get(number % all.size());
+    List<FakeWorker> allWorkers = new ArrayList<>(workers.all());
+    return allWorkers.get(number % allWorkers.size());
   }
 
   /**
@@ -88,7 +88,7 @@
    * slow; the measurements of the run are then unreliable.
    */
   public Set<String> tasksEndedLate() {
-    return EventLoopCalls.call(loop, () -> Set.copyOf(endedLate));
+    return EventLoopCalls.call(loop, () -> Set.copyOf(tasksEndedLate));
   }
 
   /**
@@ -96,7 +96,7 @@
    * them.
    */
   public Set<String> tasksStartedTwice() {
-    return EventLoopCalls.call(loop, () -> Set.copyOf(startedTwice));
+    return EventLoopCalls.call(loop, () -> Set.copyOf(tasksStartedTwice));
   }
 
   /** Returns how often each task has completed. */
@@ -123,7 +123,7 @@
 
   /** Returns the number of task starts so far. */
   public int startedTaskCount() {
-    return EventLoopCalls.call(loop, () -> startedTasks);
+    return EventLoopCalls.call(loop, () -> startedTaskCount);
   }
 
   /** Returns the number of heartbeats that the workers have encoded. */
@@ -133,7 +133,7 @@
   }
 
   /** Returns the number of expired worker leases, which should be 0 in a measurement. */
-  public long expiredLeases() {
+  public long expiredLeaseCount() {
     return EventLoopCalls.call(
         loop, () -> workers.all().stream().mapToLong(each -> each.agentEpoch() - 1).sum());
   }
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackNodes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackNodes.java
@@ -20,7 +20,7 @@
   private final String addressPrefix;
   private final int port;
   private final Services services;
-  private final WorkerSettings workers;
+  private final WorkerSettings workerSettings;
   private final Limits limits;
   private final LoopbackRoutes routes;
   private final Map<String, Endpoint> addresses = new LinkedHashMap<>();
@@ -33,7 +33,7 @@
       double requestsPerSecond, double writesPerSecond, int maxSockets, double maxTeamCpus) {}
 
   /** The addresses of the services. */
-  public record Services(Endpoint state, Endpoint cloud) {}
+  public record Services(Endpoint stateStore, Endpoint cloud) {}
 
   /**
    * Creates the loopback nodes.
@@ -47,14 +47,14 @@
       String addressPrefix,
       int port,
       Services services,
-      WorkerSettings workers,
+      WorkerSettings workerSettings,
       Limits limits,
       LoopbackRoutes routes) {
     this.count = count;
     this.addressPrefix = addressPrefix;
     this.port = port;
     this.services = services;
-    this.workers = workers;
+    this.workerSettings = workerSettings;
     this.limits = limits;
     this.routes = routes;
     for (int i = 0; i < count; i++) {
@@ -75,7 +75,7 @@
   Map<String, Endpoint> workerAddresses() {
     Map<String, Endpoint> result = new LinkedHashMap<>();
     for (int i = 0; i < count; i++) {
-      result.put(name(i), routes.controller(i, addresses.get(name(i))));
+      result.put(name(i), routes.controllerAddress(i, addresses.get(name(i))));
     }
     return result;
   }
@@ -102,14 +102,15 @@
     ObjectNode root = Json.object().put("host_name", name(index)).put("site", zone(index));
     root.put("client_listen", addresses.get(name(index)).toString());
     root.put("mesh_addr", meshAddress(index).toString());
-    ArrayNode known = root.putArray("known");
+    ArrayNode peers = root.putArray("known");
     for (int i = 0; i < count; i++) {
       if (i != index) {
-        ObjectNode peer = known.addObject().put("host_name", name(i));
-        peer.put("site", zone(i)).put("endpoint", routes.peer(index, i, meshAddress(i)).toString());
+        ObjectNode peer = peers.addObject().put("host_name", name(i));
+        peer.put("site", zone(i))
+            .put("endpoint", routes.peerAddress(index, i, meshAddress(i)).toString());
       }
     }
-    String stateStoreAddress = routes.state(index, services.state).toString();
+    String stateStoreAddress = routes.stateStoreAddress(index, services.stateStore).toString();
     root.putObject("services")
         .put("cloud", services.cloud.toString())
         .put("state", stateStoreAddress);
@@ -123,8 +124,8 @@
     team.put("cpus_max", limits.maxTeamCpus);
     facts
         .putObject("workers")
-        .put("report_s", workers.heartbeatInterval().toMillis() / 1e3)
-        .put("lease_s", (double) workers.lease().toSeconds())
+        .put("report_s", workerSettings.heartbeatInterval().toMillis() / 1e3)
+        .put("lease_s", (double) workerSettings.lease().toSeconds())
         .put("cancel_s", 36.0);
     facts
         .putObject("state")
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackRoutes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackRoutes.java
@@ -8,27 +8,27 @@
   LoopbackRoutes DIRECT =
       new LoopbackRoutes() {
         @Override
-        public Endpoint state(int controller, Endpoint service) {
+        public Endpoint stateStoreAddress(int controller, Endpoint service) {
           return service;
         }
 
         @Override
-        public Endpoint peer(int from, int to, Endpoint mesh) {
+        public Endpoint peerAddress(int from, int to, Endpoint mesh) {
           return mesh;
         }
 
         @Override
-        public Endpoint controller(int controller, Endpoint address) {
+        public Endpoint controllerAddress(int controller, Endpoint address) {
           return address;
         }
       };
 
   /** Returns the address at which the controller reaches the state store. */
-  Endpoint state(int controller, Endpoint service);
+  Endpoint stateStoreAddress(int controller, Endpoint service);
 
   /** Returns the address to which one controller sends its heartbeats to another. */
-  Endpoint peer(int from, int to, Endpoint mesh);
+  Endpoint peerAddress(int from, int to, Endpoint mesh);
 
   /** Returns the address at which workers reach the controller. */
-  Endpoint controller(int controller, Endpoint address);
+  Endpoint controllerAddress(int controller, Endpoint address);
 }
--- a/src/test/java/io/cherryspool/sim/loopback/LostStateLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LostStateLoopbackTest.java
@@ -39,7 +39,7 @@
   @Test
   @Timeout(240)
   void everyJobGetsOneOutcomeDespiteLossesOfTheStateStore() throws Exception {
-    cluster.listen();
+    cluster.startServers();
     Optional<Path> operators = Optional.of(operators());
     startControllers(operators);
     cluster.bootWorkers();
@@ -49,23 +49,23 @@
     await("tasks run", () -> cluster.fleet().runningTaskCount() >= 20);
     cancel(first);
     submit(6, 9);
-    pollFor(3);
+    pollJobsFor(3);
     cluster.loseStateStoreData();
     submit(5, 2);
-    pollFor(4);
+    pollJobsFor(4);
     String second = submit(3, 60);
-    pollFor(2);
+    pollJobsFor(2);
     cancel(second);
 
     // With snapshots every second, these jobs also survive a kill of all controllers.
     submit(20, 12);
-    pollFor(4);
+    pollJobsFor(4);
     cluster.loseStateStoreData();
     killControllers();
     startControllers(operators);
     submit(4, 1);
     await("all jobs have ended", this::haveAllJobsEnded);
-    assertEquals(0, cluster.fleet().expiredLeases(), "expired worker leases");
+    assertEquals(0, cluster.fleet().expiredLeaseCount(), "expired worker leases");
     checkOutcomes();
   }
 }
--- a/src/test/java/io/cherryspool/sim/loopback/PartitionLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/loopback/PartitionLoopbackTest.java
@@ -75,7 +75,7 @@
   @Test
   @Timeout(240)
   void startsNoTaskTwiceAndLosesNoOutcomeWhileLinksFail() throws Exception {
-    cluster.listen();
+    cluster.startServers();
     startControllers(Optional.empty());
     cluster.bootWorkers();
     submit(30, 12);
@@ -102,10 +102,10 @@
     assertTrue(
         submitAt(leader, 3, 2),
         "the leader must get the job accepted by forwarding it to another node");
-    kill(follower);
-    pollFor(3);
+    killController(follower);
+    pollJobsFor(3);
     ROUTES.state(leader).setMode(TcpRelay.Mode.PASS);
-    start(follower, Optional.empty());
+    startController(follower, Optional.empty());
   }
 
   /** Holds all heartbeats from workers and peers to the leader, and kills the leader meanwhile. */
@@ -114,11 +114,11 @@
     cancel(cancelled);
     setInboundMode(leader, TcpRelay.Mode.HOLD_REQUESTS);
     submit(8, 6);
-    pollFor(5);
-    kill(leader);
-    pollFor(2);
+    pollJobsFor(5);
+    killController(leader);
+    pollJobsFor(2);
     setInboundMode(leader, TcpRelay.Mode.PASS);
-    start(leader, Optional.empty());
+    startController(leader, Optional.empty());
   }
 
   private void setInboundMode(int node, TcpRelay.Mode mode) {
@@ -136,9 +136,9 @@
     for (int i = 0; i < 4; i++) {
       int leader = Math.max(0, leader());
       ROUTES.state(leader).setMode(TcpRelay.Mode.HOLD_REPLIES);
-      pollFor(1);
+      pollJobsFor(1);
       ROUTES.state(leader).setMode(TcpRelay.Mode.PASS);
-      pollFor(1);
+      pollJobsFor(1);
     }
   }
 
--- a/src/test/java/io/cherryspool/sim/loopback/RelayedRoutes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/RelayedRoutes.java
@@ -39,17 +39,17 @@
   }
 
   @Override
-  public Endpoint state(int controller, Endpoint service) {
+  public Endpoint stateStoreAddress(int controller, Endpoint service) {
     return addRelay("state " + controller, controller, STATE_PORT, service);
   }
 
   @Override
-  public Endpoint peer(int from, int to, Endpoint mesh) {
+  public Endpoint peerAddress(int from, int to, Endpoint mesh) {
     return addRelay("peer " + from + " " + to, from, PEER_PORT + to, mesh);
   }
 
   @Override
-  public Endpoint controller(int controller, Endpoint address) {
+  public Endpoint controllerAddress(int controller, Endpoint address) {
     return addRelay("workers " + controller, controller, CONTROLLER_PORT, address);
   }
 
--- a/src/test/java/io/cherryspool/sim/loopback/ThreadCpuTimes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/ThreadCpuTimes.java
@@ -5,7 +5,7 @@
 
 /** The processor time of a controller for each group of its threads. Immutable. */
 public final class ThreadCpuTimes {
-  static final ThreadCpuTimes NONE = new ThreadCpuTimes(new EnumMap<>(Group.class));
+  static final ThreadCpuTimes ZERO = new ThreadCpuTimes(new EnumMap<>(Group.class));
 
   /** A group of threads by their names, which the kernel truncates to 15 characters. */
   public enum Group {
@@ -37,10 +37,10 @@
     this.nanos = nanos;
   }
 
-  ThreadCpuTimes plus(Group group, long more) {
+  ThreadCpuTimes plus(Group group, long addedNanos) {
     Map<Group, Long> sum = new EnumMap<>(Group.class);
     sum.putAll(nanos);
-    sum.merge(group, more, Long::sum);
+    sum.merge(group, addedNanos, Long::sum);
     return new ThreadCpuTimes(sum);
   }
 
