--- a/src/main/java/io/cherryspool/config/Settings.java
+++ b/src/main/java/io/cherryspool/config/Settings.java
@@ -93,11 +93,11 @@
    * them therefore add up to that time. The margins cover clock drift, and messages that arrive
    * late but within their deadlines.
    */
-  public Duration authority() {
-    return authority(workerLease, maxCancellationTime);
+  public Duration maxLeaderAuthority() {
+    return maxLeaderAuthority(workerLease, maxCancellationTime);
   }
 
-  static Duration authority(Duration workerLease, Duration maxCancellationTime) {
+  static Duration maxLeaderAuthority(Duration workerLease, Duration maxCancellationTime) {
     Duration margin = maxCancellationTime.dividedBy(20).plusSeconds(1);
     return maxCancellationTime.minus(workerLease).minus(margin.multipliedBy(2));
   }
--- a/src/main/java/io/cherryspool/config/SettingsParser.java
+++ b/src/main/java/io/cherryspool/config/SettingsParser.java
@@ -18,8 +18,8 @@
   private static final int MIN_SOCKETS = 64;
 
   /**
-   * The minimum authority of a leader; see {@link Settings#authority()}. With a shorter authority,
-   * a leader would hardly ever be allowed to act.
+   * The minimum authority of a leader; see {@link Settings#maxLeaderAuthority()}. With a shorter
+   * authority, a leader would hardly ever be allowed to act.
    */
   private static final Duration MIN_AUTHORITY = Duration.ofSeconds(1);
 
@@ -112,7 +112,8 @@
 
   private void checkAuthority(Duration workerLease, Duration maxCancellationTime)
       throws ConfigException {
-    if (Settings.authority(workerLease, maxCancellationTime).compareTo(MIN_AUTHORITY) < 0) {
+    if (Settings.maxLeaderAuthority(workerLease, maxCancellationTime).compareTo(MIN_AUTHORITY)
+        < 0) {
       throw workers.unusable(
           "cancel_s",
           "is too short for facts.workers.lease_s: a cancelled task could run longer than this on a"
--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -104,7 +104,7 @@
   @Override
   public void start() {
     election.onLeadershipChange(terms::update);
-    records.onChange(terms::recordsChanged);
+    records.onChange(terms::onRecordsChanged);
     recovery.ifPresent(RecoveryModule::start);
     records.start();
     election.start();
@@ -187,6 +187,6 @@
         verdict.reason().text(),
         fleet.missing(),
         fleet.known());
-    terms.recordsChanged();
+    terms.onRecordsChanged();
   }
 }
--- a/src/main/java/io/cherryspool/controller/LeaderTerms.java
+++ b/src/main/java/io/cherryspool/controller/LeaderTerms.java
@@ -24,7 +24,7 @@
   private final RateLimiter rateLimiter;
   private final Reachability reachability;
   private final Optional<RecoveryModule> recovery;
-  private final Supplier<LeaderTerm> newTerm;
+  private final Supplier<LeaderTerm> termFactory;
 
   /** The active term; null while this node does not lead. */
   private LeaderTerm current;
@@ -32,7 +32,8 @@
   /**
    * Creates the terms of a node that does not lead yet.
    *
-   * @param newTerm creates the leader for the term that the records contain, without starting it
+   * @param termFactory creates the leader for the term that the records contain, without starting
+   *     it
    */
   LeaderTerms(
       EventLoop loop,
@@ -40,14 +41,14 @@
       StateStoreAccess stateStore,
       Reachability reachability,
       Optional<RecoveryModule> recovery,
-      Supplier<LeaderTerm> newTerm) {
+      Supplier<LeaderTerm> termFactory) {
     this.loop = loop;
     this.election = election;
     this.records = stateStore.records();
     this.rateLimiter = stateStore.rateLimiter();
     this.reachability = reachability;
     this.recovery = recovery;
-    this.newTerm = newTerm;
+    this.termFactory = termFactory;
   }
 
   /** Stops the active term if it has ended, and starts the term for which this node was elected. */
@@ -60,7 +61,7 @@
     }
     if (current == null && isLeader) {
       rateLimiter.setLeader(true);
-      current = newTerm.get();
+      current = termFactory.get();
       current.start();
     }
   }
@@ -80,7 +81,7 @@
   }
 
   /** Notifies the active term, if there is one, that the records have changed. */
-  void recordsChanged() {
+  void onRecordsChanged() {
     if (current != null) {
       current.requestRound();
     }
@@ -101,7 +102,7 @@
     if (!isLeading()) {
       return Optional.empty();
     }
-    byte[] answer = current.handleHeartbeat(heartbeat);
+    byte[] answer = current.answerHeartbeat(heartbeat);
     // A heartbeat may contain a higher term or reveal a loss of records. Either ends this term.
     return current == null ? Optional.empty() : Optional.of(answer);
   }
--- a/src/main/java/io/cherryspool/controller/ServiceClients.java
+++ b/src/main/java/io/cherryspool/controller/ServiceClients.java
@@ -67,7 +67,7 @@
             timings.heartbeatInterval(),
             timings.workerLeaseExpiry(),
             timings.stateStoreLease(),
-            timings.authority(),
+            timings.maxLeaderAuthority(),
             timings.stateStoreTimeout(),
             partitions.flapHalfLife());
     return new Reachability(
--- a/src/main/java/io/cherryspool/controller/api/JobRoutes.java
+++ b/src/main/java/io/cherryspool/controller/api/JobRoutes.java
@@ -20,7 +20,7 @@
 
   private static final String CANCEL_SUFFIX = "/withdraw";
 
-  private final UserApi users;
+  private final UserApi userApi;
   private final StateStoreHealth stateStore;
   private final Optional<RequestForwarder> forwarder;
   private final Meters meters;
@@ -31,11 +31,11 @@
    * @param forwarder forwards requests to other nodes; empty if requests are not forwarded
    */
   public JobRoutes(
-      UserApi users,
+      UserApi userApi,
       StateStoreHealth stateStore,
       Optional<RequestForwarder> forwarder,
       Meters meters) {
-    this.users = users;
+    this.userApi = userApi;
     this.stateStore = stateStore;
     this.forwarder = forwarder;
     this.meters = meters;
@@ -49,7 +49,7 @@
   CompletableFuture<Reply> handle(Request request) {
     String rest = request.path().substring(PATH.length());
     if (rest.isEmpty()) {
-      return serve("POST", request, () -> users.submit(request.body()));
+      return serve("POST", request, () -> userApi.submit(request.body()));
     }
     boolean isCancel = rest.endsWith(CANCEL_SUFFIX);
     String id = rest.substring(1, rest.length() - (isCancel ? CANCEL_SUFFIX.length() : 0));
@@ -57,17 +57,19 @@
       return Replies.completed(Replies.unknownPath());
     }
     return isCancel
-        ? serve("POST", request, () -> users.cancel(id))
-        : serve("GET", request, () -> users.poll(id));
+        ? serve("POST", request, () -> userApi.cancel(id))
+        : serve("GET", request, () -> userApi.poll(id));
   }
 
   private CompletableFuture<Reply> serve(
       String method, Request request, Supplier<CompletableFuture<Reply>> localAnswer) {
     return Replies.ifMethod(
-        method, request, () -> answer(request, localAnswer).thenApply(this::handleRefusal));
+        method,
+        request,
+        () -> answerOrForward(request, localAnswer).thenApply(this::handleRefusal));
   }
 
-  private CompletableFuture<Reply> answer(
+  private CompletableFuture<Reply> answerOrForward(
       Request request, Supplier<CompletableFuture<Reply>> localAnswer) {
     if (forwarder.isEmpty() || RequestForwarder.isForwarded(request)) {
       return localAnswer.get();
--- a/src/main/java/io/cherryspool/controller/api/UserApi.java
+++ b/src/main/java/io/cherryspool/controller/api/UserApi.java
@@ -24,7 +24,7 @@
   private static final String STATE_STORE_NOT_ANSWERING = "the state service is silent";
 
   private final ClusterRecords records;
-  private final GroupCommit commits;
+  private final GroupCommit groupCommit;
   private final SubmissionValidator validator;
   private final BooleanSupplier isBehindPeers;
   private final int failureCap;
@@ -37,12 +37,12 @@
    */
   public UserApi(
       ClusterRecords records,
-      GroupCommit commits,
+      GroupCommit groupCommit,
       SubmissionValidator validator,
       BooleanSupplier isBehindPeers,
       int failureCap) {
     this.records = records;
-    this.commits = commits;
+    this.groupCommit = groupCommit;
     this.validator = validator;
     this.isBehindPeers = isBehindPeers;
     this.failureCap = failureCap;
@@ -62,12 +62,12 @@
   private CompletableFuture<Reply> accept(JobSubmission.Valid submission) {
     String id = submission.jobId();
     if (records.job(id) != null) {
-      return acceptedEarlier(id);
+      return answerAcceptedEarlier(id);
     }
     if (!records.isLoaded()) {
       return Replies.completed(Replies.retryLater("not ready"));
     }
-    return commits
+    return groupCommit
         .submit(
             RateLimiter.WriteClass.SUBMIT,
             Map.of(Records.jobKey(id), 0L),
@@ -76,7 +76,7 @@
             isApplied ->
                 isApplied
                     ? Replies.completed(status(Replies.CREATED, id, UserProtocol.JobStatus.PENDING))
-                    : acceptedEarlier(id))
+                    : answerAcceptedEarlier(id))
         .exceptionally(failure -> Replies.retryLater("the state service can't take the job now"));
   }
 
@@ -88,7 +88,7 @@
    */
   private CompletableFuture<Reply> refuse(String id, Reply refusal) {
     if (records.job(id) != null) {
-      return acceptedEarlier(id);
+      return answerAcceptedEarlier(id);
     }
     if (!records.isLoaded()) {
       return Replies.completed(Replies.retryLater("not ready"));
@@ -107,13 +107,13 @@
   }
 
   /** Returns the answer to a submission of a job that was accepted earlier. */
-  private CompletableFuture<Reply> acceptedEarlier(String id) {
-    return read(id, () -> Replies.retryLater("the job's record is not to be seen"));
+  private CompletableFuture<Reply> answerAcceptedEarlier(String id) {
+    return answerWithStatus(id, () -> Replies.retryLater("the job's record is not to be seen"));
   }
 
   /** Answers with the state of a job. */
   CompletableFuture<Reply> poll(String id) {
-    return read(id, () -> unknownJob(id));
+    return answerWithStatus(id, () -> unknownJobReply(id));
   }
 
   /**
@@ -121,7 +121,7 @@
    * workers run must have been accepted before the loss. Which jobs the workers run is known only
    * after reconciliation.
    */
-  private Reply unknownJob(String id) {
+  private Reply unknownJobReply(String id) {
     boolean neverAccepted = records.isAbandonedJob(id) || !records.isUnknownJob(id);
     return records.isReconciled() && neverAccepted
         ? Replies.error(Replies.NOT_FOUND, "no such job")
@@ -130,9 +130,9 @@
 
   /** Cancels a job, or answers with its final state if it has ended. */
   CompletableFuture<Reply> cancel(String id) {
-    JobRecord known = records.job(id);
-    if (hasEnded(known)) {
-      return Replies.completed(endStatus(known));
+    JobRecord replicaJob = records.job(id);
+    if (hasEnded(replicaJob)) {
+      return Replies.completed(endStatus(replicaJob));
     }
     return records
         .refresh()
@@ -143,12 +143,12 @@
   private CompletableFuture<Reply> cancelCurrent(String id) {
     JobRecord job = records.job(id);
     if (job == null) {
-      return Replies.completed(unknownJob(id));
+      return Replies.completed(unknownJobReply(id));
     }
     if (hasEnded(job)) {
       return Replies.completed(endStatus(job));
     }
-    return commits
+    return groupCommit
         .submit(
             RateLimiter.WriteClass.CANCEL,
             Map.of(Records.outcomeKey(id), 0L),
@@ -158,14 +158,14 @@
             isApplied ->
                 isApplied
                     ? Replies.completed(status(Replies.OK, id, UserProtocol.JobStatus.CANCELLED))
-                    : records.refresh().thenApply(again -> afterConflict(records.job(id))));
+                    : records.refresh().thenApply(again -> conflictReply(records.job(id))));
   }
 
   /**
    * Returns the answer to a cancellation whose transaction met a conflict. Only a record of the
    * job's outcome shows that the job has ended, and how. Without one, the user must ask again.
    */
-  private static Reply afterConflict(JobRecord job) {
+  private static Reply conflictReply(JobRecord job) {
     return hasEnded(job)
         ? endStatus(job)
         : Replies.retryLater("whether the job is cancelled is not known yet");
@@ -176,10 +176,10 @@
    * state is answered from this node's replica, even if the state store is unreachable, because a
    * final state never changes.
    */
-  private CompletableFuture<Reply> read(String id, Supplier<Reply> ifUnknown) {
-    JobRecord known = records.job(id);
-    if (hasEnded(known)) {
-      return Replies.completed(currentStatus(known));
+  private CompletableFuture<Reply> answerWithStatus(String id, Supplier<Reply> ifUnknown) {
+    JobRecord replicaJob = records.job(id);
+    if (hasEnded(replicaJob)) {
+      return Replies.completed(currentStatus(replicaJob));
     }
     return records
         .refresh()
--- a/src/main/java/io/cherryspool/controller/election/Election.java
+++ b/src/main/java/io/cherryspool/controller/election/Election.java
@@ -61,7 +61,7 @@
     this.loop = loop;
     this.records = stateStore.records();
     this.timings = timings;
-    leases = new NodeLeases(loop, stateStore, timings, new LeaseEvents());
+    leases = new NodeLeases(loop, stateStore, timings, new LeaseListener());
     leadership = new Leadership(loop, records, leases, self, timings);
     handover = new LeadershipHandover(stateStore, leases, leadership);
     replacement =
@@ -70,24 +70,24 @@
   }
 
   /** Responds to changes of this node's leases. */
-  private final class LeaseEvents implements NodeLeases.Listener {
+  private final class LeaseListener implements NodeLeases.Listener {
     @Override
-    public void leaseGranted() {
+    public void onLeaseGranted() {
       observeRecords();
     }
 
     @Override
-    public void leasesChanged() {
+    public void onLeasesChanged() {
       onLeadershipChange.run();
     }
 
     @Override
-    public void leaseExpiredPrematurely() {
+    public void onLeaseExpiredPrematurely() {
       onPrematureLeaseExpiry.run();
     }
 
     @Override
-    public void renewalRetryDue() {
+    public void onRenewalRetryDue() {
       renewLeases();
     }
   }
@@ -153,8 +153,8 @@
   /**
    * Whether this process leads and may now renew workers' leases and send them commands. Both the
    * last confirmed renewal of its lease and its last confirmed read of the records must have been
-   * sent less than {@link Timings#authority} ago, so that it misses no cancellation for longer than
-   * that.
+   * sent less than {@link Timings#maxLeaderAuthority} ago, so that it misses no cancellation for
+   * longer than that.
    */
   public boolean mayCommandWorkers() {
     return leadership.mayCommandWorkers();
--- a/src/main/java/io/cherryspool/controller/election/Leadership.java
+++ b/src/main/java/io/cherryspool/controller/election/Leadership.java
@@ -66,7 +66,7 @@
     if (!isLeader()) {
       return false;
     }
-    Duration start = loop.now().minus(timings.authority());
+    Duration start = loop.now().minus(timings.maxLeaderAuthority());
     Duration lastRead = records.lastConfirmedAt();
     return leases.areRenewedSince(start) && lastRead != null && lastRead.compareTo(start) > 0;
   }
--- a/src/main/java/io/cherryspool/controller/election/NodeLeases.java
+++ b/src/main/java/io/cherryspool/controller/election/NodeLeases.java
@@ -41,19 +41,19 @@
   /** Receives events of the leases, on the event loop. */
   interface Listener {
     /** Called when a node without a lease was granted one. */
-    void leaseGranted();
+    void onLeaseGranted();
 
     /** Called when a lease has expired, or when this node has stopped using its leases. */
-    void leasesChanged();
+    void onLeasesChanged();
 
     /**
      * Called when the state store no longer has the lease, although it should still be valid after
      * its last confirmed renewal.
      */
-    void leaseExpiredPrematurely();
+    void onLeaseExpiredPrematurely();
 
     /** Called when a failed renewal is to be sent again. */
-    void renewalRetryDue();
+    void onRenewalRetryDue();
   }
 
   NodeLeases(EventLoop loop, StateStoreAccess stateStore, Timings timings, Listener listener) {
@@ -125,7 +125,7 @@
         timings.stateStoreLease(),
         granted -> {
           current = granted;
-          listener.leaseGranted();
+          listener.onLeaseGranted();
         });
   }
 
@@ -182,17 +182,17 @@
   private void expire(StateStoreLease lease) {
     if (lease == replacement) {
       replacement = null;
-      listener.leasesChanged();
+      listener.onLeasesChanged();
     } else if (lease == current) {
       LOG.info("state store lease expired, lease={}", lease.id());
       if (lease.isValidAt(loop.now())) {
         // The state store never expires a lease early, so it must have lost the lease or its
         // renewal.
-        listener.leaseExpiredPrematurely();
+        listener.onLeaseExpiredPrematurely();
       }
       current = replacement;
       replacement = null;
-      listener.leasesChanged();
+      listener.onLeasesChanged();
       if (current == null) {
         requestCurrent();
       }
@@ -210,7 +210,7 @@
               Durations.divide(timings.stateStoreLease(), RETRIES_PER_LEASE),
               () -> {
                 retryTimer = null;
-                listener.renewalRetryDue();
+                listener.onRenewalRetryDue();
               });
     }
   }
@@ -258,7 +258,7 @@
     Optional<StateStoreLease> second = replacement();
     current = null;
     replacement = null;
-    listener.leasesChanged();
+    listener.onLeasesChanged();
     first.ifPresent(this::revoke);
     second.ifPresent(this::revoke);
   }
--- a/src/main/java/io/cherryspool/controller/fleet/CommandDelivery.java
+++ b/src/main/java/io/cherryspool/controller/fleet/CommandDelivery.java
@@ -13,7 +13,7 @@
  */
 public final class CommandDelivery {
   /** The commands of the last reply to a heartbeat, with the time of the reply. */
-  private final Map<WorkerCommand, Duration> delivered = new HashMap<>();
+  private final Map<WorkerCommand, Duration> deliveryTimes = new HashMap<>();
 
   /** The token under which each start was last sent. */
   private final Map<WorkerCommand, Long> startTokens = new HashMap<>();
@@ -27,9 +27,9 @@
   /** Records the commands of a reply, which replace those of the previous reply. */
   public void recordDelivered(List<WorkerCommand> commands, long token, Duration now) {
     recordStarts(commands, token);
-    delivered.clear();
+    deliveryTimes.clear();
     for (WorkerCommand command : commands) {
-      delivered.put(command, now);
+      deliveryTimes.put(command, now);
     }
   }
 
@@ -37,8 +37,8 @@
    * Whether the command was part of the last reply and that reply is more recent than the limit.
    */
   public boolean wasDeliveredWithin(WorkerCommand command, Duration limit, Duration now) {
-    Duration at = delivered.get(command);
-    return at != null && now.minus(at).compareTo(limit) < 0;
+    Duration deliveredAt = deliveryTimes.get(command);
+    return deliveredAt != null && now.minus(deliveredAt).compareTo(limit) < 0;
   }
 
   /** Whether a direct call has neither been answered nor failed yet. */
--- a/src/main/java/io/cherryspool/controller/fleet/Fleet.java
+++ b/src/main/java/io/cherryspool/controller/fleet/Fleet.java
@@ -27,7 +27,7 @@
    * The names of machines whose deletion is confirmed. The cloud's list shows such machines for
    * some time longer. Names are not reused.
    */
-  private final Set<String> deleted = new HashSet<>();
+  private final Set<String> deletedNames = new HashSet<>();
 
   /**
    * Returns the state of the machine, null if it is not known or was removed after its deletion.
@@ -52,7 +52,7 @@
 
   /** Whether the machine's deletion was confirmed in this term. */
   public boolean isDeleted(String name) {
-    return deleted.contains(name);
+    return deletedNames.contains(name);
   }
 
   /**
@@ -81,7 +81,7 @@
   /** Records that the cloud has confirmed the machine's deletion. */
   public void markDeleted(MachineState machine) {
     machine.markDeleted();
-    deleted.add(machine.name());
+    deletedNames.add(machine.name());
   }
 
   /** Removes the states of deleted machines that own no tasks any more. */
@@ -98,8 +98,8 @@
    * Records a worker's heartbeat, if it is the newest one of a machine that is not deleted; returns
    * whether it is. An older heartbeat is superseded and ignored.
    */
-  public boolean accept(WorkerHeartbeat heartbeat, Duration now) {
-    if (deleted.contains(heartbeat.machine())) {
+  public boolean recordHeartbeat(WorkerHeartbeat heartbeat, Duration now) {
+    if (deletedNames.contains(heartbeat.machine())) {
       return false;
     }
     MachineState machine =
@@ -111,7 +111,7 @@
             heartbeat.isSpot(),
             now);
     WorkerHeartbeat previous = machine.latestHeartbeat();
-    if (!machine.contact().accept(heartbeat, now)) {
+    if (!machine.contact().recordHeartbeat(heartbeat, now)) {
       return false;
     }
     if (heartbeat.hasChangedSince(previous)) {
--- a/src/main/java/io/cherryspool/controller/fleet/MachineContact.java
+++ b/src/main/java/io/cherryspool/controller/fleet/MachineContact.java
@@ -27,7 +27,7 @@
    */
   private Duration heartbeatAtProbe;
 
-  private boolean unresponsive;
+  private boolean isUnresponsive;
 
   /**
    * When this leader received the first heartbeat of the current agent epoch; the epoch began
@@ -53,7 +53,7 @@
   private Duration notReceivingSince;
 
   /** Records the heartbeat if it is newer than all earlier ones; returns whether it is. */
-  public boolean accept(WorkerHeartbeat heartbeat, Duration now) {
+  public boolean recordHeartbeat(WorkerHeartbeat heartbeat, Duration now) {
     if (latestHeartbeat != null && !heartbeat.isNewerThan(latestHeartbeat)) {
       return false;
     }
@@ -62,7 +62,7 @@
     }
     latestHeartbeat = heartbeat;
     lastHeartbeatAt = now;
-    unresponsive = false;
+    isUnresponsive = false;
     if (heartbeat.highestFencingToken() >= repliedToken) {
       ignoredReplies = 0;
       notReceivingSince = null;
@@ -151,12 +151,12 @@
 
   /** Whether the worker did not answer the last probe and has sent no heartbeat since. */
   public boolean isUnresponsive() {
-    return unresponsive;
+    return isUnresponsive;
   }
 
   /** Records that a probe was not answered. */
   public void markUnresponsive() {
-    unresponsive = true;
+    isUnresponsive = true;
   }
 
   /** Whether the last heartbeat was received before the cutoff and no probe was recorded since. */
--- a/src/main/java/io/cherryspool/controller/fleet/MachineState.java
+++ b/src/main/java/io/cherryspool/controller/fleet/MachineState.java
@@ -15,10 +15,10 @@
   private final String name;
   private final String type;
   private final String zone;
-  private final boolean spot;
+  private final boolean isSpot;
   private final Duration firstSeen;
   private final MachineContact contact = new MachineContact();
-  private final CommandDelivery commands = new CommandDelivery();
+  private final CommandDelivery commandDelivery = new CommandDelivery();
   private final PlacementHistory history = new PlacementHistory();
   private Endpoint endpoint;
 
@@ -26,16 +26,16 @@
   private ClusterView.MachineView view;
 
   private Duration idleSince;
-  private boolean markedForDeletion;
-  private boolean draining;
-  private boolean deleted;
+  private boolean isMarkedForDeletion;
+  private boolean isDraining;
+  private boolean isDeleted;
 
   /** Creates the state of a machine. Type and zone are empty if only the name is known. */
-  public MachineState(String name, String type, String zone, boolean spot, Duration now) {
+  public MachineState(String name, String type, String zone, boolean isSpot, Duration now) {
     this.name = name;
     this.type = type;
     this.zone = zone;
-    this.spot = spot;
+    this.isSpot = isSpot;
     this.firstSeen = now;
   }
 
@@ -56,7 +56,7 @@
 
   /** Whether the machine is a spot instance, which the cloud may take back at short notice. */
   public boolean isSpot() {
-    return spot;
+    return isSpot;
   }
 
   /** Returns the contact with the machine's worker. */
@@ -65,8 +65,8 @@
   }
 
   /** Returns the commands sent to the machine's worker. */
-  public CommandDelivery commands() {
-    return commands;
+  public CommandDelivery commandDelivery() {
+    return commandDelivery;
   }
 
   /** Returns the history of tasks and images on the machine. */
@@ -122,7 +122,7 @@
 
   /** Whether the worker can no longer execute any direct call sent earlier. */
   public boolean areCommandsFenced() {
-    return contact.hasTokenAbove(commands.highestPendingToken());
+    return contact.hasTokenAbove(commandDelivery.highestPendingToken());
   }
 
   /**
@@ -159,8 +159,8 @@
   /**
    * Records whether the machine is idle. Its idle time begins when it is first recorded as idle.
    */
-  public void setIdle(boolean idle, Duration now) {
-    if (!idle) {
+  public void setIdle(boolean isIdle, Duration now) {
+    if (!isIdle) {
       idleSince = null;
     } else if (idleSince == null) {
       idleSince = now;
@@ -174,12 +174,12 @@
 
   /** Whether the leader has decided to delete the machine. */
   public boolean isMarkedForDeletion() {
-    return markedForDeletion;
+    return isMarkedForDeletion;
   }
 
   /** Records that the leader has decided to delete the machine. */
   public void markForDeletion() {
-    markedForDeletion = true;
+    isMarkedForDeletion = true;
   }
 
   /**
@@ -187,24 +187,24 @@
    * need it. Placement does not use this yet.
    */
   public boolean isDraining() {
-    return draining;
+    return isDraining;
   }
 
   /** Sets whether the machine should become idle, see {@link #isDraining}. */
   public void setDraining(boolean shouldDrain) {
-    if (draining != shouldDrain) {
-      draining = shouldDrain;
+    if (isDraining != shouldDrain) {
+      isDraining = shouldDrain;
       view = null;
     }
   }
 
   /** Whether the cloud has confirmed that the machine and everything on it no longer exist. */
   public boolean isDeleted() {
-    return deleted;
+    return isDeleted;
   }
 
   /** Records that the cloud has confirmed the machine's deletion. */
   public void markDeleted() {
-    deleted = true;
+    isDeleted = true;
   }
 }
--- a/src/main/java/io/cherryspool/controller/leader/CommandDispatcher.java
+++ b/src/main/java/io/cherryspool/controller/leader/CommandDispatcher.java
@@ -33,7 +33,7 @@
   /** The machines that commands may be due for. A machine is removed once no commands are due. */
   private final Set<String> changedMachines = new LinkedHashSet<>();
 
-  private boolean stopped;
+  private boolean isStopped;
 
   /**
    * Creates a dispatcher without changed machines.
@@ -55,10 +55,13 @@
 
   /** Stops direct calls, since the term has ended. */
   void stop() {
-    stopped = true;
+    isStopped = true;
   }
 
-  /** Marks the machine as changed, so that the next {@link #sendDue} checks it for due commands. */
+  /**
+   * Marks the machine as changed, so that the next {@link #sendDueCommands} checks it for due
+   * commands.
+   */
   void onMachineChanged(String machine) {
     changedMachines.add(machine);
   }
@@ -73,7 +76,7 @@
    */
   List<WorkerCommand> commandsForReply(MachineState machine, long token) {
     List<WorkerCommand> commands = commandsFor(machine);
-    machine.commands().recordDelivered(commands, token, loop.now());
+    machine.commandDelivery().recordDelivered(commands, token, loop.now());
     return commands;
   }
 
@@ -89,15 +92,15 @@
   }
 
   /** Sends the commands that are due to the machines marked as changed. */
-  void sendDue() {
-    if (stopped || !mayCommandWorkers.getAsBoolean()) {
+  void sendDueCommands() {
+    if (isStopped || !mayCommandWorkers.getAsBoolean()) {
       return;
     }
     for (Iterator<String> names = changedMachines.iterator(); names.hasNext(); ) {
       MachineState machine = state.fleet().get(names.next());
       if (machine == null || machine.isDeleted()) {
         names.remove();
-      } else if (machine.hasHeartbeat() && !machine.commands().isCallInFlight()) {
+      } else if (machine.hasHeartbeat() && !machine.commandDelivery().isCallInFlight()) {
         List<WorkerCommand> due = directCommands(machine);
         if (due.isEmpty()) {
           names.remove();
@@ -131,6 +134,7 @@
   private void removeDelivered(List<WorkerCommand> due, MachineState machine) {
     Duration now = loop.now();
     due.removeIf(
-        command -> machine.commands().wasDeliveredWithin(command, REPLY_PROCESSING_TIME, now));
+        command ->
+            machine.commandDelivery().wasDeliveredWithin(command, REPLY_PROCESSING_TIME, now));
   }
 }
--- a/src/main/java/io/cherryspool/controller/leader/CommandSender.java
+++ b/src/main/java/io/cherryspool/controller/leader/CommandSender.java
@@ -61,7 +61,7 @@
    * since the call makes the worker adopt the current fencing token.
    */
   void send(MachineState machine, List<WorkerCommand> commands) {
-    CommandDelivery delivery = machine.commands();
+    CommandDelivery delivery = machine.commandDelivery();
     if (!machine.hasHeartbeat()
         || !machine.hasEndpoint()
         || machine.isDeleted()
--- a/src/main/java/io/cherryspool/controller/leader/ConsistencyCheck.java
+++ b/src/main/java/io/cherryspool/controller/leader/ConsistencyCheck.java
@@ -36,7 +36,7 @@
    *
    * @param previous the machine's newest heartbeat before this one, null if there is none
    */
-  boolean isContradictedBy(WorkerHeartbeat heartbeat, WorkerHeartbeat previous) {
+  boolean reportIfContradicted(WorkerHeartbeat heartbeat, WorkerHeartbeat previous) {
     if (heartbeat.highestFencingToken() > tokens.current()) {
       // The token comes from a later leader, or from another leader that had the same term number
       // before the state store lost data.
--- a/src/main/java/io/cherryspool/controller/leader/FailoverReconciliation.java
+++ b/src/main/java/io/cherryspool/controller/leader/FailoverReconciliation.java
@@ -36,7 +36,7 @@
   private final TermState state;
   private final SchedulingLoop rounds;
   private final Provisioner provisioner;
-  private boolean done;
+  private boolean isDone;
 
   /**
    * Creates the reconciliation for a term that begins now.
@@ -63,7 +63,7 @@
 
   /** Whether ownership has been rebuilt, so that tasks may be placed. */
   boolean isDone() {
-    return done;
+    return isDone;
   }
 
   /**
@@ -75,7 +75,7 @@
   void checkAdoptionComplete() {
     Duration now = loop.now();
     Duration leasesExpiredAt =
-        termStart.plus(timings.authority()).plus(timings.workerLeaseExpiry());
+        termStart.plus(timings.maxLeaderAuthority()).plus(timings.workerLeaseExpiry());
     Duration listCompleteAt = termStart.plus(Durations.multiply(listLag, 2));
     boolean areLeasesExpired = now.compareTo(leasesExpiredAt) > 0;
     boolean isAllKnown =
@@ -123,7 +123,7 @@
             ? firstListedAt.get().plus(MAX_ANSWER_TIME)
             : termStart.plus(Durations.multiply(timings.heartbeatInterval(), 2));
     if (isComplete || now.compareTo(limit) > 0) {
-      done = true;
+      isDone = true;
       LOG.info(
           "failover: ownership rebuilt, machines={}, ms={}, {}",
           state.fleet().all().size(),
--- a/src/main/java/io/cherryspool/controller/leader/HeartbeatHandler.java
+++ b/src/main/java/io/cherryspool/controller/leader/HeartbeatHandler.java
@@ -28,7 +28,7 @@
   private final SchedulingLoop rounds;
   private final CommandDispatcher dispatcher;
   private final ConsistencyCheck consistencyCheck;
-  private boolean stopped;
+  private boolean isStopped;
 
   HeartbeatHandler(
       EventLoop loop,
@@ -45,14 +45,14 @@
 
   /** Ignores all further heartbeats, since the term has ended. */
   void stop() {
-    stopped = true;
+    isStopped = true;
   }
 
   /**
    * Handles a heartbeat that the worker sent on its own schedule, and returns the encoded reply.
    */
-  byte[] handle(WorkerHeartbeat heartbeat) {
-    accept(heartbeat);
+  byte[] answer(WorkerHeartbeat heartbeat) {
+    recordHeartbeat(heartbeat);
     MachineState machine = state.fleet().get(heartbeat.machine());
     long token = state.tokens().current();
     if (machine == null || machine.isDeleted() || !machine.hasHeartbeat()) {
@@ -74,17 +74,17 @@
    * Records a heartbeat, whether the worker sent it on its own schedule or as the answer to a
    * direct call.
    */
-  void accept(WorkerHeartbeat heartbeat) {
-    if (stopped) {
+  void recordHeartbeat(WorkerHeartbeat heartbeat) {
+    if (isStopped) {
       return;
     }
-    MachineState known = state.fleet().get(heartbeat.machine());
-    WorkerHeartbeat previous = known == null ? null : known.latestHeartbeat();
-    if (consistencyCheck.isContradictedBy(heartbeat, previous)) {
+    MachineState knownMachine = state.fleet().get(heartbeat.machine());
+    WorkerHeartbeat previous = knownMachine == null ? null : knownMachine.latestHeartbeat();
+    if (consistencyCheck.reportIfContradicted(heartbeat, previous)) {
       return;
     }
-    MachineEligibility eligibilityBefore = rounds.eligibility(known);
-    if (!state.fleet().accept(heartbeat, loop.now())) {
+    MachineEligibility eligibilityBefore = rounds.eligibility(knownMachine);
+    if (!state.fleet().recordHeartbeat(heartbeat, loop.now())) {
       return;
     }
     MachineState machine = state.fleet().get(heartbeat.machine());
@@ -120,6 +120,6 @@
         rounds.onMachineChanged(machine.name());
       }
     }
-    dispatcher.sendDue();
+    dispatcher.sendDueCommands();
   }
 }
--- a/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
@@ -165,7 +165,7 @@
         new PlanningInputs(
             settings.teams(), services.catalog(), services.clock(), settings.rounds()),
         services.meters(),
-        new RoundHost(permissions));
+        new RoundCallbacks(permissions));
   }
 
   private Provisioner newProvisioner(
@@ -243,8 +243,8 @@
    * Handles a heartbeat, which may end the term. Returns the encoded reply with the current fencing
    * token and the commands that are due.
    */
-  public byte[] handleHeartbeat(WorkerHeartbeat heartbeat) {
-    return heartbeats.handle(heartbeat);
+  public byte[] answerHeartbeat(WorkerHeartbeat heartbeat) {
+    return heartbeats.answer(heartbeat);
   }
 
   private void tick() {
@@ -259,17 +259,17 @@
     } else {
       failover.checkOwnershipRebuilt(prober.firstListedAt());
     }
-    dispatcher.sendDue();
+    dispatcher.sendDueCommands();
   }
 
   private void onCommandsAnswered(MachineState machine, Optional<WorkerHeartbeat> answer) {
-    answer.ifPresent(heartbeats::accept);
+    answer.ifPresent(heartbeats::recordHeartbeat);
     // The absence of a task proves nothing while the call may still be executed.
     onMachineChanged(machine.name());
   }
 
   private void onProbeReply(MachineState machine, WorkerHeartbeat heartbeat) {
-    heartbeats.accept(heartbeat);
+    heartbeats.recordHeartbeat(heartbeat);
     dispatcher.fence(machine);
   }
 
@@ -280,10 +280,10 @@
   }
 
   /** Gives the scheduling loop access to the term. */
-  private final class RoundHost implements SchedulingLoop.Host {
+  private final class RoundCallbacks implements SchedulingLoop.Callbacks {
     private final FleetPermissions permissions;
 
-    RoundHost(FleetPermissions permissions) {
+    RoundCallbacks(FleetPermissions permissions) {
       this.permissions = permissions;
     }
 
@@ -294,7 +294,7 @@
 
     @Override
     public void onCommandsChanged() {
-      dispatcher.sendDue();
+      dispatcher.sendDueCommands();
     }
   }
 }
--- a/src/main/java/io/cherryspool/controller/leader/MachineProber.java
+++ b/src/main/java/io/cherryspool/controller/leader/MachineProber.java
@@ -56,7 +56,7 @@
 
   private int callsInFlight;
   private Duration firstListedAt;
-  private boolean stopped;
+  private boolean isStopped;
 
   /**
    * Creates a prober with an empty queue.
@@ -80,7 +80,7 @@
 
   /** Stops calling machines and ignores outstanding answers, since the term has ended. */
   void stop() {
-    stopped = true;
+    isStopped = true;
   }
 
   /** Returns when the cloud's list of machines was first read in this term, empty before that. */
@@ -127,7 +127,7 @@
 
   private void callNext() {
     int maxCalls = lag.isBehind() ? MAX_CALLS_WHEN_BEHIND : MAX_CALLS;
-    while (callsInFlight < maxCalls && !queue.isEmpty() && !stopped) {
+    while (callsInFlight < maxCalls && !queue.isEmpty() && !isStopped) {
       Iterator<String> first = queue.iterator();
       MachineState machine = state.fleet().get(first.next());
       first.remove();
@@ -146,7 +146,7 @@
             (heartbeat, failure) -> {
               callsInFlight--;
               Duration elapsed = loop.now().minus(sentAt);
-              if (failure == null && !stopped) {
+              if (failure == null && !isStopped) {
                 answerListener.accept(machine, heartbeat);
               } else if (!machine.contact().hasHeartbeatSinceProbe() && isTimeout(elapsed)) {
                 machine.contact().markUnresponsive();
--- a/src/main/java/io/cherryspool/controller/leader/OwnershipChangeHandler.java
+++ b/src/main/java/io/cherryspool/controller/leader/OwnershipChangeHandler.java
@@ -50,7 +50,9 @@
     state.tasks().stopRequests().remove(owned);
     MachineState machine = state.fleet().get(owned.attempt().machine());
     if (machine != null) {
-      machine.commands().removeStart(WorkerCommand.start(owned.taskId(), owned.attempt().number()));
+      machine
+          .commandDelivery()
+          .removeStart(WorkerCommand.start(owned.taskId(), owned.attempt().number()));
     }
   }
 
--- a/src/main/java/io/cherryspool/controller/ownership/Ownership.java
+++ b/src/main/java/io/cherryspool/controller/ownership/Ownership.java
@@ -46,7 +46,7 @@
   }
 
   private final ClusterRecords records;
-  private final Map<String, List<OwnedTask>> byMachine = new HashMap<>();
+  private final Map<String, List<OwnedTask>> ownedTasksByMachine = new HashMap<>();
   private Listener listener;
 
   /**
@@ -76,12 +76,12 @@
 
   /** Returns a live view of the tasks that the machine owns, empty if there are none. */
   public List<OwnedTask> ownedTasksOn(String machine) {
-    return byMachine.getOrDefault(machine, List.of());
+    return ownedTasksByMachine.getOrDefault(machine, List.of());
   }
 
   /** Returns a live view of the names of the machines that own tasks. */
   public Set<String> owningMachines() {
-    return Collections.unmodifiableSet(byMachine.keySet());
+    return Collections.unmodifiableSet(ownedTasksByMachine.keySet());
   }
 
   @Override
@@ -122,7 +122,7 @@
 
   @Override
   public void onReloaded() {
-    byMachine.clear();
+    ownedTasksByMachine.clear();
     for (JobRecord jobRecord : records.activeJobs()) {
       if (jobRecord.outcome() == Outcome.DONE) {
         continue;
@@ -137,7 +137,7 @@
   }
 
   private void add(JobRecord jobRecord, Attempt attempt) {
-    byMachine
+    ownedTasksByMachine
         .computeIfAbsent(attempt.machine(), key -> new ArrayList<>(4))
         .add(
             new OwnedTask(
@@ -151,7 +151,7 @@
       if (owned.jobRecord() == jobRecord && owned.attempt().equals(attempt)) {
         ownedTasks.remove(i);
         if (ownedTasks.isEmpty()) {
-          byMachine.remove(attempt.machine());
+          ownedTasksByMachine.remove(attempt.machine());
         }
         listener.onMachineChanged(attempt.machine());
         listener.onAttemptReleased(owned);
--- a/src/main/java/io/cherryspool/controller/provisioning/CloudCallSlot.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/CloudCallSlot.java
@@ -8,8 +8,8 @@
  */
 final class CloudCallSlot {
   private final CloudClient cloud;
-  private boolean inFlight;
-  private boolean closed;
+  private boolean isInFlight;
+  private boolean isClosed;
 
   CloudCallSlot(CloudClient cloud) {
     this.cloud = cloud;
@@ -17,27 +17,27 @@
 
   /** Whether a call may be made now. */
   boolean isFree() {
-    return !inFlight && !closed;
+    return !isInFlight && !isClosed;
   }
 
   /** Whether the term has ended. A call in flight may still be answered afterwards. */
   boolean isClosed() {
-    return closed;
+    return isClosed;
   }
 
   /** Takes the slot until {@link #release}, and returns the client for the call. */
   CloudClient acquire() {
-    inFlight = true;
+    isInFlight = true;
     return cloud;
   }
 
   /** Frees the slot, since the call was answered or has failed. */
   void release() {
-    inFlight = false;
+    isInFlight = false;
   }
 
   /** Allows no further calls, since the term has ended. */
   void close() {
-    closed = true;
+    isClosed = true;
   }
 }
--- a/src/main/java/io/cherryspool/controller/provisioning/InstanceRequests.java
+++ b/src/main/java/io/cherryspool/controller/provisioning/InstanceRequests.java
@@ -33,16 +33,16 @@
   private final CloudCallSlot calls;
   private final Fleet fleet;
   private final String namePrefix;
-  private final Duration unlistedLimit;
-  private final Map<String, ExpectedInstance> expected = new HashMap<>();
+  private final Duration maxUnlistedTime;
+  private final Map<String, ExpectedInstance> expectedInstances = new HashMap<>();
   private final Map<ScalingPlanner.Offering, Duration> unavailableSince = new HashMap<>();
-  private Request unansweredRequest;
+  private InstanceRequest unansweredRequest;
   private int requestCount;
 
   /** An instance requested in this term that has sent no heartbeat yet. */
   private record ExpectedInstance(ScalingPlanner.Offering offering, Duration requestedAt) {}
 
-  private record Request(String name, ScalingPlanner.Offering offering, int count) {}
+  private record InstanceRequest(String name, ScalingPlanner.Offering offering, int count) {}
 
   /**
    * Creates the instance requests of a term.
@@ -57,7 +57,7 @@
     this.calls = calls;
     this.fleet = fleet;
     this.namePrefix = namePrefix;
-    this.unlistedLimit = Durations.multiply(listLag, 4);
+    this.maxUnlistedTime = Durations.multiply(listLag, 4);
   }
 
   /** Whether the outcome of a request is unknown, so that the request must be repeated. */
@@ -77,19 +77,21 @@
   void request(ScalingPlanner.Offering offering, int count) {
     requestCount++;
     send(
-        new Request(
+        new InstanceRequest(
             namePrefix + requestCount, offering, Math.min(count, MAX_INSTANCES_PER_REQUEST)));
   }
 
   /** Returns a view of the offerings that had no capacity recently. */
   Set<ScalingPlanner.Offering> unavailableOfferings(Duration now) {
-    unavailableSince.values().removeIf(at -> now.minus(at).compareTo(UNAVAILABLE_DURATION) > 0);
+    unavailableSince
+        .values()
+        .removeIf(refusedAt -> now.minus(refusedAt).compareTo(UNAVAILABLE_DURATION) > 0);
     return unavailableSince.keySet();
   }
 
   /** Stops expecting a heartbeat of the instance, since it has been deleted. */
   void removeExpected(String name) {
-    expected.remove(name);
+    expectedInstances.remove(name);
   }
 
   /**
@@ -100,13 +102,13 @@
       InstanceList list, Map<String, MachineType> types) {
     removeNoLongerExpected(list, loop.now());
     List<ScalingPlanner.Offering> result = new ArrayList<>();
-    for (ExpectedInstance instance : expected.values()) {
+    for (ExpectedInstance instance : expectedInstances.values()) {
       result.add(instance.offering);
     }
     for (Instance instance : list.all()) {
       if (instance.status() == Instance.Status.BOOTING
           && !fleet.hasSentHeartbeat(instance.name())
-          && !expected.containsKey(instance.name())
+          && !expectedInstances.containsKey(instance.name())
           && !fleet.isDeleted(instance.name())
           && types.containsKey(instance.type())) {
         result.add(
@@ -122,19 +124,19 @@
    * the list although it should show them by now.
    */
   private void removeNoLongerExpected(InstanceList list, Duration now) {
-    expected
+    expectedInstances
         .entrySet()
         .removeIf(
             entry -> {
               String name = entry.getKey();
               boolean isMissingTooLong =
                   !list.contains(name)
-                      && now.minus(entry.getValue().requestedAt).compareTo(unlistedLimit) > 0;
+                      && now.minus(entry.getValue().requestedAt).compareTo(maxUnlistedTime) > 0;
               return fleet.hasSentHeartbeat(name) || isMissingTooLong || fleet.isDeleted(name);
             });
   }
 
-  private void send(Request request) {
+  private void send(InstanceRequest request) {
     unansweredRequest = request;
     ScalingPlanner.Offering offering = request.offering;
     calls
@@ -160,7 +162,7 @@
             });
   }
 
-  private void recordProvided(Request request, List<String> names) {
+  private void recordProvided(InstanceRequest request, List<String> names) {
     ScalingPlanner.Offering offering = request.offering;
     LOG.info(
         "scale out: {} of {} instances provided, type={} zone={} spot={} request={}",
@@ -171,7 +173,7 @@
         offering.isSpot(),
         request.name);
     Duration now = loop.now();
-    names.forEach(name -> expected.put(name, new ExpectedInstance(offering, now)));
+    names.forEach(name -> expectedInstances.put(name, new ExpectedInstance(offering, now)));
     if (names.size() < request.count) {
       unavailableSince.put(offering, now);
     }
--- a/src/main/java/io/cherryspool/controller/release/PendingReleases.java
+++ b/src/main/java/io/cherryspool/controller/release/PendingReleases.java
@@ -23,17 +23,17 @@
    * learned of it.
    */
   public record Release(
-      Ownership.OwnedTask owned, TerminationEvidence.Verdict verdict, Duration learnedAt) {
+      Ownership.OwnedTask owned, TerminationEvidence.Assessment assessment, Duration learnedAt) {
 
     /** Whether the attempt completed its task. */
     public boolean isDone() {
-      return verdict == TerminationEvidence.Verdict.DONE;
+      return assessment == TerminationEvidence.Assessment.DONE;
     }
 
     /** Whether the release increases the task's failure count. */
     public boolean countsAsFailure() {
-      return verdict == TerminationEvidence.Verdict.FAILED
-          || verdict == TerminationEvidence.Verdict.LOST;
+      return assessment == TerminationEvidence.Assessment.FAILED
+          || assessment == TerminationEvidence.Assessment.LOST;
     }
   }
 
--- a/src/main/java/io/cherryspool/controller/release/TerminationEvidence.java
+++ b/src/main/java/io/cherryspool/controller/release/TerminationEvidence.java
@@ -46,7 +46,7 @@
   }
 
   /** What is proved about an attempt. */
-  public enum Verdict {
+  public enum Assessment {
     /** Nothing is proved: it may be running, or may still start. */
     OWNED,
     /** It has completed its task. */
@@ -72,26 +72,26 @@
    * @param machine the machine that the attempt was assigned to, null if this leader does not know
    *     it
    */
-  public Verdict assess(Ownership.OwnedTask owned, MachineState machine, Duration now) {
+  public Assessment assess(Ownership.OwnedTask owned, MachineState machine, Duration now) {
     if (machine == null) {
-      return assessLease(termStart.plus(timings.authority()), now);
+      return assessLease(termStart.plus(timings.maxLeaderAuthority()), now);
     }
     if (machine.isDeleted()) {
-      return Verdict.LOST;
+      return Assessment.LOST;
     }
     if (machine.hasHeartbeat()) {
       if (machine.latestHeartbeat().agentEpoch() > owned.attempt().agentEpoch()) {
-        return Verdict.LOST;
+        return Assessment.LOST;
       }
-      Verdict reported = assessHeartbeat(owned, machine);
-      if (reported != Verdict.OWNED) {
+      Assessment reported = assessHeartbeat(owned, machine);
+      if (reported != Assessment.OWNED) {
         return reported;
       }
     }
     return assessLease(latestPossibleRenewal(machine), now);
   }
 
-  private Verdict assessHeartbeat(Ownership.OwnedTask owned, MachineState machine) {
+  private Assessment assessHeartbeat(Ownership.OwnedTask owned, MachineState machine) {
     Attempt attempt = owned.attempt();
     Optional<WorkerHeartbeat.TaskStatus> found =
         machine.contact().findTask(owned.taskId(), attempt.number());
@@ -100,20 +100,20 @@
     }
     WorkerHeartbeat.TaskStatus status = found.get();
     if (status.state() != WorkerHeartbeat.TaskState.EXITED) {
-      return Verdict.OWNED;
+      return Assessment.OWNED;
     }
     if (status.cause() == WorkerHeartbeat.ExitCause.DONE) {
-      return Verdict.DONE;
+      return Assessment.DONE;
     }
     // A start command that is still in flight could run the attempt again after the worker has
     // dropped it.
     if (!machine.contact().hasTokenAbove(tokens.termBase()) || !machine.areCommandsFenced()) {
-      return Verdict.NEEDS_FENCING;
+      return Assessment.NEEDS_FENCING;
     }
     return switch (status.cause()) {
-      case STOPPED -> Verdict.ENDED;
-      case INSUFFICIENT_RESOURCES, OTHER_ATTEMPT_PRESENT, UNKNOWN_JOB -> Verdict.REFUSED;
-      default -> Verdict.FAILED;
+      case STOPPED -> Assessment.ENDED;
+      case INSUFFICIENT_RESOURCES, OTHER_ATTEMPT_PRESENT, UNKNOWN_JOB -> Assessment.REFUSED;
+      default -> Assessment.FAILED;
     };
   }
 
@@ -121,17 +121,17 @@
    * Assesses an attempt that the heartbeat does not list. This proves its end only if no start
    * command for it is due or can still be executed.
    */
-  private Verdict assessAbsence(Ownership.OwnedTask owned, MachineState machine) {
+  private Assessment assessAbsence(Ownership.OwnedTask owned, MachineState machine) {
     if (!stopRequests.isRequested(owned)
         || machine.latestHeartbeat().agentEpoch() != owned.attempt().agentEpoch()) {
-      return Verdict.OWNED;
+      return Assessment.OWNED;
     }
     WorkerCommand start = WorkerCommand.start(owned.taskId(), owned.attempt().number());
-    long startToken = machine.commands().startTokenOr(start, tokens.termBase());
+    long startToken = machine.commandDelivery().startTokenOr(start, tokens.termBase());
     if (!machine.contact().hasTokenAbove(startToken) || !machine.areCommandsFenced()) {
-      return Verdict.NEEDS_FENCING;
+      return Assessment.NEEDS_FENCING;
     }
-    return Verdict.ENDED;
+    return Assessment.ENDED;
   }
 
   /**
@@ -142,13 +142,13 @@
     Duration renewedAt = machine.contact().lastLeaseRenewalAt();
     Duration byThisLeader = renewedAt == null ? termStart : renewedAt;
     boolean isFenced = machine.contact().hasTokenAbove(tokens.termBase());
-    Duration byEarlierLeader = isFenced ? termStart : termStart.plus(timings.authority());
+    Duration byEarlierLeader = isFenced ? termStart : termStart.plus(timings.maxLeaderAuthority());
     return byThisLeader.compareTo(byEarlierLeader) > 0 ? byThisLeader : byEarlierLeader;
   }
 
-  private Verdict assessLease(Duration renewedAt, Duration now) {
+  private Assessment assessLease(Duration renewedAt, Duration now) {
     return now.minus(renewedAt).compareTo(timings.workerLeaseExpiry()) > 0
-        ? Verdict.LOST
-        : Verdict.OWNED;
+        ? Assessment.LOST
+        : Assessment.OWNED;
   }
 }
--- a/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
+++ b/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
@@ -92,8 +92,8 @@
   }
 
   /** Records that an attempt of the task has ended, or that its machine was lost. */
-  void onAttemptEnded(TaskId task, boolean done, Duration now) {
-    if (done) {
+  void onAttemptEnded(TaskId task, boolean isDone, Duration now) {
+    if (isDone) {
       lastEndTimes.remove(task);
     } else {
       lastEndTimes.put(task, now);
@@ -152,11 +152,13 @@
       // A task of the job runs in an unknown zone, so that no zone is certain to satisfy the job's
       // constraint.
       return new CachedView(
-          new ClusterView.JobView(job, List.of(), Map.of(), scan.failureCapped, scan.hasStarted),
+          new ClusterView.JobView(
+              job, List.of(), Map.of(), scan.failureCappedCount, scan.hasStarted),
           now);
     }
     return new CachedView(
-        new ClusterView.JobView(job, pending, byZone.get(), scan.failureCapped, scan.hasStarted),
+        new ClusterView.JobView(
+            job, pending, byZone.get(), scan.failureCappedCount, scan.hasStarted),
         scan.validUntil);
   }
 
@@ -218,7 +220,7 @@
     private final Map<Integer, PendingReleases.Release> releases;
     private final Duration now;
     private final List<ClusterView.PendingTask> pending = new ArrayList<>();
-    private int failureCapped;
+    private int failureCappedCount;
     private boolean hasStarted;
     private Duration validUntil;
 
@@ -268,7 +270,7 @@
       if (now.compareTo(nextTryAt) >= 0) {
         pending.add(new ClusterView.PendingTask(task, history.attempts(), failures, lastEndTime));
       } else {
-        failureCapped += isAtCap ? 1 : 0;
+        failureCappedCount += isAtCap ? 1 : 0;
         waitUntil(nextTryAt);
       }
     }
--- a/src/main/java/io/cherryspool/controller/rounds/RoundChangeSetBuilder.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundChangeSetBuilder.java
@@ -61,7 +61,7 @@
 
   /** Assigns the free task to the machine, as the next attempt of the task. */
   void assign(JobRecord job, int task, String machine, long agentEpoch, long token) {
-    JobEdit edit = edit(job);
+    JobEdit edit = editFor(job);
     int shard = job.shardIndexOf(task);
     edit.shardEditor(shard).assign(task, machine, agentEpoch, token);
     edit.assignedShards.add(shard);
@@ -69,7 +69,7 @@
 
   /** Records a running attempt whose start was not recorded. */
   void adopt(JobRecord job, Attempt attempt) {
-    JobEdit edit = edit(job);
+    JobEdit edit = editFor(job);
     int shard = job.shardIndexOf(attempt.taskIndex());
     edit.shardEditor(shard).adopt(attempt);
     edit.assignedShards.add(shard);
@@ -77,40 +77,41 @@
 
   /** Records the completion of a task whose start was not recorded. */
   void complete(JobRecord job, int task) {
-    JobEdit edit = edit(job);
+    JobEdit edit = editFor(job);
     edit.shardEditor(job.shardIndexOf(task)).complete(task);
     edit.isOverdue = true;
   }
 
-  private JobEdit edit(JobRecord job) {
+  private JobEdit editFor(JobRecord job) {
     return edits.computeIfAbsent(job.job().id(), key -> new JobEdit(job));
   }
 
   /**
    * Returns the changes to commit, the most urgent first.
    *
-   * @param due releases learned up to this time are written even if nothing else changes their
-   *     shard
-   * @param overdue releases learned up to this time are written in the same write class as starts
-   *     of tasks
+   * @param dueCutoff releases learned up to this time are written even if nothing else changes
+   *     their shard
+   * @param overdueCutoff releases learned up to this time are written in the same write class as
+   *     starts of tasks
    */
-  List<ChangeSet> changeSets(Collection<JobRecord> activeJobs, Duration due, Duration overdue) {
-    Set<String> endingJobs = addReleases(due, overdue);
+  List<ChangeSet> changeSets(
+      Collection<JobRecord> activeJobs, Duration dueCutoff, Duration overdueCutoff) {
+    Set<String> endingJobs = addReleases(dueCutoff, overdueCutoff);
     edits.forEach((id, edit) -> addShards(edit, endingJobs.contains(id)));
     addCleanup(activeJobs);
-    List<ChangeSet> all = new ArrayList<>(regularPriority.ends);
-    all.addAll(regularPriority.starts);
-    all.addAll(lowPriority.ends);
-    all.addAll(lowPriority.starts);
-    all.addAll(deferrable);
-    return all;
+    List<ChangeSet> result = new ArrayList<>(regularPriority.ends);
+    result.addAll(regularPriority.starts);
+    result.addAll(lowPriority.ends);
+    result.addAll(lowPriority.starts);
+    result.addAll(deferrable);
+    return result;
   }
 
   /**
    * Adds the releases that are due to the edits, and returns the ids of the jobs that end with
    * them.
    */
-  private Set<String> addReleases(Duration due, Duration overdue) {
+  private Set<String> addReleases(Duration dueCutoff, Duration overdueCutoff) {
     Set<String> endingJobs = new HashSet<>();
     for (String id : pendingReleases.jobIds()) {
       Collection<PendingReleases.Release> releases = pendingReleases.releasesOf(id).values();
@@ -121,11 +122,11 @@
       boolean isDue = isEnding;
       boolean isOverdue = false;
       for (PendingReleases.Release release : releases) {
-        isDue |= release.learnedAt().compareTo(due) <= 0;
-        isOverdue |= release.learnedAt().compareTo(overdue) <= 0;
+        isDue |= release.learnedAt().compareTo(dueCutoff) <= 0;
+        isOverdue |= release.learnedAt().compareTo(overdueCutoff) <= 0;
       }
       if (isDue) {
-        JobEdit edit = edit(job);
+        JobEdit edit = editFor(job);
         edit.isOverdue = isOverdue;
         for (PendingReleases.Release release : releases) {
           edit.shardEditor(job.shardIndexOf(release.owned().taskId().index()));
--- a/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
@@ -79,7 +79,7 @@
   int commit(List<ChangeSet> changeSets, Runnable onOutcomesKnown) {
     List<Transaction> transactions = new ArrayList<>();
     Transaction current = new Transaction();
-    int sent = 0;
+    int sentCount = 0;
     for (ChangeSet next : changeSets) {
       if (!current.isEmpty() && !current.hasRoomFor(next)) {
         rateLimiter.forceAcquire(current.changes.size());
@@ -94,7 +94,7 @@
         transactions.add(current);
       }
       current.add(next);
-      sent++;
+      sentCount++;
     }
     if (!current.isEmpty()) {
       rateLimiter.forceAcquire(current.changes.size());
@@ -103,7 +103,7 @@
     for (Transaction transaction : transactions) {
       send(transaction, false, round);
     }
-    return sent;
+    return sentCount;
   }
 
   /**
@@ -176,17 +176,17 @@
     boolean hasRoomFor(ChangeSet next) {
       return changes.size() + next.changes().size() <= maxChanges
           && conditionCount + next.conditions().size() <= MAX_CONDITIONS_PER_CHANGE * maxChanges
-          && bytes + size(next) <= StateStoreProtocol.MAX_TRANSACTION_VALUE_BYTES;
+          && bytes + sizeInBytes(next) <= StateStoreProtocol.MAX_TRANSACTION_VALUE_BYTES;
     }
 
     void add(ChangeSet next) {
       conditions.putAll(next.conditions());
       changes.addAll(next.changes());
       conditionCount += next.conditions().size();
-      bytes += size(next);
+      bytes += sizeInBytes(next);
     }
 
-    private static int size(ChangeSet changeSet) {
+    private static int sizeInBytes(ChangeSet changeSet) {
       return changeSet.bytes()
           + StateStoreProtocol.CHANGE_OVERHEAD_BYTES * changeSet.changes().size();
     }
--- a/src/main/java/io/cherryspool/controller/rounds/RoundDecisionLog.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundDecisionLog.java
@@ -29,7 +29,7 @@
   }
 
   /** Collects the decisions of one round while it is planned. */
-  final class Round implements EntryDecision.Listener {
+  final class RoundRecorder implements EntryDecision.Listener {
     private final Map<String, List<EntryDecision>> decisionsByJob = new HashMap<>();
 
     @Override
@@ -55,7 +55,7 @@
       decisionsByJob.forEach(
           (job, decisions) -> {
             if (!decisions.equals(lastDecisionsByJob.get(job))) {
-              decisions.forEach(Round::writeDecision);
+              decisions.forEach(RoundRecorder::writeDecision);
             }
           });
       lastDecisionsByJob = decisionsByJob;
--- a/src/main/java/io/cherryspool/controller/rounds/RoundPlanner.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundPlanner.java
@@ -44,7 +44,7 @@
   private final TerminationCollector terminations;
   private final int maxChanges;
   private final Meters meters;
-  private final SchedulingLoop.Host host;
+  private final SchedulingLoop.Callbacks callbacks;
   private final RoundDecisionLog decisionLog = new RoundDecisionLog();
   private RoundPlan lastPlan = RoundPlan.EMPTY;
 
@@ -60,14 +60,14 @@
       TerminationCollector terminations,
       int maxChanges,
       Meters meters,
-      SchedulingLoop.Host host) {
+      SchedulingLoop.Callbacks callbacks) {
     this.records = records;
     this.state = state;
     this.views = views;
     this.terminations = terminations;
     this.maxChanges = maxChanges;
     this.meters = meters;
-    this.host = host;
+    this.callbacks = callbacks;
   }
 
   /** Returns the last plan, which is empty before the first round. */
@@ -130,7 +130,7 @@
     if (!lastPlan.victims().isEmpty()) {
       requestStops(lastPlan.victims());
       // Stop commands are sent without waiting for the commit.
-      host.onCommandsChanged();
+      callbacks.onCommandsChanged();
     }
   }
 
@@ -138,9 +138,9 @@
     if (!decisionLog.isEnabled()) {
       return PlacementPlanner.plan(view);
     }
-    RoundDecisionLog.Round round = decisionLog.new Round();
-    RoundPlan plan = PlacementPlanner.plan(view, round);
-    round.write(view, plan.heldTasks());
+    RoundDecisionLog.RoundRecorder recorder = decisionLog.new RoundRecorder();
+    RoundPlan plan = PlacementPlanner.plan(view, recorder);
+    recorder.write(view, plan.heldTasks());
     return plan;
   }
 
--- a/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
+++ b/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
@@ -41,7 +41,7 @@
   private final TermState state;
   private final Duration maxRoundInterval;
   private final Meters meters;
-  private final Host host;
+  private final Callbacks callbacks;
   private final JobViewCache jobViews;
   private final MachineViewCache machineViews;
   private final TerminationCollector terminations;
@@ -76,7 +76,7 @@
   }
 
   /** The owner of the loop, which permits rounds and sends commands to workers. */
-  public interface Host {
+  public interface Callbacks {
     /** Whether rounds may plan and record changes now. */
     boolean mayPlace();
 
@@ -92,13 +92,13 @@
       TermState state,
       PlanningInputs inputs,
       Meters meters,
-      Host host) {
+      Callbacks callbacks) {
     this.loop = loop;
     this.records = records;
     this.committer = committer;
     this.state = state;
     this.meters = meters;
-    this.host = host;
+    this.callbacks = callbacks;
     RoundLimits limits = inputs.limits();
     TaskTracking tasks = state.tasks();
     maxRoundInterval = limits.maxRoundInterval();
@@ -116,7 +116,7 @@
             terminations,
             limits.maxChanges(),
             meters,
-            host);
+            callbacks);
   }
 
   @Override
@@ -237,7 +237,7 @@
     }
     lastStart = loop.now();
     terminations.collect(loop.now());
-    if (!host.mayPlace()) {
+    if (!callbacks.mayPlace()) {
       return;
     }
     List<ChangeSet> changeSets = planner.plan(phase, lastStart, loop.now());
@@ -251,16 +251,16 @@
     commitState = CommitState.IN_PROGRESS;
     meters.committedRounds.increment();
     state.tokens().advance();
-    int sent = committer.commit(changeSets, this::refreshRecords);
-    if (sent == 0) {
+    int sentCount = committer.commit(changeSets, this::refreshRecords);
+    if (sentCount == 0) {
       commitState = CommitState.IDLE;
     }
-    if (sent < changeSets.size()) {
+    if (sentCount < changeSets.size()) {
       LOG.debug(
           "the rate limiter deferred {} of {} change sets to a later round",
-          changeSets.size() - sent,
+          changeSets.size() - sentCount,
           changeSets.size());
-      if (changeSets.get(sent).writeClass() == RateLimiter.WriteClass.ROUND) {
+      if (changeSets.get(sentCount).writeClass() == RateLimiter.WriteClass.ROUND) {
         Duration pause = Durations.multiply(lastCost, MIN_INTERVAL_TO_COST_RATIO);
         nextRoundTimer = loop.schedule(longer(pause, RETRY_DELAY), this::runRound);
       }
@@ -284,7 +284,7 @@
               }
               boolean isRequested = commitState == CommitState.IN_PROGRESS_ROUND_REQUESTED;
               commitState = CommitState.IDLE;
-              host.onCommandsChanged();
+              callbacks.onCommandsChanged();
               if (isRequested) {
                 requestRound();
               }
--- a/src/main/java/io/cherryspool/controller/rounds/TerminationCollector.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TerminationCollector.java
@@ -106,13 +106,13 @@
         if (tasks.pendingReleases().contains(owned)) {
           continue;
         }
-        TerminationEvidence.Verdict verdict = state.evidence().assess(owned, machine, now);
-        if (verdict == TerminationEvidence.Verdict.NEEDS_FENCING) {
+        TerminationEvidence.Assessment assessment = state.evidence().assess(owned, machine, now);
+        if (assessment == TerminationEvidence.Assessment.NEEDS_FENCING) {
           needsFencing = true;
           machinesToExamine.add(name);
-        } else if (verdict != TerminationEvidence.Verdict.OWNED) {
-          addRelease(owned, machine, verdict, now);
-          if (verdict == TerminationEvidence.Verdict.LOST) {
+        } else if (assessment != TerminationEvidence.Assessment.OWNED) {
+          addRelease(owned, machine, assessment, now);
+          if (assessment == TerminationEvidence.Assessment.LOST) {
             lost++;
             lostMachines.add(name);
           }
@@ -145,10 +145,10 @@
   private void addRelease(
       Ownership.OwnedTask owned,
       MachineState machine,
-      TerminationEvidence.Verdict verdict,
+      TerminationEvidence.Assessment assessment,
       Duration now) {
-    tasks.pendingReleases().add(new PendingReleases.Release(owned, verdict, now));
-    boolean isDone = verdict == TerminationEvidence.Verdict.DONE;
+    tasks.pendingReleases().add(new PendingReleases.Release(owned, assessment, now));
+    boolean isDone = assessment == TerminationEvidence.Assessment.DONE;
     jobViews.onAttemptEnded(owned.taskId(), isDone, now);
     if (machine != null) {
       machine.invalidateView();
@@ -156,7 +156,7 @@
     if (isDone) {
       recordSuccess(owned, machine, now);
     } else {
-      recordFailure(owned, machine, verdict, now);
+      recordFailure(owned, machine, assessment, now);
     }
   }
 
@@ -175,15 +175,15 @@
   private void recordFailure(
       Ownership.OwnedTask owned,
       MachineState machine,
-      TerminationEvidence.Verdict verdict,
+      TerminationEvidence.Assessment assessment,
       Duration now) {
-    boolean hasFailed = verdict == TerminationEvidence.Verdict.FAILED;
-    if (verdict == TerminationEvidence.Verdict.LOST) {
+    boolean hasFailed = assessment == TerminationEvidence.Assessment.FAILED;
+    if (assessment == TerminationEvidence.Assessment.LOST) {
       meters.lostTasks.increment();
     } else if (hasFailed) {
       meters.taskFailures.increment();
     }
-    if (!hasFailed && verdict != TerminationEvidence.Verdict.REFUSED) {
+    if (!hasFailed && assessment != TerminationEvidence.Assessment.REFUSED) {
       return;
     }
     JobRecord job = owned.jobRecord();
--- a/src/main/java/io/cherryspool/controller/timing/Timings.java
+++ b/src/main/java/io/cherryspool/controller/timing/Timings.java
@@ -9,9 +9,9 @@
  * The durations on which the safety of task ownership depends, derived from the settings.
  *
  * @param heartbeatInterval how often a worker sends a heartbeat
- * @param authority how long a leader may renew the leases of workers, counted from when it sent the
- *     last successful requests that renewed its own lease and read the state store, see {@link
- *     Settings#authority()}
+ * @param maxLeaderAuthority how long a leader may renew the leases of workers, counted from when it
+ *     sent the last successful requests that renewed its own lease and read the state store, see
+ *     {@link Settings#maxLeaderAuthority()}
  * @param workerLeaseExpiry how long after the last renewal of a worker's lease its tasks have
  *     certainly ended
  * @param stateStoreLease how long a leader's lease in the state store lasts without renewal
@@ -21,7 +21,7 @@
  */
 public record Timings(
     Duration heartbeatInterval,
-    Duration authority,
+    Duration maxLeaderAuthority,
     Duration workerLeaseExpiry,
     Duration stateStoreLease,
     Duration stateStoreTimeout,
@@ -55,7 +55,7 @@
   public static Timings fromSettings(Settings settings, OperatorSettings operators) {
     Duration workerLease = settings.workerLease();
     Duration heartbeatInterval = settings.heartbeatInterval();
-    Duration authority = settings.authority();
+    Duration authority = settings.maxLeaderAuthority();
     // If the cancel limit leaves less authority than the configured state store lease, the lease is
     // shortened, so leadership is renewed more often. Raising the authority instead would let
     // cancelled tasks run beyond the limit.
--- a/src/test/java/io/cherryspool/config/SettingsTest.java
+++ b/src/test/java/io/cherryspool/config/SettingsTest.java
@@ -99,8 +99,8 @@
     Duration margins = settings.maxCancellationTime().dividedBy(10).plusSeconds(2);
     assertEquals(
         settings.maxCancellationTime(),
-        settings.authority().plus(settings.workerLease()).plus(margins));
-    assertTrue(settings.authority().compareTo(Duration.ofSeconds(1)) >= 0);
+        settings.maxLeaderAuthority().plus(settings.workerLease()).plus(margins));
+    assertTrue(settings.maxLeaderAuthority().compareTo(Duration.ofSeconds(1)) >= 0);
   }
 
   @Test
--- a/src/test/java/io/cherryspool/controller/fleet/FleetTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/FleetTest.java
@@ -26,8 +26,8 @@
   @Test
   void onlyTheNewestHeartbeatIsAccepted() {
     WorkerHeartbeat second = heartbeat("127.0.0.1:1", 2);
-    assertTrue(fleet.accept(second, NOW));
-    assertFalse(fleet.accept(heartbeat("127.0.0.1:1", 1), NOW));
+    assertTrue(fleet.recordHeartbeat(second, NOW));
+    assertFalse(fleet.recordHeartbeat(heartbeat("127.0.0.1:1", 1), NOW));
     assertSame(second, fleet.get("host-1").latestHeartbeat());
   }
 
@@ -36,7 +36,7 @@
     MachineState machine = fleet.register("host-1", null, "box", "a", true, NOW);
     assertFalse(fleet.hasSentHeartbeat("host-1"));
     assertFalse(machine.hasEndpoint());
-    fleet.accept(heartbeat("127.0.0.1:1", 1), NOW);
+    fleet.recordHeartbeat(heartbeat("127.0.0.1:1", 1), NOW);
     assertSame(machine, fleet.get("host-1"));
     assertTrue(fleet.hasSentHeartbeat("host-1"));
     assertTrue(machine.hasEndpoint());
@@ -44,7 +44,7 @@
 
   @Test
   void anUnusableAddressLeavesTheMachineWithoutEndpoint() {
-    assertTrue(fleet.accept(heartbeat("nowhere", 1), NOW));
+    assertTrue(fleet.recordHeartbeat(heartbeat("nowhere", 1), NOW));
     assertFalse(fleet.get("host-1").hasEndpoint());
   }
 
@@ -54,7 +54,7 @@
     fleet.removeDeleted(new Ownership(null));
     assertNull(fleet.get("host-1"));
     assertTrue(fleet.isDeleted("host-1"));
-    assertFalse(fleet.accept(heartbeat("127.0.0.1:1", 1), NOW));
+    assertFalse(fleet.recordHeartbeat(heartbeat("127.0.0.1:1", 1), NOW));
     assertEquals(0, fleet.all().size());
   }
 }
--- a/src/test/java/io/cherryspool/controller/fleet/MachineContactTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/MachineContactTest.java
@@ -25,7 +25,7 @@
    */
   private boolean exchange(long agentEpoch, long sequence, long token, int second) {
     WorkerHeartbeat heartbeat = heartbeat(agentEpoch, sequence, token);
-    contact.accept(heartbeat, Duration.ofSeconds(second));
+    contact.recordHeartbeat(heartbeat, Duration.ofSeconds(second));
     return contact.recordReply(heartbeat, 50 + second, Duration.ofSeconds(second));
   }
 
@@ -47,7 +47,7 @@
     exchange(2, 5, 51, 20);
     assertEquals(
         3, contact.ignoredReplies(), "a new agent epoch does not prove that replies are received");
-    contact.accept(heartbeat(2, 6, 70), Duration.ofSeconds(21));
+    contact.recordHeartbeat(heartbeat(2, 6, 70), Duration.ofSeconds(21));
     assertEquals(0, contact.ignoredReplies(), "acknowledging the last reply's token does");
   }
 
@@ -69,7 +69,7 @@
    */
   @Test
   void aHeartbeatOvertakenByADirectAnswerStillCountsAsAnswered() {
-    contact.accept(heartbeat(1, 8, 60), Duration.ofSeconds(5));
+    contact.recordHeartbeat(heartbeat(1, 8, 60), Duration.ofSeconds(5));
     assertTrue(exchange(1, 7, 50, 6));
     assertEquals(Optional.of(Duration.ofSeconds(6)), contact.lastReplyAt());
   }
--- a/src/test/java/io/cherryspool/controller/fleet/ZonePartitionTest.java
+++ b/src/test/java/io/cherryspool/controller/fleet/ZonePartitionTest.java
@@ -30,7 +30,9 @@
     MachineState machine = new MachineState(name, "box", zone, false, Duration.ZERO);
     WorkerHeartbeat heartbeat =
         new WorkerHeartbeat(name, "127.0.0.1:1", "box", zone, false, 1, 1, 0, null, List.of());
-    machine.contact().accept(heartbeat, Duration.ofMillis((long) (heartbeatSecond * 1000)));
+    machine
+        .contact()
+        .recordHeartbeat(heartbeat, Duration.ofMillis((long) (heartbeatSecond * 1000)));
     fleet.add(machine);
     listed.add(name);
   }
--- a/src/test/java/io/cherryspool/controller/leader/LeaderCostTest.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderCostTest.java
@@ -101,7 +101,7 @@
   private Fleet fleet() {
     Fleet fleet = new Fleet();
     for (int i = 0; i < MACHINES; i++) {
-      fleet.accept(parse(leader.nextHeartbeat("host-" + i, TASKS)), Duration.ZERO);
+      fleet.recordHeartbeat(parse(leader.nextHeartbeat("host-" + i, TASKS)), Duration.ZERO);
     }
     return fleet;
   }
--- a/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
@@ -59,7 +59,7 @@
               "box", new Resources(16, 0, 64), 50, 0.5, 1, 0.4, Duration.ZERO, List.of("a")));
 
   private final VirtualTime time = new VirtualTime();
-  private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
+  private final FakeStateStore stateStore = new FakeStateStore(time, new SplittableRandom(1), 0);
   private final FencingTokenSource tokens = new FencingTokenSource(TERM);
   private final LeaderTerm term;
   private int scheduledTasks;
@@ -71,7 +71,11 @@
     RateLimiter rateLimiter = new RateLimiter(loop, 1, 1000, 1000);
     StateStoreClient client =
         new StateStoreClient(
-            loop, rateLimiter, new ControlledTransport(time, state), UNUSED_ENDPOINT, CALL_TIMEOUT);
+            loop,
+            rateLimiter,
+            new ControlledTransport(time, stateStore),
+            UNUSED_ENDPOINT,
+            CALL_TIMEOUT);
     Replica replica =
         new Replica(loop, client, rateLimiter, Duration.ofMillis(5), CALL_TIMEOUT.dividedBy(2));
     replica.start();
@@ -189,7 +193,7 @@
   void recordJob(Job job) {
     StateStoreProtocol.Change change =
         new StateStoreProtocol.Change(Records.jobKey(job.id()), Records.encodeJob(job, 100), 0);
-    state.handle(StateStoreProtocol.transactionRequest(Map.of(), List.of(change)));
+    stateStore.handle(StateStoreProtocol.transactionRequest(Map.of(), List.of(change)));
   }
 
   /**
@@ -217,7 +221,7 @@
   /** Passes an encoded heartbeat to the leader; returns the encoded reply. */
   byte[] handleHeartbeat(byte[] heartbeat) {
     try {
-      return term.handleHeartbeat(WorkerProtocol.parseHeartbeat(Json.parseObject(heartbeat)));
+      return term.answerHeartbeat(WorkerProtocol.parseHeartbeat(Json.parseObject(heartbeat)));
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
--- a/src/test/java/io/cherryspool/controller/leader/WorkerCommandPlannerTest.java
+++ b/src/test/java/io/cherryspool/controller/leader/WorkerCommandPlannerTest.java
@@ -63,7 +63,7 @@
             tokens.current(),
             null,
             List.of(tasks));
-    assertTrue(machine.contact().accept(heartbeat, START.plusSeconds(1)));
+    assertTrue(machine.contact().recordHeartbeat(heartbeat, START.plusSeconds(1)));
   }
 
   private static WorkerHeartbeat.TaskStatus running() {
@@ -98,8 +98,8 @@
    */
   @Test
   void anExitedAttemptIsNotAcknowledgedUntilAnUnansweredCallIsFenced() {
-    machine.commands().recordCallStarted(List.of(), tokens.current());
-    machine.commands().recordCallFailed(START);
+    machine.commandDelivery().recordCallStarted(List.of(), tokens.current());
+    machine.commandDelivery().recordCallFailed(START);
     receive(failed());
     assertEquals(List.of(), planner.commandsFor(machine, List.of()));
     tokens.advance();
--- a/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
+++ b/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
@@ -28,12 +28,12 @@
 /** Tests the handling of the cloud's answers to requests for instances. */
 class InstanceRequestsTest {
   private static final Duration LIST_LAG = Duration.ofSeconds(6);
-  private static final MachineType BOX =
+  private static final MachineType MACHINE_TYPE =
       new MachineType(
           "box", new Resources(16, 0, 64), 50, 0.5, 1, 0.4, Duration.ZERO, List.of("a"));
   private static final ScalingPlanner.Offering OFFERING =
-      new ScalingPlanner.Offering(BOX, "a", true);
-  private static final Map<String, MachineType> TYPES = Map.of("box", BOX);
+      new ScalingPlanner.Offering(MACHINE_TYPE, "a", true);
+  private static final Map<String, MachineType> TYPES = Map.of("box", MACHINE_TYPE);
 
   private final VirtualTime time = new VirtualTime();
   private final Fleet fleet = new Fleet();
@@ -117,7 +117,7 @@
   void anInstanceIsProvisioningUntilItsFirstHeartbeat() {
     requests.request(OFFERING, 1);
     answerLast(200, "{\"spindles\":[\"host-1\"]}");
-    fleet.accept(
+    fleet.recordHeartbeat(
         new WorkerHeartbeat("host-1", "127.0.0.1:1", "box", "a", true, 1, 1, 0, null, List.of()),
         time.now());
     assertEquals(List.of(), requests.provisioningOfferings(list, TYPES));
--- a/src/test/java/io/cherryspool/controller/release/TerminationEvidenceTest.java
+++ b/src/test/java/io/cherryspool/controller/release/TerminationEvidenceTest.java
@@ -59,10 +59,10 @@
     WorkerHeartbeat heartbeat =
         new WorkerHeartbeat(
             "host-1", "127.0.0.1:1", "box", "a", false, agentEpoch, ++sequence, token, null, tasks);
-    assertTrue(machine.contact().accept(heartbeat, START.plusSeconds(1)));
+    assertTrue(machine.contact().recordHeartbeat(heartbeat, START.plusSeconds(1)));
   }
 
-  private TerminationEvidence.Verdict assessAt(double seconds) {
+  private TerminationEvidence.Assessment assessAt(double seconds) {
     return evidence.assess(owned, machine, START.plusMillis((long) (seconds * 1000)));
   }
 
@@ -71,71 +71,71 @@
     stopRequests.add(TASK, 1, Duration.ZERO);
     receive(3, tokens.termBase() - 1, null, null);
     assertEquals(
-        TerminationEvidence.Verdict.NEEDS_FENCING,
+        TerminationEvidence.Assessment.NEEDS_FENCING,
         assessAt(2),
         "an earlier leader's start is not fenced yet");
     receive(3, tokens.current(), null, null);
-    assertEquals(TerminationEvidence.Verdict.ENDED, assessAt(2));
+    assertEquals(TerminationEvidence.Assessment.ENDED, assessAt(2));
     machine
-        .commands()
+        .commandDelivery()
         .recordDelivered(List.of(WorkerCommand.start(TASK, 1)), tokens.current(), START);
     assertEquals(
-        TerminationEvidence.Verdict.NEEDS_FENCING,
+        TerminationEvidence.Assessment.NEEDS_FENCING,
         assessAt(2),
         "this leader's own start may be in flight");
     tokens.advance();
     receive(3, tokens.current(), null, null);
-    assertEquals(TerminationEvidence.Verdict.ENDED, assessAt(2));
+    assertEquals(TerminationEvidence.Assessment.ENDED, assessAt(2));
   }
 
   @Test
   void anUnreportedAttemptWithoutStopRequestIsStillOwned() {
     receive(3, tokens.current(), null, null);
-    assertEquals(TerminationEvidence.Verdict.OWNED, assessAt(2));
+    assertEquals(TerminationEvidence.Assessment.OWNED, assessAt(2));
   }
 
   /** A start command that is still in flight could run the attempt again. */
   @Test
   void anExitedAttemptIsNotReleasedUntilAnUnansweredCallIsFenced() {
-    machine.commands().recordCallStarted(List.of(), tokens.current());
-    machine.commands().recordCallFailed(START);
+    machine.commandDelivery().recordCallStarted(List.of(), tokens.current());
+    machine.commandDelivery().recordCallFailed(START);
     receive(3, tokens.current(), WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR);
-    assertEquals(TerminationEvidence.Verdict.NEEDS_FENCING, assessAt(2));
+    assertEquals(TerminationEvidence.Assessment.NEEDS_FENCING, assessAt(2));
     tokens.advance();
     receive(3, tokens.current(), WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.ERROR);
-    assertEquals(TerminationEvidence.Verdict.FAILED, assessAt(2));
+    assertEquals(TerminationEvidence.Assessment.FAILED, assessAt(2));
   }
 
   @Test
   void aLaterAgentEpochOrADeletionProvesTheLossAndAnOlderHeartbeatIsIgnored() {
     receive(4, tokens.termBase() - 1, null, null);
-    assertEquals(TerminationEvidence.Verdict.LOST, assessAt(2));
+    assertEquals(TerminationEvidence.Assessment.LOST, assessAt(2));
     WorkerHeartbeat old =
         new WorkerHeartbeat("host-1", "127.0.0.1:1", "box", "a", false, 3, 99, 0, null, List.of());
-    assertEquals(false, machine.contact().accept(old, START));
+    assertEquals(false, machine.contact().recordHeartbeat(old, START));
     MachineState deleted = new MachineState("host-1", "box", "a", false, START);
     deleted.markDeleted();
-    assertEquals(TerminationEvidence.Verdict.LOST, evidence.assess(owned, deleted, START));
+    assertEquals(TerminationEvidence.Assessment.LOST, evidence.assess(owned, deleted, START));
   }
 
   @Test
   void aSilentMachineIsLostOnlyAfterEveryLeadersLastPossibleLeaseHasExpired() {
     double earlierLeaseExpiry = AUTHORITY.toSeconds() + LEASE.toSeconds();
     assertEquals(
-        TerminationEvidence.Verdict.OWNED,
+        TerminationEvidence.Assessment.OWNED,
         assessAt(earlierLeaseExpiry - 0.1),
         "a partitioned earlier leader may still renew its lease");
-    assertEquals(TerminationEvidence.Verdict.LOST, assessAt(earlierLeaseExpiry + 0.1));
+    assertEquals(TerminationEvidence.Assessment.LOST, assessAt(earlierLeaseExpiry + 0.1));
     assertEquals(
-        TerminationEvidence.Verdict.OWNED,
+        TerminationEvidence.Assessment.OWNED,
         evidence.assess(owned, null, START.plusMillis((long) (earlierLeaseExpiry * 1000) - 100)),
         "the same limit holds for a machine that this leader has never seen");
     receive(3, tokens.current(), WorkerHeartbeat.TaskState.RUNNING, null);
     machine
         .contact()
         .recordReply(machine.latestHeartbeat(), tokens.current(), START.plusSeconds(4));
-    assertEquals(TerminationEvidence.Verdict.OWNED, assessAt(4 + LEASE.toSeconds() - 0.1));
-    assertEquals(TerminationEvidence.Verdict.LOST, assessAt(4 + LEASE.toSeconds() + 0.1));
+    assertEquals(TerminationEvidence.Assessment.OWNED, assessAt(4 + LEASE.toSeconds() - 0.1));
+    assertEquals(TerminationEvidence.Assessment.LOST, assessAt(4 + LEASE.toSeconds() + 0.1));
   }
 
   /**
@@ -162,9 +162,9 @@
             null,
             List.of(
                 new WorkerHeartbeat.TaskStatus(TASK, 1, WorkerHeartbeat.TaskState.RUNNING, null)));
-    assertTrue(machine.contact().accept(next, START.plusSeconds(30)));
-    assertEquals(TerminationEvidence.Verdict.OWNED, assessAt(31));
-    assertEquals(TerminationEvidence.Verdict.OWNED, assessAt(30 + LEASE.toSeconds() - 0.1));
-    assertEquals(TerminationEvidence.Verdict.LOST, assessAt(30 + LEASE.toSeconds() + 0.1));
+    assertTrue(machine.contact().recordHeartbeat(next, START.plusSeconds(30)));
+    assertEquals(TerminationEvidence.Assessment.OWNED, assessAt(31));
+    assertEquals(TerminationEvidence.Assessment.OWNED, assessAt(30 + LEASE.toSeconds() - 0.1));
+    assertEquals(TerminationEvidence.Assessment.LOST, assessAt(30 + LEASE.toSeconds() + 0.1));
   }
 }
--- a/src/test/java/io/cherryspool/controller/rounds/MachineViewCacheTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/MachineViewCacheTest.java
@@ -65,7 +65,7 @@
   /** Accepts a heartbeat of the machine and replies to it. */
   private void exchangeHeartbeat(long sequence, Duration now) {
     WorkerHeartbeat heartbeat = heartbeat(sequence);
-    fleet.accept(heartbeat, now);
+    fleet.recordHeartbeat(heartbeat, now);
     fleet.get("host-1").contact().recordReply(heartbeat, tokens.current(), now);
   }
 
@@ -85,7 +85,7 @@
    */
   @Test
   void cachedViewIsRenewedOnlyForANewPrice() {
-    fleet.accept(heartbeat(1), NOW);
+    fleet.recordHeartbeat(heartbeat(1), NOW);
     MachineType first = box(0.1);
     ClusterView.MachineView seen = onlyMachine(first);
     assertSame(first, seen.type());
--- a/src/test/java/io/cherryspool/controller/rounds/RoundCommitterTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/RoundCommitterTest.java
@@ -26,11 +26,11 @@
  * planned, since the records may not show which room is taken.
  */
 class RoundCommitterTest {
-  private static final String SHARD = "c/progress/req-000001/0";
+  private static final String SHARD_KEY = "c/progress/req-000001/0";
 
   private final VirtualTime time = new VirtualTime();
-  private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
-  private final ControlledTransport transport = new ControlledTransport(time, state);
+  private final FakeStateStore stateStore = new FakeStateStore(time, new SplittableRandom(1), 0);
+  private final ControlledTransport transport = new ControlledTransport(time, stateStore);
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
   private final StateStoreClient client =
       new StateStoreClient(
@@ -47,9 +47,9 @@
 
   private void commit() {
     StateStoreProtocol.Change change =
-        new StateStoreProtocol.Change(SHARD, Json.object().put("x", 1), 0);
+        new StateStoreProtocol.Change(SHARD_KEY, Json.object().put("x", 1), 0);
     ChangeSet changeSet =
-        new ChangeSet(Map.of(SHARD, 0L), List.of(change), 20, RateLimiter.WriteClass.ROUND);
+        new ChangeSet(Map.of(SHARD_KEY, 0L), List.of(change), 20, RateLimiter.WriteClass.ROUND);
     committer.commit(List.of(changeSet), () -> knownOutcomes++);
   }
 
@@ -59,7 +59,7 @@
     transport.interceptNext(ControlledTransport.COMMIT, Interception.DROP_REPLY);
     commit();
     run(0.2);
-    assertNotNull(state.value(SHARD));
+    assertNotNull(stateStore.value(SHARD_KEY));
     assertEquals(0, knownOutcomes);
     run(0.2);
     assertEquals(1, knownOutcomes);
@@ -73,7 +73,7 @@
     run(0.01);
     transport.release(ControlledTransport.COMMIT);
     assertEquals(1, knownOutcomes);
-    assertNull(state.value(SHARD));
+    assertNull(stateStore.value(SHARD_KEY));
   }
 
   /**
@@ -95,7 +95,7 @@
     transport.releaseLast(ControlledTransport.COMMIT);
     assertEquals(0, knownOutcomes);
     transport.release(ControlledTransport.COMMIT);
-    assertNotNull(state.value(SHARD), "an earlier copy was executed late");
+    assertNotNull(stateStore.value(SHARD_KEY), "an earlier copy was executed late");
     run(1);
     assertEquals(1, knownOutcomes);
   }
--- a/src/test/java/io/cherryspool/controller/timing/TimingsTest.java
+++ b/src/test/java/io/cherryspool/controller/timing/TimingsTest.java
@@ -59,11 +59,11 @@
                 defaults.maxStartDelay(),
                 Optional.empty(),
                 defaults.partitions()));
-    assertEquals(settings.authority(), timings.authority());
-    assertTrue(timings.stateStoreLease().compareTo(timings.authority()) <= 0);
+    assertEquals(settings.maxLeaderAuthority(), timings.maxLeaderAuthority());
+    assertTrue(timings.stateStoreLease().compareTo(timings.maxLeaderAuthority()) <= 0);
     assertTrue(timings.stateStoreLease().compareTo(seconds(stateLease)) <= 0);
     assertTrue(
-        timings.authority().plus(settings.workerLease()).compareTo(seconds(cancel)) < 0,
+        timings.maxLeaderAuthority().plus(settings.workerLease()).compareTo(seconds(cancel)) < 0,
         "a task whose lease is renewed as late as possible ends within the limit");
   }
 }
