--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedController.java
@@ -58,7 +58,7 @@
                     () -> Instant.EPOCH.plus(cluster.time().now()),
                     new SplittableRandom(random.nextLong())),
                 cluster.network().transportFrom(address.host(), processInbox),
-                heartbeat -> broadcast(processInbox, heartbeat),
+                heartbeat -> broadcastHeartbeat(processInbox, heartbeat),
                 name() + "-life-" + processCount,
                 () -> "",
                 cluster
@@ -77,7 +77,7 @@
     controller.bindTo(registry);
   }
 
-  private void broadcast(ProcessInbox processInbox, Mesh.PeerHeartbeat heartbeat) {
+  private void broadcastHeartbeat(ProcessInbox processInbox, Mesh.PeerHeartbeat heartbeat) {
     if (processInbox.isClosed() || isIsolated || cluster.isMeshDown()) {
       return;
     }
@@ -88,12 +88,14 @@
             .datagramDelay(address.host(), other.address.host())
             .ifPresent(
                 delay ->
-                    cluster.time().schedule(delay.plusMillis(2), () -> other.receive(heartbeat)));
+                    cluster
+                        .time()
+                        .schedule(delay.plusMillis(2), () -> other.receiveHeartbeat(heartbeat)));
       }
     }
   }
 
-  private void receive(Mesh.PeerHeartbeat heartbeat) {
+  private void receiveHeartbeat(Mesh.PeerHeartbeat heartbeat) {
     if (controller != null && !isIsolated) {
       Controller current = controller;
       inbox.deliver(() -> current.receivePeerHeartbeat(heartbeat));
--- a/src/test/java/io/cherryspool/sim/driver/MemoryReport.java
+++ b/src/test/java/io/cherryspool/sim/driver/MemoryReport.java
@@ -16,7 +16,7 @@
   private static final List<String> KERNEL_FIELDS = List.of("VmRSS", "VmHWM", "RssAnon", "RssFile");
 
   /** The categories of native memory as named by jcmd; direct buffers belong to "Other". */
-  private static final List<String> NATIVE_MEMORY_PARTS =
+  private static final List<String> NATIVE_MEMORY_CATEGORIES =
       List.of(
           "Java Heap",
           "Metaspace",
@@ -49,44 +49,46 @@
   }
 
   private void addNativeMemory() throws IOException, InterruptedException {
-    List<String> texts = new ArrayList<>();
+    List<String> outputs = new ArrayList<>();
     for (ControllerProcess controller : controllers) {
-      texts.add(runTool("jcmd", String.valueOf(controller.pid()), "VM.native_memory", "summary"));
+      outputs.add(runTool("jcmd", String.valueOf(controller.pid()), "VM.native_memory", "summary"));
     }
-    for (String part : NATIVE_MEMORY_PARTS) {
+    for (String category : NATIVE_MEMORY_CATEGORIES) {
       table.addRow(
-          part + ", MiB committed",
-          texts.stream().mapToDouble(text -> committed(text, part)).toArray());
+          category + ", MiB committed",
+          outputs.stream().mapToDouble(output -> committedMib(output, category)).toArray());
     }
   }
 
-  private static double committed(String text, String part) {
-    Pattern pattern = Pattern.compile("- +" + part + " \\(reserved=\\d+KB, committed=(\\d+)KB\\)");
-    Matcher matcher = pattern.matcher(text);
+  private static double committedMib(String output, String category) {
+    Pattern pattern =
+        Pattern.compile("- +" + category + " \\(reserved=\\d+KB, committed=(\\d+)KB\\)");
+    Matcher matcher = pattern.matcher(output);
     return matcher.find() ? Long.parseLong(matcher.group(1)) / 1024.0 : Double.NaN;
   }
 
   private void addGarbageCollections() throws IOException, InterruptedException {
-    List<String> texts = new ArrayList<>();
+    List<String> outputs = new ArrayList<>();
     for (ControllerProcess controller : controllers) {
-      texts.add(runTool("jstat", "-gc", String.valueOf(controller.pid())));
+      outputs.add(runTool("jstat", "-gc", String.valueOf(controller.pid())));
     }
-    addColumns("heap used, MiB", texts, 1024, "S0U", "S1U", "EU", "OU");
-    addColumns("old generation used, MiB", texts, 1024, "OU");
-    addColumns("young collections", texts, 1, "YGC");
-    addColumns("young collections, ms in all", texts, 1e-3, "YGCT");
-    addColumns("full collections", texts, 1, "FGC");
-    addColumns("full collections, ms in all", texts, 1e-3, "FGCT");
+    addColumns("heap used, MiB", outputs, 1024, "S0U", "S1U", "EU", "OU");
+    addColumns("old generation used, MiB", outputs, 1024, "OU");
+    addColumns("young collections", outputs, 1, "YGC");
+    addColumns("young collections, ms in all", outputs, 1e-3, "YGCT");
+    addColumns("full collections", outputs, 1, "FGC");
+    addColumns("full collections, ms in all", outputs, 1e-3, "FGCT");
   }
 
-  private void addColumns(String name, List<String> texts, double unit, String... columns) {
+  private void addColumns(String name, List<String> outputs, double divisor, String... columns) {
     table.addRow(
-        name, texts.stream().mapToDouble(text -> sum(text, List.of(columns)) / unit).toArray());
+        name,
+        outputs.stream().mapToDouble(output -> sum(output, List.of(columns)) / divisor).toArray());
   }
 
   /** Returns the sum of the given columns in the single data line of jstat's output. */
-  private static double sum(String text, List<String> columns) {
-    String[] lines = text.strip().split("\n");
+  private static double sum(String output, List<String> columns) {
+    String[] lines = output.strip().split("\n");
     String[] names = lines[0].strip().split(" +");
     String[] values = lines[1].strip().split(" +");
     double sum = 0;
@@ -100,11 +102,11 @@
 
   private static String runTool(String... command) throws IOException, InterruptedException {
     Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
-    String text = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     if (process.waitFor() != 0) {
-      throw new IOException(String.join(" ", command) + ": " + text);
+      throw new IOException(String.join(" ", command) + ": " + output);
     }
-    return text;
+    return output;
   }
 
   @Override
--- a/src/test/java/io/cherryspool/sim/fakes/FakeStateStore.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeStateStore.java
@@ -75,7 +75,7 @@
     this.unansweredProbability = unansweredProbability;
     this.leases = new LeaseTable(loop::now);
     this.watches = new WatchQueue(loop, store, () -> isDown);
-    expireLeases();
+    revokeExpiredLeases();
   }
 
   /** Sets whether the store is down. While it is, requests get a 503 reply and no lease expires. */
@@ -202,21 +202,21 @@
     if (isRenewal) {
       leases.renew(id);
     } else {
-      revoke(id);
+      revokeLease(id);
     }
     return completedReply(200, Json.object());
   }
 
-  private void revoke(long lease) {
+  private void revokeLease(long lease) {
     leases.remove(lease);
     store.removeKeysOfLease(lease);
     watches.completeReady();
   }
 
-  private void expireLeases() {
-    loop.schedule(EXPIRY_CHECK_INTERVAL, this::expireLeases);
+  private void revokeExpiredLeases() {
+    loop.schedule(EXPIRY_CHECK_INTERVAL, this::revokeExpiredLeases);
     if (!isDown) {
-      leases.expired().forEach(this::revoke);
+      leases.expiredIds().forEach(this::revokeLease);
     }
   }
 
--- a/src/test/java/io/cherryspool/sim/fakes/FakeWorker.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeWorker.java
@@ -109,7 +109,7 @@
   /** Kills the machine with its tasks. The worker sends and executes nothing afterwards. */
   public void kill() {
     hangableLoop.kill();
-    tasks.clear();
+    tasks.killAll();
   }
 
   /** Hangs for the given time. Events during that time are processed afterwards, in order. */
@@ -177,7 +177,7 @@
 
   private void expireLeaseIfDue() {
     if (isLeaseExpired()) {
-      tasks.clear();
+      tasks.killAll();
       agentEpoch++;
       leaseRenewedAt = loop.now();
       hasChanges = true;
--- a/src/test/java/io/cherryspool/sim/fakes/LeaseTable.java
+++ b/src/test/java/io/cherryspool/sim/fakes/LeaseTable.java
@@ -43,15 +43,15 @@
   }
 
   /** Returns the leases in the table that have expired. */
-  List<Long> expired() {
-    List<Long> expired = new ArrayList<>();
+  List<Long> expiredIds() {
+    List<Long> expiredIds = new ArrayList<>();
     leases.forEach(
         (id, lease) -> {
           if (lease.expiresAt.compareTo(clock.get()) < 0) {
-            expired.add(id);
+            expiredIds.add(id);
           }
         });
-    return expired;
+    return expiredIds;
   }
 
   /** Returns the time to live of each lease by its id. */
--- a/src/test/java/io/cherryspool/sim/fakes/WorkerTasks.java
+++ b/src/test/java/io/cherryspool/sim/fakes/WorkerTasks.java
@@ -69,7 +69,7 @@
   }
 
   /** Kills all tasks. The machine keeps the images. */
-  void clear() {
+  void killAll() {
     attempts.clear();
   }
 
--- a/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CancelDuringStateOutageTest.java
@@ -69,13 +69,14 @@
    * renews leases of workers that run the cancelled tasks.
    */
   private void startOutage() {
-    Duration start = cluster.time().now();
+    Duration outageStart = cluster.time().now();
     cluster.takeStateStoreDown(OUTAGE);
     cluster.run(10);
     List<FakeWorker> runningWorkers = cluster.fleet().workersRunning(job);
     assertFalse(runningWorkers.isEmpty(), "no task of the job runs during the outage");
     assertTrue(
-        runningWorkers.stream().anyMatch(worker -> worker.leaseRenewedAt().compareTo(start) > 0),
+        runningWorkers.stream()
+            .anyMatch(worker -> worker.leaseRenewedAt().compareTo(outageStart) > 0),
         "the old leader renewed no lease of a worker with tasks of the job during the outage");
   }
 
--- a/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/CombinedFaultsTest.java
@@ -68,17 +68,18 @@
   void nextJobOfTeamAtItsQuotaRunsAfterCancelDespiteLostMachinesAndLeader(long seed) {
     startCluster(seed, 3);
     // The quota of team red is 64 CPUs.
-    Job first = submit("red", 16, 4, LONG_RUN_TIME);
-    for (int i = 0; i < 60 && cluster.fleet().runningTaskCount(first) < 16; i++) {
+    Job firstJob = submit("red", 16, 4, LONG_RUN_TIME);
+    for (int i = 0; i < 60 && cluster.fleet().runningTaskCount(firstJob) < 16; i++) {
       cluster.run(1);
     }
     assertEquals(
         16,
-        cluster.fleet().runningTaskCount(first),
+        cluster.fleet().runningTaskCount(firstJob),
         "running tasks of the first job, which use up the quota");
-    Job second = submit("red", 8, 4, Duration.ofSeconds(10));
+    Job secondJob = submit("red", 8, 4, Duration.ofSeconds(10));
     cluster.run(2);
-    List<FakeWorker> lostWorkers = cluster.fleet().workersRunning(first).stream().limit(2).toList();
+    List<FakeWorker> lostWorkers =
+        cluster.fleet().workersRunning(firstJob).stream().limit(2).toList();
     SimulatedController oldLeader = cluster.leader();
     for (SimulatedController node : cluster.nodes()) {
       cluster
@@ -87,17 +88,18 @@
     }
     lostWorkers.get(1).hang(Duration.ofSeconds(seed % 2 == 0 ? 10 : 30));
     cluster.run(0.2);
-    cluster.users().cancel(first.id(), cluster.nodeAfter(oldLeader).address());
+    cluster.users().cancel(firstJob.id(), cluster.nodeAfter(oldLeader).address());
     cluster.run(0.1 * seed);
     oldLeader.crash(Duration.ofMillis(300 + 500 * seed));
     cluster.run(16);
-    assertTrue(cluster.rules().isCancelConfirmed(first.id()));
+    assertTrue(cluster.rules().isCancelConfirmed(firstJob.id()));
     assertTrue(
-        cluster.fleet().runningTaskCount(second) + cluster.rules().completedTaskCount(second.id())
+        cluster.fleet().runningTaskCount(secondJob)
+                + cluster.rules().completedTaskCount(secondJob.id())
             == 8,
         "not all tasks of the second job were started with the freed quota");
     cluster.run(75);
-    assertAllEnded(List.of(first, second));
+    assertAllEnded(List.of(firstJob, secondJob));
   }
 
   /** Cancels jobs through all nodes while the leadership changes. */
@@ -212,26 +214,26 @@
     cluster.run(25);
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 480; i++) {
-      int number = i;
+      int jobNumber = i;
       cluster.schedule(
           i / 4.0,
           () -> {
             Job job =
                 cluster
                     .jobs()
-                    .create(number % 2 == 0 ? "red" : "blue", 1, 1, Duration.ofSeconds(3));
+                    .create(jobNumber % 2 == 0 ? "red" : "blue", 1, 1, Duration.ofSeconds(3));
             jobs.add(job);
             cluster.users().submit(job);
-            if (number % 4 == 0) {
-              cluster.schedule(1 + number % 7, () -> cluster.users().cancel(job.id()));
+            if (jobNumber % 4 == 0) {
+              cluster.schedule(1 + jobNumber % 7, () -> cluster.users().cancel(job.id()));
             }
           });
     }
     cluster.run(60);
-    int startsMidway = cluster.rules().startCount();
+    int startCountAfterOneMinute = cluster.rules().startCount();
     assertTrue(
-        startsMidway > 120,
-        "too few task starts during the first minute of submissions: " + startsMidway);
+        startCountAfterOneMinute > 120,
+        "too few task starts during the first minute of submissions: " + startCountAfterOneMinute);
     cluster.run(75);
     cluster.rules().setFaultsEndedAt(cluster.time().now());
     assertEquals(480, jobs.size());
--- a/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/LeaderFaultsTest.java
@@ -78,19 +78,22 @@
   void jobsEndAfterHandoverAndCrashOfAllControllers(long seed) {
     TwoJobs jobs = startClusterWithTwoJobs(seed, 16, Duration.ofSeconds(60), 16);
     cluster.run(10);
-    SimulatedController first = cluster.leader();
+    SimulatedController firstLeader = cluster.leader();
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(14));
     cluster.run(15);
-    assertNotEquals(first.name(), cluster.leader().name(), "the leader has not handed over");
+    assertNotEquals(firstLeader.name(), cluster.leader().name(), "the leader has not handed over");
     cluster.cutLeaderFromWorkers(Duration.ofSeconds(9));
     cluster.users().cancel(jobs.cancelled().id());
     cluster.run(0.1 * seed);
     for (SimulatedController node : cluster.nodes()) {
-      node.crash(node == first ? Duration.ofMillis(100 + 130 * seed) : Duration.ofSeconds(20));
+      node.crash(
+          node == firstLeader ? Duration.ofMillis(100 + 130 * seed) : Duration.ofSeconds(20));
     }
     cluster.run(12);
     assertEquals(
-        first.name(), cluster.leader().name(), "the controller that restarted first is not leader");
+        firstLeader.name(),
+        cluster.leader().name(),
+        "the controller that restarted first is not leader");
     cluster.run(90);
     assertAllEnded(jobs.all());
   }
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackFixture.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackFixture.java
@@ -61,9 +61,9 @@
   }
 
   /** Starts all controllers and waits until they listen. */
-  void startControllers(Optional<Path> operators) throws IOException, InterruptedException {
+  void startControllers(Optional<Path> operatorSettings) throws IOException, InterruptedException {
     for (int i = 0; i < controllers.length; i++) {
-      startController(i, operators);
+      startController(i, operatorSettings);
     }
     for (ControllerProcess controller : controllers) {
       controller.awaitListening();
@@ -71,7 +71,7 @@
   }
 
   /** Starts the controller with the given number. */
-  void startController(int number, Optional<Path> operators) throws IOException {
+  void startController(int number, Optional<Path> operatorSettings) throws IOException {
     List<String> command =
         new ArrayList<>(
             List.of(
@@ -85,7 +85,7 @@
                 "serve",
                 "--config",
                 cluster.nodes().writeSettings(folder, number).toString()));
-    operators.ifPresent(file -> command.addAll(List.of("--operators", file.toString())));
+    operatorSettings.ifPresent(file -> command.addAll(List.of("--operators", file.toString())));
     Path log = folder.resolve("node-" + startCount++ + ".log");
     controllers[number] = new ControllerProcess(command, folder, log);
   }
--- a/src/test/java/io/cherryspool/sim/loopback/LoopbackWorkers.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LoopbackWorkers.java
@@ -28,7 +28,7 @@
   private final Map<String, FakeWorker> workers = new LinkedHashMap<>();
 
   /** Binds servers on another thread, since binding waits for the event loop. */
-  private final ExecutorService binding =
+  private final ExecutorService bindExecutor =
       Executors.newSingleThreadExecutor(
           task -> {
             Thread thread = new Thread(task, "worker-binding");
@@ -61,10 +61,10 @@
             settings,
             workload);
     workers.put(machine.name(), worker);
-    binding.execute(() -> listen(machine, worker));
+    bindExecutor.execute(() -> startServer(machine, worker));
   }
 
-  private void listen(FakeCloud.Machine machine, FakeWorker worker) {
+  private void startServer(FakeCloud.Machine machine, FakeWorker worker) {
     try {
       new NettyHttpServer(loop, worker, SOCKETS_PER_SERVER).bind(Endpoint.parse(machine.address()));
     } catch (InterruptedException e) {
--- a/src/test/java/io/cherryspool/sim/loopback/LostStateLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/loopback/LostStateLoopbackTest.java
@@ -27,10 +27,10 @@
             SUBNET, CONTROLLERS, MACHINES, new LoopbackNodes.Limits(300, 120, 1024, 0)));
   }
 
-  private Path operators() throws IOException {
-    Path operators = folder.resolve("operators.xml");
+  private Path writeOperatorSettings() throws IOException {
+    Path file = folder.resolve("operators.xml");
     return Files.writeString(
-        operators,
+        file,
         "<cherryspool><recovery>on</recovery><snapshot-directory>"
             + folder.resolve("snapshots")
             + "</snapshot-directory><snapshot-interval>1</snapshot-interval></cherryspool>\n");
@@ -40,29 +40,29 @@
   @Timeout(240)
   void everyJobGetsOneOutcomeDespiteLossesOfTheStateStore() throws Exception {
     cluster.startServers();
-    Optional<Path> operators = Optional.of(operators());
-    startControllers(operators);
+    Optional<Path> operatorSettings = Optional.of(writeOperatorSettings());
+    startControllers(operatorSettings);
     cluster.bootWorkers();
     submit(4, 0.5);
     submit(40, 14);
-    String first = submit(8, 60);
+    String firstCancelledJob = submit(8, 60);
     await("tasks run", () -> cluster.fleet().runningTaskCount() >= 20);
-    cancel(first);
+    cancel(firstCancelledJob);
     submit(6, 9);
     pollJobsFor(3);
     cluster.loseStateStoreData();
     submit(5, 2);
     pollJobsFor(4);
-    String second = submit(3, 60);
+    String secondCancelledJob = submit(3, 60);
     pollJobsFor(2);
-    cancel(second);
+    cancel(secondCancelledJob);
 
     // With snapshots every second, these jobs also survive a kill of all controllers.
     submit(20, 12);
     pollJobsFor(4);
     cluster.loseStateStoreData();
     killControllers();
-    startControllers(operators);
+    startControllers(operatorSettings);
     submit(4, 1);
     await("all jobs have ended", this::haveAllJobsEnded);
     assertEquals(0, cluster.fleet().expiredLeaseCount(), "expired worker leases");
--- a/src/test/java/io/cherryspool/sim/loopback/PartitionLoopbackTest.java
+++ b/src/test/java/io/cherryspool/sim/loopback/PartitionLoopbackTest.java
@@ -38,7 +38,7 @@
   }
 
   /** Returns what a node reports about all links; empty without a usable response. */
-  private Optional<JsonNode> links(int number) {
+  private Optional<JsonNode> fetchLinks(int number) {
     Reply reply = send(number, Request.get("/links"));
     try {
       return reply == null || reply.status() != 200
@@ -50,9 +50,9 @@
   }
 
   /** Returns the number of a node that reports itself as leader; -1 if there is none. */
-  private int leader() {
+  private int findLeader() {
     for (int i = 0; i < CONTROLLERS; i++) {
-      if (links(i)
+      if (fetchLinks(i)
           .filter(root -> root.path("nodes").path(0).path("leading").asBoolean())
           .isPresent()) {
         return i;
@@ -62,12 +62,12 @@
   }
 
   private int awaitLeader() throws InterruptedException {
-    await("a node leads", () -> leader() >= 0);
-    return leader();
+    await("a node leads", () -> findLeader() >= 0);
+    return findLeader();
   }
 
-  private String verdict(int number) {
-    return links(number)
+  private String fetchVerdict(int number) {
+    return fetchLinks(number)
         .map(root -> root.path("nodes").path(0).path("verdict").asText())
         .orElse("");
   }
@@ -87,7 +87,7 @@
     flapLeadersStateStoreLink();
     await("all jobs have ended", this::haveAllJobsEnded);
     checkOutcomes();
-    awaitAllUp();
+    awaitAllLinksUp();
   }
 
   /**
@@ -97,14 +97,14 @@
   private void cutLeaderFromStateStoreAndKillFollower() throws Exception {
     int leader = awaitLeader();
     int follower = (leader + 1) % CONTROLLERS;
-    ROUTES.state(leader).setMode(TcpRelay.Mode.RESET);
-    await("the leader stops placing tasks", () -> verdict(leader).startsWith("hold-placing"));
+    ROUTES.stateStoreRelay(leader).setMode(TcpRelay.Mode.RESET);
+    await("the leader stops placing tasks", () -> fetchVerdict(leader).startsWith("hold-placing"));
     assertTrue(
         submitAt(leader, 3, 2),
         "the leader must get the job accepted by forwarding it to another node");
     killController(follower);
     pollJobsFor(3);
-    ROUTES.state(leader).setMode(TcpRelay.Mode.PASS);
+    ROUTES.stateStoreRelay(leader).setMode(TcpRelay.Mode.PASS);
     startController(follower, Optional.empty());
   }
 
@@ -122,10 +122,10 @@
   }
 
   private void setInboundMode(int node, TcpRelay.Mode mode) {
-    ROUTES.workers(node).setMode(mode);
+    ROUTES.workersRelay(node).setMode(mode);
     for (int i = 0; i < CONTROLLERS; i++) {
       if (i != node) {
-        ROUTES.peer(i, node).setMode(mode);
+        ROUTES.peerRelay(i, node).setMode(mode);
       }
     }
   }
@@ -134,21 +134,21 @@
   private void flapLeadersStateStoreLink() throws Exception {
     submit(10, 5);
     for (int i = 0; i < 4; i++) {
-      int leader = Math.max(0, leader());
-      ROUTES.state(leader).setMode(TcpRelay.Mode.HOLD_REPLIES);
+      int leader = Math.max(0, findLeader());
+      ROUTES.stateStoreRelay(leader).setMode(TcpRelay.Mode.HOLD_REPLIES);
       pollJobsFor(1);
-      ROUTES.state(leader).setMode(TcpRelay.Mode.PASS);
+      ROUTES.stateStoreRelay(leader).setMode(TcpRelay.Mode.PASS);
       pollJobsFor(1);
     }
   }
 
-  private void awaitAllUp() throws InterruptedException {
+  private void awaitAllLinksUp() throws InterruptedException {
     for (int i = 0; i < 120; i++) {
-      if (links(0).filter(root -> root.path("all_up").asBoolean()).isPresent()) {
+      if (fetchLinks(0).filter(root -> root.path("all_up").asBoolean()).isPresent()) {
         return;
       }
       Thread.sleep(250);
     }
-    throw new AssertionError("not all links are up again: " + links(0));
+    throw new AssertionError("not all links are up again: " + fetchLinks(0));
   }
 }
--- a/src/test/java/io/cherryspool/sim/loopback/RelayedRoutes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/RelayedRoutes.java
@@ -8,7 +8,7 @@
 
 /** Routes with a relay on each link of the controllers, so that a test can fail each link alone. */
 final class RelayedRoutes implements LoopbackRoutes, AutoCloseable {
-  private static final int STATE_PORT = 12380;
+  private static final int STATE_STORE_PORT = 12380;
   private static final int PEER_PORT = 12400;
   private static final int CONTROLLER_PORT = 12381;
 
@@ -40,7 +40,7 @@
 
   @Override
   public Endpoint stateStoreAddress(int controller, Endpoint service) {
-    return addRelay("state " + controller, controller, STATE_PORT, service);
+    return addRelay("state " + controller, controller, STATE_STORE_PORT, service);
   }
 
   @Override
@@ -54,17 +54,17 @@
   }
 
   /** Returns the relay of the controller's link to the state store. */
-  TcpRelay state(int controller) {
+  TcpRelay stateStoreRelay(int controller) {
     return relays.get("state " + controller);
   }
 
   /** Returns the relay of one controller's heartbeats to another. */
-  TcpRelay peer(int from, int to) {
+  TcpRelay peerRelay(int from, int to) {
     return relays.get("peer " + from + " " + to);
   }
 
   /** Returns the relay of the workers' link to the controller. */
-  TcpRelay workers(int controller) {
+  TcpRelay workersRelay(int controller) {
     return relays.get("workers " + controller);
   }
 
--- a/src/test/java/io/cherryspool/sim/loopback/TcpRelay.java
+++ b/src/test/java/io/cherryspool/sim/loopback/TcpRelay.java
@@ -49,10 +49,10 @@
   }
 
   /** Sets the behaviour from now on. */
-  synchronized void setMode(Mode next) {
-    mode = next;
+  synchronized void setMode(Mode newMode) {
+    mode = newMode;
     notifyAll();
-    if (next == Mode.RESET) {
+    if (newMode == Mode.RESET) {
       sockets.forEach(TcpRelay::closeQuietly);
     }
   }
@@ -61,8 +61,8 @@
     return mode == Mode.RESET;
   }
 
-  private synchronized void awaitRelease(Mode holding) throws InterruptedException {
-    while (mode == holding) {
+  private synchronized void awaitRelease(Mode holdingMode) throws InterruptedException {
+    while (mode == holdingMode) {
       wait();
     }
   }
@@ -97,12 +97,12 @@
     }
   }
 
-  private void pump(Socket from, Socket to, Mode holding) {
+  private void pump(Socket from, Socket to, Mode holdingMode) {
     byte[] buffer = new byte[BUFFER_BYTES];
     try (InputStream in = from.getInputStream();
         OutputStream out = to.getOutputStream()) {
       for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
-        awaitRelease(holding);
+        awaitRelease(holdingMode);
         out.write(buffer, 0, count);
       }
     } catch (IOException e) {
--- a/src/test/java/io/cherryspool/sim/loststate/SnapshotRecoveryTest.java
+++ b/src/test/java/io/cherryspool/sim/loststate/SnapshotRecoveryTest.java
@@ -196,14 +196,14 @@
     loseDataAndCrashAllNodes(0);
     cluster.nodes().forEach(node -> node.snapshotStore().deleteAll());
     cluster.run(40);
-    String repeat = "{\"job\":\"" + job.id() + "\",\"decision\":\"repeat\"}";
+    String repeatDecision = "{\"job\":\"" + job.id() + "\",\"decision\":\"repeat\"}";
     assertEquals(
         409,
-        postRecoveryCommand("resolve", repeat),
+        postRecoveryCommand("resolve", repeatDecision),
         "a job whose description is lost must not be repeated");
-    String abandon = "{\"job\":\"" + job.id() + "\",\"decision\":\"abandon\"}";
+    String abandonDecision = "{\"job\":\"" + job.id() + "\",\"decision\":\"abandon\"}";
     cluster.users().stopPolling(job.id());
-    assertEquals(200, postRecoveryCommand("resolve", abandon));
+    assertEquals(200, postRecoveryCommand("resolve", abandonDecision));
     cluster.run(8);
     assertEquals(0, cluster.fleet().runningTaskCount(job), "number of running tasks");
   }
--- a/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
+++ b/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
@@ -37,7 +37,7 @@
   private final VirtualTime time;
   private final RandomGenerator random;
   private final UnaryOperator<String> zoneOf;
-  private final Map<Endpoint, Host> hosts = new HashMap<>();
+  private final Map<Endpoint, Listener> listeners = new HashMap<>();
   private final Set<String> hostsWithoutInbound = new HashSet<>();
   private final Set<String> hostsWithoutOutbound = new HashSet<>();
   private final Set<String> cutHostPairs = new HashSet<>();
@@ -51,7 +51,7 @@
   private final Map<String, List<Runnable>> heldMessages = new HashMap<>();
 
   /** The request handler that listens at an address, and the inbox of its process. */
-  private record Host(RequestHandler handler, ProcessInbox inbox) {}
+  private record Listener(RequestHandler handler, ProcessInbox inbox) {}
 
   /** Creates a network; {@code zoneOf} returns the zone of a host, and "" if it is in no zone. */
   public SimulatedNetwork(VirtualTime time, RandomGenerator random, UnaryOperator<String> zoneOf) {
@@ -66,12 +66,12 @@
   }
 
   public void listen(Endpoint address, RequestHandler handler, ProcessInbox inbox) {
-    hosts.put(address, new Host(handler, inbox));
+    listeners.put(address, new Listener(handler, inbox));
   }
 
   /** Stops listening at the address. Requests to it fail. */
   public void close(Endpoint address) {
-    hosts.remove(address);
+    listeners.remove(address);
   }
 
   /** Returns the faults of single directions between two hosts. */
@@ -184,9 +184,9 @@
   }
 
   private void redeliver(Endpoint to, Request request) {
-    Host host = hosts.get(to);
-    if (host != null) {
-      host.inbox.deliver(() -> host.handler.handle(request));
+    Listener listener = listeners.get(to);
+    if (listener != null) {
+      listener.inbox.deliver(() -> listener.handler.handle(request));
     }
   }
 
@@ -227,8 +227,8 @@
       Request request,
       CompletableFuture<Reply> result,
       ProcessInbox inbox) {
-    Host host = hosts.get(to);
-    if (host == null) {
+    Listener listener = listeners.get(to);
+    if (listener == null) {
       fail(result, inbox, "connection refused by " + to);
       return;
     }
@@ -237,9 +237,10 @@
       send(to.host(), from, () -> inbox.deliver(() -> result.complete(error)));
       return;
     }
-    host.inbox.deliver(
+    listener.inbox.deliver(
         () ->
-            host.handler
+            listener
+                .handler
                 .handle(request)
                 .thenAccept(
                     reply -> {
--- a/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
+++ b/src/test/java/io/cherryspool/sim/partition/PartitionTest.java
@@ -60,9 +60,10 @@
     cut.apply(cluster, cutNode, MODES[(int) (seed % MODES.length)], CUT_DURATION);
     cluster.schedule(2, () -> cluster.users().cancel(jobs.get(1).id()));
     for (int i = 0; i < crashCount; i++) {
-      SimulatedController crashed =
+      SimulatedController crashedNode =
           cluster.nodes().get((cluster.nodes().indexOf(leader) + i) % controllers);
-      cluster.schedule(1 + 1.5 * i, () -> crashed.crash(Duration.ofMillis(300 + 900 * (seed % 4))));
+      cluster.schedule(
+          1 + 1.5 * i, () -> crashedNode.crash(Duration.ofMillis(300 + 900 * (seed % 4))));
     }
     cluster.schedule(3, () -> jobs.add(submit("red", 4, 2, Duration.ofSeconds(4))));
     cluster.run(100);
@@ -102,11 +103,12 @@
       startCluster(seed, 5);
       List<Job> jobs = startJobs();
       SimulatedController leader = cluster.leader();
-      LinkCut first = allCuts.get(cluster.random().nextInt(allCuts.size()));
-      LinkCut second = allCuts.get(cluster.random().nextInt(allCuts.size()));
-      first.apply(cluster, leader, MODES[i % MODES.length], CUT_DURATION);
+      LinkCut leaderCut = allCuts.get(cluster.random().nextInt(allCuts.size()));
+      LinkCut followerCut = allCuts.get(cluster.random().nextInt(allCuts.size()));
+      leaderCut.apply(cluster, leader, MODES[i % MODES.length], CUT_DURATION);
       cluster.run(0.5 * i);
-      second.apply(cluster, cluster.nodeAfter(leader), MODES[(i + 1) % MODES.length], CUT_DURATION);
+      followerCut.apply(
+          cluster, cluster.nodeAfter(leader), MODES[(i + 1) % MODES.length], CUT_DURATION);
       cluster.users().cancel(jobs.get(1).id());
       if (i > 1) {
         cluster.run(1);
