--- a/src/main/java/io/cherryspool/cli/CheckConfigCommand.java
+++ b/src/main/java/io/cherryspool/cli/CheckConfigCommand.java
@@ -17,7 +17,7 @@
   public Integer call() {
     Optional<LoadedSettings> settings = files.load();
     if (settings.isEmpty()) {
-      return NodeLauncher.INVALID_SETTINGS;
+      return NodeLauncher.EXIT_INVALID_SETTINGS;
     }
     System.out.println("settings of " + settings.get().platform().name() + " are fine");
     return 0;
--- a/src/main/java/io/cherryspool/cli/ClassDataTraining.java
+++ b/src/main/java/io/cherryspool/cli/ClassDataTraining.java
@@ -76,7 +76,7 @@
     try {
       Files.write(settings, Json.toBytes(training.settings()));
       new Thread(() -> serve(settings), "node").start();
-      training.useNode();
+      training.exerciseNode();
       loadOwnClasses();
     } finally {
       Files.delete(settings);
@@ -111,7 +111,7 @@
   }
 
   /** Submits a job, completes it and queries it; submits and cancels another. */
-  private void useNode() throws Exception {
+  private void exerciseNode() throws Exception {
     Job completed = job("req-000001");
     Job cancelled = job("req-000002");
     runToCompletion(completed);
--- a/src/main/java/io/cherryspool/cli/LinksCommand.java
+++ b/src/main/java/io/cherryspool/cli/LinksCommand.java
@@ -25,7 +25,7 @@
     })
 final class LinksCommand implements Callable<Integer> {
   /** The exit status if the node responds and some link is not up. */
-  private static final int NOT_ALL_UP = 1;
+  private static final int EXIT_NOT_ALL_UP = 1;
 
   private static final double MILLIS_PER_SECOND = 1000;
 
@@ -40,12 +40,12 @@
     Optional<NodeClient.NodeResponse> received =
         NodeClient.send(spec.commandLine(), node, HttpRequest.newBuilder().GET(), "/links");
     if (received.isEmpty()) {
-      return NodeClient.REQUEST_FAILED;
+      return NodeClient.EXIT_REQUEST_FAILED;
     }
     NodeClient.NodeResponse response = received.get();
     if (response.status() != NodeClient.OK) {
       System.err.println("cherryspool: " + response.address() + " does not tell of its links");
-      return NodeClient.REQUEST_FAILED;
+      return NodeClient.EXIT_REQUEST_FAILED;
     }
     JsonNode root = JsonText.parse(response.body());
     if (printsJson) {
@@ -53,7 +53,7 @@
     } else {
       describe(root).forEach(System.out::println);
     }
-    return root.path("all_up").asBoolean() ? 0 : NOT_ALL_UP;
+    return root.path("all_up").asBoolean() ? 0 : EXIT_NOT_ALL_UP;
   }
 
   /** Returns a human-readable description of a node's response, line by line. */
--- a/src/main/java/io/cherryspool/cli/NodeClient.java
+++ b/src/main/java/io/cherryspool/cli/NodeClient.java
@@ -14,7 +14,7 @@
 /** Sends an operator's request to a running node and waits for the response. */
 final class NodeClient {
   /** The exit status if the node refuses the request or cannot be reached. */
-  static final int REQUEST_FAILED = 1;
+  static final int EXIT_REQUEST_FAILED = 1;
 
   /** The HTTP status of a request that was executed. */
   static final int OK = 200;
--- a/src/main/java/io/cherryspool/cli/NodeLauncher.java
+++ b/src/main/java/io/cherryspool/cli/NodeLauncher.java
@@ -32,12 +32,12 @@
  */
 final class NodeLauncher {
   /** The exit status if the settings contain an error. */
-  static final int INVALID_SETTINGS = 2;
+  static final int EXIT_INVALID_SETTINGS = 2;
 
   private static final Logger LOG = LoggerFactory.getLogger(NodeLauncher.class);
 
   /** The exit status if a port cannot be bound. */
-  private static final int BIND_FAILED = 1;
+  private static final int EXIT_BIND_FAILED = 1;
 
   /**
    * The fraction of all sockets that is reserved for the node's own calls to the state store, the
@@ -86,7 +86,7 @@
    */
   static int serve(Path config, Path operators) throws InterruptedException {
     Optional<LoadedSettings> settings = LoadedSettings.load(config, operators);
-    return settings.isPresent() ? run(settings.get()) : INVALID_SETTINGS;
+    return settings.isPresent() ? run(settings.get()) : EXIT_INVALID_SETTINGS;
   }
 
   /** Runs a node until the process is terminated; returns the exit status. */
@@ -100,7 +100,7 @@
     } catch (Exception e) {
       // Netty throws the checked BindException without declaring it.
       System.err.println("cherryspool: " + e.getMessage());
-      return BIND_FAILED;
+      return EXIT_BIND_FAILED;
     }
     node.loop.awaitTermination();
     return 0;
--- a/src/main/java/io/cherryspool/cli/RecoveryCommand.java
+++ b/src/main/java/io/cherryspool/cli/RecoveryCommand.java
@@ -38,7 +38,7 @@
     Optional<NodeClient.NodeResponse> received =
         NodeClient.send(spec.commandLine(), node, request, "/recovery/" + resource);
     if (received.isEmpty()) {
-      return NodeClient.REQUEST_FAILED;
+      return NodeClient.EXIT_REQUEST_FAILED;
     }
     NodeClient.NodeResponse response = received.get();
     if (response.status() == NodeClient.OK) {
@@ -50,6 +50,6 @@
             ? response.address() + " does not look for losses (recovery is off)"
             : JsonText.field(response.body(), "error");
     System.err.println("cherryspool: " + reason);
-    return NodeClient.REQUEST_FAILED;
+    return NodeClient.EXIT_REQUEST_FAILED;
   }
 }
--- a/src/main/java/io/cherryspool/cli/ServeCommand.java
+++ b/src/main/java/io/cherryspool/cli/ServeCommand.java
@@ -16,6 +16,8 @@
   @Override
   public Integer call() throws InterruptedException {
     Optional<LoadedSettings> settings = files.load();
-    return settings.isPresent() ? NodeLauncher.run(settings.get()) : NodeLauncher.INVALID_SETTINGS;
+    return settings.isPresent()
+        ? NodeLauncher.run(settings.get())
+        : NodeLauncher.EXIT_INVALID_SETTINGS;
   }
 }
--- a/src/main/java/io/cherryspool/cli/SnapshotCommand.java
+++ b/src/main/java/io/cherryspool/cli/SnapshotCommand.java
@@ -14,7 +14,7 @@
     description = "Lists and checks the snapshots that nodes keep.")
 final class SnapshotCommand implements Runnable {
   /** The exit status if a snapshot is unusable, or there is none. */
-  static final int UNUSABLE = 1;
+  static final int EXIT_UNUSABLE = 1;
 
   @Spec private CommandSpec spec;
 
--- a/src/main/java/io/cherryspool/cli/SnapshotListCommand.java
+++ b/src/main/java/io/cherryspool/cli/SnapshotListCommand.java
@@ -23,13 +23,13 @@
   public Integer call() {
     if (!Files.isDirectory(directory)) {
       System.err.println("cherryspool: " + directory + " is not a directory");
-      return SnapshotCommand.UNUSABLE;
+      return SnapshotCommand.EXIT_UNUSABLE;
     }
     try {
       List<String> names = new DirectorySnapshotStore(directory).names();
       if (names.isEmpty()) {
         System.err.println("cherryspool: " + directory + " holds no snapshots");
-        return SnapshotCommand.UNUSABLE;
+        return SnapshotCommand.EXIT_UNUSABLE;
       }
       for (String name : names) {
         System.out.println(name + "  " + describe(directory.resolve(name)));
@@ -37,7 +37,7 @@
       return 0;
     } catch (IOException e) {
       System.err.println("cherryspool: " + directory + ": " + e.getMessage());
-      return SnapshotCommand.UNUSABLE;
+      return SnapshotCommand.EXIT_UNUSABLE;
     }
   }
 
--- a/src/main/java/io/cherryspool/cli/SnapshotVerifyCommand.java
+++ b/src/main/java/io/cherryspool/cli/SnapshotVerifyCommand.java
@@ -21,7 +21,7 @@
   public Integer call() {
     if (!Files.isRegularFile(file)) {
       System.err.println("cherryspool: " + file + " is not a file");
-      return SnapshotCommand.UNUSABLE;
+      return SnapshotCommand.EXIT_UNUSABLE;
     }
     try {
       SnapshotFile snapshot = SnapshotFile.decode(Files.readAllBytes(file));
@@ -32,6 +32,6 @@
     } catch (IOException e) {
       System.err.println("cherryspool: " + file + " can't be read: " + e.getMessage());
     }
-    return SnapshotCommand.UNUSABLE;
+    return SnapshotCommand.EXIT_UNUSABLE;
   }
 }
--- a/src/main/java/io/cherryspool/config/XmlSettingsReader.java
+++ b/src/main/java/io/cherryspool/config/XmlSettingsReader.java
@@ -87,14 +87,14 @@
    * defaultValue} if there is no such element.
    */
   boolean takeSwitch(String name, boolean defaultValue) throws ConfigException {
-    Optional<String> word = takeText(name);
-    if (word.isEmpty()) {
+    Optional<String> text = takeText(name);
+    if (text.isEmpty()) {
       return defaultValue;
     }
-    return switch (word.get()) {
+    return switch (text.get()) {
       case "on" -> true;
       case "off" -> false;
-      default -> throw invalid(name, "must be on or off, not " + word.get());
+      default -> throw invalid(name, "must be on or off, not " + text.get());
     };
   }
 
--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -185,8 +185,8 @@
         "links: {}, since {}; {} of {} machines are missing",
         verdict.describe(),
         verdict.reason().text(),
-        fleet.missing(),
-        fleet.known());
+        fleet.missingMachines(),
+        fleet.knownMachines());
     terms.onRecordsChanged();
   }
 }
--- a/src/main/java/io/cherryspool/controller/ControllerModule.java
+++ b/src/main/java/io/cherryspool/controller/ControllerModule.java
@@ -284,7 +284,7 @@
     Gauge.builder("cherryspool.jobs.active", () -> records.activeJobs().size()).register(registry);
     Gauge.builder("cherryspool.jobs.accepted", records::jobCount).register(registry);
     Gauge.builder("cherryspool.machines", terms::machineCount).register(registry);
-    Gauge.builder("cherryspool.machines.lost", () -> terms.fleetReachability().missing())
+    Gauge.builder("cherryspool.machines.lost", () -> terms.fleetReachability().missingMachines())
         .register(registry);
     new ReachabilityMeters(reachability, loop).bindTo(registry);
     Gauge.builder("cherryspool.changes.waiting", commits::queuedChanges).register(registry);
--- a/src/main/java/io/cherryspool/controller/api/LinksApi.java
+++ b/src/main/java/io/cherryspool/controller/api/LinksApi.java
@@ -50,14 +50,15 @@
     ArrayNode nodes = root.putArray("nodes");
     boolean areAllUp = writeLinks(nodes.addObject(), node, 0, observations.own());
     for (String peer : peers) {
-      Optional<ReachabilityMatrix.Row> row = observations.matrix().row(peer);
-      if (row.isEmpty()) {
+      Optional<ReachabilityMatrix.ReceivedHeartbeat> received =
+          observations.matrix().latestHeartbeat(peer);
+      if (received.isEmpty()) {
         nodes.addObject().put("node", peer).put("heard_ms", -1);
         areAllUp = false;
         continue;
       }
-      Mesh.PeerHeartbeat heartbeat = row.get().heartbeat();
-      long ageMillis = observations.now().minus(row.get().receivedAt()).toMillis();
+      Mesh.PeerHeartbeat heartbeat = received.get().heartbeat();
+      long ageMillis = observations.now().minus(received.get().receivedAt()).toMillis();
       areAllUp &= writeLinks(nodes.addObject(), peer, ageMillis, heartbeat.links());
     }
     root.put("all_up", areAllUp);
--- a/src/main/java/io/cherryspool/controller/election/LeaseReplacement.java
+++ b/src/main/java/io/cherryspool/controller/election/LeaseReplacement.java
@@ -116,7 +116,7 @@
                       == StateStoreException.Kind.INVALID_REQUEST) {
                 leases.discardReplacement(target);
               }
-              records.refresh().exceptionally(again -> null);
+              records.refresh().exceptionally(refreshFailure -> null);
             });
   }
 
--- a/src/main/java/io/cherryspool/controller/fleet/PlacementHistory.java
+++ b/src/main/java/io/cherryspool/controller/fleet/PlacementHistory.java
@@ -53,15 +53,15 @@
     }
     // The start time of an exited task is kept too: its run time is needed when its end is
     // recorded.
-    Set<TaskId> present = new HashSet<>();
+    Set<TaskId> reportedTasks = new HashSet<>();
     for (WorkerHeartbeat.TaskStatus status : heartbeat.tasks()) {
       if (status.state() == WorkerHeartbeat.TaskState.RUNNING
           || status.state() == WorkerHeartbeat.TaskState.CHECKPOINTING) {
         runningSince.putIfAbsent(status.task(), now);
       }
-      present.add(status.task());
+      reportedTasks.add(status.task());
     }
-    runningSince.keySet().retainAll(present);
+    runningSince.keySet().retainAll(reportedTasks);
   }
 
   /**
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryApi.java
@@ -221,7 +221,7 @@
         .commit(conditions, changes)
         .thenApply(
             result ->
-                result.applied()
+                result.isApplied()
                     ? json(200, Json.object().put("result", resultText))
                     : error(409, "the job has changed meanwhile; look at it once more"));
   }
--- a/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
+++ b/src/main/java/io/cherryspool/controller/recovery/RecoveryModule.java
@@ -63,7 +63,7 @@
     this.election = dependencies.election();
     StateStoreAccess stateStore = dependencies.stateStore();
     Optional<SnapshotRepository> repository =
-        snapshotTarget.map(present -> new SnapshotRepository(present.store()));
+        snapshotTarget.map(target -> new SnapshotRepository(target.store()));
     RecordsSnapshot newestSnapshot =
         repository
             .flatMap(SnapshotRepository::readNewest)
@@ -80,14 +80,14 @@
             newestSnapshot);
     snapshots =
         snapshotTarget.map(
-            present ->
+            target ->
                 new SnapshotWriter(
                     dependencies.loop(),
                     stateStore.records(),
                     recovery::isServing,
                     dependencies.clock(),
                     repository.get(),
-                    present.writerExecutor(),
+                    target.writerExecutor(),
                     snapshotInterval));
     api = new RecoveryApi(node, recovery, stateStore, snapshots);
     meters = new RecoveryMeters(recovery, stateStore.records(), snapshots.orElse(null));
--- a/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
+++ b/src/main/java/io/cherryspool/controller/rounds/DemandEstimator.java
@@ -128,12 +128,12 @@
    */
   public List<ScalingPlanner.JobDemand> estimateDemand() {
     List<ScalingPlanner.JobDemand> result = new ArrayList<>();
-    addArrivals(result);
-    addWaiting(result);
+    addArrivingDemand(result);
+    addWaitingDemand(result);
     return result;
   }
 
-  private void addArrivals(List<ScalingPlanner.JobDemand> result) {
+  private void addArrivingDemand(List<ScalingPlanner.JobDemand> result) {
     recentJobs
         .values()
         .removeIf(job -> age(job.job()).compareTo(ARRIVAL_WINDOW) >= 0 || isCrashLooping(job));
@@ -158,7 +158,7 @@
     }
   }
 
-  private void addWaiting(List<ScalingPlanner.JobDemand> result) {
+  private void addWaitingDemand(List<ScalingPlanner.JobDemand> result) {
     for (JobRecord job : records.activeJobs()) {
       if (job.outcome() == null && !isCrashLooping(job)) {
         Collection<PendingReleases.Release> releases =
--- a/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
@@ -138,10 +138,10 @@
               if (kind != null && !isRefused) {
                 LOG.error(
                     "the state store rejected a transaction of the round: {}", failure.toString());
-              } else if (kind == null && !result.applied()) {
+              } else if (kind == null && !result.isApplied()) {
                 LOG.debug(
                     "a transaction of the round was not applied; conditions failed on keys={}",
-                    result.failed());
+                    result.failedKeys());
               }
               round.onTransactionOutcomeKnown();
             });
--- a/src/main/java/io/cherryspool/http/ObservedTransport.java
+++ b/src/main/java/io/cherryspool/http/ObservedTransport.java
@@ -23,10 +23,10 @@
    */
   public interface Observer {
     /** Called when the other side has answered a request. */
-    void onAnswer(Duration sent);
+    void onAnswer(Duration sentAt);
 
     /** Called when the other side has refused a request, or has not answered it in time. */
-    void onFailure(Duration sent, Duration now);
+    void onFailure(Duration sentAt, Duration now);
   }
 
   /**
@@ -55,13 +55,13 @@
     if (!isObserved.test(request)) {
       return result;
     }
-    Duration sent = loop.now();
+    Duration sentAt = loop.now();
     return result.whenComplete(
         (reply, failure) -> {
           if (failure != null || isRefusal.test(reply)) {
-            observer.onFailure(sent, loop.now());
+            observer.onFailure(sentAt, loop.now());
           } else {
-            observer.onAnswer(sent);
+            observer.onAnswer(sentAt);
           }
         });
   }
--- a/src/main/java/io/cherryspool/model/Shard.java
+++ b/src/main/java/io/cherryspool/model/Shard.java
@@ -159,9 +159,9 @@
     /**
      * Frees a task whose attempt is proved to have ended, and counts a failure if {@code failed}.
      */
-    public Editor release(int task, boolean failed) {
+    public Editor release(int task, boolean hasFailed) {
       owned.remove(task);
-      if (failed) {
+      if (hasFailed) {
         History before = history.getOrDefault(task, History.NONE);
         history.put(task, new History(before.attempts(), before.failures() + 1));
       }
--- a/src/main/java/io/cherryspool/model/TaskId.java
+++ b/src/main/java/io/cherryspool/model/TaskId.java
@@ -39,8 +39,8 @@
 
   @Override
   public int compareTo(TaskId other) {
-    int jobs = jobId.compareTo(other.jobId);
-    return jobs != 0 ? jobs : Integer.compare(index, other.index);
+    int jobOrder = jobId.compareTo(other.jobId);
+    return jobOrder != 0 ? jobOrder : Integer.compare(index, other.index);
   }
 
   /** Returns the text form, which {@link #parse} accepts. */
--- a/src/main/java/io/cherryspool/reachability/FleetReachability.java
+++ b/src/main/java/io/cherryspool/reachability/FleetReachability.java
@@ -7,33 +7,36 @@
 /**
  * How many machines a leader reaches, in total and for each zone. Immutable.
  *
- * @param known the number of machines that have sent a heartbeat in this term, or should have
- * @param missing how many of the known machines send no heartbeats in time or receive no answers
+ * @param knownMachines the number of machines that have sent a heartbeat in this term, or should
+ *     have
+ * @param missingMachines how many of the known machines send no heartbeats in time or receive no
+ *     answers
  * @param zones the numbers of each zone, sorted by zone name
  */
-public record FleetReachability(int known, int missing, Map<String, Zone> zones) {
+public record FleetReachability(int knownMachines, int missingMachines, Map<String, Zone> zones) {
   /** The numbers of a node that does not lead. */
   public static final FleetReachability EMPTY = new FleetReachability(0, 0, Map.of());
 
   /**
    * The numbers of one zone.
    *
-   * @param known as in {@link FleetReachability}
-   * @param missing as in {@link FleetReachability}
-   * @param listed the number of machines that the cloud lists
-   * @param unreachable how many of the listed machines receive no messages, or send none that
-   *     arrive
+   * @param knownMachines as in {@link FleetReachability}
+   * @param missingMachines as in {@link FleetReachability}
+   * @param listedMachines the number of machines that the cloud lists
+   * @param unreachableMachines how many of the listed machines receive no messages, or send none
+   *     that arrive
    */
-  public record Zone(int known, int missing, int listed, int unreachable) {}
+  public record Zone(
+      int knownMachines, int missingMachines, int listedMachines, int unreachableMachines) {}
 
   /**
    * Counts machines one by one. A leader counts thousands of them twice a second. Confined to one
    * thread.
    */
   public static final class Builder {
-    private final Map<String, Counts> zones = new TreeMap<>();
+    private final Map<String, ZoneCounts> zones = new TreeMap<>();
 
-    private static final class Counts {
+    private static final class ZoneCounts {
       private int known;
       private int missing;
       private int listed;
@@ -45,7 +48,7 @@
      * preempted, or is too new for the list; its contact state says nothing about its zone's link.
      */
     public void addMachine(String zone, boolean isListed, ContactState contact) {
-      Counts counts = zones.computeIfAbsent(zone, key -> new Counts());
+      ZoneCounts counts = zones.computeIfAbsent(zone, key -> new ZoneCounts());
       boolean isExpected = isListed || contact != ContactState.NEVER_SEEN;
       if (contact != ContactState.NEW && isExpected) {
         counts.known++;
@@ -62,8 +65,8 @@
       int known = 0;
       int missing = 0;
       Map<String, Zone> result = new TreeMap<>();
-      for (Map.Entry<String, Counts> entry : zones.entrySet()) {
-        Counts counts = entry.getValue();
+      for (Map.Entry<String, ZoneCounts> entry : zones.entrySet()) {
+        ZoneCounts counts = entry.getValue();
         known += counts.known;
         missing += counts.missing;
         result.put(
--- a/src/main/java/io/cherryspool/reachability/NodeView.java
+++ b/src/main/java/io/cherryspool/reachability/NodeView.java
@@ -69,7 +69,7 @@
    *     if they are not
    */
   public record Fleet(
-      FleetReachability machines,
+      FleetReachability reachability,
       Set<String> unreachableZones,
       Optional<Duration> unreachableFor) {}
 }
--- a/src/main/java/io/cherryspool/reachability/PartitionRule.java
+++ b/src/main/java/io/cherryspool/reachability/PartitionRule.java
@@ -119,13 +119,14 @@
    * little work and runs on time.
    */
   private boolean isHandoverWorthwhile(NodeView view) {
-    int missing = view.fleet().machines().missing();
+    int missing = view.fleet().reachability().missingMachines();
     if (missing < MIN_MISSING_MACHINES || !hasBeenHealthyLongEnough(view)) {
       return false;
     }
     int thresholdFactor =
         view.leadership().penalty() < RECENT_CHANGES_PENALTY ? 1 : RECENT_CHANGES_THRESHOLD_FACTOR;
-    return missing * MIN_MISSING_DIVISOR >= view.fleet().machines().known() * thresholdFactor;
+    return missing * MIN_MISSING_DIVISOR
+        >= view.fleet().reachability().knownMachines() * thresholdFactor;
   }
 
   private boolean hasBeenHealthyLongEnough(NodeView view) {
@@ -151,7 +152,8 @@
    */
   private static Optional<Verdict> handOverWithoutPeers(NodeView view) {
     boolean isHalfMissing =
-        view.fleet().machines().missing() * 2 >= view.fleet().machines().known();
+        view.fleet().reachability().missingMachines() * 2
+            >= view.fleet().reachability().knownMachines();
     return isHalfMissing && view.matrix().hasReceivedAny()
         ? Optional.of(
             new Verdict.HandOverLeadership(
@@ -170,7 +172,8 @@
         }
       }
     }
-    return successor != null && redirectedWorkers * 2 >= view.fleet().machines().missing()
+    return successor != null
+            && redirectedWorkers * 2 >= view.fleet().reachability().missingMachines()
         ? Optional.of(
             new Verdict.HandOverLeadership(successor.node(), Reason.WORKERS_REACH_OTHER_NODES))
         : Optional.empty();
--- a/src/main/java/io/cherryspool/reachability/Reachability.java
+++ b/src/main/java/io/cherryspool/reachability/Reachability.java
@@ -28,7 +28,7 @@
   private final List<String> peers;
   private final ReachabilityTimings timings;
   private final boolean isDampingEnabled;
-  private final VerdictRule rule;
+  private final VerdictRule verdictRule;
   private final MachineEvictionRule machineEvictionRule;
   private final RequestLink stateStoreLink;
   private final RequestLink cloudLink;
@@ -52,19 +52,19 @@
    *
    * @param peers the names of the other nodes
    * @param isDampingEnabled whether flapping makes leases longer and delays candidacies
-   * @param rule determines the verdict on the links
+   * @param verdictRule determines the verdict on the links
    */
   public Reachability(
       String node,
       List<String> peers,
       ReachabilityTimings timings,
       boolean isDampingEnabled,
-      VerdictRule rule) {
+      VerdictRule verdictRule) {
     this.node = node;
     this.peers = peers;
     this.timings = timings;
     this.isDampingEnabled = isDampingEnabled;
-    this.rule = rule;
+    this.verdictRule = verdictRule;
     this.machineEvictionRule = new MachineEvictionRule(timings);
     this.stateStoreLink = new RequestLink(timings.stateStoreCallTimeout(), timings.flapHalfLife());
     this.cloudLink = new RequestLink(timings.leaderLease(), timings.flapHalfLife());
@@ -132,7 +132,7 @@
     fleet = observedFleet;
     zones.observe(observedFleet, now);
     NodeView.Role role = isLeading ? NodeView.Role.LEADER : NodeView.Role.FOLLOWER;
-    verdict = rule.evaluate(view(role, now, Optional.empty()));
+    verdict = verdictRule.evaluate(view(role, now, Optional.empty()));
     return verdict;
   }
 
@@ -172,7 +172,7 @@
    * links run first.
    */
   public Duration candidacyDelay(Duration now, Optional<NodeView.Handover> handover) {
-    Verdict candidateVerdict = rule.evaluate(view(NodeView.Role.CANDIDATE, now, handover));
+    Verdict candidateVerdict = verdictRule.evaluate(view(NodeView.Role.CANDIDATE, now, handover));
     return candidateVerdict instanceof Verdict.DelayCandidacy delayed
         ? delayed.delay()
         : Duration.ZERO;
@@ -255,10 +255,10 @@
   private List<LinkSummary.PeerLink> peerLinks(Duration now) {
     List<LinkSummary.PeerLink> result = new ArrayList<>();
     for (String peer : peers) {
-      Optional<ReachabilityMatrix.Row> row = matrix.row(peer);
+      Optional<ReachabilityMatrix.ReceivedHeartbeat> received = matrix.latestHeartbeat(peer);
       result.add(
-          row.isPresent()
-              ? peerLink(peer, now.minus(row.get().receivedAt()))
+          received.isPresent()
+              ? peerLink(peer, now.minus(received.get().receivedAt()))
               : new LinkSummary.PeerLink(peer, LinkState.DOWN, NEVER_RECEIVED_AGE_MILLIS));
     }
     return result;
@@ -287,8 +287,8 @@
           new LinkSummary.ZoneLink(
               zone,
               zones.state(zone),
-              machines == null ? 0 : machines.known(),
-              machines == null ? 0 : machines.missing(),
+              machines == null ? 0 : machines.knownMachines(),
+              machines == null ? 0 : machines.missingMachines(),
               redirected.getOrDefault(zone, 0)));
     }
     return result;
--- a/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
+++ b/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
@@ -18,41 +18,42 @@
   /** The matrix before any heartbeat was received. */
   public static final ReachabilityMatrix EMPTY = new ReachabilityMatrix(HashTreePMap.empty());
 
-  private final PMap<String, Row> rows;
+  private final PMap<String, ReceivedHeartbeat> heartbeatsByNode;
 
   /** The latest heartbeat of a node, and the time at which it was received. */
-  public record Row(Mesh.PeerHeartbeat heartbeat, Duration receivedAt) {
+  public record ReceivedHeartbeat(Mesh.PeerHeartbeat heartbeat, Duration receivedAt) {
     /** Whether the heartbeat was received less than this time ago. */
     boolean isFresh(Duration maxAge, Duration now) {
       return now.minus(receivedAt).compareTo(maxAge) < 0;
     }
   }
 
-  private ReachabilityMatrix(PMap<String, Row> rows) {
-    this.rows = rows;
+  private ReachabilityMatrix(PMap<String, ReceivedHeartbeat> heartbeatsByNode) {
+    this.heartbeatsByNode = heartbeatsByNode;
   }
 
   /** Returns a matrix in which this heartbeat replaces the previous one of its node. */
   public ReachabilityMatrix withHeartbeat(Mesh.PeerHeartbeat heartbeat, Duration now) {
-    return new ReachabilityMatrix(rows.plus(heartbeat.node(), new Row(heartbeat, now)));
+    return new ReachabilityMatrix(
+        heartbeatsByNode.plus(heartbeat.node(), new ReceivedHeartbeat(heartbeat, now)));
   }
 
   /** Whether a heartbeat of any other node was ever received. */
   public boolean hasReceivedAny() {
-    return !rows.isEmpty();
+    return !heartbeatsByNode.isEmpty();
   }
 
   /** Returns the latest heartbeat of the node; empty if none was received. */
-  public Optional<Row> row(String node) {
-    return Optional.ofNullable(rows.get(node));
+  public Optional<ReceivedHeartbeat> latestHeartbeat(String node) {
+    return Optional.ofNullable(heartbeatsByNode.get(node));
   }
 
   /** Returns the heartbeats that were received less than this time ago, in no particular order. */
   public List<Mesh.PeerHeartbeat> freshHeartbeats(Duration maxAge, Duration now) {
     List<Mesh.PeerHeartbeat> result = new ArrayList<>();
-    for (Row row : rows.values()) {
-      if (row.isFresh(maxAge, now)) {
-        result.add(row.heartbeat);
+    for (ReceivedHeartbeat received : heartbeatsByNode.values()) {
+      if (received.isFresh(maxAge, now)) {
+        result.add(received.heartbeat);
       }
     }
     return result;
@@ -65,9 +66,10 @@
    */
   public Optional<Duration> latestStateStoreRead(Duration maxAge, Duration now) {
     Duration latest = null;
-    for (Row row : rows.values()) {
-      if (row.isFresh(maxAge, now) && row.heartbeat.isStateStoreReachable()) {
-        Duration sentAt = row.receivedAt.minusMillis(row.heartbeat.stateStoreReadAgeMillis());
+    for (ReceivedHeartbeat received : heartbeatsByNode.values()) {
+      if (received.isFresh(maxAge, now) && received.heartbeat.isStateStoreReachable()) {
+        Duration sentAt =
+            received.receivedAt.minusMillis(received.heartbeat.stateStoreReadAgeMillis());
         latest = latest == null || sentAt.compareTo(latest) > 0 ? sentAt : latest;
       }
     }
--- a/src/main/java/io/cherryspool/reachability/ZoneLinks.java
+++ b/src/main/java/io/cherryspool/reachability/ZoneLinks.java
@@ -86,9 +86,9 @@
     int unreachable = 0;
     int affectedZones = 0;
     for (FleetReachability.Zone zone : fleet.zones().values()) {
-      listed += zone.listed();
-      unreachable += zone.unreachable();
-      affectedZones += zone.unreachable() * UP_DIVISOR > zone.listed() ? 1 : 0;
+      listed += zone.listedMachines();
+      unreachable += zone.unreachableMachines();
+      affectedZones += zone.unreachableMachines() * UP_DIVISOR > zone.listedMachines() ? 1 : 0;
     }
     return affectedZones > 1
         && unreachable >= MIN_UNREACHABLE_MACHINES
@@ -104,13 +104,13 @@
   }
 
   private static LinkState nextState(LinkState previous, FleetReachability.Zone zone) {
-    if (zone.unreachable() < MIN_UNREACHABLE_MACHINES) {
+    if (zone.unreachableMachines() < MIN_UNREACHABLE_MACHINES) {
       return LinkState.UP;
     }
-    if (zone.unreachable() * DOWN_DIVISOR > zone.listed()) {
+    if (zone.unreachableMachines() * DOWN_DIVISOR > zone.listedMachines()) {
       return LinkState.DOWN;
     }
-    if (zone.unreachable() * UP_DIVISOR > zone.listed()) {
+    if (zone.unreachableMachines() * UP_DIVISOR > zone.listedMachines()) {
       return previous == LinkState.DOWN ? LinkState.DOWN : LinkState.SUSPECT;
     }
     return LinkState.UP;
--- a/src/main/java/io/cherryspool/recovery/Contributions.java
+++ b/src/main/java/io/cherryspool/recovery/Contributions.java
@@ -56,7 +56,7 @@
    * The jobs and outcomes that this node has committed and that the replica does not contain yet.
    */
   List<StateStoreProtocol.Change> recentWrites() {
-    return recentWrites.all();
+    return recentWrites.changes();
   }
 
   /**
@@ -76,13 +76,13 @@
    * @return the number of records that are missing and will be written
    */
   int addMissingRecords(RecordsSnapshot retained, BooleanSupplier isServing) {
-    RecordsSnapshot known = retained;
-    for (StateStoreProtocol.Change change : recentWrites.all()) {
-      known = OrphanedRecords.withChange(known, change);
+    RecordsSnapshot expectedRecords = retained;
+    for (StateStoreProtocol.Change change : recentWrites.changes()) {
+      expectedRecords = OrphanedRecords.withChange(expectedRecords, change);
     }
     recentWrites.clear();
     List<StateStoreProtocol.Change> changes = new ArrayList<>();
-    for (Map.Entry<String, JobSnapshot> item : known.jobs().entrySet()) {
+    for (Map.Entry<String, JobSnapshot> item : expectedRecords.jobs().entrySet()) {
       addIfMissing(item.getKey(), item.getValue(), changes);
     }
     if (!changes.isEmpty()) {
@@ -93,13 +93,13 @@
   }
 
   private void addIfMissing(String id, JobSnapshot job, List<StateStoreProtocol.Change> changes) {
-    JobRecord served = replica.job(id);
-    if (served == null) {
+    JobRecord servedJob = replica.job(id);
+    if (servedJob == null) {
       changes.add(
           new StateStoreProtocol.Change(
               Records.jobKey(id), Records.encodeJob(job.job(), job.tasksPerShard()), 0));
     }
-    if (job.outcome() != null && (served == null || served.outcome() == null)) {
+    if (job.outcome() != null && (servedJob == null || servedJob.outcome() == null)) {
       changes.add(
           new StateStoreProtocol.Change(
               Records.outcomeKey(id), Records.encodeOutcome(job.outcome()), 0));
@@ -133,25 +133,25 @@
     if (contributedRebuild == rebuild.number() || isContributing) {
       return;
     }
-    List<StateStoreProtocol.Change> known = new ArrayList<>(recentWrites.all());
-    if (holdsOriginOf(rebuild)) {
-      known.addAll(replica.immutableRecordsSince(rebuild.origin().revision()));
+    List<StateStoreProtocol.Change> logicalChanges = new ArrayList<>(recentWrites.changes());
+    if (hasLoadedOriginOf(rebuild)) {
+      logicalChanges.addAll(replica.immutableRecordsSince(rebuild.origin().revision()));
     }
-    if (known.isEmpty()) {
+    if (logicalChanges.isEmpty()) {
       contributedRebuild = rebuild.number();
       return;
     }
-    List<StateStoreProtocol.Change> changes = new ArrayList<>();
-    for (StateStoreProtocol.Change change : known) {
-      changes.add(
+    List<StateStoreProtocol.Change> physicalChanges = new ArrayList<>();
+    for (StateStoreProtocol.Change change : logicalChanges) {
+      physicalChanges.add(
           new StateStoreProtocol.Change(rebuild.toPhysicalKey(change.key()), change.value(), 0));
     }
     isContributing = true;
-    writeContributions(rebuild, rebuildVersion, changes);
+    writeContributions(rebuild, rebuildVersion, physicalChanges);
   }
 
   /** Whether the replica contains records of the incarnation that the rebuild started from. */
-  private boolean holdsOriginOf(Incarnation rebuild) {
+  private boolean hasLoadedOriginOf(Incarnation rebuild) {
     long origin = rebuild.origin().incarnationNumber();
     return store.loadedIncarnation().filter(loaded -> loaded.number() == origin).isPresent();
   }
@@ -163,7 +163,7 @@
         .commit(rebuildVersion, changes.subList(0, count))
         .whenComplete(
             (result, failure) -> {
-              if (failure != null || !result.applied()) {
+              if (failure != null || !result.isApplied()) {
                 isContributing = false;
               } else if (count < changes.size()) {
                 writeContributions(rebuild, rebuildVersion, changes.subList(count, changes.size()));
--- a/src/main/java/io/cherryspool/recovery/IncarnationMonitor.java
+++ b/src/main/java/io/cherryspool/recovery/IncarnationMonitor.java
@@ -70,19 +70,19 @@
               }
               lastAnsweredRequestSentAt = Optional.of(sentAt);
               if (state.isWaiting()) {
-                decide(reading);
+                processReading(reading);
               }
             });
   }
 
-  private void decide(StateStoreClient.IncarnationReading reading) {
+  private void processReading(StateStoreClient.IncarnationReading reading) {
     Incarnation record = reading.incarnation();
     if (record == null) {
-      decideWithoutRecord();
+      processMissingRecord();
     } else if (isOfOtherCluster(record)) {
       reportOtherCluster(record);
     } else if (isServable(record)) {
-      if (peers.mayLoadRecords() && !peers.isHeldByPeer(record)) {
+      if (peers.mayLoadRecords() && !peers.hasPeerStoppedServing(record)) {
         state.load(reading);
       }
     } else {
@@ -90,15 +90,15 @@
       if (record.phase() == Incarnation.Phase.REBUILDING) {
         contributions.contribute(record, reading.version());
       }
-      coordinator.considerRebuild(Optional.of(record), reading.version(), this::read);
+      coordinator.rebuildIfElected(Optional.of(record), reading.version(), this::read);
     }
   }
 
-  private void decideWithoutRecord() {
+  private void processMissingRecord() {
     if (state.hasRetainedRecords() || peers.hasPeerWithRecords()) {
       state.holdIfStarting();
-      coordinator.considerRebuild(Optional.empty(), 0, this::read);
-    } else if (peers.mayAssumeNoneRetains()) {
+      coordinator.rebuildIfElected(Optional.empty(), 0, this::read);
+    } else if (peers.mayAssumeNoRetainedRecords()) {
       installation.begin(this::rebuildFromNothing);
     }
   }
@@ -110,7 +110,7 @@
   }
 
   private boolean isOfOtherCluster(Incarnation record) {
-    String cluster = state.retained().cluster();
+    String cluster = state.retainedSnapshot().cluster();
     return !cluster.isEmpty() && !cluster.equals(record.cluster());
   }
 
@@ -119,7 +119,7 @@
       LOG.error(
           "the state store holds cluster={}, and this node belongs to cluster={}",
           record.cluster(),
-          state.retained().cluster());
+          state.retainedSnapshot().cluster());
     }
     state.statistics().recordOtherCluster();
   }
@@ -129,7 +129,7 @@
    * older than those that this node retains.
    */
   private boolean isServable(Incarnation record) {
-    boolean isOlder = record.number() < state.retained().position().incarnationNumber();
+    boolean isOlder = record.number() < state.retainedSnapshot().position().incarnationNumber();
     return record.phase() == Incarnation.Phase.SERVING && !isOlder && !state.isLost(record);
   }
 }
--- a/src/main/java/io/cherryspool/recovery/IncarnationRecordWriter.java
+++ b/src/main/java/io/cherryspool/recovery/IncarnationRecordWriter.java
@@ -52,7 +52,7 @@
               if (isStopped) {
                 return;
               }
-              if (failure == null && result.applied()) {
+              if (failure == null && result.isApplied()) {
                 onWritten.accept(result.revision());
               } else {
                 // The transaction may have been applied nevertheless: its answer may be lost, or
--- a/src/main/java/io/cherryspool/recovery/LossDetector.java
+++ b/src/main/java/io/cherryspool/recovery/LossDetector.java
@@ -94,9 +94,9 @@
     if (!state.isServing()) {
       return;
     }
-    Incarnation present = store.loadedIncarnation().orElseThrow();
+    Incarnation loaded = store.loadedIncarnation().orElseThrow();
     for (Peer peer : node.peers()) {
-      if (peer.retainedRecords().belongsTo(present)) {
+      if (peer.retainedRecords().belongsTo(loaded)) {
         minimumRevision = Math.max(minimumRevision, peer.retainedRecords().position().revision());
       }
     }
@@ -115,8 +115,8 @@
 
   @Override
   public void reportLoss(Loss loss, String detail) {
-    Optional<Incarnation> present = store.loadedIncarnation();
-    boolean isKnown = present.filter(state::isLost).isPresent();
+    Optional<Incarnation> loaded = store.loadedIncarnation();
+    boolean isKnown = loaded.filter(state::isLost).isPresent();
     if (state.isRebuilding() || (state.isHolding() && isKnown)) {
       return;
     }
@@ -125,7 +125,7 @@
     // not fully reconciled yet.
     boolean wasSoleLeader =
         node.isSoleLeader() && !loss.showsAnotherLeader() && replica.isFullyReconciled();
-    state.recordLoss(loss, present, wasSoleLeader);
+    state.recordLoss(loss, loaded, wasSoleLeader);
   }
 
   @Override
@@ -147,7 +147,7 @@
         "serving incarnation={} from revision={}",
         store.loadedIncarnation().orElseThrow().number(),
         minimumRevision);
-    int added = contributions.addMissingRecords(state.retained(), state::isServing);
+    int added = contributions.addMissingRecords(state.retainedSnapshot(), state::isServing);
     state.clearRetained();
     state.statistics().countAddedRecords(added);
     node.onServingChanged();
@@ -158,11 +158,11 @@
    * incarnation.
    */
   private boolean reportIfIncomplete() {
-    Incarnation present = store.loadedIncarnation().orElseThrow();
-    if (!state.hasRetainedRecordsOf(present)) {
+    Incarnation loaded = store.loadedIncarnation().orElseThrow();
+    if (!state.hasRetainedRecordsOf(loaded)) {
       return false;
     }
-    long retainedRevision = state.retained().position().revision();
+    long retainedRevision = state.retainedSnapshot().position().revision();
     if (replica.revision() < retainedRevision) {
       reportLoss(
           Loss.REVISION_WENT_BACK,
@@ -172,10 +172,10 @@
               + retainedRevision);
       return true;
     }
-    for (String id : state.retained().jobs().keySet()) {
+    for (String id : state.retainedSnapshot().jobs().keySet()) {
       if (replica.job(id) == null) {
         reportLoss(
-            Loss.RECORDS_GONE, "job " + id + " of incarnation " + present.number() + " is missing");
+            Loss.RECORDS_GONE, "job " + id + " of incarnation " + loaded.number() + " is missing");
         return true;
       }
     }
--- a/src/main/java/io/cherryspool/recovery/PeerSurvey.java
+++ b/src/main/java/io/cherryspool/recovery/PeerSurvey.java
@@ -36,7 +36,7 @@
    * Whether another node has stopped serving this incarnation because its records can't be relied
    * on.
    */
-  boolean isHeldByPeer(Incarnation record) {
+  boolean hasPeerStoppedServing(Incarnation record) {
     for (Peer peer : node.peers()) {
       RetainedRecords retained = peer.retainedRecords();
       if (retained.belongsTo(record) && isHolding(retained.phase())) {
@@ -65,7 +65,7 @@
    * but only for the gathering time if all nodes are reachable and a worker has reported a fencing
    * token: workers lose their tasks unless a leader is elected soon.
    */
-  boolean mayAssumeNoneRetains() {
+  boolean mayAssumeNoRetainedRecords() {
     return state.waitingTime().compareTo(timings.maxWait()) > 0
         || (state.waitingTime().compareTo(timings.gatheringTime()) > 0
             && hasHeartbeatsOfAllPeers()
--- a/src/main/java/io/cherryspool/recovery/RebuildCoordinator.java
+++ b/src/main/java/io/cherryspool/recovery/RebuildCoordinator.java
@@ -50,7 +50,7 @@
    * @param version the version of the identity record, 0 if there is none
    * @param onEnded called once when the rebuild has finished or was superseded
    */
-  void considerRebuild(Optional<Incarnation> record, long version, Runnable onEnded) {
+  void rebuildIfElected(Optional<Incarnation> record, long version, Runnable onEnded) {
     if (election.shouldRebuild(record)) {
       rebuild(record, version, onEnded);
     }
@@ -58,26 +58,26 @@
 
   /**
    * Starts a rebuild without asking the election. The parameters are those of {@link
-   * #considerRebuild}.
+   * #rebuildIfElected}.
    */
   void rebuild(Optional<Incarnation> record, long version, Runnable onEnded) {
     Incarnation next = nextIncarnation(record);
     state.beginRebuild();
-    Rebuilder.Plan plan =
-        new Rebuilder.Plan(
+    Rebuilder.RebuildInput input =
+        new Rebuilder.RebuildInput(
             next,
             version,
             state.lostIncarnation(),
             record.filter(found -> !state.isLost(found)),
-            state.retained(),
+            state.retainedSnapshot(),
             contributions.recentWrites(),
-            Math.max(node.highestKnownTerm(), state.retained().term()));
+            Math.max(node.highestKnownTerm(), state.retainedSnapshot().term()));
     Rebuilder started =
         new Rebuilder(
             loop,
             store,
             timings,
-            plan,
+            input,
             () -> haveAllContributed(next.number()),
             isFinished -> end(isFinished, onEnded));
     rebuilder = Optional.of(started);
@@ -85,7 +85,7 @@
   }
 
   private Incarnation nextIncarnation(Optional<Incarnation> record) {
-    long number = Math.max(state.retained().position().incarnationNumber(), 0);
+    long number = Math.max(state.retainedSnapshot().position().incarnationNumber(), 0);
     boolean hasOtherLeader = false;
     for (Peer peer : node.peers()) {
       RetainedRecords retained = peer.retainedRecords();
@@ -93,13 +93,13 @@
       hasOtherLeader |= retained.wasSoleLeader();
     }
     number = Math.max(number, record.map(Incarnation::number).orElse(0L));
-    String cluster = record.map(Incarnation::cluster).orElse(state.retained().cluster());
+    String cluster = record.map(Incarnation::cluster).orElse(state.retainedSnapshot().cluster());
     return Incarnation.newRebuild(
         cluster.isEmpty() ? nonce() : cluster,
         number + 1,
         nonce(),
         node.name(),
-        state.retained().position(),
+        state.retainedSnapshot().position(),
         // If two nodes claim to have been the sole leader, one of them led after the loss and does
         // not know the starts before it.
         state.wasSoleLeader() && !hasOtherLeader);
--- a/src/main/java/io/cherryspool/recovery/RebuildElection.java
+++ b/src/main/java/io/cherryspool/recovery/RebuildElection.java
@@ -61,7 +61,7 @@
   private boolean shouldReplace(Incarnation record) {
     return record.phase() == Incarnation.Phase.REBUILDING
         && (state.wasSoleLeader() || !record.isComplete())
-        && state.retained().position().compareTo(record.origin()) > 0;
+        && state.retainedSnapshot().position().compareTo(record.origin()) > 0;
   }
 
   private boolean shouldWaitFor(Peer peer, boolean isWithinMaxWait) {
@@ -107,7 +107,7 @@
     if (theirs.wasSoleLeader() != state.wasSoleLeader()) {
       return theirs.wasSoleLeader();
     }
-    int order = theirs.position().compareTo(state.retained().position());
+    int order = theirs.position().compareTo(state.retainedSnapshot().position());
     return order > 0 || (order == 0 && peer.node().compareTo(node.name()) < 0);
   }
 }
--- a/src/main/java/io/cherryspool/recovery/Rebuilder.java
+++ b/src/main/java/io/cherryspool/recovery/Rebuilder.java
@@ -32,12 +32,12 @@
   private final RecoveryTimings timings;
   private final BooleanSupplier haveAllContributed;
   private final Consumer<Boolean> onEnded;
-  private final Plan plan;
+  private final RebuildInput input;
   private final Duration startedAt;
   private final IncarnationRecordWriter incarnationWriter;
   private Optional<KeyScan> scan = Optional.empty();
   private Optional<RebuiltRecordsWriter> recordsWriter = Optional.empty();
-  private Result result;
+  private RebuiltRecords rebuiltRecords;
   private boolean isStopped;
 
   /**
@@ -45,20 +45,20 @@
    *
    * @param incarnation the identity record that fences the lost incarnation
    * @param replacedVersion the version of the identity record that it replaces, 0 if there is none
-   * @param lost the incarnation whose records were lost, empty if unknown
-   * @param interrupted the incarnation found in the state store, if it is not the lost one: usually
-   *     a rebuild that was interrupted
-   * @param retained the records that this node retains
+   * @param lostIncarnation the incarnation whose records were lost, empty if unknown
+   * @param interruptedIncarnation the incarnation found in the state store, if it is not the lost
+   *     one: usually a rebuild that was interrupted
+   * @param retainedSnapshot the records that this node retains
    * @param recentWrites the jobs and outcomes that this node has acknowledged and that {@code
    *     retained} may lack
    * @param highestTerm the highest known term
    */
-  record Plan(
+  record RebuildInput(
       Incarnation incarnation,
       long replacedVersion,
-      Optional<Incarnation> lost,
-      Optional<Incarnation> interrupted,
-      RecordsSnapshot retained,
+      Optional<Incarnation> lostIncarnation,
+      Optional<Incarnation> interruptedIncarnation,
+      RecordsSnapshot retainedSnapshot,
       List<StateStoreProtocol.Change> recentWrites,
       long highestTerm) {}
 
@@ -68,7 +68,8 @@
    * @param bundles the encoded jobs of the records
    * @param isComplete whether the records contain every start of a task
    */
-  private record Result(RecordsSnapshot records, List<byte[]> bundles, boolean isComplete) {}
+  private record RebuiltRecords(
+      RecordsSnapshot records, List<byte[]> bundles, boolean isComplete) {}
 
   /**
    * Creates an attempt that begins with {@link #start}.
@@ -82,16 +83,16 @@
       EventLoop loop,
       RecoveryStore store,
       RecoveryTimings timings,
-      Plan plan,
+      RebuildInput input,
       BooleanSupplier haveAllContributed,
       Consumer<Boolean> onEnded) {
     this.loop = loop;
     this.store = store;
     this.timings = timings;
-    this.plan = plan;
+    this.input = input;
     this.haveAllContributed = haveAllContributed;
     this.onEnded = onEnded;
-    this.result = new Result(plan.retained(), List.of(), false);
+    this.rebuiltRecords = new RebuiltRecords(input.retainedSnapshot(), List.of(), false);
     this.startedAt = loop.now();
     this.incarnationWriter = new IncarnationRecordWriter(loop, store, this::endSuperseded);
   }
@@ -108,12 +109,12 @@
   void start() {
     LOG.info(
         "rebuild started: incarnation={}, jobs={}, retained from incarnation={} revision={}",
-        plan.incarnation().number(),
-        plan.retained().jobs().size(),
-        plan.retained().position().incarnationNumber(),
-        plan.retained().position().revision());
+        input.incarnation().number(),
+        input.retainedSnapshot().jobs().size(),
+        input.retainedSnapshot().position().incarnationNumber(),
+        input.retainedSnapshot().position().revision());
     incarnationWriter.replace(
-        plan.incarnation(), plan.replacedVersion(), this::readOrphanedRecords);
+        input.incarnation(), input.replacedVersion(), this::readOrphanedRecords);
   }
 
   private void readOrphanedRecords(long incarnationVersion) {
@@ -123,14 +124,14 @@
   }
 
   private void writeRecords(long incarnationVersion, List<StateStoreProtocol.Event> orphaned) {
-    result = mergeSources(orphaned);
+    rebuiltRecords = mergeSources(orphaned);
     RebuiltRecordsWriter writer =
         new RebuiltRecordsWriter(
-            loop, store, timings, plan.incarnation(), incarnationVersion, this::endSuperseded);
+            loop, store, timings, input.incarnation(), incarnationVersion, this::endSuperseded);
     recordsWriter = Optional.of(writer);
     writer.write(
-        result.records(),
-        result.bundles(),
+        rebuiltRecords.records(),
+        rebuiltRecords.bundles(),
         () -> awaitContributions(incarnationVersion, loop.now().plus(timings.maxWait())));
   }
 
@@ -138,24 +139,27 @@
    * Merges the records that this node retains with those left in the state store and with its last
    * writes.
    */
-  private Result mergeSources(List<StateStoreProtocol.Event> orphaned) {
-    RecordsSnapshot known = withOrphaned(plan.retained(), orphaned, plan.lost());
-    known = withOrphaned(known, orphaned, plan.interrupted());
+  private RebuiltRecords mergeSources(List<StateStoreProtocol.Event> orphaned) {
+    RecordsSnapshot known =
+        withOrphaned(input.retainedSnapshot(), orphaned, input.lostIncarnation());
+    known = withOrphaned(known, orphaned, input.interruptedIncarnation());
     boolean addsToRetained =
-        known.jobs() != plan.retained().jobs() || known.term() != plan.retained().term();
-    for (StateStoreProtocol.Change change : plan.recentWrites()) {
+        known.jobs() != input.retainedSnapshot().jobs()
+            || known.term() != input.retainedSnapshot().term();
+    for (StateStoreProtocol.Change change : input.recentWrites()) {
       known = OrphanedRecords.withChange(known, change);
     }
-    RecordsSnapshot records = known.withTermAtLeast(plan.highestTerm());
+    RecordsSnapshot records = known.withTermAtLeast(input.highestTerm());
     int bundleBytes = Records.maxChunkBytes(timings.maxValueBytes());
     List<byte[]> bundles = RecordsSnapshotCodec.encode(records.jobs(), bundleBytes);
     LOG.info(
         "writing the rebuilt records: incarnation={}, jobs={}, bundles={}; what was left {}",
-        plan.incarnation().number(),
+        input.incarnation().number(),
         records.jobs().size(),
         bundles.size(),
         addsToRetained ? "adds to what is retained" : "adds nothing");
-    return new Result(records, bundles, plan.incarnation().isComplete() && !addsToRetained);
+    return new RebuiltRecords(
+        records, bundles, input.incarnation().isComplete() && !addsToRetained);
   }
 
   private static RecordsSnapshot withOrphaned(
@@ -182,9 +186,9 @@
   private void finish(long incarnationVersion) {
     Incarnation.Manifest manifest =
         new Incarnation.Manifest(
-            result.bundles().size(), RecordsSnapshotCodec.digest(result.bundles()));
+            rebuiltRecords.bundles().size(), RecordsSnapshotCodec.digest(rebuiltRecords.bundles()));
     incarnationWriter.replace(
-        plan.incarnation().completed(result.isComplete(), manifest),
+        input.incarnation().asCompleted(rebuiltRecords.isComplete(), manifest),
         incarnationVersion,
         finishedVersion -> end(true));
   }
@@ -198,10 +202,10 @@
     LOG.info(
         "rebuild {}: incarnation={} is {}; jobs={}, bundles={}, durationMs={}",
         isFinished ? "finished" : "superseded",
-        plan.incarnation().number(),
+        input.incarnation().number(),
         isFinished ? "whole" : "given up, since another node has begun the next one",
-        result.records().jobs().size(),
-        result.bundles().size(),
+        rebuiltRecords.records().jobs().size(),
+        rebuiltRecords.bundles().size(),
         loop.now().minus(startedAt).toMillis());
     onEnded.accept(isFinished);
   }
--- a/src/main/java/io/cherryspool/recovery/RebuiltRecordsWriter.java
+++ b/src/main/java/io/cherryspool/recovery/RebuiltRecordsWriter.java
@@ -130,7 +130,7 @@
               }
               if (failure != null) {
                 retry(changes, onCommitted, failure);
-              } else if (result.applied()) {
+              } else if (result.isApplied()) {
                 waitForQuota(sentAt, changes.size(), onCommitted);
               } else {
                 onSuperseded.run();
--- a/src/main/java/io/cherryspool/recovery/RecentWrites.java
+++ b/src/main/java/io/cherryspool/recovery/RecentWrites.java
@@ -13,15 +13,15 @@
  * records in the replica. Confined to the event loop.
  */
 final class RecentWrites {
-  private final Deque<Write> writes = new ArrayDeque<>();
+  private final Deque<CommittedChange> writes = new ArrayDeque<>();
 
-  private record Write(StateStoreProtocol.Change change, long revision) {}
+  private record CommittedChange(StateStoreProtocol.Change change, long revision) {}
 
   /** Adds the immutable records among changes that were committed at a revision. */
   void add(List<StateStoreProtocol.Change> changes, long revision) {
     for (StateStoreProtocol.Change change : changes) {
       if (change.value() != null && Records.isImmutable(change.key())) {
-        writes.add(new Write(change, revision));
+        writes.add(new CommittedChange(change, revision));
       }
     }
   }
@@ -37,7 +37,7 @@
   }
 
   /** Returns a copy of the changes in the order of their commits. */
-  List<StateStoreProtocol.Change> all() {
+  List<StateStoreProtocol.Change> changes() {
     List<StateStoreProtocol.Change> result = new ArrayList<>();
     writes.forEach(write -> result.add(write.change));
     return result;
--- a/src/main/java/io/cherryspool/recovery/Recovery.java
+++ b/src/main/java/io/cherryspool/recovery/Recovery.java
@@ -88,13 +88,13 @@
   public RetainedRecords retainedRecords() {
     long contributedRebuild = contributions.contributedRebuild();
     if (state.isServing()) {
-      Incarnation present = store.loadedIncarnation().orElseThrow();
+      Incarnation loaded = store.loadedIncarnation().orElseThrow();
       Incarnation.HistoryPosition position =
-          new Incarnation.HistoryPosition(present.number(), replica.revision());
+          new Incarnation.HistoryPosition(loaded.number(), replica.revision());
       return new RetainedRecords(
-          state.phase(), present.nonce(), position, false, contributedRebuild);
+          state.phase(), loaded.nonce(), position, false, contributedRebuild);
     }
-    RecordsSnapshot retained = state.retained();
+    RecordsSnapshot retained = state.retainedSnapshot();
     return new RetainedRecords(
         state.phase(),
         retained.nonce(),
--- a/src/main/java/io/cherryspool/recovery/RecoveryState.java
+++ b/src/main/java/io/cherryspool/recovery/RecoveryState.java
@@ -20,7 +20,7 @@
   private final RecoveryStatistics statistics = new RecoveryStatistics();
   private RetainedRecords.Phase phase = RetainedRecords.Phase.STARTING;
   private Duration waitingSince;
-  private RecordsSnapshot retained;
+  private RecordsSnapshot retainedSnapshot;
   private Optional<Incarnation> lostIncarnation = Optional.empty();
   private boolean wasSoleLeader;
 
@@ -34,7 +34,7 @@
     this.loop = loop;
     this.replica = replica;
     this.node = node;
-    this.retained = retained;
+    this.retainedSnapshot = retained;
     this.waitingSince = loop.now();
   }
 
@@ -78,19 +78,19 @@
   }
 
   /** The records that this node retains while it does not serve; empty while it serves. */
-  RecordsSnapshot retained() {
-    return retained;
+  RecordsSnapshot retainedSnapshot() {
+    return retainedSnapshot;
   }
 
   /** Whether this node retains records of any incarnation. */
   boolean hasRetainedRecords() {
-    return retained.position().incarnationNumber() >= 0;
+    return retainedSnapshot.position().incarnationNumber() >= 0;
   }
 
   /** Whether the records that this node retains belong to this incarnation. */
   boolean hasRetainedRecordsOf(Incarnation incarnation) {
-    return retained.position().incarnationNumber() == incarnation.number()
-        && retained.nonce().equals(incarnation.nonce());
+    return retainedSnapshot.position().incarnationNumber() == incarnation.number()
+        && retainedSnapshot.nonce().equals(incarnation.nonce());
   }
 
   /** The incarnation whose loss this node has detected, empty if there is none. */
@@ -116,13 +116,13 @@
    *
    * @param loss the evidence of the loss
    * @param incarnation the incarnation that was lost, empty if none was loaded yet
-   * @param soleLeader whether this node was the sole leader and knows every start of a task
+   * @param isSoleLeader whether this node was the sole leader and knows every start of a task
    */
   void recordLoss(
-      RollbackDetector.Loss loss, Optional<Incarnation> incarnation, boolean soleLeader) {
+      RollbackDetector.Loss loss, Optional<Incarnation> incarnation, boolean isSoleLeader) {
     statistics.recordLoss(loss);
     lostIncarnation = incarnation;
-    wasSoleLeader = soleLeader;
+    wasSoleLeader = isSoleLeader;
     retainReplica();
     hold();
   }
@@ -131,7 +131,7 @@
   void retainReplica() {
     // A snapshot file may contain records that the replica lacks, even if the replica has the later
     // position. Both are valid, so they are merged.
-    retained = SnapshotMerge.merge(retained, replica.snapshot());
+    retainedSnapshot = SnapshotMerge.merge(retainedSnapshot, replica.snapshot());
   }
 
   /** Stops serving until the records have been rebuilt. */
@@ -154,7 +154,7 @@
    * RollbackDetector#onRecordsLoaded}.
    */
   void load(StateStoreClient.IncarnationReading reading) {
-    replica.enter(reading.incarnation(), reading.version(), reading.revision());
+    replica.switchTo(reading.incarnation(), reading.version(), reading.revision());
   }
 
   /** Whether the replica is loading records. */
@@ -172,7 +172,7 @@
 
   /** Drops the retained records. Called once the served records contain them. */
   void clearRetained() {
-    retained = RecordsSnapshot.EMPTY;
+    retainedSnapshot = RecordsSnapshot.EMPTY;
   }
 
   /** Enters the rebuilding phase. */
--- a/src/main/java/io/cherryspool/store/GroupCommit.java
+++ b/src/main/java/io/cherryspool/store/GroupCommit.java
@@ -210,20 +210,20 @@
       List<PendingChange> duplicates,
       StateStoreClient.CommitResult answer,
       Throwable failure) {
-    List<PendingChange> all = new ArrayList<>(group);
-    all.addAll(duplicates);
+    List<PendingChange> groupAndDuplicates = new ArrayList<>(group);
+    groupAndDuplicates.addAll(duplicates);
     if (failure != null
         && StateStoreException.kindOf(failure) == StateStoreException.Kind.RATE_LIMITED) {
       // The nodes' shares of the limit overlap, so the nodes together may exceed it.
       rateLimiter.drain();
-      requeue(queue, all);
+      requeue(queue, groupAndDuplicates);
     } else if (failure != null) {
-      failAll(all, failure);
-    } else if (answer.applied()) {
+      failAll(groupAndDuplicates, failure);
+    } else if (answer.isApplied()) {
       group.forEach(pending -> pending.result.complete(true));
       duplicates.forEach(pending -> pending.result.complete(false));
     } else {
-      retryOthers(queue, all, answer);
+      retryOthers(queue, groupAndDuplicates, answer);
     }
   }
 
@@ -232,23 +232,25 @@
    * transaction.
    */
   private static void retryOthers(
-      Deque<PendingChange> queue, List<PendingChange> all, StateStoreClient.CommitResult answer) {
+      Deque<PendingChange> queue,
+      List<PendingChange> groupAndDuplicates,
+      StateStoreClient.CommitResult answer) {
     List<PendingChange> others = new ArrayList<>();
     List<PendingChange> failed = new ArrayList<>();
-    for (PendingChange pending : all) {
+    for (PendingChange pending : groupAndDuplicates) {
       boolean hasFailedCondition =
-          pending.conditions.keySet().stream().anyMatch(answer.failed()::contains);
+          pending.conditions.keySet().stream().anyMatch(answer.failedKeys()::contains);
       (hasFailedCondition ? failed : others).add(pending);
     }
     if (failed.isEmpty()) {
       // Retrying the same transaction could fail forever and would use up the rate limit of all
       // nodes.
       failAll(
-          all,
+          groupAndDuplicates,
           new StateStoreException(
               StateStoreException.Kind.OUTCOME_UNKNOWN,
               "the state store reported a conflict, but none of its failed keys is a condition of the transaction: "
-                  + answer.failed()));
+                  + answer.failedKeys()));
       return;
     }
     requeue(queue, others);
--- a/src/main/java/io/cherryspool/store/Incarnation.java
+++ b/src/main/java/io/cherryspool/store/Incarnation.java
@@ -109,7 +109,7 @@
    *
    * @param holdsEveryStart whether the written records contain every start of a task
    */
-  public Incarnation completed(boolean holdsEveryStart, Manifest written) {
+  public Incarnation asCompleted(boolean holdsEveryStart, Manifest written) {
     return new Incarnation(
         cluster, number, nonce, Phase.SERVING, rebuilder, origin, holdsEveryStart, written);
   }
--- a/src/main/java/io/cherryspool/store/IndexedRecords.java
+++ b/src/main/java/io/cherryspool/store/IndexedRecords.java
@@ -112,12 +112,12 @@
 
   @Override
   public final Set<String> unknownJobs() {
-    return index.jobs().unknown();
+    return index.jobs().unknownIds();
   }
 
   @Override
   public final boolean isUnknownJob(String id) {
-    return index.jobs().unknown().contains(id);
+    return index.jobs().unknownIds().contains(id);
   }
 
   @Override
@@ -127,7 +127,7 @@
 
   @Override
   public final Set<String> heldJobs() {
-    return index.jobs().held();
+    return index.jobs().heldIds();
   }
 
   @Override
--- a/src/main/java/io/cherryspool/store/JobIndex.java
+++ b/src/main/java/io/cherryspool/store/JobIndex.java
@@ -31,11 +31,11 @@
    * The ids of jobs that a rebuild restored. A node that had acknowledged such a job to its user
    * may have written the job's record again; that record is ignored.
    */
-  private final Set<String> rebuilt = new HashSet<>();
+  private final Set<String> rebuiltIds = new HashSet<>();
 
-  private final Set<String> unknown = new HashSet<>();
-  private final Set<String> abandoned = new HashSet<>();
-  private final Set<String> held = new HashSet<>();
+  private final Set<String> unknownIds = new HashSet<>();
+  private final Set<String> abandonedIds = new HashSet<>();
+  private final Set<String> heldIds = new HashSet<>();
 
   JobIndex(KeySpace keySpace) {
     this.keySpace = keySpace;
@@ -69,28 +69,28 @@
   }
 
   /** Implements {@link ClusterRecords#unknownJobs}. */
-  Set<String> unknown() {
-    return Collections.unmodifiableSet(unknown);
+  Set<String> unknownIds() {
+    return Collections.unmodifiableSet(unknownIds);
   }
 
   /** Implements {@link ClusterRecords#isAbandonedJob}. */
   boolean isAbandoned(String id) {
-    return abandoned.contains(id);
+    return abandonedIds.contains(id);
   }
 
   /** Implements {@link ClusterRecords#heldJobs}. */
-  Set<String> held() {
-    return Collections.unmodifiableSet(held);
+  Set<String> heldIds() {
+    return Collections.unmodifiableSet(heldIds);
   }
 
   /** Implements {@link ClusterRecords#isRebuiltJob}. */
   boolean isRebuilt(String id) {
-    return rebuilt.contains(id);
+    return rebuiltIds.contains(id);
   }
 
   /** Whether any job is unknown, abandoned or held. */
   boolean hasUnresolvedJobs() {
-    return !unknown.isEmpty() || !abandoned.isEmpty() || !held.isEmpty();
+    return !unknownIds.isEmpty() || !abandonedIds.isEmpty() || !heldIds.isEmpty();
   }
 
   /**
@@ -113,10 +113,10 @@
   void replaceAll(Collection<RecordsSnapshot.JobSnapshot> rebuiltJobs) {
     jobs.clear();
     active.clear();
-    rebuilt.clear();
-    unknown.clear();
-    abandoned.clear();
-    held.clear();
+    rebuiltIds.clear();
+    unknownIds.clear();
+    abandonedIds.clear();
+    heldIds.clear();
     rebuiltJobs.forEach(this::addRebuilt);
   }
 
@@ -125,7 +125,7 @@
     JobRecord job = JobRecord.fromSnapshot(snapshot);
     jobs.put(id, job);
     updateActive(job);
-    rebuilt.add(id);
+    rebuiltIds.add(id);
     snapshot
         .shards()
         .keySet()
@@ -151,7 +151,7 @@
     } else if (key.startsWith(Records.UNKNOWN)) {
       setUnknown(key.substring(Records.UNKNOWN.length()), value);
     } else if (key.startsWith(Records.HELD)) {
-      setMember(held, key.substring(Records.HELD.length()), value != null);
+      setMember(heldIds, key.substring(Records.HELD.length()), value != null);
     } else {
       return false;
     }
@@ -160,8 +160,8 @@
 
   private void setUnknown(String id, JsonNode value) {
     boolean isMarkedAbandoned = value != null && Records.isAbandoned(value);
-    setMember(abandoned, id, isMarkedAbandoned);
-    setMember(unknown, id, value != null && !isMarkedAbandoned);
+    setMember(abandonedIds, id, isMarkedAbandoned);
+    setMember(unknownIds, id, value != null && !isMarkedAbandoned);
   }
 
   private void setMember(Set<String> ids, String id, boolean isMember) {
@@ -177,7 +177,7 @@
   }
 
   private void setJob(String id, JsonNode value) {
-    if (value == null || rebuilt.contains(id)) {
+    if (value == null || rebuiltIds.contains(id)) {
       return;
     }
     try {
--- a/src/main/java/io/cherryspool/store/JobRecord.java
+++ b/src/main/java/io/cherryspool/store/JobRecord.java
@@ -180,8 +180,8 @@
    * @return the previous progress, {@link Shard#EMPTY} if there was no record
    */
   Shard setShard(int index, VersionedShard record) {
-    VersionedShard former = record == null ? shards.remove(index) : shards.put(index, record);
-    Shard before = former == null ? Shard.EMPTY : former.shard();
+    VersionedShard previous = record == null ? shards.remove(index) : shards.put(index, record);
+    Shard before = previous == null ? Shard.EMPTY : previous.shard();
     Shard after = record == null ? Shard.EMPTY : record.shard();
     doneCount += after.doneCount() - before.doneCount();
     ownedCount += after.ownedAttempts().size() - before.ownedAttempts().size();
--- a/src/main/java/io/cherryspool/store/KeySpace.java
+++ b/src/main/java/io/cherryspool/store/KeySpace.java
@@ -26,23 +26,23 @@
    * The logical keys of progress records that are in a bundle. Deleting such a key would not delete
    * the record in the bundle.
    */
-  private final Set<String> bundled = new HashSet<>();
+  private final Set<String> bundledKeys = new HashSet<>();
 
   /**
    * Switches to an incarnation.
    *
    * @param version the version of its identity record
    */
-  public void enter(Incarnation present, long version) {
-    incarnation = present;
+  public void switchTo(Incarnation newIncarnation, long version) {
+    incarnation = newIncarnation;
     incarnationVersion = version;
-    prefix = present.prefix();
-    bundled.clear();
+    prefix = newIncarnation.prefix();
+    bundledKeys.clear();
   }
 
   /**
-   * The incarnation whose records are used. It is null before the first call of {@link #enter}, and
-   * always on a node without rollback detection.
+   * The incarnation whose records are used. It is null before the first call of {@link #switchTo},
+   * and always on a node without rollback detection.
    */
   public Incarnation incarnation() {
     return incarnation;
@@ -50,7 +50,7 @@
 
   /**
    * The version of the identity record of {@link #incarnation}, 0 before the first call of {@link
-   * #enter}.
+   * #switchTo}.
    */
   public long incarnationVersion() {
     return incarnationVersion;
@@ -68,7 +68,7 @@
 
   /** Notes that the progress record with this logical key is in a bundle. */
   void addBundled(String progressKey) {
-    bundled.add(progressKey);
+    bundledKeys.add(progressKey);
   }
 
   /** Maps a logical key to its physical key. The key of the identity record is the same in both. */
@@ -79,14 +79,14 @@
   /**
    * Maps a physical key to its logical key. Returns null if the key belongs to another incarnation.
    */
-  String toLogicalKey(String physical) {
-    if (physical.equals(Incarnation.KEY)) {
-      return physical;
+  String toLogicalKey(String physicalKey) {
+    if (physicalKey.equals(Incarnation.KEY)) {
+      return physicalKey;
     }
-    if (!physical.startsWith(prefix)) {
+    if (!physicalKey.startsWith(prefix)) {
       return null;
     }
-    String rest = physical.substring(prefix.length());
+    String rest = physicalKey.substring(prefix.length());
     return rest.startsWith("@") ? null : Records.PREFIX + rest;
   }
 
@@ -99,7 +99,7 @@
     for (StateStoreProtocol.Change change : changes) {
       // Bundles are never rewritten. If the key were deleted, the record in the bundle would become
       // valid again, so an empty value is written instead.
-      boolean needsTombstone = change.value() == null && bundled.contains(change.key());
+      boolean needsTombstone = change.value() == null && bundledKeys.contains(change.key());
       physicalChanges.add(
           new StateStoreProtocol.Change(
               toPhysicalKey(change.key()),
--- a/src/main/java/io/cherryspool/store/LastChange.java
+++ b/src/main/java/io/cherryspool/store/LastChange.java
@@ -20,7 +20,7 @@
    * Returns the revision after which to read, so that the answer contains this change and all
    * changes after {@code revision}.
    */
-  long readAfter(long revision) {
+  long revisionToReadAfter(long revision) {
     return Math.min(revision, version - 1);
   }
 
--- a/src/main/java/io/cherryspool/store/LinearizableReads.java
+++ b/src/main/java/io/cherryspool/store/LinearizableReads.java
@@ -24,8 +24,8 @@
   private final Duration minInterval;
   private final Duration overdueAfter;
 
-  private List<CompletableFuture<Void>> waiting = new ArrayList<>();
-  private EventLoop.Timer nextRead;
+  private List<CompletableFuture<Void>> waitingCallers = new ArrayList<>();
+  private EventLoop.Timer nextReadTimer;
   private Duration lastSentAt;
 
   /** The time at which the outstanding read was sent, null if there is none. */
@@ -41,7 +41,7 @@
    * @param generation the replica's generation when the read was sent
    * @param expected the change that the answer must contain, null if there is none
    */
-  private record Read(
+  private record OutstandingRead(
       List<CompletableFuture<Void>> callers,
       Duration sentAt,
       long afterRevision,
@@ -79,7 +79,7 @@
           notExecuted("the records are not loaded, or a read of the state store is overdue"));
     }
     CompletableFuture<Void> result = new CompletableFuture<>();
-    waiting.add(result);
+    waitingCallers.add(result);
     scheduleRead();
     return result;
   }
@@ -108,15 +108,15 @@
 
   /** Fails the callers whose read has not been sent yet. */
   void failWaiting(String reason) {
-    List<CompletableFuture<Void>> callers = waiting;
-    waiting = new ArrayList<>();
+    List<CompletableFuture<Void>> callers = waitingCallers;
+    waitingCallers = new ArrayList<>();
     failAll(callers, notExecuted(reason));
   }
 
   /** Fails the waiting callers and cancels their read. */
   void stop(String reason) {
-    if (nextRead != null) {
-      nextRead.cancel();
+    if (nextReadTimer != null) {
+      nextReadTimer.cancel();
     }
     failWaiting(reason);
   }
@@ -125,40 +125,44 @@
   void suspend() {
     outstandingSince = null;
     stop(SUSPENDED);
-    nextRead = null;
+    nextReadTimer = null;
   }
 
   private void scheduleRead() {
-    if (outstandingSince != null || nextRead != null || waiting.isEmpty()) {
+    if (outstandingSince != null || nextReadTimer != null || waitingCallers.isEmpty()) {
       return;
     }
     Duration wait = lastSentAt.plus(minInterval).minus(loop.now());
     if (wait.isNegative() || wait.isZero()) {
       read();
     } else {
-      nextRead = loop.schedule(wait, this::read);
+      nextReadTimer = loop.schedule(wait, this::read);
     }
   }
 
   private void read() {
-    nextRead = null;
+    nextReadTimer = null;
     if (!rateLimiter.tryAcquireRead()) {
-      nextRead = loop.schedule(minInterval, this::read);
+      nextReadTimer = loop.schedule(minInterval, this::read);
       return;
     }
     long after = replica.revision();
     LastChange expected = history.lastChange();
-    Read read = new Read(waiting, loop.now(), after, replica.generation(), expected);
-    waiting = new ArrayList<>();
+    OutstandingRead read =
+        new OutstandingRead(waitingCallers, loop.now(), after, replica.generation(), expected);
+    waitingCallers = new ArrayList<>();
     outstandingSince = read.sentAt;
     lastSentAt = read.sentAt;
     client
         .readChanges(
-            Records.PREFIX, expected == null ? after : expected.readAfter(after), Duration.ZERO)
+            Records.PREFIX,
+            expected == null ? after : expected.revisionToReadAfter(after),
+            Duration.ZERO)
         .whenComplete((changes, failure) -> receive(read, changes, failure));
   }
 
-  private void receive(Read read, StateStoreProtocol.WatchResult changes, Throwable failure) {
+  private void receive(
+      OutstandingRead read, StateStoreProtocol.WatchResult changes, Throwable failure) {
     if (read.generation != replica.generation()) {
       failAll(read.callers, suspensionFailure());
       return;
@@ -175,7 +179,7 @@
     }
   }
 
-  private void receive(Read read, StateStoreProtocol.WatchResult changes) {
+  private void receive(OutstandingRead read, StateStoreProtocol.WatchResult changes) {
     if (history.verifyContains(read.expected, changes)) {
       replica.apply(changes);
     }
--- a/src/main/java/io/cherryspool/store/OrphanedRecords.java
+++ b/src/main/java/io/cherryspool/store/OrphanedRecords.java
@@ -25,7 +25,7 @@
   public static RecordsSnapshot read(
       Collection<StateStoreProtocol.Event> entries, Incarnation incarnation) {
     KeySpace keySpace = new KeySpace();
-    keySpace.enter(incarnation, 0);
+    keySpace.switchTo(incarnation, 0);
     IncarnationRecords orphaned = IncarnationRecords.parse(entries, keySpace);
     RecordIndex index = new RecordIndex(keySpace);
     SnapshotTracker tracker = new SnapshotTracker(index.jobs());
@@ -74,7 +74,7 @@
     }
     try {
       RecordsSnapshot.JobSnapshot job =
-          RecordsSnapshot.JobSnapshot.accepted(
+          RecordsSnapshot.JobSnapshot.ofAcceptedJob(
               Records.decodeJob(change.value()), Records.decodeTasksPerShard(change.value()));
       return snapshot.withJobs(snapshot.jobs().plus(id, job));
     } catch (MalformedMessageException e) {
--- a/src/main/java/io/cherryspool/store/RecordsSnapshot.java
+++ b/src/main/java/io/cherryspool/store/RecordsSnapshot.java
@@ -43,7 +43,7 @@
       Job job, int tasksPerShard, Outcome outcome, PSortedMap<Integer, Shard> shards) {
 
     /** Creates the snapshot of a job that was accepted and has no progress. */
-    public static JobSnapshot accepted(Job job, int tasksPerShard) {
+    public static JobSnapshot ofAcceptedJob(Job job, int tasksPerShard) {
       return new JobSnapshot(job, tasksPerShard, null, TreePMap.empty());
     }
 
--- a/src/main/java/io/cherryspool/store/RecordsSnapshotCodec.java
+++ b/src/main/java/io/cherryspool/store/RecordsSnapshotCodec.java
@@ -135,7 +135,7 @@
       Outcome outcome = unit.has(OUTCOME) ? Records.decodeOutcome(unit.path(OUTCOME)) : null;
       jobs.put(
           id,
-          RecordsSnapshot.JobSnapshot.accepted(
+          RecordsSnapshot.JobSnapshot.ofAcceptedJob(
                   Records.decodeJob(record), Records.decodeTasksPerShard(record))
               .withOutcome(outcome));
       return;
--- a/src/main/java/io/cherryspool/store/Replica.java
+++ b/src/main/java/io/cherryspool/store/Replica.java
@@ -15,7 +15,7 @@
  * This node's replica of the records. It loads the records of an incarnation and applies the
  * changes that {@link WatchStream} and {@link LinearizableReads} read, until it is suspended.
  *
- * <p>It loads at {@link #start}, or with rollback detection at {@link #enter}.
+ * <p>It loads at {@link #start}, or with rollback detection at {@link #switchTo}.
  */
 public final class Replica extends IndexedRecords implements Lifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(Replica.class);
@@ -96,14 +96,14 @@
    * Loads the records of an incarnation and then follows their changes.
    *
    * @param version the version of the identity record
-   * @param since the revision at which the identity record was read
+   * @param sinceRevision the revision at which the identity record was read
    */
-  public void enter(Incarnation incarnation, long version, long since) {
+  public void switchTo(Incarnation incarnation, long version, long sinceRevision) {
     suspend();
-    client.keySpace().enter(incarnation, version);
+    client.keySpace().switchTo(incarnation, version);
     history.clear();
     revision = 0;
-    load(since);
+    load(sinceRevision);
   }
 
   /**
@@ -242,17 +242,19 @@
     }
   }
 
-  private void load(long since) {
+  private void load(long sinceRevision) {
     if (isLoading() || !isRunning) {
       return;
     }
     loadState = LoadState.LOADING;
     reads.failWaiting("all records are being reloaded");
-    loader = new ReplicaLoader(loop, client, rateLimiter, () -> revision, since, this::receiveLoad);
+    loader =
+        new ReplicaLoader(
+            loop, client, rateLimiter, () -> revision, sinceRevision, this::receiveLoad);
     loader.start();
   }
 
-  private void receiveLoad(ReplicaLoader.Loaded loaded) {
+  private void receiveLoad(ReplicaLoader.LoadResult loaded) {
     loadState = LoadState.NOT_LOADED;
     Collection<StateStoreProtocol.Event> entries = loaded.entries().values();
     if (history.isEnabled()) {
@@ -280,7 +282,7 @@
   }
 
   private void replaceAll(
-      ReplicaLoader.Loaded loaded,
+      ReplicaLoader.LoadResult loaded,
       Collection<RecordsSnapshot.JobSnapshot> rebuilt,
       Collection<StateStoreProtocol.Event> records) {
     index().replaceAll(rebuilt, records);
--- a/src/main/java/io/cherryspool/store/ReplicaLoader.java
+++ b/src/main/java/io/cherryspool/store/ReplicaLoader.java
@@ -23,8 +23,8 @@
   private final StateStoreClient client;
   private final RateLimiter rateLimiter;
   private final LongSupplier minRevision;
-  private final long since;
-  private final Consumer<Loaded> onLoaded;
+  private final long sinceRevision;
+  private final Consumer<LoadResult> onLoaded;
   private final Map<String, StateStoreProtocol.Event> entries = new HashMap<>();
   private KeyScan scan;
   private boolean isCancelled;
@@ -36,14 +36,15 @@
    * @param sentAt the time at which the last read was sent; everything that was committed before is
    *     included
    */
-  record Loaded(Map<String, StateStoreProtocol.Event> entries, long revision, Duration sentAt) {}
+  record LoadResult(
+      Map<String, StateStoreProtocol.Event> entries, long revision, Duration sentAt) {}
 
   /**
    * Creates a load that is not started yet.
    *
    * @param minRevision the revision that the replica has reached; the result of the load is not
    *     older
-   * @param since the revision after which changes are read, or {@link #SINCE_FIRST_PAGE}
+   * @param sinceRevision the revision after which changes are read, or {@link #SINCE_FIRST_PAGE}
    * @param onLoaded receives the result, unless the load is cancelled first
    */
   ReplicaLoader(
@@ -51,13 +52,13 @@
       StateStoreClient client,
       RateLimiter rateLimiter,
       LongSupplier minRevision,
-      long since,
-      Consumer<Loaded> onLoaded) {
+      long sinceRevision,
+      Consumer<LoadResult> onLoaded) {
     this.loop = loop;
     this.client = client;
     this.rateLimiter = rateLimiter;
     this.minRevision = minRevision;
-    this.since = since;
+    this.sinceRevision = sinceRevision;
     this.onLoaded = onLoaded;
   }
 
@@ -77,7 +78,7 @@
 
   private void receiveKeys(KeyScan.ScanResult scanned) {
     scanned.entries().forEach(entry -> entries.put(entry.key(), entry));
-    readChanges(since == SINCE_FIRST_PAGE ? scanned.firstRevision() : since);
+    readChanges(sinceRevision == SINCE_FIRST_PAGE ? scanned.firstRevision() : sinceRevision);
   }
 
   private void readChanges(long from) {
@@ -116,6 +117,6 @@
       readChanges(changes.revision());
       return;
     }
-    onLoaded.accept(new Loaded(entries, changes.revision(), sentAt));
+    onLoaded.accept(new LoadResult(entries, changes.revision(), sentAt));
   }
 }
--- a/src/main/java/io/cherryspool/store/SnapshotTracker.java
+++ b/src/main/java/io/cherryspool/store/SnapshotTracker.java
@@ -13,7 +13,7 @@
  */
 final class SnapshotTracker implements ClusterRecords.RecordsListener {
   private final JobIndex index;
-  private final Set<JobRecord> changed = new HashSet<>();
+  private final Set<JobRecord> changedJobs = new HashSet<>();
   private PMap<String, RecordsSnapshot.JobSnapshot> jobs = HashTreePMap.empty();
 
   SnapshotTracker(JobIndex index) {
@@ -22,27 +22,27 @@
 
   /** Returns a snapshot of the jobs in the index. */
   PMap<String, RecordsSnapshot.JobSnapshot> jobs() {
-    for (JobRecord job : changed) {
+    for (JobRecord job : changedJobs) {
       jobs = jobs.plus(job.job().id(), RecordsSnapshot.JobSnapshot.copyOf(job));
     }
-    changed.clear();
+    changedJobs.clear();
     return jobs;
   }
 
   @Override
   public void onProgress(JobRecord job, Shard before, Shard after) {
-    changed.add(job);
+    changedJobs.add(job);
   }
 
   @Override
   public void onJobChanged(JobRecord job) {
-    changed.add(job);
+    changedJobs.add(job);
   }
 
   @Override
   public void onReloaded() {
-    changed.clear();
+    changedJobs.clear();
     jobs = HashTreePMap.empty();
-    changed.addAll(index.all());
+    changedJobs.addAll(index.all());
   }
 }
--- a/src/main/java/io/cherryspool/store/StateStoreClient.java
+++ b/src/main/java/io/cherryspool/store/StateStoreClient.java
@@ -75,11 +75,11 @@
   /**
    * The result of a transaction.
    *
-   * @param applied whether the transaction was applied; if not, a condition failed
-   * @param failed the keys whose conditions failed, empty if the transaction was applied
+   * @param isApplied whether the transaction was applied; if not, a condition failed
+   * @param failedKeys the keys whose conditions failed, empty if the transaction was applied
    * @param revision the revision at which the transaction was applied or rejected
    */
-  public record CommitResult(boolean applied, Set<String> failed, long revision) {}
+  public record CommitResult(boolean isApplied, Set<String> failedKeys, long revision) {}
 
   /**
    * Sends a compare-and-swap transaction with logical keys, fenced by the current incarnation if
@@ -128,20 +128,20 @@
       throw differentHistory();
     }
     boolean isOfKnownHistory =
-        detector.verifyRevision(result.applied() ? minimum + 1 : minimum, result.revision());
-    if (result.failed().contains(Incarnation.KEY)) {
+        detector.verifyRevision(result.isApplied() ? minimum + 1 : minimum, result.revision());
+    if (result.failedKeys().contains(Incarnation.KEY)) {
       detector.onIncarnationChanged();
       isOfKnownHistory = false;
     }
     if (!isOfKnownHistory) {
       throw differentHistory();
     }
-    if (result.applied()) {
+    if (result.isApplied()) {
       detector.onCommitApplied(changes, result.revision());
       return result;
     }
     Set<String> failed = new HashSet<>();
-    result.failed().forEach(key -> failed.add(keySpace.toLogicalKey(key)));
+    result.failedKeys().forEach(key -> failed.add(keySpace.toLogicalKey(key)));
     return new CommitResult(false, failed, result.revision());
   }
 
--- a/src/main/java/io/cherryspool/store/WatchStream.java
+++ b/src/main/java/io/cherryspool/store/WatchStream.java
@@ -27,7 +27,7 @@
   private final Replica replica;
 
   /** The timer of the next poll, null while a poll is outstanding or none is scheduled. */
-  private EventLoop.Timer nextPoll;
+  private EventLoop.Timer nextPollTimer;
 
   WatchStream(EventLoop loop, StateStoreClient client, RateLimiter rateLimiter, Replica replica) {
     this.loop = loop;
@@ -38,7 +38,7 @@
 
   /** Starts polling repeatedly for changes after the replica's revision. */
   void open() {
-    nextPoll = null;
+    nextPollTimer = null;
     int generation = replica.generation();
     if (!replica.isFollowing(generation)) {
       return;
@@ -62,8 +62,8 @@
     }
     // The next poll may be scheduled already: a poll that was sent before a reload may be answered
     // while the one that was opened after the reload is outstanding.
-    if (replica.isFollowing(generation) && nextPoll == null) {
-      nextPoll = loop.schedule(failure == null ? POLL_PAUSE : RETRY_DELAY, this::open);
+    if (replica.isFollowing(generation) && nextPollTimer == null) {
+      nextPollTimer = loop.schedule(failure == null ? POLL_PAUSE : RETRY_DELAY, this::open);
     }
   }
 
@@ -72,9 +72,9 @@
    * following changes when it arrives.
    */
   void close() {
-    if (nextPoll != null) {
-      nextPoll.cancel();
-      nextPoll = null;
+    if (nextPollTimer != null) {
+      nextPollTimer.cancel();
+      nextPollTimer = null;
     }
   }
 }
--- a/src/main/java/io/cherryspool/wire/StateStoreProtocol.java
+++ b/src/main/java/io/cherryspool/wire/StateStoreProtocol.java
@@ -122,8 +122,8 @@
    * @param limit the maximum number of keys in the page, at most 1000
    */
   public static Request listRequest(String prefix, String after, int limit) {
-    String from = after == null ? "" : "&from=" + encode(after);
-    return Request.get("/keys?starts=" + encode(prefix) + from + "&limit=" + limit);
+    String from = after == null ? "" : "&from=" + urlEncode(after);
+    return Request.get("/keys?starts=" + urlEncode(prefix) + from + "&limit=" + limit);
   }
 
   /** Decodes one page of the keys with a prefix. */
@@ -151,7 +151,7 @@
     return Request.get(
         WATCH_TARGET
             + "starts="
-            + encode(prefix)
+            + urlEncode(prefix)
             + "&from="
             + after
             + WATCH_WAIT_PARAMETER
@@ -202,7 +202,7 @@
   }
 
   /** URL-encodes the text of a query parameter, except for slashes, which the store accepts. */
-  private static String encode(String text) {
+  private static String urlEncode(String text) {
     return URLEncoder.encode(text, StandardCharsets.UTF_8).replace("%2F", "/");
   }
 }
--- a/src/test/java/io/cherryspool/compatibility/SampleRecords.java
+++ b/src/test/java/io/cherryspool/compatibility/SampleRecords.java
@@ -111,7 +111,7 @@
             null,
             TreePMap.singleton(0, shard()).plus(2, Shard.EMPTY.edit().markDone(400, 449).build()));
     RecordsSnapshot.JobSnapshot cancelled =
-        RecordsSnapshot.JobSnapshot.accepted(PLAIN_JOB, TASKS_PER_SHARD)
+        RecordsSnapshot.JobSnapshot.ofAcceptedJob(PLAIN_JOB, TASKS_PER_SHARD)
             .withOutcome(Outcome.CANCELLED);
     return HashTreePMap.<String, RecordsSnapshot.JobSnapshot>empty()
         .plus(CONSTRAINED_JOB.id(), running)
--- a/src/test/java/io/cherryspool/mesh/PeerHeartbeatCodecTest.java
+++ b/src/test/java/io/cherryspool/mesh/PeerHeartbeatCodecTest.java
@@ -29,7 +29,7 @@
           List.of(new LinkSummary.ZoneLink("a", LinkState.DOWN, 900, 870, 12)));
 
   @Test
-  void decodesWhatItEncodes() throws IOException {
+  void decodesAnEncodedHeartbeat() throws IOException {
     Mesh.RetainedRecordsSummary retained =
         new Mesh.RetainedRecordsSummary(2, 3, "9f", 1L << 50, true, 4);
     Mesh.PeerHeartbeat heartbeat =
--- a/src/test/java/io/cherryspool/reachability/FleetReachabilityTest.java
+++ b/src/test/java/io/cherryspool/reachability/FleetReachabilityTest.java
@@ -15,7 +15,9 @@
       machines.addMachine("a", true, ContactState.NEW);
     }
     assertEquals(
-        6, machines.build().known(), "machines that are not listed were preempted or are new");
-    assertEquals(4, machines.build().missing());
+        6,
+        machines.build().knownMachines(),
+        "machines that are not listed were preempted or are new");
+    assertEquals(4, machines.build().missingMachines());
   }
 }
--- a/src/test/java/io/cherryspool/recovery/LossDetectionTest.java
+++ b/src/test/java/io/cherryspool/recovery/LossDetectionTest.java
@@ -181,7 +181,7 @@
     Incarnation half =
         Incarnation.newRebuild(
                 cluster, 1, "n", "node-1", new Incarnation.HistoryPosition(0, 1), false)
-            .completed(true, new Incarnation.Manifest(2, "0"));
+            .asCompleted(true, new Incarnation.Manifest(2, "0"));
     fixture.replaceIncarnation(half);
     fixture.run(0.8);
     assertEquals(Optional.of(Loss.BUNDLES_DAMAGED), node.recovery().statistics().lastLoss());
--- a/src/test/java/io/cherryspool/recovery/RebuildTest.java
+++ b/src/test/java/io/cherryspool/recovery/RebuildTest.java
@@ -129,7 +129,7 @@
                         Records.outcomeKey("req-000002"), Records.encodeOutcome(Outcome.DONE), 0),
                     new StateStoreProtocol.Change(Records.progressKey("req-000002", 0), null, 0)));
     fixture.run(0.5);
-    assertTrue(changes.join().applied());
+    assertTrue(changes.join().isApplied());
     assertEquals(1, node.replica().activeJobs().size());
     Node other = fixture.newNode(RecordsSnapshot.EMPTY);
     fixture.run(5);
--- a/src/test/java/io/cherryspool/recovery/RecoveryFixture.java
+++ b/src/test/java/io/cherryspool/recovery/RecoveryFixture.java
@@ -180,7 +180,7 @@
       return connection
           .client
           .commit(Map.of(Records.jobKey(id), 0L), List.of(submissionOf(id)))
-          .thenApply(StateStoreClient.CommitResult::applied);
+          .thenApply(StateStoreClient.CommitResult::isApplied);
     }
 
     @Override
--- a/src/test/java/io/cherryspool/store/RecordsSnapshotFixture.java
+++ b/src/test/java/io/cherryspool/store/RecordsSnapshotFixture.java
@@ -31,7 +31,7 @@
     PMap<String, RecordsSnapshot.JobSnapshot> jobs = HashTreePMap.empty();
     for (int i = 0; i < 3; i++) {
       Job job = JobFixture.job(id(i), Priority.NORMAL, 3 + random.nextInt(20), 1);
-      jobs = jobs.plus(job.id(), RecordsSnapshot.JobSnapshot.accepted(job, TASKS_PER_SHARD));
+      jobs = jobs.plus(job.id(), RecordsSnapshot.JobSnapshot.ofAcceptedJob(job, TASKS_PER_SHARD));
     }
     for (int step = 1; step <= steps; step++) {
       jobs = step(jobs, random, step);
@@ -50,7 +50,7 @@
       PMap<String, RecordsSnapshot.JobSnapshot> jobs, SplittableRandom random, int step) {
     if (random.nextInt(6) == 0) {
       Job job = JobFixture.job(id(jobs.size()), Priority.NORMAL, 1 + random.nextInt(30), 1);
-      return jobs.plus(job.id(), RecordsSnapshot.JobSnapshot.accepted(job, TASKS_PER_SHARD));
+      return jobs.plus(job.id(), RecordsSnapshot.JobSnapshot.ofAcceptedJob(job, TASKS_PER_SHARD));
     }
     String id = id(random.nextInt(jobs.size()));
     RecordsSnapshot.JobSnapshot job = jobs.get(id);
--- a/src/test/java/io/cherryspool/store/StoredFormatsTest.java
+++ b/src/test/java/io/cherryspool/store/StoredFormatsTest.java
@@ -38,7 +38,8 @@
           true);
 
   private static final Incarnation REBUILT =
-      REBUILDING.completed(false, new Incarnation.Manifest(2, "00112233445566778899aabbccddeeff"));
+      REBUILDING.asCompleted(
+          false, new Incarnation.Manifest(2, "00112233445566778899aabbccddeeff"));
 
   /**
    * The maximum size of a chunk of {@link SampleRecords#jobs}, small enough for several bundles.
@@ -195,7 +196,7 @@
     assertEquals("c/jobs/x", Incarnation.firstInstallation("cluster-1").toPhysicalKey("c/jobs/x"));
     assertEquals("c/@3-9f3a/jobs/x", REBUILT.toPhysicalKey("c/jobs/x"));
     KeySpace space = new KeySpace();
-    space.enter(REBUILT, 88);
+    space.switchTo(REBUILT, 88);
     assertEquals("c/jobs/x", space.toLogicalKey("c/@3-9f3a/jobs/x"));
   }
 
@@ -206,10 +207,10 @@
   @Test
   void fencedTransactionsKeepTheirFormat() {
     KeySpace first = new KeySpace();
-    first.enter(Incarnation.firstInstallation("cluster-1"), 1);
+    first.switchTo(Incarnation.firstInstallation("cluster-1"), 1);
     assertRecorded("transaction-first.http", first.fencedTransaction(conditions(), changes()));
     KeySpace rebuilt = new KeySpace();
-    rebuilt.enter(REBUILT, 88);
+    rebuilt.switchTo(REBUILT, 88);
     rebuilt.addBundled(Records.progressKey("req-000412", 2));
     assertRecorded("transaction-rebuilt.http", rebuilt.fencedTransaction(conditions(), changes()));
   }
