--- a/src/main/java/io/cherryspool/scheduler/Preemption.java
+++ b/src/main/java/io/cherryspool/scheduler/Preemption.java
@@ -56,8 +56,7 @@
     Map<String, Resources> assignedByMachine = addUsage(assignments);
     for (MachineView machine : view.machines()) {
       machines.add(
-          createPreemptibleMachine(
-              machine, assignedByMachine.getOrDefault(machine.name(), Resources.NONE)));
+          toPreemptible(machine, assignedByMachine.getOrDefault(machine.name(), Resources.NONE)));
     }
   }
 
@@ -101,7 +100,7 @@
     return assignedByMachine;
   }
 
-  private PreemptibleMachine createPreemptibleMachine(MachineView machine, Resources assigned) {
+  private PreemptibleMachine toPreemptible(MachineView machine, Resources assigned) {
     PreemptibleMachine result = new PreemptibleMachine(machine, assigned);
     for (RunningTask task : machine.runningTasks()) {
       if (task.isStopping()) {
@@ -150,7 +149,7 @@
         findChoices(job, mayPreemptFor(job) ? machines : stoppingMachines);
     int left = pendingCount;
     while (left > 0) {
-      Optional<PreemptionChoice> best = pollBestChoice(choices, job);
+      Optional<PreemptionChoice> best = pollBest(choices, job);
       if (best.isEmpty()) {
         break;
       }
@@ -177,8 +176,7 @@
   }
 
   /** Removes and returns the cheapest choice that is still valid; empty if there is none. */
-  private Optional<PreemptionChoice> pollBestChoice(
-      PriorityQueue<PreemptionChoice> choices, Job job) {
+  private Optional<PreemptionChoice> pollBest(PriorityQueue<PreemptionChoice> choices, Job job) {
     while (!choices.isEmpty()) {
       PreemptionChoice best = choices.poll();
       // Earlier preemptions may have removed the excess over a guaranteed quota that the choice
@@ -277,7 +275,7 @@
     }
     PriorityQueue<PreemptionChoice> choices = findChoices(job, machines);
     for (int left = pendingCount; left > 0; left--) {
-      Optional<PreemptionChoice> choice = pollBestChoice(choices, job);
+      Optional<PreemptionChoice> choice = pollBest(choices, job);
       if (choice.isEmpty()) {
         return;
       }
