--- a/src/test/java/io/cherryspool/sim/fakes/FakeStateStore.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeStateStore.java
@@ -192,10 +192,9 @@
   }
 
   /** Renews the lease of a path {@code ID/extend}, or revokes the lease of a path {@code ID}. */
-  private CompletableFuture<Reply> renewOrRevokeLease(String leasePath) {
-    boolean isRenewal = leasePath.endsWith("/extend");
-    long id =
-        Long.parseLong(isRenewal ? leasePath.substring(0, leasePath.indexOf('/')) : leasePath);
+  private CompletableFuture<Reply> renewOrRevokeLease(String path) {
+    boolean isRenewal = path.endsWith("/extend");
+    long id = Long.parseLong(isRenewal ? path.substring(0, path.indexOf('/')) : path);
     if (!leases.contains(id)) {
       return completedReply(404, Json.object());
     }
@@ -274,10 +273,9 @@
   }
 
   private CompletableFuture<Reply> watch(Request request) {
-    long afterRevision = Long.parseLong(queryParameter(request, "from", "0"));
+    long after = Long.parseLong(queryParameter(request, "from", "0"));
     long waitMs = Long.parseLong(queryParameter(request, "block_ms", "0"));
-    return watches.watch(
-        afterRevision, queryParameter(request, "starts", ""), Duration.ofMillis(waitMs));
+    return watches.watch(after, queryParameter(request, "starts", ""), Duration.ofMillis(waitMs));
   }
 
   private static String queryParameter(Request request, String name, String defaultValue) {
--- a/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
+++ b/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
@@ -46,8 +46,8 @@
   private final LinkFaults linkFaults;
   private final List<Request> recordedHeartbeats = new ArrayList<>();
   private int maxExtraDelayMs;
-  private boolean isDuplicatingHeartbeats;
-  private boolean isRecordingHeartbeats;
+  private boolean isDuplicating;
+  private boolean isRecording;
   private final Map<String, List<Runnable>> heldMessages = new HashMap<>();
 
   /** The request handler that listens at an address, and the inbox of its process. */
@@ -160,12 +160,12 @@
 
   /** Sets whether some heartbeats arrive again up to 70 s later, which is longer than a lease. */
   public void setDuplicatingHeartbeats(boolean value) {
-    isDuplicatingHeartbeats = value;
+    isDuplicating = value;
   }
 
   /** Starts to record worker heartbeats, up to a limit, for {@link #replayHeartbeats}. */
   public void recordHeartbeats() {
-    isRecordingHeartbeats = true;
+    isRecording = true;
   }
 
   /** Delivers the recorded heartbeats to each of the controllers immediately, without latency. */
@@ -180,7 +180,7 @@
   /** Stops recording and discards the recorded heartbeats. */
   public void discardRecordedHeartbeats() {
     recordedHeartbeats.clear();
-    isRecordingHeartbeats = false;
+    isRecording = false;
   }
 
   private void redeliver(Endpoint to, Request request) {
@@ -192,12 +192,10 @@
 
   private void recordOrDuplicateHeartbeat(Endpoint to, Request request) {
     boolean isHeartbeat = request.path().equals("/v1/report");
-    if (isRecordingHeartbeats
-        && isHeartbeat
-        && recordedHeartbeats.size() < MAX_RECORDED_HEARTBEATS) {
+    if (isRecording && isHeartbeat && recordedHeartbeats.size() < MAX_RECORDED_HEARTBEATS) {
       recordedHeartbeats.add(request);
     }
-    if (isDuplicatingHeartbeats && isHeartbeat && random.nextDouble() < DUPLICATE_PROBABILITY) {
+    if (isDuplicating && isHeartbeat && random.nextDouble() < DUPLICATE_PROBABILITY) {
       time.schedule(
           Duration.ofMillis(random.nextInt(MAX_DUPLICATE_DELAY_MS)), () -> redeliver(to, request));
     }
