--- a/src/main/java/io/cherryspool/controller/api/SubmissionValidator.java
+++ b/src/main/java/io/cherryspool/controller/api/SubmissionValidator.java
@@ -47,13 +47,13 @@
     try {
       node = Json.parseObject(body);
     } catch (MalformedMessageException e) {
-      return new JobSubmission.Invalid(Optional.empty(), malformed(e));
+      return new JobSubmission.Invalid(Optional.empty(), malformedReply(e));
     }
     try {
       Job job = UserProtocol.parseJob(node, clock.instant());
       return checkRunnable(job, encode(job));
     } catch (MalformedMessageException e) {
-      return new JobSubmission.Invalid(UserProtocol.findJobId(node), malformed(e));
+      return new JobSubmission.Invalid(UserProtocol.findJobId(node), malformedReply(e));
     }
   }
 
@@ -67,11 +67,11 @@
 
   private JobSubmission checkRunnable(Job job, JsonNode record) {
     List<MachineType> types = machineTypes.get();
-    Optional<String> infeasible =
+    Optional<String> reason =
         PlacementConstraints.infeasibilityReason(job, teams.get(job.team()), types);
-    if (infeasible.isPresent()) {
+    if (reason.isPresent()) {
       return new JobSubmission.Invalid(
-          Optional.of(job.id()), Replies.error(Replies.UNPROCESSABLE, infeasible.get()));
+          Optional.of(job.id()), Replies.error(Replies.UNPROCESSABLE, reason.get()));
     }
     if (types == null) {
       return new JobSubmission.Invalid(
@@ -80,7 +80,7 @@
     return new JobSubmission.Valid(job.id(), record);
   }
 
-  private static Reply malformed(MalformedMessageException failure) {
+  private static Reply malformedReply(MalformedMessageException failure) {
     return Replies.error(Replies.BAD_REQUEST, failure.getMessage());
   }
 }
--- a/src/main/java/io/cherryspool/controller/api/UserApi.java
+++ b/src/main/java/io/cherryspool/controller/api/UserApi.java
@@ -158,7 +158,7 @@
             isApplied ->
                 isApplied
                     ? Replies.completed(status(Replies.OK, id, UserProtocol.JobStatus.CANCELLED))
-                    : records.refresh().thenApply(again -> conflictReply(records.job(id))));
+                    : records.refresh().thenApply(nothing -> conflictReply(records.job(id))));
   }
 
   /**
--- a/src/main/java/io/cherryspool/recovery/Rebuilder.java
+++ b/src/main/java/io/cherryspool/recovery/Rebuilder.java
@@ -140,16 +140,16 @@
    * writes.
    */
   private RebuiltRecords mergeSources(List<StateStoreProtocol.Event> orphaned) {
-    RecordsSnapshot known =
+    RecordsSnapshot merged =
         withOrphaned(input.retainedSnapshot(), orphaned, input.lostIncarnation());
-    known = withOrphaned(known, orphaned, input.interruptedIncarnation());
+    merged = withOrphaned(merged, orphaned, input.interruptedIncarnation());
     boolean addsToRetained =
-        known.jobs() != input.retainedSnapshot().jobs()
-            || known.term() != input.retainedSnapshot().term();
+        merged.jobs() != input.retainedSnapshot().jobs()
+            || merged.term() != input.retainedSnapshot().term();
     for (StateStoreProtocol.Change change : input.recentWrites()) {
-      known = OrphanedRecords.withChange(known, change);
+      merged = OrphanedRecords.withChange(merged, change);
     }
-    RecordsSnapshot records = known.withTermAtLeast(input.highestTerm());
+    RecordsSnapshot records = merged.withTermAtLeast(input.highestTerm());
     int bundleBytes = Records.maxChunkBytes(timings.maxValueBytes());
     List<byte[]> bundles = RecordsSnapshotCodec.encode(records.jobs(), bundleBytes);
     LOG.info(
--- a/src/test/java/io/cherryspool/cli/CapturedOutputFixture.java
+++ b/src/test/java/io/cherryspool/cli/CapturedOutputFixture.java
@@ -31,12 +31,12 @@
   }
 
   /** Returns what was printed to standard output so far. */
-  String printed() {
+  String printedOutput() {
     return out.toString(StandardCharsets.UTF_8);
   }
 
   /** Returns what was printed to standard error since the last call. */
-  String errors() {
+  String errorOutput() {
     String text = err.toString(StandardCharsets.UTF_8);
     err.reset();
     return text;
--- a/src/test/java/io/cherryspool/cli/LinksCommandTest.java
+++ b/src/test/java/io/cherryspool/cli/LinksCommandTest.java
@@ -35,10 +35,12 @@
   @Test
   void describesEachNodeAndExitsWithOneUnlessAllLinksAreUp() {
     assertEquals(1, run("links", "--node", node));
-    assertTrue(printed().contains("n-0 (0.0 s ago), leads"), printed());
-    assertTrue(printed().contains("  hears n-1: down (9.3 s ago)"), printed());
-    assertTrue(printed().contains("  workers of b: down, 38 of 40 missing, 0 sent on"), printed());
-    assertTrue(printed().contains("n-2: was never heard, can't be reached"), printed());
+    assertTrue(printedOutput().contains("n-0 (0.0 s ago), leads"), printedOutput());
+    assertTrue(printedOutput().contains("  hears n-1: down (9.3 s ago)"), printedOutput());
+    assertTrue(
+        printedOutput().contains("  workers of b: down, 38 of 40 missing, 0 sent on"),
+        printedOutput());
+    assertTrue(printedOutput().contains("n-2: was never heard, can't be reached"), printedOutput());
     isAllUp = true;
     assertEquals(0, run("links", "--node", node));
   }
@@ -47,13 +49,13 @@
   void printsTheResponseAsJson() {
     isAllUp = true;
     assertEquals(0, run("links", "--json", "--node", node));
-    assertTrue(JsonText.parse(printed()).path("all_up").asBoolean(), printed());
+    assertTrue(JsonText.parse(printedOutput()).path("all_up").asBoolean(), printedOutput());
   }
 
   @Test
   void exitsWithOneIfTheNodeIsUnreachable() {
     assertEquals(1, run("links", "--node", "127.0.0.1:1"));
-    assertTrue(errors().contains("can't be reached"));
+    assertTrue(errorOutput().contains("can't be reached"));
   }
 
   @Test
@@ -66,7 +68,7 @@
   void exitsWithTwoIfTheSettingsFileIsMissing(@TempDir Path folder) {
     String missing = folder.resolve("none.json").toString();
     assertEquals(2, run("links", "--config", missing));
-    String message = errors();
+    String message = errorOutput();
     assertTrue(message.contains(missing + ": there is no such file"), message);
   }
 }
--- a/src/test/java/io/cherryspool/cli/RecoveryCommandTest.java
+++ b/src/test/java/io/cherryspool/cli/RecoveryCommandTest.java
@@ -25,13 +25,13 @@
   @Test
   void printsTheStatusIndented() {
     assertEquals(0, run("recovery", "status", "--node", node));
-    assertTrue(printed().contains("\"phase\" : \"serving\""));
+    assertTrue(printedOutput().contains("\"phase\" : \"serving\""));
   }
 
   @Test
   void printsTheReasonOfARefusalAndExitsWithOne() {
     assertEquals(1, run("recovery", "resolve", "--node", node, "req-000001", "--repeat"));
-    assertTrue(errors().contains("job req-000001 is not held"));
+    assertTrue(errorOutput().contains("job req-000001 is not held"));
     assertEquals(
         "{\"job\":\"req-000001\",\"decision\":\"repeat\"}",
         new String(lastRequest.body(), StandardCharsets.UTF_8));
@@ -40,13 +40,13 @@
   @Test
   void reportsThatRecoveryIsOff() {
     assertEquals(1, run("recovery", "held", "--node", node));
-    assertTrue(errors().contains("recovery is off"));
+    assertTrue(errorOutput().contains("recovery is off"));
   }
 
   @Test
   void reportsAnUnreachableNode() {
     assertEquals(1, run("recovery", "status", "--node", "127.0.0.1:1"));
-    assertTrue(errors().contains("can't be reached"));
+    assertTrue(errorOutput().contains("can't be reached"));
   }
 
   @Test
--- a/src/test/java/io/cherryspool/cli/SnapshotCommandTest.java
+++ b/src/test/java/io/cherryspool/cli/SnapshotCommandTest.java
@@ -29,25 +29,25 @@
   @Test
   void verifyAcceptsAValidSnapshot() {
     assertEquals(0, run("snapshot", "verify", valid.toString()));
-    assertTrue(printed().contains("1-1-1.snapshot is good: taken 1970"), printed());
+    assertTrue(printedOutput().contains("1-1-1.snapshot is good: taken 1970"), printedOutput());
   }
 
   @Test
   void verifyReportsTheFaultOfACorruptedSnapshot() {
     assertEquals(1, run("snapshot", "verify", corrupted.toString()));
-    assertTrue(errors().contains("NOT_A_SNAPSHOT"));
+    assertTrue(errorOutput().contains("NOT_A_SNAPSHOT"));
   }
 
   @Test
   void verifyRejectsAMissingFile() {
     assertEquals(1, run("snapshot", "verify", folder.resolve("none").toString()));
-    assertTrue(errors().contains("is not a file"));
+    assertTrue(errorOutput().contains("is not a file"));
   }
 
   @Test
   void listShowsValidAndCorruptedSnapshots() {
     assertEquals(0, run("snapshot", "list", folder.toString()));
-    String listed = printed();
+    String listed = printedOutput();
     assertTrue(listed.contains("1-1-1.snapshot  taken 1970"), listed);
     assertTrue(listed.contains("2-1-1.snapshot  NOT_A_SNAPSHOT"), listed);
   }
@@ -55,7 +55,7 @@
   @Test
   void listRejectsAnEmptyDirectory(@TempDir Path empty) {
     assertEquals(1, run("snapshot", "list", empty.toString()));
-    assertTrue(errors().contains("holds no snapshots"));
+    assertTrue(errorOutput().contains("holds no snapshots"));
   }
 
   @Test
--- a/src/test/java/io/cherryspool/controller/api/RequestForwarderTest.java
+++ b/src/test/java/io/cherryspool/controller/api/RequestForwarderTest.java
@@ -19,11 +19,11 @@
 /** Tests to which nodes users' requests are forwarded, and in what form. */
 class RequestForwarderTest {
   private final List<Mesh.PeerHeartbeat> heartbeats = new ArrayList<>();
-  private final List<Request> sent = new ArrayList<>();
+  private final List<Request> sentRequests = new ArrayList<>();
   private final RequestForwarder forwarder =
       new RequestForwarder(
           (target, request, timeout) -> {
-            sent.add(request);
+            sentRequests.add(request);
             return new CompletableFuture<Reply>();
           },
           () -> heartbeats);
@@ -54,7 +54,7 @@
     Request request = Request.get("/api/jobs/req-000001");
     assertFalse(RequestForwarder.isForwarded(request));
     forwarder.forward(new Endpoint("10.0.0.1", 80), request);
-    assertTrue(RequestForwarder.isForwarded(sent.get(0)));
-    assertEquals(request.path(), sent.get(0).path());
+    assertTrue(RequestForwarder.isForwarded(sentRequests.get(0)));
+    assertEquals(request.path(), sentRequests.get(0).path());
   }
 }
--- a/src/test/java/io/cherryspool/controller/leader/LeaderCostTest.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderCostTest.java
@@ -44,21 +44,21 @@
 
   @Test
   void handlingAnUnchangedHeartbeatAllocatesLittle() {
-    heartbeats(WARM_UP).forEach(leader::handleHeartbeat);
+    heartbeats(WARM_UP).forEach(leader::answerHeartbeat);
     List<byte[]> unchanged = heartbeats(HEARTBEATS);
     long bytes =
-        HeapMeter.allocatedBytes(() -> unchanged.forEach(leader::handleHeartbeat)) / HEARTBEATS;
+        HeapMeter.allocatedBytes(() -> unchanged.forEach(leader::answerHeartbeat)) / HEARTBEATS;
     assertTrue(bytes <= MAX_ALLOCATED_BYTES_PER_HEARTBEAT, bytes + " bytes per heartbeat");
   }
 
   @Test
   void anUnchangedHeartbeatSchedulesNoEventLoopTask() {
-    leader.handleHeartbeat(leader.nextHeartbeat(MACHINE, TASKS));
+    leader.answerHeartbeat(leader.nextHeartbeat(MACHINE, TASKS));
     leader.advance(Duration.ofMillis(100));
     int before = leader.scheduledTasks();
-    heartbeats(HEARTBEATS).forEach(leader::handleHeartbeat);
+    heartbeats(HEARTBEATS).forEach(leader::answerHeartbeat);
     assertEquals(before, leader.scheduledTasks());
-    leader.handleHeartbeat(leader.nextHeartbeat(MACHINE, TASKS + 1));
+    leader.answerHeartbeat(leader.nextHeartbeat(MACHINE, TASKS + 1));
     assertEquals(before + 1, leader.scheduledTasks(), "a changed heartbeat schedules a round");
   }
 
@@ -86,7 +86,7 @@
         .schedule(
             delay,
             () -> {
-              leader.handleHeartbeat(leader.nextHeartbeat(machine, 0));
+              leader.answerHeartbeat(leader.nextHeartbeat(machine, 0));
               sendRegularly(machine, LeaderTermFixture.HEARTBEAT_INTERVAL);
             });
   }
--- a/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
+++ b/src/test/java/io/cherryspool/controller/leader/LeaderTermFixture.java
@@ -219,7 +219,7 @@
   }
 
   /** Passes an encoded heartbeat to the leader; returns the encoded reply. */
-  byte[] handleHeartbeat(byte[] heartbeat) {
+  byte[] answerHeartbeat(byte[] heartbeat) {
     try {
       return term.answerHeartbeat(WorkerProtocol.parseHeartbeat(Json.parseObject(heartbeat)));
     } catch (MalformedMessageException e) {
--- a/src/test/java/io/cherryspool/controller/leader/WorkerCommandPlannerTest.java
+++ b/src/test/java/io/cherryspool/controller/leader/WorkerCommandPlannerTest.java
@@ -45,7 +45,7 @@
   private final MachineState machine = new MachineState("host-1", "box", "a", false, START);
   private final Ownership.OwnedTask owned =
       new Ownership.OwnedTask(
-          JobRecordFixture.accepted(JobFixture.job("req-000001", Priority.NORMAL, 1, 1)),
+          JobRecordFixture.acceptedRecord(JobFixture.job("req-000001", Priority.NORMAL, 1, 1)),
           TASK,
           new Attempt(0, "host-1", AGENT_EPOCH, 1, tokens.termBase() - 7));
   private long sequence;
--- a/src/test/java/io/cherryspool/controller/ownership/OwnershipTest.java
+++ b/src/test/java/io/cherryspool/controller/ownership/OwnershipTest.java
@@ -17,7 +17,7 @@
   private final List<Integer> releasedTaskIndexes = new ArrayList<>();
   private final Ownership ownership = new Ownership(null);
   private final JobRecord jobRecord =
-      JobRecordFixture.running(JobFixture.job("req-000001", Priority.LOW, 2, 1), 2, "host-1");
+      JobRecordFixture.runningRecord(JobFixture.job("req-000001", Priority.LOW, 2, 1), 2, "host-1");
 
   private void startListening() {
     ownership.setListener(
@@ -50,7 +50,7 @@
   void aDoneJobOwnsNoTasksAlthoughItsRecordsStillListAttempts() {
     startListening();
     assertEquals(2, ownership.ownedTasksOn("host-1").size());
-    JobRecordFixture.end(jobRecord, Outcome.DONE);
+    JobRecordFixture.setOutcome(jobRecord, Outcome.DONE);
     ownership.onJobChanged(jobRecord);
     assertEquals(List.of(), ownership.ownedTasksOn("host-1"));
     assertEquals(0, jobRecord.ownedCount());
@@ -61,7 +61,7 @@
   @Test
   void aCancelledJobOwnsItsTasksUntilTheyAreProvedToHaveEnded() {
     startListening();
-    JobRecordFixture.end(jobRecord, Outcome.CANCELLED);
+    JobRecordFixture.setOutcome(jobRecord, Outcome.CANCELLED);
     ownership.onJobChanged(jobRecord);
     assertEquals(2, ownership.ownedTasksOn("host-1").size());
     assertEquals(2, jobRecord.ownedCount());
--- a/src/test/java/io/cherryspool/controller/ownership/StopRequestsTest.java
+++ b/src/test/java/io/cherryspool/controller/ownership/StopRequestsTest.java
@@ -21,7 +21,7 @@
   private static final Duration LONG = Duration.ofSeconds(60);
 
   private final JobRecord jobRecord =
-      JobRecordFixture.accepted(JobFixture.job("req-000001", Priority.NORMAL, 1, 1));
+      JobRecordFixture.acceptedRecord(JobFixture.job("req-000001", Priority.NORMAL, 1, 1));
   private final StopRequests requests = new StopRequests();
 
   private Ownership.OwnedTask attempt(int number) {
@@ -57,7 +57,7 @@
   @Test
   void allAttemptsOfACancelledJobStopAtOnce() {
     requests.add(TASK, 1, LONG);
-    JobRecordFixture.end(jobRecord, Outcome.CANCELLED);
+    JobRecordFixture.setOutcome(jobRecord, Outcome.CANCELLED);
     assertEquals(Optional.of(Duration.ZERO), requests.gracePeriodFor(attempt(1)));
   }
 }
--- a/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
+++ b/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
@@ -37,7 +37,7 @@
 
   private final VirtualTime time = new VirtualTime();
   private final Fleet fleet = new Fleet();
-  private final List<Request> sent = new ArrayList<>();
+  private final List<Request> sentRequests = new ArrayList<>();
   private final List<CompletableFuture<Reply>> answers = new ArrayList<>();
   private final CloudCallSlot calls =
       new CloudCallSlot(
@@ -51,7 +51,7 @@
 
   private CompletableFuture<Reply> answerLater(Request request) {
     CompletableFuture<Reply> answer = new CompletableFuture<>();
-    sent.add(request);
+    sentRequests.add(request);
     answers.add(answer);
     return answer;
   }
@@ -81,7 +81,8 @@
     assertTrue(calls.isFree());
     assertTrue(requests.hasUnansweredRequest());
     requests.repeatUnansweredRequest();
-    assertArrayEquals(sent.get(0).body(), sent.get(1).body(), "the same name and size");
+    assertArrayEquals(
+        sentRequests.get(0).body(), sentRequests.get(1).body(), "the same name and size");
     answerLast(200, "{\"spindles\":[\"host-1\",\"host-2\",\"host-3\"]}");
     assertFalse(requests.hasUnansweredRequest());
     assertEquals(3, requests.provisioningOfferings(list, TYPES).size());
--- a/src/test/java/io/cherryspool/controller/release/CrashLoopBackoffTest.java
+++ b/src/test/java/io/cherryspool/controller/release/CrashLoopBackoffTest.java
@@ -18,7 +18,8 @@
 
   private final CrashLoopBackoff backoff = new CrashLoopBackoff();
   private final JobRecord jobRecord =
-      JobRecordFixture.running(JobFixture.job("req-000001", Priority.NORMAL, 9, 1), 6, "host-0");
+      JobRecordFixture.runningRecord(
+          JobFixture.job("req-000001", Priority.NORMAL, 9, 1), 6, "host-0");
 
   private static MachineState machine(int number) {
     return new MachineState("host-" + number, "box", "a", false, Duration.ZERO);
@@ -27,13 +28,14 @@
   /**
    * Records a failure of a task on the machine; returns whether it is attributed to the machine.
    */
-  private boolean recordFailure(boolean succeeded, int machine, double second) {
+  private boolean recordFailure(boolean hasSucceeded, int machine, double second) {
     return backoff.recordFailure(
-        jobRecord, succeeded, machine(machine), Duration.ofMillis((long) (second * 1000)));
+        jobRecord, hasSucceeded, machine(machine), Duration.ofMillis((long) (second * 1000)));
   }
 
   private static JobRecord jobWithFailures(int... failures) {
-    return JobRecordFixture.failed(JobFixture.job("req-000001", Priority.NORMAL, 99, 1), failures);
+    return JobRecordFixture.recordWithFailures(
+        JobFixture.job("req-000001", Priority.NORMAL, 99, 1), failures);
   }
 
   @Test
--- a/src/test/java/io/cherryspool/controller/release/TerminationEvidenceTest.java
+++ b/src/test/java/io/cherryspool/controller/release/TerminationEvidenceTest.java
@@ -44,7 +44,7 @@
   private final Job job = JobFixture.job("req-000001", Priority.NORMAL, 1, 1);
   private final Ownership.OwnedTask owned =
       new Ownership.OwnedTask(
-          JobRecordFixture.accepted(job),
+          JobRecordFixture.acceptedRecord(job),
           TASK,
           new Attempt(0, "host-1", 3, 1, tokens.termBase() - 7));
   private long sequence;
--- a/src/test/java/io/cherryspool/controller/rounds/RoundChangeSetBuilderTest.java
+++ b/src/test/java/io/cherryspool/controller/rounds/RoundChangeSetBuilderTest.java
@@ -30,7 +30,7 @@
   private static final Duration OVERDUE = Duration.ofSeconds(80);
 
   private final Job job = JobFixture.job(JOB_ID, Priority.NORMAL, 4, 1);
-  private final JobRecord jobRecord = JobRecordFixture.running(job, 3, "host-1");
+  private final JobRecord jobRecord = JobRecordFixture.runningRecord(job, 3, "host-1");
   private final PendingReleases pendingReleases = new PendingReleases();
 
   private void addRelease(int task, TerminationEvidence.Assessment assessment, int at) {
@@ -90,7 +90,7 @@
   @Test
   void lastReleaseOfAJobIsWrittenAtOnceAsItsOutcome() {
     JobRecord all =
-        JobRecordFixture.running(JobFixture.job(JOB_ID, Priority.NORMAL, 2, 1), 2, "host-1");
+        JobRecordFixture.runningRecord(JobFixture.job(JOB_ID, Priority.NORMAL, 2, 1), 2, "host-1");
     for (int task = 0; task < 2; task++) {
       Attempt attempt = all.shard(0).shard().ownedAttempt(task);
       pendingReleases.add(
--- a/src/test/java/io/cherryspool/model/RecordEqualityTest.java
+++ b/src/test/java/io/cherryspool/model/RecordEqualityTest.java
@@ -22,12 +22,12 @@
  */
 class RecordEqualityTest {
   private static final TaskId TASK = new TaskId("req-000001", 3);
-  private static final Resources SIZE = new Resources(4, 0, 8);
-  private static final Duration BOOT = Duration.ofSeconds(50);
+  private static final Resources RESOURCES = new Resources(4, 0, 8);
+  private static final Duration BOOT_TIME = Duration.ofSeconds(50);
   private static final List<String> ZONES = List.of("a", "b");
 
   private static MachineType type(String name) {
-    return new MachineType(name, SIZE, 30, 0.8, 0.27, 0.1, BOOT, ZONES);
+    return new MachineType(name, RESOURCES, 30, 0.8, 0.27, 0.1, BOOT_TIME, ZONES);
   }
 
   private static Arguments record(Supplier<Record> original, Record... variants) {
@@ -41,10 +41,10 @@
             new TaskId("req-000002", 3),
             new TaskId("req-000001", 4)),
         record(
-            () -> WorkerCommand.stop(TASK, 2, BOOT),
-            new WorkerCommand(WorkerCommand.Action.START, TASK, 2, BOOT),
-            WorkerCommand.stop(new TaskId("req-000001", 4), 2, BOOT),
-            WorkerCommand.stop(TASK, 3, BOOT),
+            () -> WorkerCommand.stop(TASK, 2, BOOT_TIME),
+            new WorkerCommand(WorkerCommand.Action.START, TASK, 2, BOOT_TIME),
+            WorkerCommand.stop(new TaskId("req-000001", 4), 2, BOOT_TIME),
+            WorkerCommand.stop(TASK, 3, BOOT_TIME),
             WorkerCommand.stop(TASK, 2, Duration.ZERO)),
         record(
             () -> new Attempt(1, "m", 2, 3, 4),
@@ -75,13 +75,13 @@
         record(
             () -> type("box"),
             type("crate"),
-            new MachineType("box", Resources.NONE, 30, 0.8, 0.27, 0.1, BOOT, ZONES),
-            new MachineType("box", SIZE, 31, 0.8, 0.27, 0.1, BOOT, ZONES),
-            new MachineType("box", SIZE, 30, 0.9, 0.27, 0.1, BOOT, ZONES),
-            new MachineType("box", SIZE, 30, 0.8, 0.28, 0.1, BOOT, ZONES),
-            new MachineType("box", SIZE, 30, 0.8, 0.27, 0.2, BOOT, ZONES),
-            new MachineType("box", SIZE, 30, 0.8, 0.27, 0.1, Duration.ZERO, ZONES),
-            new MachineType("box", SIZE, 30, 0.8, 0.27, 0.1, BOOT, List.of("a"))),
+            new MachineType("box", Resources.NONE, 30, 0.8, 0.27, 0.1, BOOT_TIME, ZONES),
+            new MachineType("box", RESOURCES, 31, 0.8, 0.27, 0.1, BOOT_TIME, ZONES),
+            new MachineType("box", RESOURCES, 30, 0.9, 0.27, 0.1, BOOT_TIME, ZONES),
+            new MachineType("box", RESOURCES, 30, 0.8, 0.28, 0.1, BOOT_TIME, ZONES),
+            new MachineType("box", RESOURCES, 30, 0.8, 0.27, 0.2, BOOT_TIME, ZONES),
+            new MachineType("box", RESOURCES, 30, 0.8, 0.27, 0.1, Duration.ZERO, ZONES),
+            new MachineType("box", RESOURCES, 30, 0.8, 0.27, 0.1, BOOT_TIME, List.of("a"))),
         record(
             () -> new ScalingPlanner.Offering(type("box"), "a", true),
             new ScalingPlanner.Offering(type("crate"), "a", true),
--- a/src/test/java/io/cherryspool/store/GroupCommitTest.java
+++ b/src/test/java/io/cherryspool/store/GroupCommitTest.java
@@ -26,7 +26,7 @@
 
 class GroupCommitTest {
   private final VirtualTime time = new VirtualTime();
-  private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
+  private final FakeStateStore stateStore = new FakeStateStore(time, new SplittableRandom(1), 0);
   private final List<Request> droppedRequests = new ArrayList<>();
   private boolean isNextRequestDropped;
   private final StateStoreClient client =
@@ -41,7 +41,8 @@
               return result;
             }
             time.schedule(
-                Duration.ofMillis(5), () -> state.handle(request).thenAccept(result::complete));
+                Duration.ofMillis(5),
+                () -> stateStore.handle(request).thenAccept(result::complete));
             return result;
           },
           new Endpoint("127.0.0.1", 1),
@@ -52,7 +53,7 @@
     return new GroupCommit(time, client, rateLimiter, 8, maxQueue, Duration.ofSeconds(1));
   }
 
-  private final ControlledTransport transport = new ControlledTransport(time, state);
+  private final ControlledTransport transport = new ControlledTransport(time, stateStore);
 
   /**
    * Creates a group commit that uses {@link #transport}, which can hold or replace single messages.
@@ -129,7 +130,7 @@
     CompletableFuture<Boolean> result = put(commits, "c/a");
     run(0.3);
     assertEquals(true, result.getNow(null));
-    state.handle(droppedRequests.get(0)).thenAccept(late -> assertEquals(409, late.status()));
+    stateStore.handle(droppedRequests.get(0)).thenAccept(late -> assertEquals(409, late.status()));
     assertEquals(1, droppedRequests.size());
   }
 
@@ -147,7 +148,7 @@
     assertEquals(true, first.getNow(null));
     run(0.5);
     assertEquals(List.of(false, false, false), resultsSoFar(group));
-    assertNotNull(state.value("c/c"));
+    assertNotNull(stateStore.value("c/c"));
     assertEquals(3, transport.sentCount(ControlledTransport.COMMIT));
   }
 
--- a/src/test/java/io/cherryspool/store/JobRecordFixture.java
+++ b/src/test/java/io/cherryspool/store/JobRecordFixture.java
@@ -8,7 +8,7 @@
 public final class JobRecordFixture {
   private JobRecordFixture() {}
 
-  public static JobRecord accepted(Job job) {
+  public static JobRecord acceptedRecord(Job job) {
     return new JobRecord(job, 100);
   }
 
@@ -16,8 +16,8 @@
    * Creates a job whose first {@code tasks} tasks run on one machine. Its progress record has
    * version 7.
    */
-  public static JobRecord running(Job job, int tasks, String machine) {
-    JobRecord record = accepted(job);
+  public static JobRecord runningRecord(Job job, int tasks, String machine) {
+    JobRecord record = acceptedRecord(job);
     Shard.Editor editor = Shard.EMPTY.edit();
     for (int task = 0; task < tasks; task++) {
       editor.assign(task, machine, 1, 5);
@@ -30,8 +30,8 @@
    * Creates a job whose tasks have failed the given numbers of times and are not owned by a
    * machine.
    */
-  public static JobRecord failed(Job job, int... failures) {
-    JobRecord record = accepted(job);
+  public static JobRecord recordWithFailures(Job job, int... failures) {
+    JobRecord record = acceptedRecord(job);
     Shard.Editor editor = Shard.EMPTY.edit();
     for (int task = 0; task < failures.length; task++) {
       editor.putHistory(task, new Shard.History(failures[task] + 1, failures[task]));
@@ -40,7 +40,7 @@
     return record;
   }
 
-  public static void end(JobRecord record, Outcome outcome) {
+  public static void setOutcome(JobRecord record, Outcome outcome) {
     record.setOutcome(outcome);
   }
 }
--- a/src/test/java/io/cherryspool/store/ReplicaCostTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaCostTest.java
@@ -83,14 +83,14 @@
     }
   }
 
-  private Reply jobAccepted(String id) {
+  private Reply acceptedJobReply(String id) {
     return watchReply(
         Records.jobKey(id),
         Records.encodeJob(JobFixture.job(id, Priority.NORMAL, TASKS, 1), TASKS));
   }
 
   /** Creates a change after which the first tasks are done and the next ones are owned. */
-  private Reply progressMade(int done) {
+  private Reply progressReply(int done) {
     Shard.Editor editor = Shard.EMPTY.edit().markDone(0, done);
     for (int task = done + 1; task <= done + OWNED; task++) {
       editor.assign(task, "host-" + task, 1, 7);
@@ -98,10 +98,10 @@
     return watchReply(Records.progressKey(JOB, 0), Records.encodeShard(editor.build()));
   }
 
-  private List<Reply> progress(int count) {
+  private List<Reply> progressReplies(int count) {
     List<Reply> result = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      result.add(progressMade(i % (TASKS / 2)));
+      result.add(progressReply(i % (TASKS / 2)));
     }
     return result;
   }
@@ -109,10 +109,10 @@
   @Test
   void aChangeOfProgressAllocatesLittle() {
     replica.start();
-    answerWatch(jobAccepted(JOB));
-    progress(WARM_UP).forEach(this::answerWatch);
+    answerWatch(acceptedJobReply(JOB));
+    progressReplies(WARM_UP).forEach(this::answerWatch);
     long bytes = 0;
-    for (Reply reply : progress(EVENTS)) {
+    for (Reply reply : progressReplies(EVENTS)) {
       bytes += HeapMeter.allocatedBytes(() -> watch.complete(reply));
       reopen();
     }
@@ -133,7 +133,7 @@
   private Object replicaWithEndedJobs() {
     for (int i = 0; i < JOBS; i++) {
       String id = String.format("req-%06d", i);
-      answerWatch(jobAccepted(id));
+      answerWatch(acceptedJobReply(id));
       answerWatch(watchReply(Records.outcomeKey(id), Records.encodeOutcome(Outcome.DONE)));
     }
     return replica;
--- a/src/test/java/io/cherryspool/store/ReplicaTest.java
+++ b/src/test/java/io/cherryspool/store/ReplicaTest.java
@@ -28,8 +28,8 @@
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
 
   private final VirtualTime time = new VirtualTime();
-  private final FakeStateStore state = new FakeStateStore(time, new SplittableRandom(1), 0);
-  private final ControlledTransport transport = new ControlledTransport(time, state);
+  private final FakeStateStore stateStore = new FakeStateStore(time, new SplittableRandom(1), 0);
+  private final ControlledTransport transport = new ControlledTransport(time, stateStore);
   private final RateLimiter rateLimiter = new RateLimiter(time, 1, 1000, 1000);
   private final StateStoreClient client =
       new StateStoreClient(
@@ -47,7 +47,7 @@
   /** Writes the record of a job as another node does that accepts it. */
   private void accept(String id) {
     var record = Records.encodeJob(JobFixture.job(id, Priority.NORMAL, 1, 1), 100);
-    state.handle(
+    stateStore.handle(
         StateStoreProtocol.transactionRequest(
             Map.of(Records.jobKey(id), 0L),
             List.of(new StateStoreProtocol.Change(Records.jobKey(id), record, 0))));
@@ -55,7 +55,7 @@
 
   /** Writes the outcome of a job as another node does that cancels it. */
   private void cancel(String id) {
-    state.handle(
+    stateStore.handle(
         StateStoreProtocol.transactionRequest(
             Map.of(Records.outcomeKey(id), 0L),
             List.of(
@@ -71,7 +71,7 @@
     assertTrue(replica.isLoaded());
   }
 
-  private static boolean succeeded(CompletableFuture<Void> result) {
+  private static boolean hasSucceeded(CompletableFuture<Void> result) {
     return result.isDone() && !result.isCompletedExceptionally();
   }
 
@@ -86,12 +86,12 @@
     transport.interceptNext(ControlledTransport.READ, Interception.HOLD_REQUEST);
     transport.release(ControlledTransport.READ);
     run(0.05);
-    assertTrue(succeeded(before));
+    assertTrue(hasSucceeded(before));
     assertNull(replica.job(JOB), "the read was executed before the job was accepted");
     assertFalse(after.isDone(), "its own read is still outstanding");
     transport.release(ControlledTransport.READ);
     run(0.05);
-    assertTrue(succeeded(after));
+    assertTrue(hasSucceeded(after));
     assertNotNull(replica.job(JOB));
   }
 
@@ -111,13 +111,13 @@
     assertTrue(replica.refresh().isCompletedExceptionally());
     transport.release(ControlledTransport.READ);
     assertTrue(
-        succeeded(sent),
+        hasSucceeded(sent),
         "a read that was sent before the reload is valid for the records that are still in memory");
     transport.release("/keys");
     run(0.05);
     CompletableFuture<Void> later = replica.refresh();
     run(0.05);
-    assertTrue(succeeded(later));
+    assertTrue(hasSucceeded(later));
   }
 
   /** Callers may have been answered from a read that was executed after the read of the reload. */
@@ -133,7 +133,7 @@
     accept(JOB);
     transport.release(ControlledTransport.READ);
     run(0.05);
-    assertTrue(succeeded(reading));
+    assertTrue(hasSucceeded(reading));
     assertNotNull(replica.job(JOB), "a caller may have been answered with the job");
     assertFalse(replica.isLoaded());
     transport.release(ControlledTransport.READ);
@@ -159,7 +159,7 @@
     assertEquals(Outcome.CANCELLED, replica.job(JOB).outcome());
     Duration confirmed = replica.lastConfirmedAt();
     transport.release(ControlledTransport.READ);
-    assertTrue(succeeded(reading));
+    assertTrue(hasSucceeded(reading));
     assertEquals(Outcome.CANCELLED, replica.job(JOB).outcome());
     assertEquals(confirmed, replica.lastConfirmedAt(), "the read was sent earlier than the reload");
   }
--- a/src/test/java/io/cherryspool/wire/MessageFormatsTest.java
+++ b/src/test/java/io/cherryspool/wire/MessageFormatsTest.java
@@ -108,8 +108,9 @@
   }
 
   private static Instance machine(
-      String name, String address, boolean spot, Instance.Status status, long ageMillis) {
-    return new Instance(name, address, "box", "zone-a", spot, status, Duration.ofMillis(ageMillis));
+      String name, String address, boolean isSpot, Instance.Status status, long ageMillis) {
+    return new Instance(
+        name, address, "box", "zone-a", isSpot, status, Duration.ofMillis(ageMillis));
   }
 
   @Test
