--- a/src/main/java/io/cherryspool/controller/fleet/MachineState.java
+++ b/src/main/java/io/cherryspool/controller/fleet/MachineState.java
@@ -64,7 +64,7 @@
     return contact;
   }
 
-  /** Returns the commands sent to the machine's worker. */
+  /** Returns the state of the delivery of commands to the machine's worker. */
   public CommandDelivery commandDelivery() {
     return commandDelivery;
   }
--- a/src/main/java/io/cherryspool/controller/leader/HeartbeatHandler.java
+++ b/src/main/java/io/cherryspool/controller/leader/HeartbeatHandler.java
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Handles a heartbeat that the worker sent on its own schedule, and returns the encoded reply.
+   * Records a heartbeat that the worker sent on its own schedule, and returns the encoded reply.
    */
   byte[] answer(WorkerHeartbeat heartbeat) {
     recordHeartbeat(heartbeat);
--- a/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
+++ b/src/main/java/io/cherryspool/controller/leader/LeaderTerm.java
@@ -240,7 +240,7 @@
   }
 
   /**
-   * Handles a heartbeat, which may end the term. Returns the encoded reply with the current fencing
+   * Records a heartbeat, which may end the term. Returns the encoded reply with the current fencing
    * token and the commands that are due.
    */
   public byte[] answerHeartbeat(WorkerHeartbeat heartbeat) {
@@ -279,7 +279,7 @@
     dispatcher.onMachineChanged(machine);
   }
 
-  /** Gives the scheduling loop access to the term. */
+  /** Answers the scheduling loop with the permissions and the command dispatcher of the term. */
   private final class RoundCallbacks implements SchedulingLoop.Callbacks {
     private final FleetPermissions permissions;
 
--- a/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
+++ b/src/main/java/io/cherryspool/controller/rounds/SchedulingLoop.java
@@ -17,10 +17,10 @@
 
 /**
  * Runs the leader's scheduling rounds. A round collects proofs that attempts have ended, plans,
- * commits its changes, and only then has its host send commands to workers; stops of preempted
- * tasks need no commit. One round is in progress at a time. An event starts the next round after a
- * delay, which batches further events and grows with the cost of rounds. Without events, rounds
- * start at intervals of {@code maxRoundInterval}.
+ * commits its changes, and only then has commands sent to workers, through its {@link Callbacks};
+ * stops of preempted tasks need no commit. One round is in progress at a time. An event starts the
+ * next round after a delay, which batches further events and grows with the cost of rounds. Without
+ * events, rounds start at intervals of {@code maxRoundInterval}.
  *
  * <p>Used on the event loop only.
  */
@@ -75,7 +75,7 @@
     STOPPED
   }
 
-  /** The owner of the loop, which permits rounds and sends commands to workers. */
+  /** Permits rounds and sends commands to workers; implemented by the owner of the loop. */
   public interface Callbacks {
     /** Whether rounds may plan and record changes now. */
     boolean mayPlace();
--- a/src/main/java/io/cherryspool/http/ObservedTransport.java
+++ b/src/main/java/io/cherryspool/http/ObservedTransport.java
@@ -19,7 +19,7 @@
 
   /**
    * Receives the outcome of each observed request. Times are those of the event loop's clock, and
-   * {@code sent} is when the request was sent.
+   * {@code sentAt} is when the request was sent.
    */
   public interface Observer {
     /** Called when the other side has answered a request. */
--- a/src/main/java/io/cherryspool/model/Shard.java
+++ b/src/main/java/io/cherryspool/model/Shard.java
@@ -157,7 +157,8 @@
     }
 
     /**
-     * Frees a task whose attempt is proved to have ended, and counts a failure if {@code failed}.
+     * Frees a task whose attempt is proved to have ended, and counts a failure if {@code
+     * hasFailed}.
      */
     public Editor release(int task, boolean hasFailed) {
       owned.remove(task);
--- a/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
+++ b/src/main/java/io/cherryspool/reachability/ReachabilityMatrix.java
@@ -11,8 +11,8 @@
 /**
  * The latest heartbeat of each other node, which contains the state of that node's links, and the
  * time at which it was received. Immutable: adding a heartbeat creates a new matrix, which shares
- * the other rows with the old one. The contents are hints only, not proof. All times are of the
- * receiving node's monotonic clock.
+ * the heartbeats of the other nodes with the old one. The contents are hints only, not proof. All
+ * times are of the receiving node's monotonic clock.
  */
 public final class ReachabilityMatrix {
   /** The matrix before any heartbeat was received. */
--- a/src/main/java/io/cherryspool/recovery/Rebuilder.java
+++ b/src/main/java/io/cherryspool/recovery/Rebuilder.java
@@ -50,7 +50,7 @@
    *     one: usually a rebuild that was interrupted
    * @param retainedSnapshot the records that this node retains
    * @param recentWrites the jobs and outcomes that this node has acknowledged and that {@code
-   *     retained} may lack
+   *     retainedSnapshot} may lack
    * @param highestTerm the highest known term
    */
   record RebuildInput(
