--- a/src/main/java/io/cherryspool/controller/election/NodeLeases.java
+++ b/src/main/java/io/cherryspool/controller/election/NodeLeases.java
@@ -172,14 +172,14 @@
               if (failure == null) {
                 lease.confirmRenewal(sentAt);
               } else if (StateStoreException.kindOf(failure) == StateStoreException.Kind.GONE) {
-                expire(lease);
+                removeExpired(lease);
               } else if (lease == current || lease == replacement) {
                 scheduleRetry();
               }
             });
   }
 
-  private void expire(StateStoreLease lease) {
+  private void removeExpired(StateStoreLease lease) {
     if (lease == replacement) {
       replacement = null;
       listener.onLeasesChanged();
--- a/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
+++ b/src/main/java/io/cherryspool/controller/rounds/JobViewCache.java
@@ -144,11 +144,11 @@
         pending = selectRetries(pending, CrashLoopBackoff.MAX_CONCURRENT_RETRIES - running);
       }
     }
-    Optional<Map<String, Integer>> byZone =
+    Optional<Map<String, Integer>> taskCountsByZone =
         job.requiresSingleZone() || job.requiresZoneSpread()
-            ? ownedTasksByZone(record, releases)
+            ? ownedTaskCountsByZone(record, releases)
             : Optional.of(Map.of());
-    if (byZone.isEmpty()) {
+    if (taskCountsByZone.isEmpty()) {
       // A task of the job runs in an unknown zone, so that no zone is certain to satisfy the job's
       // constraint.
       return new CachedView(
@@ -158,7 +158,7 @@
     }
     return new CachedView(
         new ClusterView.JobView(
-            job, pending, byZone.get(), scan.failureCappedCount, scan.hasStarted),
+            job, pending, taskCountsByZone.get(), scan.failureCappedCount, scan.hasStarted),
         scan.validUntil);
   }
 
@@ -185,7 +185,7 @@
    * Returns the number of owned tasks by zone; empty if one of them is on a machine whose zone is
    * not known.
    */
-  private Optional<Map<String, Integer>> ownedTasksByZone(
+  private Optional<Map<String, Integer>> ownedTaskCountsByZone(
       JobRecord job, Map<Integer, PendingReleases.Release> releases) {
     Map<String, Integer> result = new HashMap<>();
     for (JobRecord.VersionedShard item : job.shards().values()) {
--- a/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
+++ b/src/main/java/io/cherryspool/controller/rounds/RoundCommitter.java
@@ -197,8 +197,8 @@
     private final Runnable onOutcomesKnown;
     private int unknownOutcomes;
 
-    PendingRound(int transactions, Runnable onOutcomesKnown) {
-      this.unknownOutcomes = transactions;
+    PendingRound(int transactionCount, Runnable onOutcomesKnown) {
+      this.unknownOutcomes = transactionCount;
       this.onOutcomesKnown = onOutcomesKnown;
     }
 
--- a/src/main/java/io/cherryspool/controller/rounds/TaskAdoption.java
+++ b/src/main/java/io/cherryspool/controller/rounds/TaskAdoption.java
@@ -145,14 +145,14 @@
     for (MachineState machine : fleet.all()) {
       if (!machine.isDeleted() && machine.contact().hasTokenAbove(tokens.termBase())) {
         for (WorkerHeartbeat.TaskStatus task : machine.latestHeartbeat().tasks()) {
-          collect(machine, task, changeSetBuilder, unknownJobs, pendingJobs);
+          collectTask(machine, task, changeSetBuilder, unknownJobs, pendingJobs);
         }
       }
     }
     List<ChangeSet> changeSets = new ArrayList<>();
     for (String id : unknownJobs) {
       if (!records.isUnknownJob(id)) {
-        changeSets.add(addMarker(Records.unknownJobKey(id)));
+        changeSets.add(newMarkerChange(Records.unknownJobKey(id)));
       }
     }
     for (String id : records.unknownJobs()) {
@@ -163,7 +163,7 @@
     return changeSets;
   }
 
-  private void collect(
+  private void collectTask(
       MachineState machine,
       WorkerHeartbeat.TaskStatus task,
       RoundChangeSetBuilder changeSetBuilder,
@@ -224,13 +224,13 @@
     for (JobRecord job : records.activeJobs()) {
       String id = job.job().id();
       if (mayHaveEndedUnobserved(job) && !records.heldJobs().contains(id)) {
-        changeSets.add(addMarker(Records.heldJobKey(id)));
+        changeSets.add(newMarkerChange(Records.heldJobKey(id)));
       }
     }
-    return changeSets.isEmpty() ? List.of(addMarker(Records.RECONCILED)) : changeSets;
+    return changeSets.isEmpty() ? List.of(newMarkerChange(Records.RECONCILED)) : changeSets;
   }
 
-  private static ChangeSet addMarker(String key) {
+  private static ChangeSet newMarkerChange(String key) {
     return markerChange(Map.of(key, 0L), key, Records.presenceMarker());
   }
 
--- a/src/main/java/io/cherryspool/recovery/FirstInstallation.java
+++ b/src/main/java/io/cherryspool/recovery/FirstInstallation.java
@@ -51,12 +51,13 @@
             (page, failure) -> {
               isPending = false;
               if (failure == null) {
-                decide(page, onAllRecordsLost);
+                installUnlessRecordsLost(page, onAllRecordsLost);
               }
             });
   }
 
-  private void decide(StateStoreProtocol.KeyPage page, Runnable onAllRecordsLost) {
+  private void installUnlessRecordsLost(
+      StateStoreProtocol.KeyPage page, Runnable onAllRecordsLost) {
     if (page.entries().isEmpty() && node.hasWorkerReportedToken()) {
       LOG.warn(
           "the state store is empty, but a worker has reported a fencing token: all records are lost");
--- a/src/main/java/io/cherryspool/recovery/RebuildElection.java
+++ b/src/main/java/io/cherryspool/recovery/RebuildElection.java
@@ -103,11 +103,11 @@
    * records the one with the lowest name.
    */
   private boolean isPreferred(Peer peer) {
-    RetainedRecords theirs = peer.retainedRecords();
-    if (theirs.wasSoleLeader() != state.wasSoleLeader()) {
-      return theirs.wasSoleLeader();
+    RetainedRecords peerRecords = peer.retainedRecords();
+    if (peerRecords.wasSoleLeader() != state.wasSoleLeader()) {
+      return peerRecords.wasSoleLeader();
     }
-    int order = theirs.position().compareTo(state.retainedSnapshot().position());
+    int order = peerRecords.position().compareTo(state.retainedSnapshot().position());
     return order > 0 || (order == 0 && peer.node().compareTo(node.name()) < 0);
   }
 }
--- a/src/main/java/io/cherryspool/scheduler/ClusterView.java
+++ b/src/main/java/io/cherryspool/scheduler/ClusterView.java
@@ -51,7 +51,7 @@
    * A job with its pending tasks.
    *
    * @param pendingTasks the tasks that may be placed, ordered by index
-   * @param ownedTasksByZone the number of owned tasks by zone; empty for a job that neither
+   * @param ownedTaskCountsByZone the number of owned tasks by zone; empty for a job that neither
    *     requires a single zone nor a spread over zones
    * @param failureCappedTasks the number of free tasks that may not be placed now because they have
    *     reached the failure cap; they are not among the pending tasks
@@ -60,7 +60,7 @@
   public record JobView(
       Job job,
       List<PendingTask> pendingTasks,
-      Map<String, Integer> ownedTasksByZone,
+      Map<String, Integer> ownedTaskCountsByZone,
       int failureCappedTasks,
       boolean hasStarted) {}
 
--- a/src/main/java/io/cherryspool/scheduler/TaskAssigner.java
+++ b/src/main/java/io/cherryspool/scheduler/TaskAssigner.java
@@ -17,7 +17,7 @@
  */
 final class TaskAssigner {
   private final BinPool bins;
-  private final Map<String, Map<String, Integer>> tasksByZone = new HashMap<>();
+  private final Map<String, Map<String, Integer>> taskCountsByJob = new HashMap<>();
   private final List<UnsatisfiableDemand> unsatisfiableDemands = new ArrayList<>();
   private final List<RoundPlan.Assignment> assignments = new ArrayList<>();
   private int machinesExamined;
@@ -71,7 +71,8 @@
       return assignInAnyZone(new BinFiller(job, tasks, null, usesLentQuota));
     }
     Map<String, Integer> taskCountsByZone =
-        tasksByZone.computeIfAbsent(job.id(), key -> new HashMap<>(jobView.ownedTasksByZone()));
+        taskCountsByJob.computeIfAbsent(
+            job.id(), key -> new HashMap<>(jobView.ownedTaskCountsByZone()));
     BinFiller filler = new BinFiller(job, tasks, taskCountsByZone, usesLentQuota);
     if (!job.requiresSingleZone()) {
       filler.fill(bins.rank(job));
