--- a/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
+++ b/src/test/java/io/cherryspool/sim/cluster/FaultInjector.java
@@ -23,7 +23,7 @@
    * Creates the fault injector.
    *
    * @param endS the time in seconds after which no new group of faults starts
-   * @param submitGuestJobs submits work of a team without a guaranteed quota
+   * @param submitGuestJobs submits jobs of a team without a guaranteed quota
    */
   FaultInjector(SimulatedCluster cluster, double endS, Runnable submitGuestJobs) {
     this.cluster = cluster;
--- a/src/test/java/io/cherryspool/sim/cluster/RandomizedRun.java
+++ b/src/test/java/io/cherryspool/sim/cluster/RandomizedRun.java
@@ -104,7 +104,7 @@
   }
 
   /**
-   * Submits work of a team without a guaranteed quota: one job of 400 tasks, or 40 jobs of one
+   * Submits jobs of a team without a guaranteed quota: one job of 400 tasks, or 40 jobs of one
    * task.
    */
   private void submitGuestJobs() {
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedFleet.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedFleet.java
@@ -67,7 +67,7 @@
     network.listen(Endpoint.parse(machine.address()), worker);
   }
 
-  /** Kills the worker of a machine that the cloud has deleted or reclaimed. */
+  /** Kills the worker of a machine that the cloud has terminated. */
   void shutDown(FakeCloud.Machine machine) {
     FakeWorker worker = workers.remove(machine.name());
     if (worker != null) {
--- a/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
+++ b/src/test/java/io/cherryspool/sim/cluster/SimulatedUsers.java
@@ -151,11 +151,11 @@
     if (unpolledJobs.contains(id)) {
       return;
     }
-    send(id, randomNode());
+    requestStatus(id, randomNode());
     scheduleAfter(rules.hasEnded(id) ? 40 : 5.0 / pollingFactor, () -> poll(id));
   }
 
-  private void send(String id, Endpoint node) {
+  private void requestStatus(String id, Endpoint node) {
     send(
         node,
         Request.get("/api/jobs/" + id),
@@ -172,7 +172,7 @@
   /** Polls and cancels a job that was never submitted. */
   void pollAndCancelUnknownJob() {
     String id = "req-999999";
-    send(id, randomNode());
+    requestStatus(id, randomNode());
     send(
         randomNode(),
         Request.post("/api/jobs/" + id + "/withdraw", new byte[0]),
@@ -239,7 +239,7 @@
               if (choice == 0) {
                 submit(job, node, MAX_ATTEMPTS);
               } else {
-                send(job.id(), node);
+                requestStatus(job.id(), node);
               }
             });
       }
--- a/src/test/java/io/cherryspool/sim/driver/CostMeter.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostMeter.java
@@ -15,7 +15,7 @@
   private final LoopbackFleet fleet;
   private final CostReport report;
 
-  /** The work of a phase. */
+  /** A phase of a measurement. */
   @FunctionalInterface
   interface Phase {
     void run() throws InterruptedException;
@@ -32,7 +32,7 @@
     this.report = report;
   }
 
-  /** Runs a step with the given number of events, and adds its costs to the report. */
+  /** Runs a phase with the given number of events, and adds its costs to the report. */
   void measure(String name, CostReport.WindowKind kind, int events, Phase phase)
       throws InterruptedException {
     System.err.println("measuring: " + name);
--- a/src/test/java/io/cherryspool/sim/driver/LinkFlapDriver.java
+++ b/src/test/java/io/cherryspool/sim/driver/LinkFlapDriver.java
@@ -4,7 +4,8 @@
 import java.time.Duration;
 
 /**
- * Measures the costs of flapping links in simulated time; prints the table of docs/partitions.md.
+ * Measures the disruption by flapping links in simulated time; prints the table of
+ * docs/partitions.md.
  */
 public final class LinkFlapDriver {
   private static final double[] FLAP_DURATIONS_S = {0.5, 1, 2, 3, 5, 10};
--- a/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeCloud.java
@@ -145,7 +145,7 @@
     return machine != null && machine.isRunning;
   }
 
-  /** Ends a machine, as a cloud does when it preempts a spot instance. */
+  /** Terminates a machine without notice, as a cloud does when it preempts a spot instance. */
   public void terminate(String name) {
     Machine machine = machines.remove(name);
     if (machine != null) {
--- a/src/test/java/io/cherryspool/sim/fakes/FakeWorker.java
+++ b/src/test/java/io/cherryspool/sim/fakes/FakeWorker.java
@@ -146,7 +146,7 @@
     return sequence;
   }
 
-  /** Sets whether heartbeats report running tasks as saving a checkpoint, although they don't. */
+  /** Sets whether heartbeats report running tasks as saving a checkpoint, although they are not. */
   public void pretendCheckpointing(boolean value) {
     tasks.pretendCheckpointing(value);
   }
--- a/src/test/java/io/cherryspool/sim/fakes/HangableLoop.java
+++ b/src/test/java/io/cherryspool/sim/fakes/HangableLoop.java
@@ -45,8 +45,8 @@
   }
 
   /**
-   * Hangs for the given time, unless the machine already hangs. Afterwards runs {@code first} and
-   * then the events that have waited.
+   * Hangs for the given time, unless the machine already hangs. Afterwards runs {@code firstEvent}
+   * and then the events that have waited.
    */
   void hang(Duration duration, Runnable firstEvent) {
     if (!isHung) {
--- a/src/test/java/io/cherryspool/sim/fakes/KeyValueStore.java
+++ b/src/test/java/io/cherryspool/sim/fakes/KeyValueStore.java
@@ -114,7 +114,8 @@
   }
 
   /**
-   * Returns one page of the keys with the prefix, starting with the first key after {@code after}.
+   * Returns one page of the keys with the prefix, starting with the first key after {@code
+   * afterKey}.
    */
   ObjectNode page(String prefix, String afterKey, int limit) {
     ObjectNode page = Json.object();
--- a/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
+++ b/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
@@ -23,10 +23,10 @@
 
 /**
  * Simulates the network between hosts, with random latency and a small share of lost replies. A cut
- * between two hosts or around a zone holds requests and replies until it ends, even if the sender's
- * timeout has expired. A host may receive nothing while its own messages arrive, or be unable to
- * open connections while others can connect to it. Worker heartbeats may arrive again later, or be
- * recorded and replayed. {@link #linkFaults} affect single directions between two hosts.
+ * between two hosts or around a zone holds requests and replies until it ends, even beyond the
+ * sender's timeout. A host may receive nothing while its own messages arrive, or accept connections
+ * but open none. Worker heartbeats may arrive again later, or be recorded and replayed. {@link
+ * #linkFaults} affect one direction only.
  */
 public final class SimulatedNetwork {
   private static final double LOST_REPLY_PROBABILITY = 0.002;
--- a/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
+++ b/src/test/java/io/cherryspool/sim/partition/LinkFlapRun.java
@@ -11,7 +11,7 @@
 
 /**
  * A simulated run in which one link fails repeatedly for two minutes while jobs arrive. It measures
- * the costs of these failures.
+ * how much these failures disrupt the cluster.
  */
 public final class LinkFlapRun {
   private static final double SETTLE_S = 40;
@@ -49,8 +49,8 @@
   }
 
   /**
-   * The costs of the flaps. Repeated task starts are counted until the end of the run, all other
-   * costs only while the link flaps.
+   * What the flaps cause. Repeated task starts are counted until the end of the run, everything
+   * else only while the link flaps.
    *
    * @param leaderChanges the number of leader changes
    * @param maxLeaderChangesPerMinute the most leader changes within a minute
@@ -74,7 +74,7 @@
   }
 
   /**
-   * Runs a cluster in which the link alternately fails and works, and returns the costs.
+   * Runs a cluster in which the link alternately fails and works, and returns the disruption.
    *
    * @param flapDuration how long the link fails each time, and how long it works in between; zero
    *     if it never fails
