--- a/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
+++ b/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
@@ -22,11 +22,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Simulates the network between hosts, with random latency and a small share of lost replies. A cut
- * between two hosts or around a zone holds requests and replies until it ends, even beyond the
- * sender's timeout. A host may receive nothing while its own messages arrive, or accept connections
- * but open none. Worker heartbeats may arrive again later, or be recorded and replayed. {@link
- * #linkFaults} affect one direction only.
+ * Simulates the network between hosts, with random latency and a few lost replies. A cut between
+ * hosts or around a zone holds messages until it ends, even beyond the sender's timeout. A host may
+ * receive nothing while its own messages arrive, or accept connections but open none. Worker
+ * heartbeats may arrive again later, or be replayed. Each of the {@link #linkFaults} is one-way.
  */
 public final class SimulatedNetwork {
   private static final double LOST_REPLY_PROBABILITY = 0.002;
