--- a/src/main/java/io/cherryspool/controller/Controller.java
+++ b/src/main/java/io/cherryspool/controller/Controller.java
@@ -104,7 +104,7 @@
   @Override
   public void start() {
     election.onLeadershipChange(terms::update);
-    records.onChange(terms::recordsChanged);
+    records.onChange(terms::onRecordsChanged);
     recovery.ifPresent(RecoveryModule::start);
     records.start();
     election.start();
@@ -185,8 +185,8 @@
         "links: {}, since {}; {} of {} machines are missing",
         verdict.describe(),
         verdict.reason().text(),
-        fleet.missing(),
-        fleet.known());
-    terms.recordsChanged();
+        fleet.missingMachines(),
+        fleet.knownMachines());
+    terms.onRecordsChanged();
   }
 }
--- a/src/test/java/io/cherryspool/controller/leader/WorkerCommandPlannerTest.java
+++ b/src/test/java/io/cherryspool/controller/leader/WorkerCommandPlannerTest.java
@@ -45,7 +45,7 @@
   private final MachineState machine = new MachineState("host-1", "box", "a", false, START);
   private final Ownership.OwnedTask owned =
       new Ownership.OwnedTask(
-          JobRecordFixture.accepted(JobFixture.job("req-000001", Priority.NORMAL, 1, 1)),
+          JobRecordFixture.acceptedRecord(JobFixture.job("req-000001", Priority.NORMAL, 1, 1)),
           TASK,
           new Attempt(0, "host-1", AGENT_EPOCH, 1, tokens.termBase() - 7));
   private long sequence;
@@ -63,7 +63,7 @@
             tokens.current(),
             null,
             List.of(tasks));
-    assertTrue(machine.contact().accept(heartbeat, START.plusSeconds(1)));
+    assertTrue(machine.contact().recordHeartbeat(heartbeat, START.plusSeconds(1)));
   }
 
   private static WorkerHeartbeat.TaskStatus running() {
@@ -98,8 +98,8 @@
    */
   @Test
   void anExitedAttemptIsNotAcknowledgedUntilAnUnansweredCallIsFenced() {
-    machine.commands().recordCallStarted(List.of(), tokens.current());
-    machine.commands().recordCallFailed(START);
+    machine.commandDelivery().recordCallStarted(List.of(), tokens.current());
+    machine.commandDelivery().recordCallFailed(START);
     receive(failed());
     assertEquals(List.of(), planner.commandsFor(machine, List.of()));
     tokens.advance();
--- a/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
+++ b/src/test/java/io/cherryspool/controller/provisioning/InstanceRequestsTest.java
@@ -28,16 +28,16 @@
 /** Tests the handling of the cloud's answers to requests for instances. */
 class InstanceRequestsTest {
   private static final Duration LIST_LAG = Duration.ofSeconds(6);
-  private static final MachineType BOX =
+  private static final MachineType MACHINE_TYPE =
       new MachineType(
           "box", new Resources(16, 0, 64), 50, 0.5, 1, 0.4, Duration.ZERO, List.of("a"));
   private static final ScalingPlanner.Offering OFFERING =
-      new ScalingPlanner.Offering(BOX, "a", true);
-  private static final Map<String, MachineType> TYPES = Map.of("box", BOX);
+      new ScalingPlanner.Offering(MACHINE_TYPE, "a", true);
+  private static final Map<String, MachineType> TYPES = Map.of("box", MACHINE_TYPE);
 
   private final VirtualTime time = new VirtualTime();
   private final Fleet fleet = new Fleet();
-  private final List<Request> sent = new ArrayList<>();
+  private final List<Request> sentRequests = new ArrayList<>();
   private final List<CompletableFuture<Reply>> answers = new ArrayList<>();
   private final CloudCallSlot calls =
       new CloudCallSlot(
@@ -51,7 +51,7 @@
 
   private CompletableFuture<Reply> answerLater(Request request) {
     CompletableFuture<Reply> answer = new CompletableFuture<>();
-    sent.add(request);
+    sentRequests.add(request);
     answers.add(answer);
     return answer;
   }
@@ -81,7 +81,8 @@
     assertTrue(calls.isFree());
     assertTrue(requests.hasUnansweredRequest());
     requests.repeatUnansweredRequest();
-    assertArrayEquals(sent.get(0).body(), sent.get(1).body(), "the same name and size");
+    assertArrayEquals(
+        sentRequests.get(0).body(), sentRequests.get(1).body(), "the same name and size");
     answerLast(200, "{\"spindles\":[\"host-1\",\"host-2\",\"host-3\"]}");
     assertFalse(requests.hasUnansweredRequest());
     assertEquals(3, requests.provisioningOfferings(list, TYPES).size());
@@ -117,7 +118,7 @@
   void anInstanceIsProvisioningUntilItsFirstHeartbeat() {
     requests.request(OFFERING, 1);
     answerLast(200, "{\"spindles\":[\"host-1\"]}");
-    fleet.accept(
+    fleet.recordHeartbeat(
         new WorkerHeartbeat("host-1", "127.0.0.1:1", "box", "a", true, 1, 1, 0, null, List.of()),
         time.now());
     assertEquals(List.of(), requests.provisioningOfferings(list, TYPES));
--- a/src/test/java/io/cherryspool/sim/driver/CostMeter.java
+++ b/src/test/java/io/cherryspool/sim/driver/CostMeter.java
@@ -15,9 +15,9 @@
   private final LoopbackFleet fleet;
   private final CostReport report;
 
-  /** The work of a phase. */
+  /** A phase of a measurement. */
   @FunctionalInterface
-  interface Step {
+  interface Phase {
     void run() throws InterruptedException;
   }
 
@@ -32,20 +32,22 @@
     this.report = report;
   }
 
-  /** Runs a step with the given number of events, and adds its costs to the report. */
-  void measure(String name, CostReport.Kind kind, int events, Step step)
+  /** Runs a phase with the given number of events, and adds its costs to the report. */
+  void measure(String name, CostReport.WindowKind kind, int events, Phase phase)
       throws InterruptedException {
     System.err.println("measuring: " + name);
-    List<ThreadCpuTimes> before = cpuTimes();
-    long heartbeats = fleet.heartbeatCount();
+    List<ThreadCpuTimes> cpuTimesBefore = cpuTimes();
+    long heartbeatsBefore = fleet.heartbeatCount();
     long start = System.nanoTime();
-    step.run();
+    phase.run();
     double seconds = (System.nanoTime() - start) / 1e9;
-    List<ThreadCpuTimes> after = cpuTimes();
-    List<ThreadCpuTimes> used =
-        IntStream.range(0, after.size()).mapToObj(i -> after.get(i).minus(before.get(i))).toList();
-    long sent = fleet.heartbeatCount() - heartbeats;
-    report.add(new CostReport.Window(name, kind, events, seconds, sent, used));
+    List<ThreadCpuTimes> cpuTimesAfter = cpuTimes();
+    List<ThreadCpuTimes> cpuTimesUsed =
+        IntStream.range(0, cpuTimesAfter.size())
+            .mapToObj(i -> cpuTimesAfter.get(i).minus(cpuTimesBefore.get(i)))
+            .toList();
+    long heartbeatsSent = fleet.heartbeatCount() - heartbeatsBefore;
+    report.add(new CostReport.Window(name, kind, events, seconds, heartbeatsSent, cpuTimesUsed));
   }
 
   /** Waits, and samples the processor time meanwhile, so that the time of ended threads counts. */
--- a/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
+++ b/src/test/java/io/cherryspool/sim/faults/MessageFaultsTest.java
@@ -71,7 +71,7 @@
     Job job = startClusterWithJob(seed, 16, Duration.ofSeconds(25), 12);
     cluster.network().recordHeartbeats();
     cluster.run(3);
-    long expiredBefore = cluster.fleet().expiredLeaseCount();
+    long expiredLeasesBefore = cluster.fleet().expiredLeaseCount();
     cluster.fleet().workersRunning(job).stream()
         .limit(2)
         .forEach(
@@ -84,7 +84,7 @@
       cluster.network().replayHeartbeats(controllerAddresses());
       cluster.run(0.5);
     }
-    assertTrue(cluster.fleet().expiredLeaseCount() >= expiredBefore);
+    assertTrue(cluster.fleet().expiredLeaseCount() >= expiredLeasesBefore);
     cluster.run(90);
     assertAllEnded(List.of(job));
   }
@@ -162,7 +162,7 @@
     cluster.run(0.1);
     cluster.users().cancel(job.id(), cluster.nodeAfter(leader).address());
     awaitCancelConfirmed(job, 0.1, 400);
-    cluster.stateStoreOutage(SimulatedCluster.CANCEL_LIMIT.plusSeconds(10));
+    cluster.takeStateStoreDown(SimulatedCluster.CANCEL_LIMIT.plusSeconds(10));
     cluster.run(SimulatedCluster.CANCEL_LIMIT.plusMillis(100));
     assertEquals(0, cluster.fleet().runningTaskCount(job));
     cluster.stateStore().delayReplies(0);
--- a/src/test/java/io/cherryspool/sim/loopback/RelayedRoutes.java
+++ b/src/test/java/io/cherryspool/sim/loopback/RelayedRoutes.java
@@ -8,7 +8,7 @@
 
 /** Routes with a relay on each link of the controllers, so that a test can fail each link alone. */
 final class RelayedRoutes implements LoopbackRoutes, AutoCloseable {
-  private static final int STATE_PORT = 12380;
+  private static final int STATE_STORE_PORT = 12380;
   private static final int PEER_PORT = 12400;
   private static final int CONTROLLER_PORT = 12381;
 
@@ -39,32 +39,32 @@
   }
 
   @Override
-  public Endpoint state(int controller, Endpoint service) {
-    return addRelay("state " + controller, controller, STATE_PORT, service);
+  public Endpoint stateStoreAddress(int controller, Endpoint service) {
+    return addRelay("state " + controller, controller, STATE_STORE_PORT, service);
   }
 
   @Override
-  public Endpoint peer(int from, int to, Endpoint mesh) {
+  public Endpoint peerAddress(int from, int to, Endpoint mesh) {
     return addRelay("peer " + from + " " + to, from, PEER_PORT + to, mesh);
   }
 
   @Override
-  public Endpoint controller(int controller, Endpoint address) {
+  public Endpoint controllerAddress(int controller, Endpoint address) {
     return addRelay("workers " + controller, controller, CONTROLLER_PORT, address);
   }
 
   /** Returns the relay of the controller's link to the state store. */
-  TcpRelay state(int controller) {
+  TcpRelay stateStoreRelay(int controller) {
     return relays.get("state " + controller);
   }
 
   /** Returns the relay of one controller's heartbeats to another. */
-  TcpRelay peer(int from, int to) {
+  TcpRelay peerRelay(int from, int to) {
     return relays.get("peer " + from + " " + to);
   }
 
   /** Returns the relay of the workers' link to the controller. */
-  TcpRelay workers(int controller) {
+  TcpRelay workersRelay(int controller) {
     return relays.get("workers " + controller);
   }
 
--- a/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
+++ b/src/test/java/io/cherryspool/sim/network/SimulatedNetwork.java
@@ -22,11 +22,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Simulates the network between hosts, with random latency and a small share of lost replies. A cut
- * between two hosts or around a zone holds requests and replies until it ends, even if the sender's
- * timeout has expired. A host may receive nothing while its own messages arrive, or be unable to
- * open connections while others can connect to it. Worker heartbeats may arrive again later, or be
- * recorded and replayed. {@link #linkFaults} affect single directions between two hosts.
+ * Simulates the network between hosts, with random latency and a few lost replies. A cut between
+ * hosts or around a zone holds messages until it ends, even beyond the sender's timeout. A host may
+ * receive nothing while its own messages arrive, or accept connections but open none. Worker
+ * heartbeats may arrive again later, or be replayed. Each of the {@link #linkFaults} is one-way.
  */
 public final class SimulatedNetwork {
   private static final double LOST_REPLY_PROBABILITY = 0.002;
@@ -37,7 +36,7 @@
   private final VirtualTime time;
   private final RandomGenerator random;
   private final UnaryOperator<String> zoneOf;
-  private final Map<Endpoint, Host> hosts = new HashMap<>();
+  private final Map<Endpoint, Listener> listeners = new HashMap<>();
   private final Set<String> hostsWithoutInbound = new HashSet<>();
   private final Set<String> hostsWithoutOutbound = new HashSet<>();
   private final Set<String> cutHostPairs = new HashSet<>();
@@ -51,7 +50,7 @@
   private final Map<String, List<Runnable>> heldMessages = new HashMap<>();
 
   /** The request handler that listens at an address, and the inbox of its process. */
-  private record Host(RequestHandler handler, ProcessInbox inbox) {}
+  private record Listener(RequestHandler handler, ProcessInbox inbox) {}
 
   /** Creates a network; {@code zoneOf} returns the zone of a host, and "" if it is in no zone. */
   public SimulatedNetwork(VirtualTime time, RandomGenerator random, UnaryOperator<String> zoneOf) {
@@ -66,12 +65,12 @@
   }
 
   public void listen(Endpoint address, RequestHandler handler, ProcessInbox inbox) {
-    hosts.put(address, new Host(handler, inbox));
+    listeners.put(address, new Listener(handler, inbox));
   }
 
   /** Stops listening at the address. Requests to it fail. */
   public void close(Endpoint address) {
-    hosts.remove(address);
+    listeners.remove(address);
   }
 
   /** Returns the faults of single directions between two hosts. */
@@ -83,7 +82,7 @@
   public void cut(String a, String b, Duration duration) {
     String pair = pairKey(a, b);
     if (cutHostPairs.add(pair)) {
-      time.schedule(duration, () -> release(cutHostPairs, pair));
+      time.schedule(duration, () -> endFault(cutHostPairs, pair));
     }
   }
 
@@ -91,18 +90,18 @@
   public void rejectRequests(String from, String to, Duration duration) {
     String direction = from + ">" + to;
     if (rejectedDirections.add(direction)) {
-      time.schedule(duration, () -> release(rejectedDirections, direction));
+      time.schedule(duration, () -> endFault(rejectedDirections, direction));
     }
   }
 
   /** Holds the messages between the zone and all hosts outside it for the given duration. */
   public void cutZone(String zone, Duration duration) {
     if (cutZones.add(zone)) {
-      time.schedule(duration, () -> release(cutZones, zone));
+      time.schedule(duration, () -> endFault(cutZones, zone));
     }
   }
 
-  private void release(Set<String> activeFaults, String key) {
+  private void endFault(Set<String> activeFaults, String key) {
     activeFaults.remove(key);
     List<Runnable> messages = heldMessages.remove(key);
     if (messages != null) {
@@ -114,14 +113,14 @@
   public Optional<Duration> datagramDelay(String from, String to) {
     Optional<LinkFaults.Mode> mode = linkFaults.mode(from, to);
     boolean isDelayed = mode.filter(LinkFaults.Mode.DELAY::equals).isPresent();
-    if (findCut(from, to) != null || (mode.isPresent() && !isDelayed)) {
+    if (findCutKey(from, to) != null || (mode.isPresent() && !isDelayed)) {
       return Optional.empty();
     }
     return Optional.of(isDelayed ? LinkFaults.DELAY : Duration.ZERO);
   }
 
   /** Returns the key of the cut between the two hosts; null if there is none. */
-  private String findCut(String a, String b) {
+  private String findCutKey(String a, String b) {
     String pair = pairKey(a, b);
     if (cutHostPairs.contains(pair)) {
       return pair;
@@ -159,8 +158,8 @@
   }
 
   /** Sets whether some heartbeats arrive again up to 70 s later, which is longer than a lease. */
-  public void setDuplicatingHeartbeats(boolean on) {
-    isDuplicating = on;
+  public void setDuplicatingHeartbeats(boolean value) {
+    isDuplicating = value;
   }
 
   /** Starts to record worker heartbeats, up to a limit, for {@link #replayHeartbeats}. */
@@ -184,13 +183,13 @@
   }
 
   private void redeliver(Endpoint to, Request request) {
-    Host host = hosts.get(to);
-    if (host != null) {
-      host.inbox.deliver(() -> host.handler.handle(request));
+    Listener listener = listeners.get(to);
+    if (listener != null) {
+      listener.inbox.deliver(() -> listener.handler.handle(request));
     }
   }
 
-  private void recordOrDuplicate(Endpoint to, Request request) {
+  private void recordOrDuplicateHeartbeat(Endpoint to, Request request) {
     boolean isHeartbeat = request.path().equals("/v1/report");
     if (isRecording && isHeartbeat && recordedHeartbeats.size() < MAX_RECORDED_HEARTBEATS) {
       recordedHeartbeats.add(request);
@@ -209,7 +208,7 @@
       if (hostsWithoutOutbound.contains(host)) {
         return result;
       }
-      recordOrDuplicate(to, request);
+      recordOrDuplicateHeartbeat(to, request);
       if (isReset(host, to.host())) {
         send(host, host, () -> fail(result, inbox, "connection reset by " + to));
         return result;
@@ -225,8 +224,8 @@
       Request request,
       CompletableFuture<Reply> result,
       ProcessInbox inbox) {
-    Host host = hosts.get(to);
-    if (host == null) {
+    Listener listener = listeners.get(to);
+    if (listener == null) {
       fail(result, inbox, "connection refused by " + to);
       return;
     }
@@ -235,9 +234,10 @@
       send(to.host(), from, () -> inbox.deliver(() -> result.complete(error)));
       return;
     }
-    host.inbox.deliver(
+    listener.inbox.deliver(
         () ->
-            host.handler
+            listener
+                .handler
                 .handle(request)
                 .thenAccept(
                     reply -> {
@@ -263,8 +263,8 @@
     }
   }
 
-  private static void fail(CompletableFuture<Reply> result, ProcessInbox inbox, String why) {
-    inbox.deliver(() -> result.completeExceptionally(new IOException(why)));
+  private static void fail(CompletableFuture<Reply> result, ProcessInbox inbox, String message) {
+    inbox.deliver(() -> result.completeExceptionally(new IOException(message)));
   }
 
   private void send(String from, String to, Runnable arrival) {
@@ -285,9 +285,9 @@
             time.schedule(isHeld ? linkFaults.remaining(from, to) : LinkFaults.DELAY, arrival);
             return;
           }
-          String cut = findCut(from, to);
-          if (cut != null) {
-            heldMessages.computeIfAbsent(cut, key -> new ArrayList<>()).add(arrival);
+          String cutKey = findCutKey(from, to);
+          if (cutKey != null) {
+            heldMessages.computeIfAbsent(cutKey, key -> new ArrayList<>()).add(arrival);
           } else {
             arrival.run();
           }
